--- a/src/test/java/org/eiderstair/sim/Day.java
+++ b/src/test/java/org/eiderstair/sim/Day.java
@@ -276,12 +276,15 @@
     if (request instanceof Request.WorkerCommands || request instanceof Request.WorkerStatus) {
       String to = request instanceof Request.WorkerCommands c ? c.address()
           : ((Request.WorkerStatus) request).address();
-      net.send(from.name(), to, () -> {
+      long delayMicros = troubles.commandDelayMicros();
+      Consumer<Reply> answered = delayMicros > 0 ? unanswered -> { }
+          : r -> net.send(to, from.name(), () -> reply.accept(r));
+      net.send(from.name(), to, () -> clock.after(delayMicros, () -> {
         Worker w = workers.get(to);
         if (w != null) {
-          w.direct(request, r -> net.send(to, from.name(), () -> reply.accept(r)));
+          w.direct(request, answered);
         }
-      });
+      }));
     } else if (request instanceof Request.PeerRelay relay) {
       Node peer = nodes[indexOf(relay.peer())];
       net.send(from.name(), peer.name(), () -> {
--- a/src/test/java/org/eiderstair/sim/MeetingsTest.java
+++ b/src/test/java/org/eiderstair/sim/MeetingsTest.java
@@ -22,6 +22,7 @@
   private static final long SECOND = 1_000_000;
   private static final long FIRST = Long.getLong("meet.first", 1);
   private static final int DAYS = Integer.getInteger("meet.days", 80);
+  private static final int LATE_COMMAND_DAYS = Integer.getInteger("meet.late", 1);
   private static final Troubles.Kind[] KINDS = Troubles.Kind.values();
   private static final long LAST_TROUBLE = 240 * SECOND;
   private static final long OVER = 320 * SECOND;
@@ -40,6 +41,10 @@
             LAST_TROUBLE + 50 * SECOND - day.clock.now())));
       }
     }
+    return playToTheEnd(day);
+  }
+
+  private static Day playToTheEnd(Day day) {
     day.clock.after(OVER, day::calm);
     day.clock.runUntil(OVER + 10 * SECOND);
     day.servedInTime = day.leastServed(200 * SECOND);
@@ -67,6 +72,36 @@
     assertEquals(List.of(), failures);
   }
 
+  /** Commands that come late, with each other trouble, three times on a day and with a third one drawn. */
+  @Example
+  void noRuleBreaksWhereLateCommandsMeetEachOtherTrouble() {
+    List<String> failures = new ArrayList<>();
+    for (Troubles.Kind other : KINDS) {
+      for (long seed = FIRST; seed < FIRST + LATE_COMMAND_DAYS; seed++) {
+        String verdict = verdict(playWithLateCommands(seed, other));
+        if (verdict != null) {
+          failures.add(other + " seed " + seed + ": " + verdict + "; again: mvn -B test -Dtest=MeetingsTest#noRuleBreaksWhereLate*"
+              + " -Dmeet.first=" + seed + " -Dmeet.late=1 -DargLine=-Dsim.log=true");
+        }
+      }
+    }
+    assertEquals(List.of(), failures);
+  }
+
+  private static Day playWithLateCommands(long seed, Troubles.Kind other) {
+    Day day = WholeDayTest.loaded(seed * 1000 + other.ordinal(), Day.Size.SMALL, s -> { });
+    for (int meeting = 0; meeting < 3; meeting++) {
+      long at = (25 + meeting * 70 + day.random.nextInt(30)) * SECOND;
+      Troubles.Kind third = KINDS[day.random.nextInt(KINDS.length)];
+      day.clock.after(at, () -> day.troubles.begin(Troubles.Kind.LATE_COMMANDS, 45 * SECOND));
+      for (Troubles.Kind kind : List.of(other, third)) {
+        long span = (4 + day.random.nextInt(30)) * SECOND;
+        day.clock.after(at + day.random.nextInt(12_000_000), () -> day.troubles.begin(kind, span));
+      }
+    }
+    return playToTheEnd(day);
+  }
+
   /** What a planted fault breaks on some day. */
   private static void assertFound(String what, Consumer<Day.Sabotage> sabotage, Consumer<Day> planted) {
     List<String> found = new ArrayList<>();
--- a/src/test/java/org/eiderstair/sim/PageTest.java
+++ b/src/test/java/org/eiderstair/sim/PageTest.java
@@ -78,7 +78,21 @@
       Map.entry("24 the leader ends while machines can't be reached or don't hear the next",
           List.of(at(0, MACHINES_CUT, 35), at(0, DEAF, 35), at(1, LEADER_ENDS, 0), at(3, CANCEL_NOW, 0))),
       Map.entry("25 jobs bound to a zone lose machines", List.of(at(0, MACHINES_DIE, 0), at(15, MACHINES_DIE, 0),
-          at(20, LEADER_ENDS, 0), at(30, ZONE_CUT, 15)))));
+          at(20, LEADER_ENDS, 0), at(30, ZONE_CUT, 15))),
+      Map.entry("26 commands of a leader that has ended arrive after the next one's", List.of(at(-5, LATE_COMMANDS, 60),
+          at(0, LEADER_ENDS, 0), at(1, CANCEL_NOW, 0), at(6, LEADER_ENDS, 0), at(14, LEADER_ENDS, 0))),
+      Map.entry("27 commands of a deposed leader arrive after the next one's", List.of(at(-5, LATE_COMMANDS, 60),
+          at(0, STANDING_STILL, 18), at(3, CANCEL_NOW, 0), at(20, LEADER_CUT_FROM_STATE_AND_PEERS, 25),
+          at(28, CANCEL_NOW, 0))),
+      Map.entry("28 commands come late while cancelled jobs' machines hang, are deaf or mute", List.of(
+          at(-2, LATE_COMMANDS, 60), at(0, CANCEL_NOW_WITH_HANG, 10), at(1, DEAF, 25), at(2, ALL_MUTE, 20),
+          at(8, CANCEL_NOW, 0))),
+      Map.entry("29 commands come late while teams are at their limits and new machines come up at once", List.of(
+          at(-25, FLOOD, 80), at(-2, LATE_COMMANDS, 60), at(0, QUICK_BOOTS, 25), at(4, LEADER_ENDS, 0),
+          at(6, CANCEL_NOW, 0))),
+      Map.entry("30 commands come late in an outage, and of a leader that the state service refuses", List.of(
+          at(-2, LATE_COMMANDS, 60), at(0, LEADER_REFUSED_ALONE, 12), at(1, CANCEL_NOW, 0), at(4, STATE_OUTAGE, 20),
+          at(12, CANCEL_NOW, 0)))));
 
   private static Day play(long seed, List<Begin> meeting) {
     Day day = WholeDayTest.loaded(seed, Day.Size.SMALL, s -> { });
--- a/src/test/java/org/eiderstair/sim/Troubles.java
+++ b/src/test/java/org/eiderstair/sim/Troubles.java
@@ -10,13 +10,16 @@
 /** The troubles of the users' page on meetings, each for a while, so that they can be drawn together. */
 final class Troubles {
   private static final long SECOND = 1_000_000;
+  private static final long LATE_COMMAND_MIN_MICROS = 2 * SECOND;
+  private static final int LATE_COMMAND_SPREAD_MICROS = 14_000_000;
 
   /** One trouble; it lasts for a while. */
   enum Kind {
     LATE_WRITES, LOST_ANSWERS, LATE_REPORTS, REPORTS_FOR_THE_NEXT, DEAF, MUTE, LEADER_CUT_FROM_STATE_AND_PEERS,
     CANCEL_NOW, CANCEL_NOW_WITH_HANG, CANCEL_AT_END, ODD_REQUESTS, CLOSE_LOOKS, STANDING_STILL, QUICK_BOOTS,
     LEADER_REFUSED_ALONE, STATE_OUTAGE, LEADER_ENDS, ALL_END, LEADER_CHANGES, ZONE_CUT, MACHINES_CUT, MACHINES_HANG,
-    MACHINES_DIE, WATCH_HANGS, ONE_TASK_JOBS, TASKS_FAR_APART, FLOOD, SLOW_STATE, ALL_MUTE, ALL_AWAY
+    MACHINES_DIE, WATCH_HANGS, ONE_TASK_JOBS, TASKS_FAR_APART, FLOOD, SLOW_STATE, ALL_MUTE, ALL_AWAY,
+    LATE_COMMANDS
   }
 
   /** The class of jobs whose first task is soon over and whose others take long. */
@@ -32,6 +35,7 @@
   private boolean quickBoots;
   private boolean closeLooks;
   private boolean slowState;
+  private int lateCommandsPercent;
   private final List<Kept> kept = new ArrayList<>();
   private int numbers;
 
@@ -110,6 +114,10 @@
         day.clock.after(micros, () -> slowState = false);
       }
       case ALL_MUTE -> day.workers().forEach(w -> w.muteUntilMicros = day.clock.now() + micros);
+      case LATE_COMMANDS -> {
+        lateCommandsPercent = 20 + day.random.nextInt(81);
+        day.clock.after(micros, () -> lateCommandsPercent = 0);
+      }
       case ALL_AWAY -> {
         for (int i = 0; i < day.size.nodes(); i++) {
           day.crash(i, day.leaseMicros() + 5 * SECOND + day.random.nextInt(2_000_000));
@@ -251,6 +259,15 @@
     return quickBoots ? 200_000 + day.random.nextInt(1_800_000) : 4_000_000 + day.random.nextInt(8_000_000);
   }
 
+  /**
+   * How long a direct command or question that leaves now is held on its way; 0 for one that is not. One that is held stays
+   * unanswered, and is executed once if its token and session still match then.
+   */
+  long commandDelayMicros() {
+    boolean held = lateCommandsPercent > 0 && day.random.nextInt(100) < lateCommandsPercent;
+    return held ? LATE_COMMAND_MIN_MICROS + day.random.nextInt(LATE_COMMAND_SPREAD_MICROS) : 0;
+  }
+
   /** A worker's report has left; a copy of some arrives again. */
   void reported(String worker, int node, MachineReport report) {
     if (latePercent == 0 || day.random.nextInt(100) >= latePercent) {
