--- a/src/main/java/org/eiderstair/core/Fleet.java
+++ b/src/main/java/org/eiderstair/core/Fleet.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -31,6 +30,7 @@
   private static final long OUT_OF_REACH_MICROS = 2_500_000;
   private static final long SAVE_MARGIN_MICROS = 1_500_000;
   private static final long UNREACHED_MICROS = 6_000_000;
+  private static final long KILL_AGAIN_MICROS = 300_000;
   private static final int FEW = 3;
   private static final long QUIET_MICROS = 1_500_000;
   private static final int REPORTS = 10;
@@ -780,7 +780,9 @@
     m.nextAskMicros = now + ASK_AGAIN_MICROS;
     youngAsks++;
     asks.put(m, now);
-    command(m, Math.max(1, m.session), List.of(), () -> asks.remove(m));
+    m.commandInFlight = true;
+    call(m, new Request.WorkerCommands(m.address, m.token(), Math.max(1, m.session), List.of()), List.of(),
+        () -> asks.remove(m));
   }
 
   private List<Order> killsFor(Machine m) {
@@ -809,28 +811,35 @@
   /** Tells each machine what was decided: in the answer to its report, else by one command at a time. */
   void flush(long nowMicros) {
     now = nowMicros;
-    boolean may = leadership.mayLaunch(now);
-    boolean mayEnd = leadership.mayEndWork(now);
+    boolean mayLaunch = leadership.mayLaunch(now) && standby.admitsLaunches();
+    boolean mayKill = leadership.mayEndWork(now);
     for (Machine m : toAnswer) {
-      answer(m, may);
+      answer(m, mayLaunch);
     }
     toAnswer.clear();
-    for (Iterator<Machine> it = toSend.iterator(); it.hasNext(); ) {
-      Machine m = it.next();
+    for (Machine m : new ArrayList<>(toSend)) {
       if (m.toLaunch.isEmpty() && !m.killsPending) {
-        it.remove();
-      } else if (!m.commandInFlight && m.known() && now >= m.holdUntilMicros && !comesThroughPeer(m)) {
-        if (may) {
-          it.remove();
-          send(m);
-        } else if (mayEnd && m.killsPending) {
-          // A machine that reaches no controller may still be told to stop; launches wait.
+        toSend.remove(m);
+      } else if (!comesThroughPeer(m)) {
+        if (mayKill && m.killsPending && mayBeKilledOn(m)) {
           sendKills(m);
         }
+        if (mayLaunch && !m.toLaunch.isEmpty() && !m.commandInFlight && m.known() && now >= m.holdUntilMicros) {
+          sendLaunches(m);
+        }
       }
     }
   }
 
+  /**
+   * Kills wait for nothing else that is on its way to the machine: not for a launch or a question without an answer, which may
+   * take its whole time limit, nor for the pause after one. A kill may be repeated, and may come before or after anything.
+   */
+  private boolean mayBeKilledOn(Machine m) {
+    boolean sessionKnown = m.phase == Machine.Phase.FENCING || m.known();
+    return sessionKnown && !m.killInFlight && now >= m.nextKillMicros;
+  }
+
   /**
    * This node may not reach a machine whose reports a peer passes on. Seen with a leader cut from its workers: each command
    * ran into its time limit, and the fence raised for it kept the machine from work. Its next report is soon here.
@@ -839,80 +848,114 @@
     return m.relayed && now < m.heardMicros + settings.reportMicros() * 2;
   }
 
-  private void answer(Machine m, boolean may) {
+  private void answer(Machine m, boolean mayLaunch) {
     List<Order> orders = killsFor(m);
     orders.addAll(m.reaps.values());
-    if (may && m.phase == Machine.Phase.HEARD) {
-      launch(m, m.openReport.sequence(), orders);
-    }
+    List<Attempt> launches =
+        mayLaunch && m.phase == Machine.Phase.HEARD ? launch(m, m.openReport.sequence()) : List.of();
     answered(m);
     m.killsPending = false;
-    boolean launches = may && m.phase == Machine.Phase.HEARD;
     long exchange = m.openReport.answered();
     long token = m.token();
-    if (launches && hasLaunch(orders)) {
-      standby.launch(() -> {
-        leaves();
-        ports.respond(exchange, new Answer.Command(token, stillWanted(orders)), leadership.mandate().launchEnd());
-      });
-    } else {
-      ports.respond(exchange, new Answer.Command(token, orders), launches ? leadership.mandate().launchEnd() : leadership.mandate().answersEnd());
+    if (launches.isEmpty()) {
+      respond(exchange, token, orders);
+      return;
     }
+    standby.launch(() -> {
+      leaves();
+      ports.respond(exchange, new Answer.Command(token, withLaunches(orders, launches)),
+          leadership.mandate().launchEnd());
+    }, () -> {
+      unlaunch(launches);
+      respond(exchange, token, orders);
+    });
   }
 
-  private void send(Machine m) {
-    List<Order> orders = new ArrayList<>(m.reaps.values());
-    if (m.killsPending) {
-      orders.addAll(killsFor(m));
-      m.killsPending = false;
-    }
-    launch(m, -1, orders);
-    if (!orders.isEmpty()) {
-      command(m, m.session, orders, () -> { });
+  /** Answers a report with what launches nothing. */
+  private void respond(long exchange, long token, List<Order> orders) {
+    if (closed) {
+      ports.respond(exchange, new Answer.Redirect(null));
+    } else {
+      ports.respond(exchange, new Answer.Command(token, orders), leadership.mandate().answersEnd());
     }
   }
 
+  private void sendLaunches(Machine m) {
+    List<Order> reaps = new ArrayList<>(m.reaps.values());
+    List<Attempt> launches = launch(m, -1);
+    long token = m.token();
+    long session = m.session;
+    m.commandInFlight = true;
+    standby.launch(() -> {
+      leaves();
+      call(m, new Request.WorkerCommands(m.address, token, session, withLaunches(reaps, launches)), launches, () -> { });
+    }, () -> {
+      m.commandInFlight = false;
+      unlaunch(launches);
+    });
+  }
+
   private void sendKills(Machine m) {
     m.killsPending = false;
     List<Order> kills = killsFor(m);
-    if (!kills.isEmpty()) {
-      command(m, m.session, kills, () -> { });
+    if (kills.isEmpty()) {
+      return;
     }
-  }
-
-  private void launch(Machine m, long sequence, List<Order> orders) {
-    for (Attempt a : m.toLaunch) {
+    m.killInFlight = true;
+    ports.call(new Request.WorkerCommands(m.address, m.token(), m.session, kills), leadership.mandate().answersEnd(),
+        reply -> {
+          m.killInFlight = false;
+          if (closed || m.phase == Machine.Phase.GONE) {
+            return;
+          }
+          // What it shows may have been written before a command that is still on its way arrives.
+          if (!absorbReply(m, reply, !m.commandInFlight)) {
+            m.nextKillMicros = now + KILL_AGAIN_MICROS;
+            killSoon(m);
+          }
+        });
+  }
+
+  /** Takes what is planned for a machine out of its list, to be sent now. */
+  private List<Attempt> launch(Machine m, long sequence) {
+    List<Attempt> launches = new ArrayList<>(m.toLaunch);
+    for (Attempt a : launches) {
       a.phase = Attempt.Phase.SENT;
       a.sentSequence = sequence;
       a.sinceMicros = now;
       tell(a, true);
-      orders.add(new Order.Launch(a.task(), a.number));
     }
     m.toLaunch.clear();
+    return launches;
   }
 
-  private void command(Machine m, long session, List<Order> orders, Runnable over) {
-    m.commandInFlight = true;
-    long token = m.token();
-    if (hasLaunch(orders)) {
-      standby.launch(() -> {
-        leaves();
-        call(m, new Request.WorkerCommands(m.address, token, session, stillWanted(orders)), orders, over);
-      });
-    } else {
-      call(m, new Request.WorkerCommands(m.address, token, session, orders), orders, over);
+  /** What was to be launched has not left, and will not: it is planned as before. */
+  private void unlaunch(List<Attempt> launches) {
+    for (Attempt a : launches) {
+      if (stillSent(a)) {
+        a.phase = Attempt.Phase.PLANNED;
+        a.machine.toLaunch.add(a);
+        toSend.add(a.machine);
+      }
     }
   }
 
+  private static boolean stillSent(Attempt a) {
+    return a.phase == Attempt.Phase.SENT && a.machine.attempts.get(a.task()) == a;
+  }
+
   /**
-   * A launch may wait for the standby, or for its strike, which an outage holds up: what was cancelled meanwhile is not
-   * started any more. Its attempt counts until the machine shows that it is not there, like any other.
+   * A launch may wait for the standby: what was cancelled or given up meanwhile is not started any more. The attempt of a
+   * cancelled job counts until the machine shows that it is not there, like any other.
    */
-  private List<Order> stillWanted(List<Order> orders) {
-    return orders.stream().filter(o -> {
-      Job job = replica.jobs.get(o.task().job());
-      return !(o instanceof Order.Launch) || job != null && job.open();
-    }).toList();
+  private static List<Order> withLaunches(List<Order> orders, List<Attempt> launches) {
+    List<Order> all = new ArrayList<>(orders);
+    for (Attempt a : launches) {
+      if (a.job.open() && stillSent(a)) {
+        all.add(new Order.Launch(a.task(), a.number));
+      }
+    }
+    return all;
   }
 
   /** A launch leaves, after all that it had to wait for. */
@@ -922,13 +965,25 @@
     }
   }
 
-  private static boolean hasLaunch(List<Order> orders) {
-    return !orders.isEmpty() && orders.get(orders.size() - 1) instanceof Order.Launch;
+  /** Takes the report that is the reply of a command; false when there is none. */
+  private boolean absorbReply(Machine m, Reply reply, boolean settles) {
+    if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(m.id)) {
+      return false;
+    }
+    if (answer.report().token() >> 20 > term) {
+      leadership.deposed("machine " + m.id + " has seen token " + answer.report().token());
+      return true;
+    }
+    absorb(m, answer.report(), false, settles);
+    if (!answer.executed()) {
+      m.nextAskMicros = now;
+    }
+    return true;
   }
 
-  private void call(Machine m, Request request, List<Order> orders, Runnable over) {
+  private void call(Machine m, Request request, List<Attempt> launches, Runnable over) {
     Mandate mandate = leadership.mandate();
-    ports.call(request, hasLaunch(orders) ? mandate.launchEnd() : mandate.answersEnd(), reply -> {
+    ports.call(request, launches.isEmpty() ? mandate.answersEnd() : mandate.launchEnd(), reply -> {
       m.commandInFlight = false;
       over.run();
       if (closed || m.phase == Machine.Phase.GONE) {
@@ -937,38 +992,28 @@
       if (!m.toLaunch.isEmpty() || m.killsPending) {
         toSend.add(m);
       }
-      if (reply instanceof Reply.Report answer && answer.report().machine().equals(m.id)) {
-        if (answer.report().token() >> 20 > term) {
-          leadership.deposed("machine " + m.id + " has seen token " + answer.report().token());
-          return;
-        }
-        absorb(m, answer.report(), false, true);
-        if (!answer.executed()) {
-          m.nextAskMicros = now;
-        }
-        return;
-      }
-      // The command may still arrive, minutes later: kill it with a higher token before anything is concluded.
-      boolean launched = hasLaunch(orders);
-      if (launched && m.phase == Machine.Phase.PICTURED) {
-        m.raiseFence();
-        tokens.remove(m);
-        m.nextAskMicros = now + 500_000;
-        m.holdUntilMicros = now + UNREACHED_MICROS;
-      }
-      if (launched && m.phase == Machine.Phase.HEARD) {
-        ports.info("no answer from " + m.id + " to a command: raising its fence, term=" + term + ": " + reply);
-        m.raiseFence();
-        become(m, Machine.Phase.FENCING);
-        tokens.remove(m);
-        m.nextAskMicros = now + 500_000;
-        // It may be out of this node's reach while its reports still come, relayed: no more launches for a while.
-        m.holdUntilMicros = now + UNREACHED_MICROS;
-      }
-      if (!orders.isEmpty() && !launched) {
+      if (launches.stream().anyMatch(a -> !a.job.open())) {
+        // A kill that was sent meanwhile may have come before the launch.
         killSoon(m);
       }
-      m.nextAskMicros = Math.max(m.nextAskMicros, now + 300_000);
+      if (!absorbReply(m, reply, true)) {
+        unanswered(m, !launches.isEmpty(), reply);
+      }
     });
   }
+
+  /** The command may still arrive, minutes later: kill it with a higher token before anything is concluded. */
+  private void unanswered(Machine m, boolean launched, Reply reply) {
+    if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.PICTURED)) {
+      m.raiseFence();
+      tokens.remove(m);
+      // It may be out of this node's reach while its reports still come, relayed: no more launches for a while.
+      m.holdUntilMicros = now + UNREACHED_MICROS;
+    }
+    if (launched && m.phase == Machine.Phase.HEARD) {
+      ports.info("no answer from " + m.id + " to a command: raising its fence, term=" + term + ": " + reply);
+      become(m, Machine.Phase.FENCING);
+    }
+    m.nextAskMicros = Math.max(m.nextAskMicros, now + (launched ? 500_000 : 300_000));
+  }
 }
--- a/src/main/java/org/eiderstair/core/Machine.java
+++ b/src/main/java/org/eiderstair/core/Machine.java
@@ -53,6 +53,9 @@
 
   boolean commandInFlight;
   boolean killsPending;
+  /** A command that only kills is on its way, beside whatever else is. */
+  boolean killInFlight;
+  long nextKillMicros;
   long nextAskMicros;
   long sinceMicros;
   long heardMicros;
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -61,9 +61,10 @@
   }
 
   void close() {
-    standby.leaves();
     ledger.close();
     fleet.close();
+    // After the fleet: launches that the standby withholds now are told that the term is over.
+    standby.leaves();
     renting.close();
   }
 
--- a/src/main/java/org/eiderstair/core/standby/Primary.java
+++ b/src/main/java/org/eiderstair/core/standby/Primary.java
@@ -21,10 +21,10 @@
   private static final int MOST_QUEUED = 200_000;
 
   /**
-   * CLEARING takes the name out of the record of an earlier term; launches wait for that, since its standby knows nothing of them. ALONE has
+   * CLEARING takes the name out of the record of an earlier term; nothing is launched until then, since its standby knows nothing of it. ALONE has
    * no standby. FILLING sends all that is known; launches are free. ENLISTING holds launches until they are acknowledged, and
    * writes the record once all before them is. IN_SYNC has it. STRIKING takes the name
-   * out; all launches wait. ENDED.
+   * out; nothing is launched until then. ENDED.
    */
   enum State { CLEARING, ALONE, FILLING, ENLISTING, IN_SYNC, STRIKING, ENDED }
 
@@ -51,8 +51,8 @@
   private long recordVersion;
   private final ArrayDeque<Held> held = new ArrayDeque<>();
 
-  /** Something that launches, and the number that must have been acknowledged before. */
-  private record Held(long number, Runnable launch) {}
+  /** Something that launches, the number that must have been acknowledged before, and what to do when it may not leave. */
+  private record Held(long number, Runnable launch, Runnable withhold) {}
 
   Primary(Standby.Host host, long term, List<String> peers, long recordVersion) {
     this.host = host;
@@ -85,11 +85,8 @@
       failures++;
       peer = peers.isEmpty() ? 0 : (peer + 1) % peers.size();
     }
-    if (next == State.ALONE || next == State.FILLING) {
-      release(Long.MAX_VALUE);
-    }
-    if (next == State.ENDED) {
-      held.clear();
+    if (!admitsLaunches()) {
+      withholdAll();
     }
   }
 
@@ -97,16 +94,23 @@
     become(State.ENDED, "out of office");
   }
 
-  /** Whether launches wait for an acknowledgement, or for the record. */
-  private boolean gated() {
+  /**
+   * Whether a launch may leave, at once or after an acknowledgement. Not while the record is being written to name nobody: an
+   * outage of the state service makes that take as long as it lasts, and what comes with a launch must not wait for it.
+   */
+  boolean admitsLaunches() {
     return switch (state) {
-      case CLEARING, ENLISTING, IN_SYNC, STRIKING -> true;
-      case ALONE, FILLING, ENDED -> false;
+      case ALONE, FILLING, ENLISTING, IN_SYNC -> true;
+      case CLEARING, STRIKING, ENDED -> false;
     };
   }
 
+  private boolean awaitsAcknowledgements() {
+    return state == State.ENLISTING || state == State.IN_SYNC;
+  }
+
   void change(Batch.Change change) {
-    if (state == State.FILLING || state == State.ENLISTING || state == State.IN_SYNC) {
+    if (state == State.FILLING || awaitsAcknowledgements()) {
       queue.add(change);
       made++;
       if (queue.size() > MOST_QUEUED) {
@@ -115,18 +119,26 @@
     }
   }
 
-  /** Runs what launches as soon as everything up to now has been acknowledged, or needs not be. */
-  void launch(Runnable launch) {
-    if (state == State.ENDED) {
-      return;
-    }
-    if (gated()) {
-      held.add(new Held(made, launch));
+  /**
+   * Runs {@code launch} as soon as everything up to now has been acknowledged, or needs not be. Where that will not be, runs
+   * {@code withhold} instead: within twice the time after which a standby counts as slow.
+   */
+  void launch(Runnable launch, Runnable withhold) {
+    if (!admitsLaunches()) {
+      withhold.run();
+    } else if (awaitsAcknowledgements()) {
+      held.add(new Held(made, launch, withhold));
     } else {
       launch.run();
     }
   }
 
+  private void withholdAll() {
+    while (!held.isEmpty()) {
+      held.poll().withhold().run();
+    }
+  }
+
   private void release(long upTo) {
     while (!held.isEmpty() && held.peek().number() <= upTo) {
       held.poll().launch().run();
@@ -197,7 +209,7 @@
   }
 
   private void answered(long filling, Batch batch, Batch.Ack ack) {
-    if (filling != fillings || !(state == State.FILLING || state == State.ENLISTING || state == State.IN_SYNC)) {
+    if (filling != fillings || !(state == State.FILLING || awaitsAcknowledgements())) {
       return;
     }
     sending = false;
@@ -208,7 +220,7 @@
     }
     run = ack.run();
     acked = batch.last();
-    if (state == State.ENLISTING || state == State.IN_SYNC) {
+    if (awaitsAcknowledgements()) {
       release(acked);
     }
   }
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -161,10 +161,18 @@
     }
   }
 
-  /** Runs what launches once the standby in sync has acknowledged all changes made so far; at once when there is none. */
-  public void launch(Runnable launch) {
+  /** Whether a launch may leave now, or as soon as the standby has acknowledged it. */
+  public boolean admitsLaunches() {
+    return primary == null || primary.admitsLaunches();
+  }
+
+  /**
+   * Runs {@code launch} once the standby in sync has acknowledged all changes made so far, at once when there is none; or
+   * {@code withhold} if that standby does not answer, the record must be written first, or the term is over.
+   */
+  public void launch(Runnable launch, Runnable withhold) {
     if (primary != null) {
-      primary.launch(launch);
+      primary.launch(launch, withhold);
     } else {
       launch.run();
     }
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
@@ -0,0 +1,231 @@
+package org.eiderstair.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import net.jqwik.api.Example;
+import org.eiderstair.core.MachineReport.Entry;
+import org.eiderstair.core.MachineReport.Exit;
+import org.eiderstair.core.MachineReport.TaskState;
+
+/** Commands that wait at the leader or on their way: what must not wait with them, and what they may not prove. */
+class DelayedCommandsTest {
+  private static final long SECOND = 1_000_000;
+  private final LeaderBench bench = new LeaderBench();
+
+  private Machine leadsOneMachine() {
+    bench.keepStandby();
+    bench.lead();
+    bench.machines(1);
+    return bench.fleet.machines.get("m-0");
+  }
+
+  private void pass() {
+    bench.placement.place(bench.now);
+    bench.fleet.flush(bench.now);
+    bench.standby.tick(bench.now);
+  }
+
+  private List<Answer.Command> answers() {
+    return bench.effects.stream().filter(e -> e instanceof Effect.Respond r && r.answer() instanceof Answer.Command)
+        .map(e -> (Answer.Command) ((Effect.Respond) e).answer()).toList();
+  }
+
+  private List<Effect.Call> commands() {
+    return bench.effects.stream().filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.WorkerCommands)
+        .map(e -> (Effect.Call) e).toList();
+  }
+
+  private static List<Order> orders(Effect.Call call) {
+    return ((Request.WorkerCommands) call.request()).orders();
+  }
+
+  private static List<String> launched(List<Order> orders) {
+    return orders.stream().filter(o -> o instanceof Order.Launch).map(o -> o.task().job()).toList();
+  }
+
+  private static List<String> killed(List<Order> orders) {
+    return orders.stream().filter(o -> o instanceof Order.Kill).map(o -> o.task().job()).toList();
+  }
+
+  /** One task runs on the machine. */
+  private Job running(Machine m) {
+    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.report(m, 0);
+    pass();
+    bench.report(m, 0);
+    pass();
+    assertEquals(1, job.active.size());
+    bench.effects.clear();
+    return job;
+  }
+
+  private void cancel(Job job) {
+    bench.replica.cancelledElsewhere(new Cancellation(job.id, bench.versions + 1_000, 0));
+    bench.fleet.jobOver(job);
+  }
+
+  private Reply.Report reply(Machine m, boolean executed, Entry... entries) {
+    long sequence = bench.sequences.merge(m.id, 1L, Long::sum);
+    return new Reply.Report(new MachineReport(m.id, "x", "t", m.zone, m.spot, m.session, sequence, m.token(),
+        MachineReport.NO_NOTICE, List.of(entries)), executed);
+  }
+
+  /**
+   * An answer that carries a launch used to wait as a whole, for as long as the record could not be written: the machine's lease
+   * ran out, and it was not told to stop what had been cancelled.
+   */
+  @Example
+  void killsAndRenewalsDoNotWaitForAStandbyThatDoesNotAnswer() {
+    Machine m = leadsOneMachine();
+    Job cancelled = running(m);
+    bench.defersAcknowledgements = true;
+    bench.defersRecords = true;
+    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.report(m, 0);
+    cancel(cancelled);
+    pass();
+    assertEquals(List.of(), answers(), "waits for the acknowledgement");
+    bench.now += SECOND / 2;
+    bench.standby.tick(bench.now);
+    assertEquals(1, answers().size(), "left without what it had to wait for");
+    assertEquals(List.of(cancelled.id), killed(answers().get(0).orders()));
+    assertEquals(List.of(), launched(answers().get(0).orders()));
+    assertEquals(1, kept.active.size(), "planned as before");
+
+    bench.effects.clear();
+    bench.report(m, 0);
+    pass();
+    assertEquals(1, answers().size(), "nothing waits for the record");
+    assertEquals(List.of(), commands(), "and nothing is launched before it");
+    bench.records.forEach(Runnable::run);
+    pass();
+    assertEquals(List.of(kept.id), commands().stream().flatMap(c -> launched(orders(c)).stream()).toList());
+  }
+
+  @Example
+  void whatIsCancelledWhileItsLaunchWaitsForTheStandbyIsNotStarted() {
+    Machine m = leadsOneMachine();
+    bench.defersAcknowledgements = true;
+    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.report(m, 0);
+    pass();
+    assertEquals(List.of(), answers(), "waits for the acknowledgement");
+    cancel(cancelled);
+    bench.acknowledgements.forEach(Runnable::run);
+    assertEquals(List.of(kept.id), launched(answers().get(0).orders()));
+    assertEquals(1, cancelled.active.size(), "counts until the machine shows that it is not there");
+  }
+
+  /** The same while the record of the term before still names its standby, which can take as long as an outage. */
+  @Example
+  void whatIsCancelledBeforeTheRecordIsClearedIsNotStarted() {
+    bench.lead();
+    bench.defersRecords = true;
+    bench.standbyOfTheTermBefore();
+    bench.machines(1);
+    Machine m = bench.fleet.machines.get("m-0");
+    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.report(m, 0);
+    pass();
+    assertEquals(1, answers().size(), "its lease is renewed");
+    assertEquals(List.of(), answers().get(0).orders(), "nothing is launched before the record names nobody");
+    assertEquals(List.of(), commands());
+    cancel(cancelled);
+    bench.records.forEach(Runnable::run);
+    pass();
+    assertEquals(List.of(kept.id), commands().stream().flatMap(c -> launched(orders(c)).stream()).toList());
+  }
+
+  /** Whoever waits for an answer is sent elsewhere when the term is over: its lease does not wait for a time limit. */
+  @Example
+  void anAnswerThatWaitsForTheStandbyIsRedirectedWhenTheTermEnds() {
+    Machine m = leadsOneMachine();
+    bench.defersAcknowledgements = true;
+    bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.report(m, 0);
+    pass();
+    bench.effects.clear();
+    bench.fleet.close();
+    bench.standby.leaves();
+    assertEquals(List.of(new Answer.Redirect(null)), bench.effects.stream().filter(e -> e instanceof Effect.Respond)
+        .map(e -> ((Effect.Respond) e).answer()).toList());
+  }
+
+  /** A launch without an answer takes its whole time limit; what was cancelled must not wait for it. */
+  @Example
+  void aKillLeavesBesideALaunchThatIsNotAnswered() {
+    Machine m = leadsOneMachine();
+    Job cancelled = running(m);
+    Job other = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    pass();
+    assertEquals(1, commands().size(), "the launch is on its way");
+    cancel(cancelled);
+    pass();
+    assertEquals(2, commands().size());
+    assertEquals(List.of(cancelled.id), killed(orders(commands().get(1))));
+    // The reply to the kill was written before the launch arrived, which is late: it does not prove that the launch is dead.
+    bench.ports.replied(commands().get(1).call(), reply(m, true));
+    assertEquals(1, other.active.size(), "still on its way");
+    assertEquals(0, cancelled.active.size());
+    bench.ports.replied(commands().get(0).call(), new Reply.Lost("timeout"));
+    bench.ports.replied(commands().get(1).call(), reply(m, true));
+    assertEquals(Machine.Phase.FENCING, m.phase);
+    assertEquals(1, other.active.size(), "may still arrive");
+  }
+
+  /** Nor for the pause after it, nor for the question that asks whether the machine has seen the raised fence. */
+  @Example
+  void aKillLeavesWhileAMachineIsBeingFenced() {
+    Machine m = leadsOneMachine();
+    Job cancelled = running(m);
+    bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    pass();
+    bench.ports.replied(commands().get(0).call(), new Reply.Lost("timeout"));
+    assertEquals(Machine.Phase.FENCING, m.phase);
+    bench.effects.clear();
+    cancel(cancelled);
+    pass();
+    assertEquals(List.of(cancelled.id), killed(orders(commands().get(0))));
+    assertEquals(m.token(), ((Request.WorkerCommands) commands().get(0).request()).token(), "and shows the raised fence");
+  }
+
+  /** A kill may overtake the launch: when the launch is answered and the job is over, the machine is told again. */
+  @Example
+  void aKillThatMayHaveComeBeforeItsLaunchIsRepeated() {
+    Machine m = leadsOneMachine();
+    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    bench.placement.place(bench.now);
+    Attempt attempt = job.active.get(0);
+    bench.fleet.flush(bench.now);
+    bench.standby.tick(bench.now);
+    cancel(job);
+    pass();
+    assertEquals(List.of(job.id), killed(orders(commands().get(1))));
+    bench.ports.replied(commands().get(1).call(), reply(m, true));
+    Entry running = new Entry(attempt.task(), attempt.number, TaskState.RUNNING, Exit.NONE, false);
+    bench.ports.replied(commands().get(0).call(), reply(m, true, running));
+    pass();
+    assertEquals(3, commands().size());
+    assertEquals(List.of(job.id), killed(orders(commands().get(2))));
+  }
+
+  /** A machine that cannot be reached is told again, but not at every pass. */
+  @Example
+  void aKillWithoutAnAnswerIsRepeatedAfterAPause() {
+    Machine m = leadsOneMachine();
+    Job job = running(m);
+    cancel(job);
+    pass();
+    bench.ports.replied(commands().get(0).call(), new Reply.Lost("refused"));
+    pass();
+    assertEquals(1, commands().size());
+    bench.now += SECOND;
+    pass();
+    assertEquals(2, commands().size());
+    assertTrue(m.killInFlight);
+  }
+}
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -203,7 +203,7 @@
             world.broken.add(name + " launched " + task + " that the leader " + latest.name + " does not know");
           }
         }
-      });
+      }, () -> { });
       tick(0);
     }
 
