--- a/src/main/java/org/eiderstair/core/Fleet.java
+++ b/src/main/java/org/eiderstair/core/Fleet.java
@@ -370,9 +370,24 @@
       return;
     }
     readEntries(m, report, isReport && truth, settles && truth);
+    if (!truth && m.phase == Machine.Phase.BOOTING && report.token() > 0) {
+      holdNoLongerThanItsLease(m);
+    }
     changed = true;
   }
 
+  /**
+   * A machine that neither the roster nor a rental of this term explains shows a token of an earlier term: its report was held on
+   * its way, and the machine was deleted meanwhile. No such machine can hold anything, since each is in the roster from before its
+   * first launch until it is gone. What the report shows counts all the same, but only until the machine's lease would be over,
+   * or until it answers our question; without this it held its tasks back until it counted as never booted.
+   */
+  private void holdNoLongerThanItsLease(Machine m) {
+    ports.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
+    become(m, Machine.Phase.FENCING);
+    answered(m);
+  }
+
   private void readEntries(Machine m, MachineReport report, boolean settlesAnswers, boolean settlesCommands) {
     m.strays.clear();
     m.reaps.clear();
--- a/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
@@ -228,4 +228,54 @@
     assertEquals(2, commands().size());
     assertTrue(m.killInFlight);
   }
+
+  /**
+   * A report of a machine that an earlier term deleted arrives late: the new leader knows nothing of the machine. What it shows
+   * may hold its tasks back for no longer than a lease can last, also while the cloud does not answer.
+   */
+  @Example
+  void aLateReportOfADeletedMachineHoldsNothingBackForLong() {
+    bench.lead();
+    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
+    long earlierToken = 7;
+    bench.fleet.reported(1, new MachineReport("m-gone", "x", "t", "a", true, 3, 99, earlierToken,
+        MachineReport.NO_NOTICE, List.of(running)), false, bench.now);
+    assertEquals(1, job.active.size(), "counts at first: nothing has shown that it is not there");
+    pass();
+    bench.fleet.tick(bench.now + bench.settings.leaseMicros(), false);
+    assertEquals(1, job.active.size());
+    bench.fleet.tick(bench.now + bench.settings.leaseMicros() + 2 * SECOND, false);
+    assertEquals(0, job.active.size(), "its lease is over");
+  }
+
+  /** If it is alive after all, its own word decides. */
+  @Example
+  void anUnknownMachineThatAnswersIsKnown() {
+    bench.lead();
+    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
+    bench.fleet.reported(1, new MachineReport("m-0", "x", "t", "a", true, 1, 9, 7, MachineReport.NO_NOTICE,
+        List.of(running)), false, bench.now);
+    Machine m = bench.fleet.machines.get("m-0");
+    assertEquals(Machine.Phase.FENCING, m.phase);
+    bench.fleet.tick(bench.now, false);
+    assertEquals(1, commands().size(), "is asked, with this term's token");
+    bench.sequences.put("m-0", 9L);
+    bench.ports.replied(commands().get(0).call(), reply(m, true, running));
+    assertEquals(Machine.Phase.HEARD, m.phase);
+    assertEquals(1, job.active.size());
+  }
+
+  /** A machine that has just booted has seen no token and holds nothing: its first report costs no question. */
+  @Example
+  void aMachineThatHasJustBootedIsNotAsked() {
+    bench.lead();
+    bench.fleet.reported(1, new MachineReport("m-new", "x", "t", "a", true, 1, 1, 0, MachineReport.NO_NOTICE, List.of()),
+        false, bench.now);
+    pass();
+    bench.fleet.tick(bench.now, false);
+    assertEquals(List.of(), commands());
+    assertEquals(Machine.Phase.BOOTING, bench.fleet.machines.get("m-new").phase);
+  }
 }
