--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -53,14 +53,15 @@
     }
     long lease = micros(workers, "settings.workers.lease_s", "lease_s");
     long cancel = micros(workers, "settings.workers.cancel_s", "cancel_s");
-    if (cancel <= lease) {
-      throw new BadConfig("settings.workers.cancel_s: must be longer than lease_s");
-    }
     Settings core = new Settings(text(root, "node", "node"), peers, zones, teams(settings), objectives(settings),
         micros(workers, "settings.workers.report_s", "report_s"), lease, cancel,
         positive(state, "settings.state.rps", "rps"), positive(state, "settings.state.write_rps", "write_rps"),
         (int) positive(state, "settings.state.txn_ops", "txn_ops"), positive(cloud, "settings.cloud.rps", "rps"),
         tuning, nodeZones, resources.path("cpu").asDouble(0));
+    if (!core.cancellationBoundsHold()) {
+      throw new BadConfig("settings.workers.cancel_s: must be longer than lease_s by leader_ttl_s (now "
+          + tuning.leaderTtlMicros() / 1e6 + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
+    }
     String bind = address(root, "bind", "bind");
     String peerBind = address(root, "peer_bind", "peer_bind");
     return new NodeConfig(core, host(bind), port(bind), host(peerBind), port(peerBind),
--- a/src/main/java/org/eiderstair/core/Mandate.java
+++ b/src/main/java/org/eiderstair/core/Mandate.java
@@ -27,11 +27,23 @@
   Mandate(Settings settings, Replica replica) {
     long ttl = settings.tuning().leaderTtlMicros();
     this.leaseMicros = ttl - ttl / DRIFT_PART - MARGIN_MICROS;
-    long cancel = settings.cancelMicros();
-    this.answersMicros = Math.max(0, cancel - settings.leaseMicros() - cancel / DRIFT_PART - ENDING_MICROS);
+    this.answersMicros = Math.max(0, answersMicros(settings));
     this.replica = replica;
   }
 
+  private static long answersMicros(Settings settings) {
+    long cancel = settings.cancelMicros();
+    return cancel - settings.leaseMicros() - cancel / DRIFT_PART - ENDING_MICROS;
+  }
+
+  /**
+   * Whether the bounds can hold at all: a leader must be able to answer reports for at least as long as its own lease lasts, else
+   * it would stop its workers between two renewals.
+   */
+  static boolean boundsHold(Settings settings) {
+    return answersMicros(settings) >= settings.tuning().leaderTtlMicros();
+  }
+
   /** The lease was granted or renewed by a request sent then. */
   void renewed(long sentMicros) {
     renewedMicros = sentMicros;
--- a/src/test/java/org/eiderstair/node/NodeTest.java
+++ b/src/test/java/org/eiderstair/node/NodeTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import net.jqwik.api.Example;
@@ -141,6 +142,19 @@
         .getMessage().contains("not TOML"));
   }
 
+  /** Cancelled work must be gone by the leases alone, whatever cannot be reached: 20 s, 4.5 s, 3 s and the drift of clocks. */
+  @Example
+  void settingsUnderWhichCancelledWorkCouldOutliveItsBoundAreRefused() throws Exception {
+    String good = String.format(SETTINGS, 1);
+    for (String tooShort : List.of("20.0", "23.0", "27.4", "27.51")) {
+      Path file = file(good.replace("cancel_s = 40.0", "cancel_s = " + tooShort));
+      BadConfig bad = assertThrows(BadConfig.class, () -> PlatformFile.read(file, OperatorFile.DEFAULTS), tooShort);
+      assertTrue(bad.getMessage().startsWith("settings.workers.cancel_s: "), bad.getMessage());
+      assertTrue(!bad.getMessage().contains("\n"), "one line");
+    }
+    PlatformFile.read(file(good.replace("cancel_s = 40.0", "cancel_s = 27.52")), OperatorFile.DEFAULTS);
+  }
+
   @Example
   void operatorsSettingsAreChecked() throws Exception {
     assertEquals(64, OperatorFile.read(file("token_list_size = 64\nidle_return_s = 5\n")).tokenListSize());
