--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -30,11 +30,16 @@
   final Placement placement;
   final UniformRandomProvider random = new XoRoShiRo128PlusPlus(5, 7);
   long now = 1_000_000;
-  long versions = TERM;
+  long versions;
   long exchange;
   final Map<String, Long> sequences = new LinkedHashMap<>();
 
   LeaderBench() {
+    this(TERM);
+  }
+
+  LeaderBench(long term) {
+    versions = term;
     settings = new Settings("n0", List.of(), List.of("a", "b", "c"), Map.of(
         "red", new Settings.Team("red", 40, 4000, 0, 0), "blue", new Settings.Team("blue", 40, 0, 0, 0)), List.of(),
         3_000_000, 20_000_000, 40_000_000, 100, 50, 16, 5, Settings.Tuning.defaults());
@@ -50,7 +55,7 @@
     }, 0);
     teams = new Teams(settings);
     tokens = new TokenList(settings.tuning().tokenListSize());
-    Ledger ledger = new Ledger(settings, ports, replica, TERM, null);
+    Ledger ledger = new Ledger(settings, ports, replica, term, null);
     leadership = new Leadership(settings, ports, replica, "run", random::nextInt, new Leadership.Listener() {
       @Override
       public void stands() { }
@@ -67,9 +72,9 @@
       public void leftOffice(String why) { }
     });
     fleet = new Fleet(settings, ports, replica, leadership, ledger, tokens, teams, standby,
-        TERM);
+        term);
     Demand demand = new Demand(settings, replica);
-    placement = new Placement(settings, ports, replica, fleet, tokens, teams, TERM, demand, random::nextInt);
+    placement = new Placement(settings, ports, replica, fleet, tokens, teams, term, demand, random::nextInt);
   }
 
   /** The leadership believes that it leads. */
@@ -148,6 +153,12 @@
     }, TERM, List.of(), 5);
   }
 
+  /** The lease was renewed and the picture shown to be current just now. */
+  void renew() {
+    leadership.mandate().renewed(now);
+    replica.proves(now, replica.revision());
+  }
+
   /** The replica has read the state service's keys, of which there are none. */
   void load() {
     replica.tick(now);
