--- a/src/test/java/org/eiderstair/sim/Day.java
+++ b/src/test/java/org/eiderstair/sim/Day.java
@@ -31,6 +31,8 @@
  */
 final class Day {
   private static final List<String> ZONES = List.of("a", "b", "c");
+  /** Jobs of at least this part of their class's largest count among its largest. */
+  private static final double LARGEST_PART = 0.75;
   static final MachineType TYPE =
       new MachineType("m8", 8, 0, 32, 30, 1, 1.0, 0.3, 8_000_000, ZONES);
   /** How large a deployment the day plays on. */
@@ -485,6 +487,7 @@
     }
     ask(nodes[random.nextInt(nodes.length)], x -> new Event.Poll(x, id), a -> {
       if (a instanceof Answer.JobView view) {
+        waiting.answered(id);
         heard(view, now);
       } else if (a instanceof Answer.Failure f && f.status() == 404) {
         breaks("forgotten: " + id);
@@ -580,7 +583,7 @@
 
   /** From now on nothing fails: who still waits beside room is left behind. */
   void calm() {
-    waiting.watch();
+    waiting.calm();
   }
 
   /** {@code before} is what had been told when the request was made: only that may not be taken back. */
@@ -790,26 +793,33 @@
     return (int) workers.values().stream().filter(w -> !w.dead).count();
   }
 
-  /** The least share of tasks done, over classes and teams, of array jobs that came before a time. */
+  /**
+   * The least share of tasks done, over classes, teams and the largest jobs of each class, of array jobs that came before a time.
+   */
   double leastServed(long beforeMicros) {
+    List<JobSpec> counted = accepted.stream().map(submitted::get).filter(spec -> spec.shape() == JobSpec.Shape.ARRAY
+        && !mistaken(spec.id()) && !askedToCancel.contains(spec.id())
+        && submittedAt.get(spec.id()) <= beforeMicros).toList();
+    Map<String, Integer> largest = new HashMap<>();
+    counted.forEach(spec -> largest.merge(spec.jobClass(), spec.tasks(), Math::max));
     Map<String, int[]> shares = new LinkedHashMap<>();
-    for (String id : accepted) {
-      JobSpec spec = submitted.get(id);
-      if (spec.shape() != JobSpec.Shape.ARRAY || mistaken(id) || askedToCancel.contains(id)
-          || submittedAt.get(id) > beforeMicros) {
-        continue;
-      }
-      for (String group : List.of("class " + spec.jobClass(), "team " + spec.team())) {
-        int[] share = shares.computeIfAbsent(group, g -> new int[2]);
-        share[1] += spec.tasks();
-        for (int i = 0; i < spec.tasks(); i++) {
-          share[0] += completed.contains(new TaskId(id, i)) ? 1 : 0;
-        }
+    for (JobSpec spec : counted) {
+      count(shares.computeIfAbsent("class " + spec.jobClass(), g -> new int[2]), spec);
+      count(shares.computeIfAbsent("team " + spec.team(), g -> new int[2]), spec);
+      if (spec.tasks() >= largest.get(spec.jobClass()) * LARGEST_PART) {
+        count(shares.computeIfAbsent("largest of " + spec.jobClass(), g -> new int[2]), spec);
       }
     }
     return shares.values().stream().mapToDouble(s -> (double) s[0] / s[1]).min().orElse(1);
   }
 
+  private void count(int[] share, JobSpec spec) {
+    share[1] += spec.tasks();
+    for (int i = 0; i < spec.tasks(); i++) {
+      share[0] += completed.contains(new TaskId(spec.id(), i)) ? 1 : 0;
+    }
+  }
+
   Worker anyWorker() {
     List<Worker> all = new ArrayList<>(workers.values());
     return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
--- a/src/test/java/org/eiderstair/sim/MeetingsTest.java
+++ b/src/test/java/org/eiderstair/sim/MeetingsTest.java
@@ -202,5 +202,15 @@
     assertFoundWithout("largest", o -> o instanceof Order.Launch && today[0].spec(o.task().job()).tasks() > 9,
         day -> today[0] = day);
     assertFoundWithout("served", o -> o instanceof Order.Launch && o.task().job().compareTo("job-000012") < 0, day -> { });
+    // Only large jobs are held back, until long after the half of them should have been done: less than a tenth of all jobs.
+    assertFoundWithout("served", o -> o instanceof Order.Launch && today[0].clock.now() < OVER + 15 * SECOND
+        && today[0].spec(o.task().job()).tasks() > 10, day -> today[0] = day);
+  }
+
+  /** Nobody answers about one job in ten, though its state is known. */
+  @Example
+  void whoIsNotAnsweredIsFound() {
+    assertFound("unanswered", day -> day.plantedAnswer = a -> a instanceof Answer.JobView view && view.id().endsWith("3")
+        && day.clock.now() > OVER ? new Answer.Failure(503, "planted", 1) : a);
   }
 }
--- a/src/test/java/org/eiderstair/sim/Waiting.java
+++ b/src/test/java/org/eiderstair/sim/Waiting.java
@@ -6,21 +6,30 @@
 import java.util.Set;
 import org.eiderstair.core.JobSpec;
 
-/** Looks for jobs that wait beside room once all troubles are over, and for large ones that do not begin at all. */
+/** Looks for jobs that wait beside room or that nobody tells of once all faults are over, and for large ones that do not begin at all. */
 final class Waiting {
   private static final long SECOND = 1_000_000;
   private static final long LONGEST = 90 * SECOND;
+  private static final long LONGEST_SILENCE = 75 * SECOND;
   private static final long LARGE_BEGIN = 240 * SECOND;
 
   private final Day day;
   /** Since when a job has waited while something of its size would have found room. */
   private final Map<String, Long> since = new HashMap<>();
   private final Set<String> begun = new HashSet<>();
+  /** When a question about a job was last answered. */
+  private final Map<String, Long> answered = new HashMap<>();
+  private long calmSinceMicros;
 
   Waiting(Day day) {
     this.day = day;
   }
 
+  /** A user was told where the job stands. */
+  void answered(String job) {
+    answered.put(job, day.clock.now());
+  }
+
   void started(String job) {
     since.remove(job);
     begun.add(job);
@@ -37,9 +46,20 @@
     }
   }
 
-  void watch() {
+  /** From now on nothing fails. */
+  void calm() {
+    calmSinceMicros = day.clock.now();
+    watch();
+  }
+
+  private void watch() {
     day.clock.after(SECOND, this::watch);
     for (String id : day.accepted()) {
+      long askedInVainSince = Math.max(calmSinceMicros, answered.getOrDefault(id, 0L));
+      if (day.clock.now() > askedInVainSince + LONGEST_SILENCE) {
+        day.breaks("unanswered: " + id);
+        answered(id);
+      }
       JobSpec spec = day.spec(id);
       boolean waits = !day.over(id) && !day.completed(id) && !day.cancelAsked(id) && !day.mistaken(id)
           && day.machinesOf(id).isEmpty() && hasRoom(spec)
