--- a/src/main/java/org/eiderstair/cli/LogStream.java
+++ b/src/main/java/org/eiderstair/cli/LogStream.java
@@ -6,8 +6,8 @@
 import java.time.LocalDate;
 
 /**
- * Puts the time of day (UTC) before each line. The logging library's own way loads the JVM's calendars and locales,
- * which cost a start 60 ms of processor time.
+ * Puts the time of day (UTC) before each line. The logging library's own way loads the JVM's
+ * calendars and locales, which cost a start 60 ms of processor time.
  */
 final class LogStream extends OutputStream {
   private static final long DAY_MS = 86_400_000;
@@ -32,7 +32,8 @@
       return;
     }
     if (lineStarts) {
-      // One write for the whole line: each is a system call, and lines of several threads must not mix.
+      // One write for the whole line: each is a system call, and lines of several threads must not
+      // mix.
       byte[] time = time(System.currentTimeMillis()).getBytes(StandardCharsets.US_ASCII);
       byte[] line = new byte[time.length + length];
       System.arraycopy(time, 0, line, 0, time.length);
--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -25,12 +25,13 @@
   /** Not from the jar's manifest: reading that would open it once more at each start. */
   static final String VERSION = "0.1.0";
 
-  private static final Map<String, String> COMMANDS = Map.of(
-      "serve", "run a controller until it is killed",
-      "check", "check settings and exit",
-      "submit", "submit the job described in a JSON file",
-      "show", "show a job",
-      "cancel", "cancel a job");
+  private static final Map<String, String> COMMANDS =
+      Map.of(
+          "serve", "run a controller until it is killed",
+          "check", "check settings and exit",
+          "submit", "submit the job described in a JSON file",
+          "show", "show a job",
+          "cancel", "cancel a job");
 
   private Main() {}
 
@@ -71,7 +72,8 @@
     String[] rest = Arrays.copyOfRange(args, 1, args.length);
     switch (args[0]) {
       case "serve":
-        System.setErr(new PrintStream(new LogStream(new FileOutputStream(FileDescriptor.err)), false));
+        System.setErr(
+            new PrintStream(new LogStream(new FileOutputStream(FileDescriptor.err)), false));
         new Node(settings(rest)).join();
         return 0;
       case "check":
@@ -88,7 +90,8 @@
 
   private static void help() {
     System.out.println("usage: eiderstair COMMAND [options]\n");
-    COMMANDS.entrySet().stream().sorted(Map.Entry.comparingByKey())
+    COMMANDS.entrySet().stream()
+        .sorted(Map.Entry.comparingByKey())
         .forEach(c -> System.out.printf("  %-10s%s%n", c.getKey(), c.getValue()));
     System.out.println();
     HelpFormatter formatter = new HelpFormatter();
@@ -98,17 +101,34 @@
 
   private static Options serveOptions() {
     Options options = new Options();
-    options.addOption(Option.builder().longOpt("config").hasArg().argName("FILE").required()
-        .desc("the platform's settings (TOML)").build());
-    options.addOption(Option.builder().longOpt("operator-config").hasArg().argName("FILE")
-        .desc("the operators' own settings (HCL)").build());
+    options.addOption(
+        Option.builder()
+            .longOpt("config")
+            .hasArg()
+            .argName("FILE")
+            .required()
+            .desc("the platform's settings (TOML)")
+            .build());
+    options.addOption(
+        Option.builder()
+            .longOpt("operator-config")
+            .hasArg()
+            .argName("FILE")
+            .desc("the operators' own settings (HCL)")
+            .build());
     return options;
   }
 
   private static Options userOptions() {
     Options options = new Options();
-    options.addOption(Option.builder().longOpt("node").hasArg().argName("HOST:PORT").required()
-        .desc("a controller, or what stands before them").build());
+    options.addOption(
+        Option.builder()
+            .longOpt("node")
+            .hasArg()
+            .argName("HOST:PORT")
+            .required()
+            .desc("a controller, or what stands before them")
+            .build());
     return options;
   }
 
@@ -118,7 +138,8 @@
       throw new Usage("unexpected argument " + line.getArgList().get(0));
     }
     String operators = line.getOptionValue("operator-config");
-    return PlatformFile.read(Path.of(line.getOptionValue("config")),
+    return PlatformFile.read(
+        Path.of(line.getOptionValue("config")),
         operators == null ? OperatorFile.DEFAULTS : OperatorFile.read(Path.of(operators)));
   }
 
@@ -138,8 +159,9 @@
   }
 
   /**
-   * Nothing here speaks a human language, but Jetty's table of MIME types asks for every locale that the JVM knows: that
-   * took a fifth of all bytecodes that a controller interprets until it leads. Without providers there is only the root.
+   * Nothing here speaks a human language, but Jetty's table of MIME types asks for every locale
+   * that the JVM knows: that took a fifth of all bytecodes that a controller interprets until it
+   * leads. Without providers there is only the root.
    */
   private static void noLocales() {
     System.setProperty("java.locale.providers", "SPI");
--- a/src/main/java/org/eiderstair/cli/UserClient.java
+++ b/src/main/java/org/eiderstair/cli/UserClient.java
@@ -26,9 +26,12 @@
   }
 
   int submit(Path file) throws Exception {
-    Map<String, Object> job = new ObjectMapper().readValue(Files.readString(file), new TypeReference<>() { });
-    return send(http.newRequest(base + "/work").method(HttpMethod.POST)
-        .body(new BytesRequestContent("application/msgpack", Pack.write(job))));
+    Map<String, Object> job =
+        new ObjectMapper().readValue(Files.readString(file), new TypeReference<>() {});
+    return send(
+        http.newRequest(base + "/work")
+            .method(HttpMethod.POST)
+            .body(new BytesRequestContent("application/msgpack", Pack.write(job))));
   }
 
   int show(String id) throws Exception {
@@ -41,8 +44,10 @@
 
   private int send(Request request) throws Exception {
     ContentResponse response = request.timeout(TIMEOUT_S, TimeUnit.SECONDS).send();
-    System.out.println(response.getStatus() + " " + new ObjectMapper().writeValueAsString(
-        Pack.readMap(response.getContent())));
+    System.out.println(
+        response.getStatus()
+            + " "
+            + new ObjectMapper().writeValueAsString(Pack.readMap(response.getContent())));
     return response.getStatus() < 300 ? 0 : 1;
   }
 
--- a/src/main/java/org/eiderstair/config/NodeConfig.java
+++ b/src/main/java/org/eiderstair/config/NodeConfig.java
@@ -5,5 +5,12 @@
 
 /** Everything that a node is told when it starts. */
 public record NodeConfig(
-    Settings settings, String bindHost, int bindPort, String peerHost, int peerPort, String stateAddress,
-    String cloudAddress, Map<String, String> peerAddresses, int maxConnections) {}
+    Settings settings,
+    String bindHost,
+    int bindPort,
+    String peerHost,
+    int peerPort,
+    String stateAddress,
+    String cloudAddress,
+    Map<String, String> peerAddresses,
+    int maxConnections) {}
--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -14,8 +14,17 @@
 public final class OperatorFile {
   public static final Settings.Tuning DEFAULTS = Settings.Tuning.defaults();
 
-  private static final Set<String> KNOWN = Set.of("token_list_size", "machine_queue", "leader_ttl_s", "leader_renew_s",
-      "unheard_delete_s", "dark_delete_s", "idle_return_s", "rent_batch", "standbys");
+  private static final Set<String> KNOWN =
+      Set.of(
+          "token_list_size",
+          "machine_queue",
+          "leader_ttl_s",
+          "leader_renew_s",
+          "unheard_delete_s",
+          "dark_delete_s",
+          "idle_return_s",
+          "rent_batch",
+          "standbys");
 
   private final Path file;
   private final Map<String, Object> values;
@@ -28,7 +37,9 @@
   public static Settings.Tuning read(Path file) throws BadConfig {
     Map<String, Object> values = new HashMap<>();
     try {
-      new HCLParser().parse(Files.readString(file)).forEach((name, value) -> values.put(name.toString(), value));
+      new HCLParser()
+          .parse(Files.readString(file))
+          .forEach((name, value) -> values.put(name.toString(), value));
     } catch (HCLParserException | RuntimeException e) {
       throw new BadConfig(file + ": not HCL: " + e.getMessage());
     } catch (IOException e) {
@@ -41,16 +52,17 @@
     }
     OperatorFile f = new OperatorFile(file, values);
     Settings.Tuning d = DEFAULTS;
-    Settings.Tuning tuning = new Settings.Tuning(
-        (int) f.number("token_list_size", 1, 100_000, d.tokenListSize()),
-        (int) f.number("machine_queue", 0, 100, d.machineQueue()),
-        f.micros("leader_ttl_s", 1, 600, d.leaderTtlMicros()),
-        f.micros("leader_renew_s", 0.1, 200, d.leaderRenewMicros()),
-        f.micros("unheard_delete_s", 1, 3600, d.unheardDeleteMicros()),
-        f.micros("dark_delete_s", 1, 3600, d.darkDeleteMicros()),
-        f.micros("idle_return_s", 0, 86_400, d.idleReturnMicros()),
-        (int) f.number("rent_batch", 1, 50, d.rentBatch()),
-        (int) f.number("standbys", 0, 1, d.standbys()));
+    Settings.Tuning tuning =
+        new Settings.Tuning(
+            (int) f.number("token_list_size", 1, 100_000, d.tokenListSize()),
+            (int) f.number("machine_queue", 0, 100, d.machineQueue()),
+            f.micros("leader_ttl_s", 1, 600, d.leaderTtlMicros()),
+            f.micros("leader_renew_s", 0.1, 200, d.leaderRenewMicros()),
+            f.micros("unheard_delete_s", 1, 3600, d.unheardDeleteMicros()),
+            f.micros("dark_delete_s", 1, 3600, d.darkDeleteMicros()),
+            f.micros("idle_return_s", 0, 86_400, d.idleReturnMicros()),
+            (int) f.number("rent_batch", 1, 50, d.rentBatch()),
+            (int) f.number("standbys", 0, 1, d.standbys()));
     if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
       throw new BadConfig(file + ": leader_renew_s: must be at most half of leader_ttl_s");
     }
@@ -62,7 +74,9 @@
     if (value == null) {
       return otherwise;
     }
-    if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+    if (value instanceof Number number
+        && number.doubleValue() >= least
+        && number.doubleValue() <= most) {
       return number.doubleValue();
     }
     throw new BadConfig(file + ": " + name + ": not a number from " + least + " to " + most);
--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -53,23 +53,46 @@
     }
     long lease = micros(workers, "settings.workers.lease_s", "lease_s");
     long cancel = micros(workers, "settings.workers.cancel_s", "cancel_s");
-    Settings core = new Settings(text(root, "node", "node"), peers, zones, teams(settings), objectives(settings),
-        micros(workers, "settings.workers.report_s", "report_s"), lease, cancel,
-        positive(state, "settings.state.rps", "rps"), positive(state, "settings.state.write_rps", "write_rps"),
-        (int) positive(state, "settings.state.txn_ops", "txn_ops"), positive(cloud, "settings.cloud.rps", "rps"),
-        tuning, nodeZones, resources.path("cpu").asDouble(0));
+    Settings core =
+        new Settings(
+            text(root, "node", "node"),
+            peers,
+            zones,
+            teams(settings),
+            objectives(settings),
+            micros(workers, "settings.workers.report_s", "report_s"),
+            lease,
+            cancel,
+            positive(state, "settings.state.rps", "rps"),
+            positive(state, "settings.state.write_rps", "write_rps"),
+            (int) positive(state, "settings.state.txn_ops", "txn_ops"),
+            positive(cloud, "settings.cloud.rps", "rps"),
+            tuning,
+            nodeZones,
+            resources.path("cpu").asDouble(0));
     if (!core.cancellationBoundsHold()) {
-      throw new BadConfig("settings.workers.cancel_s: must be longer than lease_s by leader_ttl_s (now "
-          + tuning.leaderTtlMicros() / 1e6 + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
+      throw new BadConfig(
+          "settings.workers.cancel_s: must be longer than lease_s by leader_ttl_s (now "
+              + tuning.leaderTtlMicros() / 1e6
+              + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
     }
     String bind = address(root, "bind", "bind");
     String peerBind = address(root, "peer_bind", "peer_bind");
-    return new NodeConfig(core, host(bind), port(bind), host(peerBind), port(peerBind),
-        address(endpoints, "endpoints.state", "state"), address(endpoints, "endpoints.cloud", "cloud"), peerAddresses,
+    return new NodeConfig(
+        core,
+        host(bind),
+        port(bind),
+        host(peerBind),
+        port(peerBind),
+        address(endpoints, "endpoints.state", "state"),
+        address(endpoints, "endpoints.cloud", "cloud"),
+        peerAddresses,
         resources.path("max_connections").asInt(0));
   }
 
-  /** The library's parser has the whole tree already; a mapper would only be set up to hand it over. */
+  /**
+   * The library's parser has the whole tree already; a mapper would only be set up to hand it over.
+   */
   private static JsonNode tree(JsonParser parser) throws IOException {
     parser.nextToken();
     return node(parser);
@@ -107,9 +130,14 @@
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     for (JsonNode t : settings.path("teams")) {
       String name = text(t, "settings.teams.name", "name");
-      teams.put(name, new Settings.Team(name, amount(t, "settings.teams.cpus", "cpus"),
-          amount(t, "settings.teams.cpus_max", "cpus_max"), amount(t, "settings.teams.gpus", "gpus"),
-          amount(t, "settings.teams.gpus_max", "gpus_max")));
+      teams.put(
+          name,
+          new Settings.Team(
+              name,
+              amount(t, "settings.teams.cpus", "cpus"),
+              amount(t, "settings.teams.cpus_max", "cpus_max"),
+              amount(t, "settings.teams.gpus", "gpus"),
+              amount(t, "settings.teams.gpus_max", "gpus_max")));
     }
     if (teams.isEmpty()) {
       throw new BadConfig("settings.teams: missing or empty");
@@ -120,8 +148,12 @@
   private static List<Settings.Objective> objectives(JsonNode settings) {
     List<Settings.Objective> objectives = new ArrayList<>();
     for (JsonNode o : settings.path("objectives")) {
-      objectives.add(new Settings.Objective(o.path("kind").asText(""), o.path("class").asText(""),
-          Math.round(o.path("within_s").asDouble(0) * 1e6), o.path("share").asDouble(0)));
+      objectives.add(
+          new Settings.Objective(
+              o.path("kind").asText(""),
+              o.path("class").asText(""),
+              Math.round(o.path("within_s").asDouble(0) * 1e6),
+              o.path("share").asDouble(0)));
     }
     return objectives;
   }
--- a/src/main/java/org/eiderstair/core/Answer.java
+++ b/src/main/java/org/eiderstair/core/Answer.java
@@ -10,7 +10,12 @@
   /** A job as its user sees it. */
   record JobView(int status, String id, Phase phase, int done, int running) implements Answer {}
 
-  enum Phase { PENDING, RUNNING, DONE, CANCELLED }
+  enum Phase {
+    PENDING,
+    RUNNING,
+    DONE,
+    CANCELLED
+  }
 
   /** An error the user can act on; retryAfterS of 0 means none is given. */
   record Failure(int status, String reason, int retryAfterS) implements Answer {}
@@ -21,7 +26,10 @@
   /** To a worker: report elsewhere; null when this node knows no better place. */
   record Redirect(String node) implements Answer {}
 
-  /** To a peer: whether the state service serves this node, and whom it follows (null: nobody it knows of). */
+  /**
+   * To a peer: whether the state service serves this node, and whom it follows (null: nobody it
+   * knows of).
+   */
   record Standing(boolean served, String leader, long term) implements Answer {}
 
   /** To a peer: which machines this node hears by itself. */
--- a/src/main/java/org/eiderstair/core/CancellationNews.java
+++ b/src/main/java/org/eiderstair/core/CancellationNews.java
@@ -4,23 +4,34 @@
 import java.util.List;
 
 /**
- * Tells the leader of cancellations that this node has committed, beside the state service, which may refuse the leader alone.
- * The user's answer never waits for it. It is a help and no proof: that nothing was told means nothing, so it moves no bound
- * of {@link Mandate}; and to stop a task for a job key's newer version is right, whoever tells of it.
+ * Tells the leader of cancellations that this node has committed, beside the state service, which
+ * may refuse the leader alone. The user's answer never waits for it. It is a help and no proof:
+ * that nothing was told means nothing, so it moves no bound of {@link Mandate}; and to stop a task
+ * for a job key's newer version is right, whoever tells of it.
  */
 final class CancellationNews {
-  /** More than any leader can miss for as long as it may answer; what is beyond waits for the watch. */
+  /**
+   * More than any leader can miss for as long as it may answer; what is beyond waits for the watch.
+   */
   private static final int MOST_WAITING = 1_000;
+
   private static final int MOST_AT_ONCE = 200;
 
   /** One message at a time: cancellations come in bursts. */
-  private enum State { IDLE, TELLING }
+  private enum State {
+    IDLE,
+    TELLING
+  }
 
   private final String node;
   private final Ports ports;
   private State state = State.IDLE;
   private final List<Cancellation> waiting = new ArrayList<>();
-  /** The last leader that this node knew: the key may be gone while that leader still answers its workers. */
+
+  /**
+   * The last leader that this node knew: the key may be gone while that leader still answers its
+   * workers.
+   */
   private String leader;
 
   CancellationNews(String node, Ports ports) {
@@ -46,12 +57,15 @@
     if (state == State.TELLING || waiting.isEmpty()) {
       return;
     }
-    List<Cancellation> some = List.copyOf(waiting.subList(0, Math.min(MOST_AT_ONCE, waiting.size())));
+    List<Cancellation> some =
+        List.copyOf(waiting.subList(0, Math.min(MOST_AT_ONCE, waiting.size())));
     waiting.subList(0, some.size()).clear();
     state = State.TELLING;
-    ports.call(new Request.PeerCancelled(leader, some), reply -> {
-      state = State.IDLE;
-      tell();
-    });
+    ports.call(
+        new Request.PeerCancelled(leader, some),
+        reply -> {
+          state = State.IDLE;
+          tell();
+        });
   }
 }
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -8,8 +8,8 @@
 import org.eiderstair.core.standby.Standby;
 
 /**
- * One controller without input, output, clock or thread: events come in with the time, effects go out. Given
- * the same events, times and random numbers it does the same again.
+ * One controller without input, output, clock or thread: events come in with the time, effects go
+ * out. Given the same events, times and random numbers it does the same again.
  */
 public final class Core implements Replica.Listener, Leadership.Listener {
   private static final long LONGEST_TICK_MICROS = 50_000;
@@ -33,10 +33,15 @@
 
   /**
    * @param incarnation differs for every run of a node, so that it can tell its own earlier runs
-   * @param dayOffsetMicros the time of day less the steady time, to tell other nodes and later runs how old a job is
+   * @param dayOffsetMicros the time of day less the steady time, to tell other nodes and later runs
+   *     how old a job is
    * @param random a uniformly random number below its argument
    */
-  public Core(Settings settings, String incarnation, long dayOffsetMicros, IntUnaryOperator random,
+  public Core(
+      Settings settings,
+      String incarnation,
+      long dayOffsetMicros,
+      IntUnaryOperator random,
       Consumer<Effect> effects) {
     this.settings = settings;
     this.random = random;
@@ -47,8 +52,15 @@
     this.relay = new Relay(ports);
     this.reach = new StateReach(settings, ports, replica);
     ports.watch(reach::replied);
-    this.membership = new Membership(settings.node(), settings.peers(), settings.nodeZones(), incarnation,
-        settings.reportMicros(), this::askHeard, ports::info);
+    this.membership =
+        new Membership(
+            settings.node(),
+            settings.peers(),
+            settings.nodeZones(),
+            incarnation,
+            settings.reportMicros(),
+            this::askHeard,
+            ports::info);
     this.standby = new Standby(settings.node(), incarnation, ports::info);
     this.leadership = new Leadership(settings, ports, replica, incarnation, random, this);
   }
@@ -59,14 +71,17 @@
     tick(nowMicros);
   }
 
-  /** One event of several at hand: what is decided for all of them together waits for {@link #tick}. */
+  /**
+   * One event of several at hand: what is decided for all of them together waits for {@link #tick}.
+   */
   public void take(Event event, long nowMicros) {
     guarded("event " + event.getClass().getSimpleName(), () -> takeWhole(event, nowMicros));
   }
 
   /**
-   * What may be on a machine is not known any more after half an event. A leader leaves office and lets another begin
-   * its term anew; it must never go on. What else fails concerns one request, and the node goes on without it.
+   * What may be on a machine is not known any more after half an event. A leader leaves office and
+   * lets another begin its term anew; it must never go on. What else fails concerns one request,
+   * and the node goes on without it.
    */
   private void guarded(String what, Runnable step) {
     try {
@@ -97,12 +112,15 @@
     } else if (event instanceof Event.PeerAsked asked) {
       ports.respond(asked.exchange(), reach.standing());
     } else if (event instanceof Event.PeerHeardAsked asked) {
-      ports.respond(asked.exchange(), new Answer.Heard(membership.tell(asked.run(), asked.after(), now)));
+      ports.respond(
+          asked.exchange(), new Answer.Heard(membership.tell(asked.run(), asked.after(), now)));
     } else if (event instanceof Event.StandbyTold told) {
       // A leader that is known to have been replaced is not followed.
-      boolean mayFollow = leadership.follows()
-          && (replica.leader() == null || told.batch().term() >= replica.leader().term());
-      ports.respond(told.exchange(), new Answer.StandbyAck(standby.take(told.batch(), mayFollow, now)));
+      boolean mayFollow =
+          leadership.follows()
+              && (replica.leader() == null || told.batch().term() >= replica.leader().term());
+      ports.respond(
+          told.exchange(), new Answer.StandbyAck(standby.take(told.batch(), mayFollow, now)));
     } else if (event instanceof Event.PeerCancelled told) {
       told.cancellations().forEach(replica::cancelledElsewhere);
       ports.respond(told.exchange(), new Answer.Noted());
@@ -131,7 +149,8 @@
     reach.tick(now);
     String newer = reach.newerLeader(leadership.term());
     if (newer != null && leadership.inOffice()) {
-      leadership.deposed("a peer that the state service serves follows " + newer + ", term=" + reach.newerTerm());
+      leadership.deposed(
+          "a peer that the state service serves follows " + newer + ", term=" + reach.newerTerm());
     }
     claimIfMissed();
     leadership.tick(now);
@@ -156,42 +175,60 @@
     if (event.relayed()) {
       ports.respond(event.exchange(), new Answer.Redirect(null));
     } else {
-      relay.reported(event.exchange(), event.report(), settings.node().equals(target) ? null : target, now);
+      relay.reported(
+          event.exchange(), event.report(), settings.node().equals(target) ? null : target, now);
     }
   }
 
   private void askHeard(String peer, String run, long after, Consumer<Membership.Answer> then) {
-    ports.call(new Request.PeerHeard(peer, run, after), reply -> then.accept(
-        reply instanceof Reply.PeerHeard told ? new Membership.Answer(told.hearing())
-            : reply instanceof Reply.Refused refused && refused.status() == 404 ? new Membership.Answer(null) : null));
+    ports.call(
+        new Request.PeerHeard(peer, run, after),
+        reply ->
+            then.accept(
+                reply instanceof Reply.PeerHeard told
+                    ? new Membership.Answer(told.hearing())
+                    : reply instanceof Reply.Refused refused && refused.status() == 404
+                        ? new Membership.Answer(null)
+                        : null));
   }
 
   /**
-   * The standby in sync has not heard its leader for a while: it claims the term in the record, so that the leader, which
-   * launches nothing that the standby does not acknowledge, can never launch again; then it ends that leader's lease instead
-   * of waiting for it. A leader that is alive and merely out of this node's reach has struck it from the record by now.
+   * The standby in sync has not heard its leader for a while: it claims the term in the record, so
+   * that the leader, which launches nothing that the standby does not acknowledge, can never launch
+   * again; then it ends that leader's lease instead of waiting for it. A leader that is alive and
+   * merely out of this node's reach has struck it from the record by now.
    */
   private void claimIfMissed() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
     Replica.Leader leader = replica.leader();
-    if (claiming || now < nextClaimMicros || record == null || leader == null || !leadership.follows()
-        || !standby.misses(now) || !standby.named(record.value())
+    if (claiming
+        || now < nextClaimMicros
+        || record == null
+        || leader == null
+        || !leadership.follows()
+        || !standby.misses(now)
+        || !standby.named(record.value())
         || Records.whole(record.value(), "epoch", 0) != leader.term()) {
       return;
     }
     Map<String, Object> claimed = Standby.claim(record.value());
     claiming = true;
     standby.stands();
-    ports.info("claiming the term of " + leader.node() + ", which is not heard, term=" + leader.term());
-    ports.call(new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, leader.term()),
-        new Request.Condition(Standby.RECORD, record.version())),
-        List.of(new Request.Write(Standby.RECORD, claimed, 0))), reply -> {
+    ports.info(
+        "claiming the term of " + leader.node() + ", which is not heard, term=" + leader.term());
+    ports.call(
+        new Request.StoreTxn(
+            List.of(
+                new Request.Condition(Records.LEADER, leader.term()),
+                new Request.Condition(Standby.RECORD, record.version())),
+            List.of(new Request.Write(Standby.RECORD, claimed, 0))),
+        reply -> {
           claiming = false;
           nextClaimMicros = now + CLAIM_AGAIN_MICROS;
           ports.info("claim of term " + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(Standby.RECORD, claimed, applied.revision()));
-            ports.call(new Request.LeaseDrop(leader.lease()), dropped -> { });
+            ports.call(new Request.LeaseDrop(leader.lease()), dropped -> {});
           }
         });
   }
@@ -231,7 +268,8 @@
 
   @Override
   public void tookOffice(long term) {
-    scheduler = new Scheduler(settings, ports, replica, leadership, membership, standby, term, random);
+    scheduler =
+        new Scheduler(settings, ports, replica, leadership, membership, standby, term, random);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/Demand.java
+++ b/src/main/java/org/eiderstair/core/Demand.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * How many tasks of each class should run at once for its jobs to be in time. A job's remaining work is spread
- * over the time until it is due, so work with slack waits for machines that are there rather than for new ones;
- * the highest recent demand is held for a while, since a new machine takes a while to come.
+ * How many tasks of each class should run at once for its jobs to be in time. A job's remaining
+ * work is spread over the time until it is due, so work with slack waits for machines that are
+ * there rather than for new ones; the highest recent demand is held for a while, since a new
+ * machine takes a while to come.
  */
 final class Demand {
   private static final double HOLD_MICROS = 90e6;
@@ -18,8 +19,8 @@
   private static final long NO_AIM_MICROS = 60_000_000;
 
   /**
-   * So many tasks like this one should run at once. {@code pressing} of them are wanted by the work at hand; the rest
-   * was lately wanted, and is not worth a dear machine.
+   * So many tasks like this one should run at once. {@code pressing} of them are wanted by the work
+   * at hand; the rest was lately wanted, and is not worth a dear machine.
    */
   record Wish(JobSpec spec, double tasks, double pressing) {}
 
@@ -49,7 +50,8 @@
       if (job.failedOn.size() >= 3) {
         continue;
       }
-      String key = spec.jobClass() + " " + spec.team() + " " + spec.machineTypes() + " " + spec.zone();
+      String key =
+          spec.jobClass() + " " + spec.team() + " " + spec.machineTypes() + " " + spec.zone();
       Held held = classes.computeIfAbsent(key, k -> new Held());
       held.spec = spec;
       held.now += atOnce(job, work(job, nowMicros), planned(spec) - (nowMicros - job.seenMicros));
@@ -75,9 +77,10 @@
   }
 
   /**
-   * What each class lately wanted at once, for its team to keep from less urgent work. Only classes whose start is
-   * waited for: for the others their priority is enough. Seen after a burst: 2,400 tasks of low priority stood still
-   * beside 950 free processors, since ordinary work that found no fitting machine kept half of the team's limit.
+   * What each class lately wanted at once, for its team to keep from less urgent work. Only classes
+   * whose start is waited for: for the others their priority is enough. Seen after a burst: 2,400
+   * tasks of low priority stood still beside 950 free processors, since ordinary work that found no
+   * fitting machine kept half of the team's limit.
    */
   void reserve(Teams teams) {
     for (Held held : classes.values()) {
@@ -110,14 +113,17 @@
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       return spec.tasks();
     }
-    // Work that may not use cheap machines cannot borrow their room: what it wants at once is kept there for it.
+    // Work that may not use cheap machines cannot borrow their room: what it wants at once is kept
+    // there for it.
     double window = spec.spotAllowed() ? windowMicros : 0;
-    return Math.min(job.unfinished(), work / Math.max(window, Math.max(spec.estimateMicros(), 1e6)));
+    return Math.min(
+        job.unfinished(), work / Math.max(window, Math.max(spec.estimateMicros(), 1e6)));
   }
 
   /**
-   * How long after its submission a job's work is planned to be over: early enough for its first aim. Estimates are
-   * often too low and room is not always where it is needed, so the fewer jobs may be late, the earlier.
+   * How long after its submission a job's work is planned to be over: early enough for its first
+   * aim. Estimates are often too low and room is not always where it is needed, so the fewer jobs
+   * may be late, the earlier.
    */
   private double planned(JobSpec spec) {
     double planned = Double.MAX_VALUE;
@@ -125,11 +131,13 @@
       if (!o.jobClass().equals(spec.jobClass())) {
         continue;
       }
-      double within = switch (o.kind()) {
-        case "deadline" -> spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
-        case "wait" -> o.withinMicros() + spec.estimateMicros();
-        default -> o.withinMicros();
-      };
+      double within =
+          switch (o.kind()) {
+            case "deadline" ->
+                spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
+            case "wait" -> o.withinMicros() + spec.estimateMicros();
+            default -> o.withinMicros();
+          };
       if (within > 0) {
         planned = Math.min(planned, within * (1 - o.share() / 2));
       }
@@ -137,7 +145,9 @@
     if (planned < Double.MAX_VALUE) {
       return planned;
     }
-    return EARLY * (spec.deadlineMicros() != JobSpec.NO_DEADLINE ? spec.deadlineMicros()
-        : NO_AIM_FACTOR * spec.estimateMicros() + NO_AIM_MICROS);
+    return EARLY
+        * (spec.deadlineMicros() != JobSpec.NO_DEADLINE
+            ? spec.deadlineMicros()
+            : NO_AIM_FACTOR * spec.estimateMicros() + NO_AIM_MICROS);
   }
 }
--- a/src/main/java/org/eiderstair/core/Desk.java
+++ b/src/main/java/org/eiderstair/core/Desk.java
@@ -7,9 +7,10 @@
 import java.util.function.Consumer;
 
 /**
- * Serves users on every node. Final states never change and are told from the replica; anything else is first
- * confirmed to be current, many requests by one compare-only transaction. Nothing waits for an outage to end:
- * what cannot be stored or confirmed is answered 503 at once, with when to come back.
+ * Serves users on every node. Final states never change and are told from the replica; anything
+ * else is first confirmed to be current, many requests by one compare-only transaction. Nothing
+ * waits for an outage to end: what cannot be stored or confirmed is answered 503 at once, with when
+ * to come back.
  */
 final class Desk {
   private static final int RETRY_AFTER_S = 1;
@@ -26,7 +27,9 @@
   private long nextConfirmMicros;
   private long now;
 
-  /** @param committed is told of each cancellation that this node has committed */
+  /**
+   * @param committed is told of each cancellation that this node has committed
+   */
   Desk(Settings settings, Ports ports, Replica replica, Consumer<Cancellation> committed) {
     this.committed = committed;
     this.settings = settings;
@@ -45,7 +48,11 @@
       ports.respond(exchange, known.view(200));
       return;
     }
-    confirm(id, job -> ports.respond(exchange, job == null ? new Answer.Failure(404, "no such job", 0) : job.view(200)),
+    confirm(
+        id,
+        job ->
+            ports.respond(
+                exchange, job == null ? new Answer.Failure(404, "no such job", 0) : job.view(200)),
         () -> unavailable(exchange, "cannot confirm"));
   }
 
@@ -60,16 +67,24 @@
       if (!known.open()) {
         ports.respond(exchange, known.view(200));
       } else {
-        confirm(id, job -> ports.respond(exchange, job.view(200)), () -> unavailable(exchange, "cannot confirm"));
+        confirm(
+            id,
+            job -> ports.respond(exchange, job.view(200)),
+            () -> unavailable(exchange, "cannot confirm"));
       }
       return;
     }
     int status = spec == null ? 400 : 422;
     String refusal = spec == null ? fault : refusal(spec);
     if (refusal != null) {
-      // Another node may know the job, and an accepted one must never be refused, whatever a repeat holds: so confirm that
+      // Another node may know the job, and an accepted one must never be refused, whatever a repeat
+      // holds: so confirm that
       // it is new.
-      confirm(id, job -> ports.respond(exchange, job == null ? new Answer.Failure(status, refusal, 0) : job.view(200)),
+      confirm(
+          id,
+          job ->
+              ports.respond(
+                  exchange, job == null ? new Answer.Failure(status, refusal, 0) : job.view(200)),
           () -> unavailable(exchange, "cannot confirm"));
       return;
     }
@@ -95,7 +110,9 @@
     }
     for (MachineType type : replica.catalog()) {
       boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(type.name());
-      if (allowed && type.fits(spec) && (spec.zone() == null || type.zones().contains(spec.zone()))) {
+      if (allowed
+          && type.fits(spec)
+          && (spec.zone() == null || type.zones().contains(spec.zone()))) {
         return null;
       }
     }
@@ -106,21 +123,39 @@
     Map<String, Object> value = Records.openJob(spec);
     value.put("at", replica.dayMicros(now));
     String key = Records.jobKey(spec.id());
-    ports.call(new Request.StoreTxn(List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, value, 0))),
+    ports.call(
+        new Request.StoreTxn(
+            List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, value, 0))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, value, applied.revision()));
-            ports.info("job " + spec.id() + " accepted: " + spec.tasks() + " tasks of " + spec.cpus() + " cpus and "
-                + spec.memoryGb() + " GB, " + spec.priority() + ", class " + spec.jobClass() + " of " + spec.team());
+            ports.info(
+                "job "
+                    + spec.id()
+                    + " accepted: "
+                    + spec.tasks()
+                    + " tasks of "
+                    + spec.cpus()
+                    + " cpus and "
+                    + spec.memoryGb()
+                    + " GB, "
+                    + spec.priority()
+                    + ", class "
+                    + spec.jobClass()
+                    + " of "
+                    + spec.team());
             ports.respond(exchange, replica.jobs.get(spec.id()).view(201));
           } else if (reply instanceof Reply.Conflict) {
-            read(spec.id(), job -> {
-              if (job == null) {
-                unavailable(exchange, "conflict");
-              } else {
-                ports.respond(exchange, job.view(200));
-              }
-            }, () -> unavailable(exchange, "cannot confirm"));
+            read(
+                spec.id(),
+                job -> {
+                  if (job == null) {
+                    unavailable(exchange, "conflict");
+                  } else {
+                    ports.respond(exchange, job.view(200));
+                  }
+                },
+                () -> unavailable(exchange, "cannot confirm"));
           } else {
             unavailable(exchange, "cannot store");
           }
@@ -138,13 +173,16 @@
   private void cancel(long exchange, String id, int tries) {
     Job job = replica.jobs.get(id);
     if (job == null) {
-      read(id, found -> {
-        if (found == null || tries <= 0) {
-          ports.respond(exchange, new Answer.Failure(404, "no such job", 0));
-        } else {
-          cancel(exchange, id, tries - 1);
-        }
-      }, () -> unavailable(exchange, "cannot confirm"));
+      read(
+          id,
+          found -> {
+            if (found == null || tries <= 0) {
+              ports.respond(exchange, new Answer.Failure(404, "no such job", 0));
+            } else {
+              cancel(exchange, id, tries - 1);
+            }
+          },
+          () -> unavailable(exchange, "cannot confirm"));
       return;
     }
     if (!job.open()) {
@@ -152,16 +190,23 @@
       return;
     }
     String key = Records.jobKey(id);
-    Map<String, Object> value = Records.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
-    ports.call(new Request.StoreTxn(List.of(new Request.Condition(key, job.version())),
-        List.of(new Request.Write(key, value, 0))), reply -> {
+    Map<String, Object> value =
+        Records.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
+    ports.call(
+        new Request.StoreTxn(
+            List.of(new Request.Condition(key, job.version())),
+            List.of(new Request.Write(key, value, 0))),
+        reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, value, applied.revision()));
             ports.info("job " + id + " cancelled");
             ports.respond(exchange, job.view(200));
             committed.accept(new Cancellation(id, applied.revision(), job.view(200).done()));
           } else if (reply instanceof Reply.Conflict && tries > 0) {
-            read(id, found -> cancel(exchange, id, tries - 1), () -> unavailable(exchange, "cannot confirm"));
+            read(
+                id,
+                found -> cancel(exchange, id, tries - 1),
+                () -> unavailable(exchange, "cannot confirm"));
           } else {
             unavailable(exchange, "cannot store");
           }
@@ -204,38 +249,44 @@
     confirming = true;
     nextConfirmMicros = now + settings.gatherMicros();
     List<Request.Condition> conditions = new ArrayList<>();
-    versions.forEach((id, version) -> conditions.add(new Request.Condition(Records.jobKey(id), version)));
-    ports.call(new Request.StoreTxn(conditions, List.of()), reply -> {
-      confirming = false;
-      if (reply instanceof Reply.Applied) {
-        batch.forEach(w -> w.current().accept(replica.jobs.get(w.id())));
-      } else if (reply instanceof Reply.Conflict conflict) {
-        // Reads answer for the old ones. The others are asked again: a failed list need not be complete.
-        for (Waiting w : batch) {
-          if (conflict.failed().contains(Records.jobKey(w.id()))) {
-            read(w.id(), w.current(), w.unavailable());
+    versions.forEach(
+        (id, version) -> conditions.add(new Request.Condition(Records.jobKey(id), version)));
+    ports.call(
+        new Request.StoreTxn(conditions, List.of()),
+        reply -> {
+          confirming = false;
+          if (reply instanceof Reply.Applied) {
+            batch.forEach(w -> w.current().accept(replica.jobs.get(w.id())));
+          } else if (reply instanceof Reply.Conflict conflict) {
+            // Reads answer for the old ones. The others are asked again: a failed list need not be
+            // complete.
+            for (Waiting w : batch) {
+              if (conflict.failed().contains(Records.jobKey(w.id()))) {
+                read(w.id(), w.current(), w.unavailable());
+              } else {
+                waiting.add(w);
+              }
+            }
           } else {
-            waiting.add(w);
+            batch.forEach(w -> w.unavailable().run());
           }
-        }
-      } else {
-        batch.forEach(w -> w.unavailable().run());
-      }
-    });
+        });
   }
 
   /** Reads the job's key itself; what it shows is current. */
   private void read(String id, Consumer<Job> current, Runnable unavailable) {
     String key = Records.jobKey(id);
-    ports.call(new Request.StoreGet(key), reply -> {
-      if (reply instanceof Reply.Found found) {
-        if (found.item() != null) {
-          replica.apply(found.item());
-        }
-        current.accept(replica.jobs.get(id));
-      } else {
-        unavailable.run();
-      }
-    });
+    ports.call(
+        new Request.StoreGet(key),
+        reply -> {
+          if (reply instanceof Reply.Found found) {
+            if (found.item() != null) {
+              replica.apply(found.item());
+            }
+            current.accept(replica.jobs.get(id));
+          } else {
+            unavailable.run();
+          }
+        });
   }
 }
--- a/src/main/java/org/eiderstair/core/Effect.java
+++ b/src/main/java/org/eiderstair/core/Effect.java
@@ -7,8 +7,9 @@
   long WHENEVER = Long.MAX_VALUE;
 
   /**
-   * Carry out a request and report its outcome once as {@link Event.Replied}; but not after a time, since what allowed
-   * it may have run out while this process stood still between the decision and now.
+   * Carry out a request and report its outcome once as {@link Event.Replied}; but not after a time,
+   * since what allowed it may have run out while this process stood still between the decision and
+   * now.
    */
   record Call(long call, Request request, long notAfterMicros) implements Effect {
     static final Reply TOO_LATE = new Reply.Lost("not sent: what allowed it had run out");
@@ -19,7 +20,10 @@
     }
   }
 
-  /** Answer an exchange that an event opened; after a time, only that this cannot be answered any more. */
+  /**
+   * Answer an exchange that an event opened; after a time, only that this cannot be answered any
+   * more.
+   */
   record Respond(long exchange, Answer answer, long notAfterMicros) implements Effect {
     private static final Answer TOO_LATE = new Answer.Failure(503, "too late", 0);
 
@@ -31,5 +35,9 @@
   /** A decision worth a line in the log. */
   record Log(Level level, String text) implements Effect {}
 
-  enum Level { ERROR, INFO, DEBUG }
+  enum Level {
+    ERROR,
+    INFO,
+    DEBUG
+  }
 }
--- a/src/main/java/org/eiderstair/core/Event.java
+++ b/src/main/java/org/eiderstair/core/Event.java
@@ -12,7 +12,10 @@
   /** The outcome of an earlier request. */
   record Replied(long call, Reply reply) implements Event {}
 
-  /** A user submits; {@code spec} is null and {@code fault} set when the body is malformed but its id is not. */
+  /**
+   * A user submits; {@code spec} is null and {@code fault} set when the body is malformed but its
+   * id is not.
+   */
   record Submit(long exchange, String id, JobSpec spec, String fault) implements Event {}
 
   record Poll(long exchange, String id) implements Event {}
@@ -22,7 +25,10 @@
   /** A peer asks whether the state service serves this node. */
   record PeerAsked(long exchange) implements Event {}
 
-  /** A peer asks which machines this node hears, as changes after what a run of this node has told it already. */
+  /**
+   * A peer asks which machines this node hears, as changes after what a run of this node has told
+   * it already.
+   */
   record PeerHeardAsked(long exchange, String run, long after) implements Event {}
 
   /** A leader tells what changed in its picture. */
--- a/src/main/java/org/eiderstair/core/Fleet.java
+++ b/src/main/java/org/eiderstair/core/Fleet.java
@@ -14,17 +14,22 @@
 import org.eiderstair.core.standby.Standby;
 
 /**
- * The machines of one term and what may be on them. A task comes free here only on proof: a newer report
- * without it once its launch is settled, a new session, a deleted machine, or a lease that has run out.
+ * The machines of one term and what may be on them. A task comes free here only on proof: a newer
+ * report without it once its launch is settled, a new session, a deleted machine, or a lease that
+ * has run out.
  */
 final class Fleet {
   private static final long ASK_AGAIN_MICROS = 1_500_000;
   private static final long ASKING_EVERY_MICROS = 20_000;
+
   /** Far more than can still be on their way in late reports or lists. */
   private static final int MOST_GONE = 10_000;
+
   private static final int MOST_ASKS = 8;
+
   /** A question that has waited for so long waits for a time limit, and costs nothing meanwhile. */
   private static final long SLOW_ASK_MICROS = 200_000;
+
   private static final int MOST_SLOW_ASKS = 128;
   private static final long LEASE_MARGIN_MICROS = 1_500_000;
   private static final long OUT_OF_REACH_MICROS = 2_500_000;
@@ -50,40 +55,65 @@
   private boolean closed;
   private long now;
   private Predicate<String> leaving = id -> false;
-  private Consumer<Job> begun = job -> { };
+  private Consumer<Job> begun = job -> {};
+
   /** Reports that came from machines themselves, not through a peer, since the window began. */
   private int direct;
+
   private long windowMicros;
   private boolean unreached;
 
   final Map<String, Machine> machines = new LinkedHashMap<>();
-  // One report must cost one machine: what the fleet as a whole needs is kept in these as machines change.
+  // One report must cost one machine: what the fleet as a whole needs is kept in these as machines
+  // change.
   private final Set<Machine> unheard = new LinkedHashSet<>();
+
   /** Not heard in this term, but known from the standby's picture. */
   private final Set<Machine> pictured = new LinkedHashSet<>();
+
   private final Set<Machine> fencing = new LinkedHashSet<>();
-  /** Machines that have shown our token, the one answered longest ago first: their leases end in this order. */
+
+  /**
+   * Machines that have shown our token, the one answered longest ago first: their leases end in
+   * this order.
+   */
   private final Set<Machine> leased = new LinkedHashSet<>();
+
   /** Machines with something to send, and those whose report waits for its answer. */
   private final Set<Machine> toSend = new LinkedHashSet<>();
+
   private final Set<Machine> toAnswer = new LinkedHashSet<>();
+
   /** Machines with waiting attempts that may have got room. */
   final Set<Machine> toServe = new LinkedHashSet<>();
+
   /** Machines that may be given waiting attempts. */
   final List<Machine> queueable = new ArrayList<>();
+
   /** Machines that are being asked, and since when, the one asked longest ago first. */
   private final Map<Machine, Long> asks = new LinkedHashMap<>();
+
   private int youngAsks;
   private long nextAskingMicros;
   private long takenOverMicros;
   private TakeOver takeOver;
+
   /** Deleted by this term: a late report or list must not bring one back. */
   final Set<String> gone = new LinkedHashSet<>();
+
   /** Set whenever something changed that may let a task be placed. */
   boolean changed = true;
 
-  Fleet(Settings settings, Ports ports, Replica replica, Leadership leadership, Ledger ledger, TokenList tokens,
-      Teams teams, Standby standby, long term) {
+  Fleet(
+      Settings settings,
+      Ports ports,
+      Replica replica,
+      Leadership leadership,
+      Ledger ledger,
+      TokenList tokens,
+      Teams teams,
+      Standby standby,
+      long term) {
     this.standby = standby;
     this.settings = settings;
     this.ports = ports;
@@ -95,7 +125,10 @@
     this.term = term;
   }
 
-  /** Reports that were still to be answered go elsewhere: this node may not renew their leases any more. */
+  /**
+   * Reports that were still to be answered go elsewhere: this node may not renew their leases any
+   * more.
+   */
   void close() {
     closed = true;
     for (Machine m : toAnswer) {
@@ -105,8 +138,9 @@
   }
 
   /**
-   * Take-over: everything rostered may hold work of earlier terms until it has been heard, but no more than what the picture
-   * shows where there is one. A machine that it does not show holds nothing.
+   * Take-over: everything rostered may hold work of earlier terms until it has been heard, but no
+   * more than what the picture shows where there is one. A machine that it does not show holds
+   * nothing.
    */
   void takeOver(long electedMicros, Map<String, Standby.Held> picture, long nowMicros) {
     now = nowMicros;
@@ -127,14 +161,22 @@
 
   private void inherit(Machine m, Standby.Held held) {
     m.session = held.session();
-    held.attempts().forEach((id, tasks) -> tasks.forEach((index, number) -> {
-      Job job = replica.jobs.get(id);
-      // What is durably done or over without a description can only be stopped, once it is shown.
-      if (job != null && job.spec() != null && index < job.tasks() && !job.done.get(index)
-          && !job.active.containsKey(index)) {
-        attach(new Attempt(job, index, number, m, Attempt.Phase.SEEN, now));
-      }
-    }));
+    held.attempts()
+        .forEach(
+            (id, tasks) ->
+                tasks.forEach(
+                    (index, number) -> {
+                      Job job = replica.jobs.get(id);
+                      // What is durably done or over without a description can only be stopped,
+                      // once it is shown.
+                      if (job != null
+                          && job.spec() != null
+                          && index < job.tasks()
+                          && !job.done.get(index)
+                          && !job.active.containsKey(index)) {
+                        attach(new Attempt(job, index, number, m, Attempt.Phase.SEEN, now));
+                      }
+                    }));
     m.measureRoom();
     updateQueueable(m);
     roomChanged(m);
@@ -142,7 +184,8 @@
 
   /** Tells the standby of an attempt that may be on its machine from now on, or is not any more. */
   private void tell(Attempt a, boolean there) {
-    standby.change(new Batch.Change(there, a.machine.id, a.machine.session, a.job.id, a.index, a.number));
+    standby.change(
+        new Batch.Change(there, a.machine.id, a.machine.session, a.job.id, a.index, a.number));
   }
 
   /** All that a standby must know of this leader's picture. */
@@ -187,7 +230,7 @@
         leased.add(m);
       }
       case HEARD -> leased.add(m);
-      case BOOTING, LOST, GONE -> { }
+      case BOOTING, LOST, GONE -> {}
     }
     updateQueueable(m);
   }
@@ -272,8 +315,9 @@
   }
 
   /**
-   * A worker's report. Its answer renews the lease and carries what the machine must stop, forget and, decided in the
-   * next pass, launch; so a machine whose task ended gets its next one without another message.
+   * A worker's report. Its answer renews the lease and carries what the machine must stop, forget
+   * and, decided in the next pass, launch; so a machine whose task ended gets its next one without
+   * another message.
    */
   void reported(long exchange, MachineReport report, boolean relayed, long nowMicros) {
     now = nowMicros;
@@ -291,9 +335,11 @@
       ports.info("machine " + report.machine() + " appeared, term=" + term);
       m = expect(report.machine(), report.address(), report.type(), report.zone(), report.spot());
     }
-    OpenReport.Standing standing = m.openReport.standing(report.session(), m.session, report.sequence());
+    OpenReport.Standing standing =
+        m.openReport.standing(report.session(), m.session, report.sequence());
     if (standing != OpenReport.Standing.OPEN) {
-      // A copy, or one held on its way: its worker has given it up. It proves, renews and launches nothing.
+      // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
+      // nothing.
       refuse(exchange, standing.toString());
       return;
     }
@@ -326,9 +372,10 @@
   }
 
   /**
-   * Takes a machine's account of itself. {@code settles} is false while a command is on its way, since the
-   * account may have been written before that command arrived. Only a report settles what went with an answer to an
-   * earlier report: the body of /commands or /status may be written while that answer is still on its way.
+   * Takes a machine's account of itself. {@code settles} is false while a command is on its way,
+   * since the account may have been written before that command arrived. Only a report settles what
+   * went with an answer to an earlier report: the body of /commands or /status may be written while
+   * that answer is still on its way.
    */
   private void absorb(Machine m, MachineReport report, boolean isReport, boolean settles) {
     if (!report.newerThan(m.session, m.sequence)) {
@@ -336,11 +383,18 @@
     }
     m.heardMicros = now;
     if (report.session() > m.session && m.session > 0) {
-      ports.info("machine " + m.id + " lost its lease and began session " + report.session() + ", term=" + term);
+      ports.info(
+          "machine "
+              + m.id
+              + " lost its lease and began session "
+              + report.session()
+              + ", term="
+              + term);
       freeAll(m, "new session");
       refuse(m.openReport.newSession(), "report of an earlier session");
       toAnswer.remove(m);
-      // Found by the simulator (a leader cut from its workers): a new session has its full lease from its own
+      // Found by the simulator (a leader cut from its workers): a new session has its full lease
+      // from its own
       // beginning, whenever we last answered the session before.
       answered(m);
     }
@@ -364,8 +418,10 @@
         m.idleSinceMicros = now;
       }
     }
-    if (!truth && (m.phase == Machine.Phase.UNHEARD || m.phase == Machine.Phase.PICTURED
-        || m.phase == Machine.Phase.FENCING)) {
+    if (!truth
+        && (m.phase == Machine.Phase.UNHEARD
+            || m.phase == Machine.Phase.PICTURED
+            || m.phase == Machine.Phase.FENCING)) {
       // Older commands may still arrive there; what it shows proves nothing yet.
       return;
     }
@@ -377,10 +433,12 @@
   }
 
   /**
-   * A machine that neither the roster nor a rental of this term explains shows a token of an earlier term: its report was held on
-   * its way, and the machine was deleted meanwhile. No such machine can hold anything, since each is in the roster from before its
-   * first launch until it is gone. What the report shows counts all the same, but only until the machine's lease would be over,
-   * or until it answers our question; without this it held its tasks back until it counted as never booted.
+   * A machine that neither the roster nor a rental of this term explains shows a token of an
+   * earlier term: its report was held on its way, and the machine was deleted meanwhile. No such
+   * machine can hold anything, since each is in the roster from before its first launch until it is
+   * gone. What the report shows counts all the same, but only until the machine's lease would be
+   * over, or until it answers our question; without this it held its tasks back until it counted as
+   * never booted.
    */
   private void holdNoLongerThanItsLease(Machine m) {
     ports.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
@@ -388,7 +446,8 @@
     answered(m);
   }
 
-  private void readEntries(Machine m, MachineReport report, boolean settlesAnswers, boolean settlesCommands) {
+  private void readEntries(
+      Machine m, MachineReport report, boolean settlesAnswers, boolean settlesCommands) {
     m.strays.clear();
     m.reaps.clear();
     Set<TaskId> shown = new HashSet<>();
@@ -401,11 +460,15 @@
       }
     }
     for (Attempt a : new ArrayList<>(m.attempts.values())) {
-      boolean settled = switch (a.phase) {
-        case QUEUED, PLANNED -> false;
-        case SENT -> a.sentSequence < 0 ? settlesCommands : settlesAnswers && report.sequence() > a.sentSequence;
-        case SEEN -> true;
-      };
+      boolean settled =
+          switch (a.phase) {
+            case QUEUED, PLANNED -> false;
+            case SENT ->
+                a.sentSequence < 0
+                    ? settlesCommands
+                    : settlesAnswers && report.sequence() > a.sentSequence;
+            case SEEN -> true;
+          };
       if (settled && !shown.contains(a.task())) {
         free(a, "not on the machine");
       }
@@ -444,8 +507,13 @@
       }
       return;
     }
-    boolean wanted = job != null && job.open() && known == null && entry.task().index() < job.tasks()
-        && !job.done.get(entry.task().index()) && !job.active.containsKey(entry.task().index());
+    boolean wanted =
+        job != null
+            && job.open()
+            && known == null
+            && entry.task().index() < job.tasks()
+            && !job.done.get(entry.task().index())
+            && !job.active.containsKey(entry.task().index());
     if (!wanted) {
       if (job != null && !job.open() && known == null && job.spec() != null) {
         adopt(m, job, entry);
@@ -469,8 +537,8 @@
   }
 
   /**
-   * An attempt comes to stand on a machine: the one place where that happens, so that room, team use and queues are
-   * kept by increments. One that only waits at the leader uses nothing yet.
+   * An attempt comes to stand on a machine: the one place where that happens, so that room, team
+   * use and queues are kept by increments. One that only waits at the leader uses nothing yet.
    */
   void attach(Attempt a) {
     a.machine.attempts.put(a.task(), a);
@@ -536,14 +604,18 @@
     if (ours) {
       remove(known);
     }
-    if (entry.exit() == MachineReport.Exit.DONE && job != null && job.open() && task.index() < job.tasks()) {
+    if (entry.exit() == MachineReport.Exit.DONE
+        && job != null
+        && job.open()
+        && task.index() < job.tasks()) {
       if (!job.done.get(task.index())) {
         job.done.set(task.index());
         job.failedOn.clear();
         job.failedRounds = 0;
         m.errorsInRow = 0;
         m.failedJobs.clear();
-        boolean all = job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
+        boolean all =
+            job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
         if (all) {
           ledger.finished(job);
         } else {
@@ -563,11 +635,12 @@
     switch (entry.exit()) {
       case ERROR -> failed(m, job, task);
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-        ports.debug("task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
+        ports.debug(
+            "task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
         m.holdUntilMicros = now + 1_000_000;
         tokens.remove(m);
       }
-      default -> { }
+      default -> {}
     }
   }
 
@@ -584,11 +657,19 @@
     if (!job.done.isEmpty() || job.failedOn.size() == 1) {
       m.failedJobs.add(job.id);
     }
-    // A job with a mistake fails wherever it goes: it alone may cost one machine, never one after another.
-    boolean faulty = m.failedJobs.size() >= 2 && m.errorsInRow >= 3
-        || job.failedOn.size() == 1 && m.errorsInRow >= 6;
+    // A job with a mistake fails wherever it goes: it alone may cost one machine, never one after
+    // another.
+    boolean faulty =
+        m.failedJobs.size() >= 2 && m.errorsInRow >= 3
+            || job.failedOn.size() == 1 && m.errorsInRow >= 6;
     if (faulty && m.plan == Machine.Plan.USE) {
-      ports.info("machine " + m.id + " fails the tasks of " + m.failedJobs.size() + " jobs: draining, term=" + term);
+      ports.info(
+          "machine "
+              + m.id
+              + " fails the tasks of "
+              + m.failedJobs.size()
+              + " jobs: draining, term="
+              + term);
       drain(m);
     }
   }
@@ -601,7 +682,10 @@
     changed = true;
   }
 
-  /** A machine that was to leave is kept: its mark is gone, and no request to delete it can arrive any more. */
+  /**
+   * A machine that was to leave is kept: its mark is gone, and no request to delete it can arrive
+   * any more.
+   */
   void keep(String id) {
     Machine m = machines.get(id);
     if (m != null && m.plan == Machine.Plan.DELETE) {
@@ -617,10 +701,14 @@
     }
   }
 
-  /** Before a machine is taken away, tasks that can save in time are told to; the others may yet complete. */
+  /**
+   * Before a machine is taken away, tasks that can save in time are told to; the others may yet
+   * complete.
+   */
   private void saveProgress(Machine m, long noticeMicros) {
     for (Attempt a : m.attempts.values()) {
-      if (a.spec.checkpointEveryMicros() > 0 && a.spec.saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
+      if (a.spec.checkpointEveryMicros() > 0
+          && a.spec.saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
         a.stop = true;
         killSoon(m);
       }
@@ -662,8 +750,17 @@
   }
 
   private void free(Attempt a, String why) {
-    ports.debug("task " + a.task() + " attempt " + a.number + " free from " + a.machine.id + ": " + why
-        + ", term=" + term);
+    ports.debug(
+        "task "
+            + a.task()
+            + " attempt "
+            + a.number
+            + " free from "
+            + a.machine.id
+            + ": "
+            + why
+            + ", term="
+            + term);
     remove(a);
   }
 
@@ -703,7 +800,10 @@
     }
   }
 
-  /** @param busy whether reports wait: each tells as much as an answer to a question, and costs no more */
+  /**
+   * @param busy whether reports wait: each tells as much as an answer to a question, and costs no
+   *     more
+   */
   void tick(long nowMicros, boolean busy) {
     now = nowMicros;
     long lease = settings.leaseMicros() + settings.leaseMicros() / 1000 + LEASE_MARGIN_MICROS;
@@ -718,7 +818,9 @@
       freeAll(m, "lease over");
     }
     boolean patient = busy && now < takenOverMicros + settings.reportMicros();
-    if (!patient && now >= nextAskingMicros && !(unheard.isEmpty() && fencing.isEmpty() && pictured.isEmpty())) {
+    if (!patient
+        && now >= nextAskingMicros
+        && !(unheard.isEmpty() && fencing.isEmpty() && pictured.isEmpty())) {
       nextAskingMicros = now + ASKING_EVERY_MICROS;
       youngAsks = 0;
       for (long since : asks.values()) {
@@ -731,25 +833,32 @@
   }
 
   /**
-   * Only so many at once: a burst of hundreds would hold up the lease's renewal and the users. Those that wait for their time
-   * limit do not count: seen during a zone's cut, 260 machines that nobody reached kept the others from being asked, and half
-   * of all were heard 4.8 s after the election instead of 1 s.
+   * Only so many at once: a burst of hundreds would hold up the lease's renewal and the users.
+   * Those that wait for their time limit do not count: seen during a zone's cut, 260 machines that
+   * nobody reached kept the others from being asked, and half of all were heard 4.8 s after the
+   * election instead of 1 s.
    */
   private void askIfDue(Machine m) {
-    if (youngAsks < MOST_ASKS && asks.size() < MOST_SLOW_ASKS && !m.commandInFlight && now >= m.nextAskMicros) {
+    if (youngAsks < MOST_ASKS
+        && asks.size() < MOST_SLOW_ASKS
+        && !m.commandInFlight
+        && now >= m.nextAskMicros) {
       ask(m);
     }
   }
 
   /**
-   * Whether hardly any machine reaches this leader by itself: over the time that ten reports of the fleet take, less than a
-   * tenth of them came. That alone may be the machines' fault as well as its own: peers tell.
+   * Whether hardly any machine reaches this leader by itself: over the time that ten reports of the
+   * fleet take, less than a tenth of them came. That alone may be the machines' fault as well as
+   * its own: peers tell.
    */
   boolean unreached() {
-    long window = Math.max(QUIET_MICROS, REPORTS * settings.reportMicros() / Math.max(1, leased.size()));
+    long window =
+        Math.max(QUIET_MICROS, REPORTS * settings.reportMicros() / Math.max(1, leased.size()));
     if (now >= windowMicros + window) {
       double expected = (double) (now - windowMicros) * leased.size() / settings.reportMicros();
-      unreached = windowMicros > takenOverMicros && leased.size() >= FEW && direct * REPORTS < expected;
+      unreached =
+          windowMicros > takenOverMicros && leased.size() >= FEW && direct * REPORTS < expected;
       windowMicros = now;
       direct = 0;
     }
@@ -758,15 +867,17 @@
 
   /** How many machines that this leader knows a peer hears. */
   int heardBy(Membership membership) {
-    return membership.heardElsewhere(id -> {
-      Machine m = machines.get(id);
-      return m != null && m.phase != Machine.Phase.BOOTING;
-    });
+    return membership.heardElsewhere(
+        id -> {
+          Machine m = machines.get(id);
+          return m != null && m.phase != Machine.Phase.BOOTING;
+        });
   }
 
   /**
-   * Whether this leader seems cut off from its machines: many of those it had heard are silent, and hardly any is
-   * not. Dead machines alone do not look like that, and relayed reports count as heard.
+   * Whether this leader seems cut off from its machines: many of those it had heard are silent, and
+   * hardly any is not. Dead machines alone do not look like that, and relayed reports count as
+   * heard.
    */
   boolean outOfReach() {
     long patience = settings.reportMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
@@ -785,8 +896,9 @@
   }
 
   /**
-   * Shows our token with no orders: that fences older commands and reports at once. Most machines are in their first
-   * session; one that is not says so in its refusal, and is asked again with what it said.
+   * Shows our token with no orders: that fences older commands and reports at once. Most machines
+   * are in their first session; one that is not says so in its refusal, and is asked again with
+   * what it said.
    */
   private void ask(Machine m) {
     if (m.address == null || !leadership.mayLaunch(now)) {
@@ -796,7 +908,10 @@
     youngAsks++;
     asks.put(m, now);
     m.commandInFlight = true;
-    call(m, new Request.WorkerCommands(m.address, m.token(), Math.max(1, m.session), List.of()), List.of(),
+    call(
+        m,
+        new Request.WorkerCommands(m.address, m.token(), Math.max(1, m.session), List.of()),
+        List.of(),
         () -> asks.remove(m));
   }
 
@@ -823,7 +938,10 @@
     changed = true;
   }
 
-  /** Tells each machine what was decided: in the answer to its report, else by one command at a time. */
+  /**
+   * Tells each machine what was decided: in the answer to its report, else by one command at a
+   * time.
+   */
   void flush(long nowMicros) {
     now = nowMicros;
     boolean mayLaunch = leadership.mayLaunch(now) && standby.admitsLaunches();
@@ -839,7 +957,11 @@
         if (mayKill && m.killsPending && mayBeKilledOn(m)) {
           sendKills(m);
         }
-        if (mayLaunch && !m.toLaunch.isEmpty() && !m.commandInFlight && m.known() && now >= m.holdUntilMicros) {
+        if (mayLaunch
+            && !m.toLaunch.isEmpty()
+            && !m.commandInFlight
+            && m.known()
+            && now >= m.holdUntilMicros) {
           sendLaunches(m);
         }
       }
@@ -847,8 +969,9 @@
   }
 
   /**
-   * Kills wait for nothing else that is on its way to the machine: not for a launch or a question without an answer, which may
-   * take its whole time limit, nor for the pause after one. A kill may be repeated, and may come before or after anything.
+   * Kills wait for nothing else that is on its way to the machine: not for a launch or a question
+   * without an answer, which may take its whole time limit, nor for the pause after one. A kill may
+   * be repeated, and may come before or after anything.
    */
   private boolean mayBeKilledOn(Machine m) {
     boolean sessionKnown = m.phase == Machine.Phase.FENCING || m.known();
@@ -856,8 +979,9 @@
   }
 
   /**
-   * This node may not reach a machine whose reports a peer passes on. Seen with a leader cut from its workers: each command
-   * ran into its time limit, and the fence raised for it kept the machine from work. Its next report is soon here.
+   * This node may not reach a machine whose reports a peer passes on. Seen with a leader cut from
+   * its workers: each command ran into its time limit, and the fence raised for it kept the machine
+   * from work. Its next report is soon here.
    */
   private boolean comesThroughPeer(Machine m) {
     return m.relayed && now < m.heardMicros + settings.reportMicros() * 2;
@@ -867,7 +991,9 @@
     List<Order> orders = killsFor(m);
     orders.addAll(m.reaps.values());
     List<Attempt> launches =
-        mayLaunch && m.phase == Machine.Phase.HEARD ? launch(m, m.openReport.sequence()) : List.of();
+        mayLaunch && m.phase == Machine.Phase.HEARD
+            ? launch(m, m.openReport.sequence())
+            : List.of();
     answered(m);
     m.killsPending = false;
     long exchange = m.openReport.answered();
@@ -876,14 +1002,18 @@
       respond(exchange, token, orders);
       return;
     }
-    standby.launch(() -> {
-      leaves();
-      ports.respond(exchange, new Answer.Command(token, withLaunches(orders, launches)),
-          leadership.mandate().launchEnd());
-    }, () -> {
-      unlaunch(launches);
-      respond(exchange, token, orders);
-    });
+    standby.launch(
+        () -> {
+          leaves();
+          ports.respond(
+              exchange,
+              new Answer.Command(token, withLaunches(orders, launches)),
+              leadership.mandate().launchEnd());
+        },
+        () -> {
+          unlaunch(launches);
+          respond(exchange, token, orders);
+        });
   }
 
   /** Answers a report with what launches nothing. */
@@ -901,13 +1031,19 @@
     long token = m.token();
     long session = m.session;
     m.commandInFlight = true;
-    standby.launch(() -> {
-      leaves();
-      call(m, new Request.WorkerCommands(m.address, token, session, withLaunches(reaps, launches)), launches, () -> { });
-    }, () -> {
-      m.commandInFlight = false;
-      unlaunch(launches);
-    });
+    standby.launch(
+        () -> {
+          leaves();
+          call(
+              m,
+              new Request.WorkerCommands(m.address, token, session, withLaunches(reaps, launches)),
+              launches,
+              () -> {});
+        },
+        () -> {
+          m.commandInFlight = false;
+          unlaunch(launches);
+        });
   }
 
   private void sendKills(Machine m) {
@@ -917,7 +1053,9 @@
       return;
     }
     m.killInFlight = true;
-    ports.call(new Request.WorkerCommands(m.address, m.token(), m.session, kills), leadership.mandate().answersEnd(),
+    ports.call(
+        new Request.WorkerCommands(m.address, m.token(), m.session, kills),
+        leadership.mandate().answersEnd(),
         reply -> {
           m.killInFlight = false;
           if (closed || m.phase == Machine.Phase.GONE) {
@@ -960,8 +1098,9 @@
   }
 
   /**
-   * A launch may wait for the standby: what was cancelled or given up meanwhile is not started any more. The attempt of a
-   * cancelled job counts until the machine shows that it is not there, like any other.
+   * A launch may wait for the standby: what was cancelled or given up meanwhile is not started any
+   * more. The attempt of a cancelled job counts until the machine shows that it is not there, like
+   * any other.
    */
   private static List<Order> withLaunches(List<Order> orders, List<Attempt> launches) {
     List<Order> all = new ArrayList<>(orders);
@@ -998,35 +1137,48 @@
 
   private void call(Machine m, Request request, List<Attempt> launches, Runnable over) {
     Mandate mandate = leadership.mandate();
-    ports.call(request, launches.isEmpty() ? mandate.answersEnd() : mandate.launchEnd(), reply -> {
-      m.commandInFlight = false;
-      over.run();
-      if (closed || m.phase == Machine.Phase.GONE) {
-        return;
-      }
-      if (!m.toLaunch.isEmpty() || m.killsPending) {
-        toSend.add(m);
-      }
-      if (launches.stream().anyMatch(a -> !a.job.open())) {
-        // A kill that was sent meanwhile may have come before the launch.
-        killSoon(m);
-      }
-      if (!absorbReply(m, reply, true)) {
-        unanswered(m, !launches.isEmpty(), reply);
-      }
-    });
+    ports.call(
+        request,
+        launches.isEmpty() ? mandate.answersEnd() : mandate.launchEnd(),
+        reply -> {
+          m.commandInFlight = false;
+          over.run();
+          if (closed || m.phase == Machine.Phase.GONE) {
+            return;
+          }
+          if (!m.toLaunch.isEmpty() || m.killsPending) {
+            toSend.add(m);
+          }
+          if (launches.stream().anyMatch(a -> !a.job.open())) {
+            // A kill that was sent meanwhile may have come before the launch.
+            killSoon(m);
+          }
+          if (!absorbReply(m, reply, true)) {
+            unanswered(m, !launches.isEmpty(), reply);
+          }
+        });
   }
 
-  /** The command may still arrive, minutes later: kill it with a higher token before anything is concluded. */
+  /**
+   * The command may still arrive, minutes later: kill it with a higher token before anything is
+   * concluded.
+   */
   private void unanswered(Machine m, boolean launched, Reply reply) {
     if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.PICTURED)) {
       m.raiseFence();
       tokens.remove(m);
-      // It may be out of this node's reach while its reports still come, relayed: no more launches for a while.
+      // It may be out of this node's reach while its reports still come, relayed: no more launches
+      // for a while.
       m.holdUntilMicros = now + UNREACHED_MICROS;
     }
     if (launched && m.phase == Machine.Phase.HEARD) {
-      ports.info("no answer from " + m.id + " to a command: raising its fence, term=" + term + ": " + reply);
+      ports.info(
+          "no answer from "
+              + m.id
+              + " to a command: raising its fence, term="
+              + term
+              + ": "
+              + reply);
       become(m, Machine.Phase.FENCING);
     }
     m.nextAskMicros = Math.max(m.nextAskMicros, now + (launched ? 500_000 : 300_000));
--- a/src/main/java/org/eiderstair/core/Job.java
+++ b/src/main/java/org/eiderstair/core/Job.java
@@ -8,48 +8,72 @@
 import java.util.Set;
 
 /**
- * A job as this node knows it, and, at the leader, where its tasks are. A task has at most one attempt that
- * may be alive; only when that attempt is proven gone does the task become free again.
+ * A job as this node knows it, and, at the leader, where its tasks are. A task has at most one
+ * attempt that may be alive; only when that attempt is proven gone does the task become free again.
  */
 final class Job {
 
   /** OPEN until its tasks are done or its user cancels it; the other two are final. */
-  enum State { OPEN, DONE, CANCELLED }
+  enum State {
+    OPEN,
+    DONE,
+    CANCELLED
+  }
 
   final String id;
   private State state = State.OPEN;
   private long version;
   private int tasks;
   private int finalDone;
+
   /**
-   * Null once the job is done: the history must stay small. A cancelled job keeps it, since a later leader may
-   * still find its tasks on machines and must count what they use.
+   * Null once the job is done: the history must stay small. A cancelled job keeps it, since a later
+   * leader may still find its tasks on machines and must count what they use.
    */
   private JobSpec spec;
 
   /** Durable progress: what the state service has. */
   BitSet durable = new BitSet();
+
   long progressVersion;
   int shownRunning;
 
   // What follows is the leader's picture.
   /** Tasks seen done, whether durable or not. */
   BitSet done = new BitSet();
+
   final Map<Integer, Attempt> active = new HashMap<>();
+
   /** The order of service as of the last pass, the smallest first. */
   int rank;
+
   /** Whether any of its tasks has ever been placed, as far as this leader knows. */
   boolean begun;
-  /** Those of them that wait at the leader for a machine's room, the one that has waited longest in front. */
+
+  /**
+   * Those of them that wait at the leader for a machine's room, the one that has waited longest in
+   * front.
+   */
   final Set<Attempt> queued = new LinkedHashSet<>();
+
   long seenMicros;
   long cancelSeenMicros;
+
   /** When it was cancelled, as far as that is known; never later than when this node saw it. */
   long cancelledMicros;
-  /** Machines on which a task failed since the last success; each one more makes the next pause longer. */
+
+  /**
+   * Machines on which a task failed since the last success; each one more makes the next pause
+   * longer.
+   */
   final Set<String> failedOn = new HashSet<>();
-  /** When work of others was last stopped for this job: what that frees must first have had time to arrive. */
+
+  /**
+   * When work of others was last stopped for this job: what that frees must first have had time to
+   * arrive.
+   */
   long preemptedMicros;
+
   int failedRounds;
   long notBeforeMicros;
   private int firstFree;
@@ -104,7 +128,10 @@
     }
   }
 
-  /** The lowest-numbered task that is neither done nor possibly somewhere, from {@code from} on; -1 if none. */
+  /**
+   * The lowest-numbered task that is neither done nor possibly somewhere, from {@code from} on; -1
+   * if none.
+   */
   int nextFree(int from) {
     for (int i = Math.max(from, firstFree); i < tasks; i++) {
       i = done.nextClearBit(i);
@@ -164,8 +191,13 @@
     return switch (state) {
       case DONE -> new Answer.JobView(status, id, Answer.Phase.DONE, tasks, 0);
       case CANCELLED -> new Answer.JobView(status, id, Answer.Phase.CANCELLED, finalDone, 0);
-      case OPEN -> new Answer.JobView(status, id, shownRunning > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
-          durable.cardinality(), shownRunning);
+      case OPEN ->
+          new Answer.JobView(
+              status,
+              id,
+              shownRunning > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
+              durable.cardinality(),
+              shownRunning);
     };
   }
 }
--- a/src/main/java/org/eiderstair/core/JobSpec.java
+++ b/src/main/java/org/eiderstair/core/JobSpec.java
@@ -26,15 +26,25 @@
     long deadlineMicros) {
 
   /** Whether tasks run to completion or until the job is cancelled. */
-  public enum Shape { ARRAY, SERVICE }
+  public enum Shape {
+    ARRAY,
+    SERVICE
+  }
 
   /** Highest first: the natural order is the order of service. */
-  public enum Priority { PRODUCTION, HIGH, NORMAL, LOW }
+  public enum Priority {
+    PRODUCTION,
+    HIGH,
+    NORMAL,
+    LOW
+  }
 
   /** No deadline was given. */
   public static final long NO_DEADLINE = -1;
 
-  /** Whether a machine of this kind may run the job's tasks, its zone rules for sibling tasks apart. */
+  /**
+   * Whether a machine of this kind may run the job's tasks, its zone rules for sibling tasks apart.
+   */
   public boolean allows(String type, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(type))
         && (zone == null || zone.equals(machineZone))
--- a/src/main/java/org/eiderstair/core/Leadership.java
+++ b/src/main/java/org/eiderstair/core/Leadership.java
@@ -4,23 +4,34 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Who may command. The leader key hangs on a lease; the revision that created it is the term. Until when what may be done
- * is for {@link Mandate} to say.
+ * Who may command. The leader key hangs on a lease; the revision that created it is the term. Until
+ * when what may be done is for {@link Mandate} to say.
  */
 final class Leadership {
 
   /**
-   * LEADING may launch. FADING cannot renew its lease, or its picture is too old to launch by: it goes on answering workers,
-   * so that running work survives a short outage. CATCHING_UP holds its lease, just elected or renewed after such a spell, but
-   * the picture has not been shown to be current since then: a lease proves nothing of the picture, so nothing is launched yet.
+   * LEADING may launch. FADING cannot renew its lease, or its picture is too old to launch by: it
+   * goes on answering workers, so that running work survives a short outage. CATCHING_UP holds its
+   * lease, just elected or renewed after such a spell, but the picture has not been shown to be
+   * current since then: a lease proves nothing of the picture, so nothing is launched yet.
    */
-  enum State { FOLLOWING, GRANTING, CREATING, LEADING, FADING, CATCHING_UP }
+  enum State {
+    FOLLOWING,
+    GRANTING,
+    CREATING,
+    LEADING,
+    FADING,
+    CATCHING_UP
+  }
 
   interface Listener {
     /** This node asks to lead; nothing that it was told as a follower may change any more. */
     void stands();
 
-    /** Whether another controller than this one holds the last leader's picture, and so should ask first. */
+    /**
+     * Whether another controller than this one holds the last leader's picture, and so should ask
+     * first.
+     */
     boolean anotherInSync();
 
     void tookOffice(long term);
@@ -30,6 +41,7 @@
 
   private static final long RETRY_MICROS = 400_000;
   private static final long GIVEN_UP_PAUSE_MICROS = 15_000_000;
+
   /** About as long as a controller that was just started interprets most of its code. */
   private static final long COLD_MICROS = 20_000_000;
 
@@ -44,8 +56,13 @@
   private long lease;
   private long term;
   private final Mandate mandate;
-  /** Since when the lease is held again, 0 while it is not: the picture must be shown to be current as of then. */
+
+  /**
+   * Since when the lease is held again, 0 while it is not: the picture must be shown to be current
+   * as of then.
+   */
   private long heldSinceMicros;
+
   private long nextTouchMicros;
   private boolean touching;
   private long standAfterMicros;
@@ -53,7 +70,12 @@
   private final IntUnaryOperator random;
   private long loadedMicros = Long.MAX_VALUE;
 
-  Leadership(Settings settings, Ports ports, Replica replica, String incarnation, IntUnaryOperator random,
+  Leadership(
+      Settings settings,
+      Ports ports,
+      Replica replica,
+      String incarnation,
+      IntUnaryOperator random,
       Listener listener) {
     this.random = random;
     this.settings = settings;
@@ -74,7 +96,10 @@
     return state == State.LEADING && nowMicros < mandate.launchEnd();
   }
 
-  /** Whether what ends work may be sent to machines: a kill or a question harms nobody, whoever leads by now. */
+  /**
+   * Whether what ends work may be sent to machines: a kill or a question harms nobody, whoever
+   * leads by now.
+   */
   boolean mayEndWork(long nowMicros) {
     return inOffice() && nowMicros < mandate.answersEnd();
   }
@@ -105,20 +130,29 @@
     }
     switch (state) {
       case FOLLOWING -> considerStanding();
-      case GRANTING, CREATING -> { }
+      case GRANTING, CREATING -> {}
       case LEADING -> {
         if (now >= mandate.launchEnd()) {
-          become(State.FADING, now >= mandate.authorityEnd() ? "lease not renewed" : "picture not shown to be current");
+          become(
+              State.FADING,
+              now >= mandate.authorityEnd()
+                  ? "lease not renewed"
+                  : "picture not shown to be current");
         }
         touchIfDue();
       }
       case FADING, CATCHING_UP -> {
-        // One that was elected after a long outage has the picture of before; it is about to be told.
-        boolean begins = state == State.CATCHING_UP && now < heldSinceMicros + settings.tuning().leaderTtlMicros();
+        // One that was elected after a long outage has the picture of before; it is about to be
+        // told.
+        boolean begins =
+            state == State.CATCHING_UP
+                && now < heldSinceMicros + settings.tuning().leaderTtlMicros();
         if (now >= mandate.answersEnd() && !begins) {
           // Its lease may go on for ever while its watch hangs: then another has to lead.
-          deposed("picture not shown to be current for " + (now - mandate.currentMicros()) / 1000
-              + " ms: workers lose their leases, for what may have been cancelled meanwhile");
+          deposed(
+              "picture not shown to be current for "
+                  + (now - mandate.currentMicros()) / 1000
+                  + " ms: workers lose their leases, for what may have been cancelled meanwhile");
           return;
         }
         catchUp();
@@ -135,7 +169,9 @@
     if (state == State.CATCHING_UP && now >= mandate.authorityEnd()) {
       become(State.FADING, "lease not renewed");
     }
-    if (state == State.CATCHING_UP && mandate.currentMicros() >= heldSinceMicros && now < mandate.launchEnd()) {
+    if (state == State.CATCHING_UP
+        && mandate.currentMicros() >= heldSinceMicros
+        && now < mandate.launchEnd()) {
       become(State.LEADING, "picture current");
     }
   }
@@ -170,52 +206,60 @@
       if (leader.node().equals(settings.node()) && leader.lease() != droppedOwnLease) {
         droppedOwnLease = leader.lease();
         ports.info("giving up the lease of an earlier run, term=" + leader.term());
-        ports.call(new Request.LeaseDrop(leader.lease()), reply -> {
-          if (!(reply instanceof Reply.Applied)) {
-            droppedOwnLease = 0;
-            standAfterMicros = now + RETRY_MICROS;
-          }
-        });
+        ports.call(
+            new Request.LeaseDrop(leader.lease()),
+            reply -> {
+              if (!(reply instanceof Reply.Applied)) {
+                droppedOwnLease = 0;
+                standAfterMicros = now + RETRY_MICROS;
+              }
+            });
       }
       return;
     }
     become(State.GRANTING, "no leader");
     listener.stands();
     long sentMicros = now;
-    ports.call(new Request.LeaseGrant(settings.tuning().leaderTtlMicros()), reply -> {
-      if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
-        lease = granted.lease();
-        mandate.renewed(sentMicros);
-        become(State.CREATING, "lease " + lease);
-        create();
-      } else {
-        standAfterMicros = now + RETRY_MICROS;
-        become(State.FOLLOWING, "no lease: " + reply);
-      }
-    });
+    ports.call(
+        new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
+        reply -> {
+          if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
+            lease = granted.lease();
+            mandate.renewed(sentMicros);
+            become(State.CREATING, "lease " + lease);
+            create();
+          } else {
+            standAfterMicros = now + RETRY_MICROS;
+            become(State.FOLLOWING, "no lease: " + reply);
+          }
+        });
   }
 
   private void create() {
     var value = Records.leader(settings.node(), lease, incarnation);
     long sentMicros = now;
-    ports.call(new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, 0)),
-        List.of(new Request.Write(Records.LEADER, value, lease))), reply -> {
-      if (reply instanceof Reply.Applied applied) {
-        term = applied.revision();
-        replica.proves(sentMicros, term);
-        nextTouchMicros = mandate.renewedMicros() + settings.tuning().leaderRenewMicros();
-        replica.apply(new Reply.Item(Records.LEADER, value, term));
-        if (replica.leader() != null && replica.leader().term() == term) {
-          heldSinceMicros = sentMicros;
-          become(State.CATCHING_UP, "elected");
-          return;
-        }
-      }
-      // With no answer the key may yet appear: ending the lease removes it and makes a late write fail.
-      ports.call(new Request.LeaseDrop(lease), ignored -> { });
-      standAfterMicros = now + RETRY_MICROS;
-      become(State.FOLLOWING, "not elected: " + reply);
-    });
+    ports.call(
+        new Request.StoreTxn(
+            List.of(new Request.Condition(Records.LEADER, 0)),
+            List.of(new Request.Write(Records.LEADER, value, lease))),
+        reply -> {
+          if (reply instanceof Reply.Applied applied) {
+            term = applied.revision();
+            replica.proves(sentMicros, term);
+            nextTouchMicros = mandate.renewedMicros() + settings.tuning().leaderRenewMicros();
+            replica.apply(new Reply.Item(Records.LEADER, value, term));
+            if (replica.leader() != null && replica.leader().term() == term) {
+              heldSinceMicros = sentMicros;
+              become(State.CATCHING_UP, "elected");
+              return;
+            }
+          }
+          // With no answer the key may yet appear: ending the lease removes it and makes a late
+          // write fail.
+          ports.call(new Request.LeaseDrop(lease), ignored -> {});
+          standAfterMicros = now + RETRY_MICROS;
+          become(State.FOLLOWING, "not elected: " + reply);
+        });
   }
 
   private void touchIfDue() {
@@ -225,53 +269,59 @@
     touching = true;
     long sentMicros = now;
     long touchedTerm = term;
-    ports.call(new Request.LeaseTouch(lease), reply -> {
-      touching = false;
-      if (!inOffice() || touchedTerm != term) {
-        return;
-      }
-      if (reply instanceof Reply.Applied) {
-        mandate.renewed(sentMicros);
-        nextTouchMicros = sentMicros + settings.tuning().leaderRenewMicros();
-        if (state == State.FADING && heldSinceMicros == 0) {
-          heldSinceMicros = sentMicros;
-        }
-        showCurrent();
-      } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
-        become(State.FOLLOWING, "lease lost");
-      } else {
-        nextTouchMicros = now + RETRY_MICROS;
-      }
-    });
+    ports.call(
+        new Request.LeaseTouch(lease),
+        reply -> {
+          touching = false;
+          if (!inOffice() || touchedTerm != term) {
+            return;
+          }
+          if (reply instanceof Reply.Applied) {
+            mandate.renewed(sentMicros);
+            nextTouchMicros = sentMicros + settings.tuning().leaderRenewMicros();
+            if (state == State.FADING && heldSinceMicros == 0) {
+              heldSinceMicros = sentMicros;
+            }
+            showCurrent();
+          } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
+            become(State.FOLLOWING, "lease lost");
+          } else {
+            nextTouchMicros = now + RETRY_MICROS;
+          }
+        });
   }
 
   /**
-   * Asks which revision the state service is at, unless the picture was shown to be current just now: on a quiet day no watch
-   * is answered for seconds. It compares the leader key, so it tells too when that is lost.
+   * Asks which revision the state service is at, unless the picture was shown to be current just
+   * now: on a quiet day no watch is answered for seconds. It compares the leader key, so it tells
+   * too when that is lost.
    */
   private void showCurrent() {
-    if (state == State.LEADING && now < mandate.currentMicros() + settings.tuning().leaderRenewMicros()) {
+    if (state == State.LEADING
+        && now < mandate.currentMicros() + settings.tuning().leaderRenewMicros()) {
       return;
     }
     long sentMicros = now;
-    ports.call(new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term)), List.of()), reply -> {
-      if (reply instanceof Reply.Applied applied) {
-        replica.proves(sentMicros, applied.revision());
-      }
-    });
+    ports.call(
+        new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term)), List.of()),
+        reply -> {
+          if (reply instanceof Reply.Applied applied) {
+            replica.proves(sentMicros, applied.revision());
+          }
+        });
   }
 
   /** The leader key was seen to belong to another, or a worker showed a newer token. */
   void deposed(String why) {
     if (inOffice()) {
-      ports.call(new Request.LeaseDrop(lease), ignored -> { });
+      ports.call(new Request.LeaseDrop(lease), ignored -> {});
       become(State.FOLLOWING, why);
     }
   }
 
   /**
-   * This node can renew its lease but is of no use, since it cannot reach the machines: another may. It stands
-   * again only after a pause, so that the others get their turn.
+   * This node can renew its lease but is of no use, since it cannot reach the machines: another
+   * may. It stands again only after a pause, so that the others get their turn.
    */
   void giveUp(String why) {
     deposed(why);
@@ -282,12 +332,19 @@
   void leaderChanged() {
     Replica.Leader leader = replica.leader();
     if (inOffice() && (leader == null || leader.term() != term)) {
-      become(State.FOLLOWING, leader == null ? "leader key dropped" : "another leads, term=" + leader.term());
-    } else if (leader == null && state == State.FOLLOWING && loadedMicros != Long.MAX_VALUE
+      become(
+          State.FOLLOWING,
+          leader == null ? "leader key dropped" : "another leads, term=" + leader.term());
+    } else if (leader == null
+        && state == State.FOLLOWING
+        && loadedMicros != Long.MAX_VALUE
         && (now < loadedMicros + COLD_MICROS || listener.anotherInSync())) {
-      // A cold leader needs many times the processor time for the same reports. This changes who asks first, never who
-      // may lead; and a key that is not there at the start was left by all the warm ones, so then nothing waits.
-      // One that holds the last leader's picture goes before both. Twice the time for which a warm one may gather changes before it learns of this one.
+      // A cold leader needs many times the processor time for the same reports. This changes who
+      // asks first, never who
+      // may lead; and a key that is not there at the start was left by all the warm ones, so then
+      // nothing waits.
+      // One that holds the last leader's picture goes before both. Twice the time for which a warm
+      // one may gather changes before it learns of this one.
       boolean cold = now < loadedMicros + COLD_MICROS;
       int pause = (int) ((cold && listener.anotherInSync() ? 4 : 2) * settings.gatherMicros());
       standAfterMicros = Math.max(standAfterMicros, now + pause + random.applyAsInt(pause));
--- a/src/main/java/org/eiderstair/core/Ledger.java
+++ b/src/main/java/org/eiderstair/core/Ledger.java
@@ -8,28 +8,44 @@
 import java.util.function.Consumer;
 
 /**
- * The leader's durable writes: finished jobs, progress, the roster. One transaction at a time; each demands
- * the leader key of this term, the known version of every key that it changes, and that of the barrier. What is still to be
- * written is worked out anew each time, so a lost answer needs only fresh versions.
+ * The leader's durable writes: finished jobs, progress, the roster. One transaction at a time; each
+ * demands the leader key of this term, the known version of every key that it changes, and that of
+ * the barrier. What is still to be written is worked out anew each time, so a lost answer needs
+ * only fresh versions.
  *
- * <p>A transaction without an answer may be carried out at any later time. Versions alone do not stop it: one that creates a
- * key holds again once that key was created and dropped by later ones, and would bring back a machine long gone. So
- * the barrier is written anew first; from then on all earlier transactions of this term fail, and what is read is the truth.
+ * <p>A transaction without an answer may be carried out at any later time. Versions alone do not
+ * stop it: one that creates a key holds again once that key was created and dropped by later ones,
+ * and would bring back a machine long gone. So the barrier is written anew first; from then on all
+ * earlier transactions of this term fail, and what is read is the truth.
  */
 final class Ledger {
   private static final long PROGRESS_EVERY_MICROS = 500_000;
-  /** Changes that come close together go in one transaction: single ones would spend requests and processor. */
+
+  /**
+   * Changes that come close together go in one transaction: single ones would spend requests and
+   * processor.
+   */
   private static final long GATHER_MICROS = 60_000;
+
   private static final long RETRY_MICROS = 500_000;
   private static final int TXN_BYTES = 40_000;
-  /** Of a transaction: hundreds of notes at once must not hold up completions, nor wait for hundreds of those. */
+
+  /**
+   * Of a transaction: hundreds of notes at once must not hold up completions, nor wait for hundreds
+   * of those.
+   */
   private static final int NOTES_PART = 4;
 
   /**
-   * IDLE may write; WRITING waits for an answer; BARRING renews the barrier after none came; READING fetches versions after a
-   * conflict or the barrier.
+   * IDLE may write; WRITING waits for an answer; BARRING renews the barrier after none came;
+   * READING fetches versions after a conflict or the barrier.
    */
-  private enum State { IDLE, WRITING, BARRING, READING }
+  private enum State {
+    IDLE,
+    WRITING,
+    BARRING,
+    READING
+  }
 
   interface Listener {
     void jobFinished(Job job);
@@ -44,8 +60,10 @@
   private final long term;
   private final RateBudget writes;
   private State state = State.IDLE;
+
   /** Keys of a transaction whose fate is unknown: nothing is written before the barrier is. */
   private List<String> doubted = List.of();
+
   private boolean closed;
   private long now;
   private long notBeforeMicros;
@@ -57,6 +75,7 @@
   private final Map<String, Job> progressed = new LinkedHashMap<>();
   private final Map<String, Machine> enrol = new LinkedHashMap<>();
   private final Map<String, Boolean> strike = new LinkedHashMap<>();
+
   /** Single keys of the duties, written before what they announce is done. */
   private final Map<String, Note> notes = new LinkedHashMap<>();
 
@@ -140,14 +159,17 @@
     state = next;
   }
 
-  private void send(List<Request.Condition> conditions, List<Request.Write> changes, Consumer<Reply> then) {
+  private void send(
+      List<Request.Condition> conditions, List<Request.Write> changes, Consumer<Reply> then) {
     long sentMicros = now;
-    ports.call(new Request.StoreTxn(conditions, changes), reply -> {
-      if (reply instanceof Reply.Applied applied) {
-        replica.proves(sentMicros, applied.revision());
-      }
-      then.accept(reply);
-    });
+    ports.call(
+        new Request.StoreTxn(conditions, changes),
+        reply -> {
+          if (reply instanceof Reply.Applied applied) {
+            replica.proves(sentMicros, applied.revision());
+          }
+          then.accept(reply);
+        });
   }
 
   private Request.Condition barrier() {
@@ -155,12 +177,17 @@
     return new Request.Condition(Records.BARRIER, known == null ? 0 : known.version());
   }
 
-  /** A barrier without an answer is written again under the version that it was to replace: only one of the two can hold. */
+  /**
+   * A barrier without an answer is written again under the version that it was to replace: only one
+   * of the two can hold.
+   */
   private void bar() {
     become(State.BARRING);
     Map<String, Object> value = Map.of("term", term);
-    send(List.of(new Request.Condition(Records.LEADER, term), barrier()),
-        List.of(new Request.Write(Records.BARRIER, value, 0)), reply -> {
+    send(
+        List.of(new Request.Condition(Records.LEADER, term), barrier()),
+        List.of(new Request.Write(Records.BARRIER, value, 0)),
+        reply -> {
           if (closed) {
             return;
           }
@@ -176,7 +203,10 @@
         });
   }
 
-  private int addNotes(int room, List<Request.Condition> conditions, List<Request.Write> changes,
+  private int addNotes(
+      int room,
+      List<Request.Condition> conditions,
+      List<Request.Write> changes,
       List<Runnable> after) {
     int most = Math.min(room, Math.max(1, settings.stateTxnOps() / NOTES_PART));
     for (Map.Entry<String, Note> e : new ArrayList<>(notes.entrySet())) {
@@ -197,18 +227,22 @@
       room--;
       // Those who wait for this value; who comes while it is on its way waits for the next.
       List<Runnable> waiting = new ArrayList<>(note.durable());
-      after.add(() -> {
-        if (notes.get(key) == note) {
-          notes.remove(key);
-        }
-        note.durable().removeAll(waiting);
-        waiting.forEach(Runnable::run);
-      });
+      after.add(
+          () -> {
+            if (notes.get(key) == note) {
+              notes.remove(key);
+            }
+            note.durable().removeAll(waiting);
+            waiting.forEach(Runnable::run);
+          });
     }
     return room;
   }
 
-  private int addFinished(int room, List<Request.Condition> conditions, List<Request.Write> changes,
+  private int addFinished(
+      int room,
+      List<Request.Condition> conditions,
+      List<Request.Write> changes,
       List<Runnable> after) {
     for (Job job : new ArrayList<>(finished.values())) {
       if (!job.open()) {
@@ -225,28 +259,36 @@
         changes.add(new Request.Write(Records.progressKey(job.id), null, 0));
       }
       room -= 2;
-      after.add(() -> {
-        finished.remove(job.id);
-        listener.jobFinished(job);
-      });
+      after.add(
+          () -> {
+            finished.remove(job.id);
+            listener.jobFinished(job);
+          });
     }
     return room;
   }
 
-  private int addRoster(int room, List<Request.Condition> conditions, List<Request.Write> changes,
+  private int addRoster(
+      int room,
+      List<Request.Condition> conditions,
+      List<Request.Write> changes,
       List<Runnable> after) {
     for (Machine m : new ArrayList<>(enrol.values())) {
       if (room < 1) {
         return 0;
       }
       var known = replica.roster.get(m.id);
-      conditions.add(new Request.Condition(Records.rosterKey(m.id), known == null ? 0 : known.version()));
-      changes.add(new Request.Write(Records.rosterKey(m.id), Records.roster(m.address, m.typeName, m.zone, m.spot), 0));
+      conditions.add(
+          new Request.Condition(Records.rosterKey(m.id), known == null ? 0 : known.version()));
+      changes.add(
+          new Request.Write(
+              Records.rosterKey(m.id), Records.roster(m.address, m.typeName, m.zone, m.spot), 0));
       room--;
-      after.add(() -> {
-        enrol.remove(m.id);
-        listener.rosterWritten(m.id);
-      });
+      after.add(
+          () -> {
+            enrol.remove(m.id);
+            listener.rosterWritten(m.id);
+          });
     }
     for (String id : new ArrayList<>(strike.keySet())) {
       var known = replica.roster.get(id);
@@ -265,9 +307,13 @@
     return room;
   }
 
-  private void addProgress(int room, List<Request.Condition> conditions, List<Request.Write> changes,
+  private void addProgress(
+      int room,
+      List<Request.Condition> conditions,
+      List<Request.Write> changes,
       List<Runnable> after) {
-    if (progressed.isEmpty() || changes.isEmpty() && now < lastProgressMicros + PROGRESS_EVERY_MICROS) {
+    if (progressed.isEmpty()
+        || changes.isEmpty() && now < lastProgressMicros + PROGRESS_EVERY_MICROS) {
       return;
     }
     lastProgressMicros = now;
@@ -288,15 +334,19 @@
       conditions.add(new Request.Condition(Records.jobKey(job.id), job.version()));
       changes.add(new Request.Write(Records.progressKey(job.id), value, 0));
       room--;
-      after.add(() -> {
-        if (job.done.equals(done)) {
-          progressed.remove(job.id);
-        }
-      });
+      after.add(
+          () -> {
+            if (job.done.equals(done)) {
+              progressed.remove(job.id);
+            }
+          });
     }
   }
 
-  private void written(Reply reply, List<Request.Condition> conditions, List<Request.Write> changes,
+  private void written(
+      Reply reply,
+      List<Request.Condition> conditions,
+      List<Request.Write> changes,
       List<Runnable> after) {
     become(State.IDLE);
     if (closed) {
@@ -323,26 +373,28 @@
     reading = keys.size();
     readFailed = false;
     for (String key : keys) {
-      ports.call(new Request.StoreGet(key), reply -> {
-        if (closed) {
-          return;
-        }
-        if (reply instanceof Reply.Found found) {
-          if (found.item() != null) {
-            replica.apply(found.item());
-          } else {
-            replica.missing(key, found.revision());
-          }
-        } else {
-          readFailed = true;
-        }
-        if (--reading == 0) {
-          become(State.IDLE);
-          if (readFailed) {
-            notBeforeMicros = now + RETRY_MICROS;
-          }
-        }
-      });
+      ports.call(
+          new Request.StoreGet(key),
+          reply -> {
+            if (closed) {
+              return;
+            }
+            if (reply instanceof Reply.Found found) {
+              if (found.item() != null) {
+                replica.apply(found.item());
+              } else {
+                replica.missing(key, found.revision());
+              }
+            } else {
+              readFailed = true;
+            }
+            if (--reading == 0) {
+              become(State.IDLE);
+              if (readFailed) {
+                notBeforeMicros = now + RETRY_MICROS;
+              }
+            }
+          });
     }
     if (keys.isEmpty()) {
       become(State.IDLE);
--- a/src/main/java/org/eiderstair/core/LeftBehind.java
+++ b/src/main/java/org/eiderstair/core/LeftBehind.java
@@ -13,20 +13,32 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Which jobs go ahead of their turn, since their class or team would be left behind for ever. The order of service is strict,
- * so more urgent work than there is room for would keep everything else waiting until its end. Who is behind gets a bounded part
- * of the processors as they come free, and nothing is stopped for it; as long as every class and team is served, this
- * changes nothing. docs/design.md, "Nobody left behind".
+ * Which jobs go ahead of their turn, since their class or team would be left behind for ever. The
+ * order of service is strict, so more urgent work than there is room for would keep everything else
+ * waiting until its end. Who is behind gets a bounded part of the processors as they come free, and
+ * nothing is stopped for it; as long as every class and team is served, this changes nothing.
+ * docs/design.md, "Nobody left behind".
  */
 final class LeftBehind {
   private static final long EVERY_MICROS = 1_000_000;
+
   /** A machine's boot, and a burst, are no reason yet. */
   private static final long WAITS_MICROS = 90_000_000;
-  /** Every job is to begin within four minutes: so long before, it goes ahead whatever the rest of its class does. */
+
+  /**
+   * Every job is to begin within four minutes: so long before, it goes ahead whatever the rest of
+   * its class does.
+   */
   private static final long LONGEST_MICROS = 150_000_000;
+
   private static final double REMEMBERED_MICROS = 300e6;
-  /** Behind is who has begun fewer than this part of its jobs; above a half, so that it does not come to that. */
+
+  /**
+   * Behind is who has begun fewer than this part of its jobs; above a half, so that it does not
+   * come to that.
+   */
   private static final double LEAST_BEGUN = 0.6;
+
   /** Of all processors, for work that goes ahead: who is urgent keeps at least the other half. */
   private static final double MOST_PART = 0.5;
 
@@ -65,12 +77,17 @@
     return of.computeIfAbsent(name, n -> new Tally());
   }
 
-  /** Whether a job goes before all others, and past what is kept for more urgent classes; limits hold for it as for all. */
+  /**
+   * Whether a job goes before all others, and past what is kept for more urgent classes; limits
+   * hold for it as for all.
+   */
   boolean goesAhead(Job job) {
     return ahead.contains(job);
   }
 
-  /** @param cpus of all machines in use; asked for only where something waits */
+  /**
+   * @param cpus of all machines in use; asked for only where something waits
+   */
   void measure(Collection<Job> open, DoubleSupplier cpus, long nowMicros) {
     if (nowMicros < measuredMicros + EVERY_MICROS) {
       return;
@@ -78,13 +95,19 @@
     double fade = Math.exp(-(nowMicros - measuredMicros) / REMEMBERED_MICROS);
     measuredMicros = nowMicros;
     List<Map<String, Tally>> kinds = List.of(classes, teams);
-    kinds.forEach(kind -> kind.values().forEach(t -> {
-      t.begun *= fade;
-      t.waiting = 0;
-    }));
+    kinds.forEach(
+        kind ->
+            kind.values()
+                .forEach(
+                    t -> {
+                      t.begun *= fade;
+                      t.waiting = 0;
+                    }));
     List<Job> waiting = new ArrayList<>();
     for (Job job : open) {
-      if (!job.begun && nowMicros >= job.seenMicros + WAITS_MICROS && nowMicros >= job.notBeforeMicros) {
+      if (!job.begun
+          && nowMicros >= job.seenMicros + WAITS_MICROS
+          && nowMicros >= job.notBeforeMicros) {
         waiting.add(job);
         tally(classes, job.spec().jobClass()).waiting++;
         tally(teams, job.spec().team()).waiting++;
@@ -98,21 +121,29 @@
     Set<String> now = new HashSet<>();
     classes.forEach((name, t) -> note(now, "class " + name, t, classes));
     teams.forEach((name, t) -> note(now, "team " + name, t, teams));
-    now.stream().filter(name -> !behind.contains(name)).sorted().forEach(name -> log.accept(name + " is left behind"));
-    behind.stream().filter(name -> !now.contains(name)).sorted().forEach(name -> log.accept(name + " is served again"));
+    now.stream()
+        .filter(name -> !behind.contains(name))
+        .sorted()
+        .forEach(name -> log.accept(name + " is left behind"));
+    behind.stream()
+        .filter(name -> !now.contains(name))
+        .sorted()
+        .forEach(name -> log.accept(name + " is served again"));
     behind = now;
   }
 
   /** Where nobody is served, as before the first machine is up, nobody is behind. */
   private static void note(Set<String> now, String name, Tally t, Map<String, Tally> kind) {
-    if (t.behind() && kind.values().stream().anyMatch(o -> o != t && !o.behind() && o.begun > t.begun)) {
+    if (t.behind()
+        && kind.values().stream().anyMatch(o -> o != t && !o.behind() && o.begun > t.begun)) {
       now.add(name);
     }
   }
 
   /**
-   * Who goes ahead does so until it is done; others follow while there is room for them in the bound. Those that can still
-   * begin in time go first: with more work than room, oldest first would make every one of them late.
+   * Who goes ahead does so until it is done; others follow while there is room for them in the
+   * bound. Those that can still begin in time go first: with more work than room, oldest first
+   * would make every one of them late.
    */
   private void choose(List<Job> waiting, double most, long nowMicros) {
     Set<Job> next = new LinkedHashSet<>();
@@ -128,7 +159,8 @@
       if (taken >= most) {
         break;
       }
-      if (isLate(job, nowMicros) || behind.contains("class " + job.spec().jobClass())
+      if (isLate(job, nowMicros)
+          || behind.contains("class " + job.spec().jobClass())
           || behind.contains("team " + job.spec().team())) {
         taken += next.add(job) ? job.unfinished() * job.spec().cpus() : 0;
       }
@@ -142,6 +174,8 @@
 
   /** For the leader's line of figures. */
   String summary() {
-    return ahead.isEmpty() && behind.isEmpty() ? "" : ", behind " + behind + ", ahead " + ahead.size();
+    return ahead.isEmpty() && behind.isEmpty()
+        ? ""
+        : ", behind " + behind + ", ahead " + ahead.size();
   }
 }
--- a/src/main/java/org/eiderstair/core/Machine.java
+++ b/src/main/java/org/eiderstair/core/Machine.java
@@ -13,15 +13,27 @@
 final class Machine implements Survey.Member {
 
   /**
-   * BOOTING was rented and has not reported. UNHEARD may hold work of earlier terms. PICTURED has not been heard in this term,
-   * but holds no more than what this node was told as the standby of the last. HEARD has shown our token.
-   * FENCING got a command whose fate is unknown. LOST has had no answer for so long that its lease is over, so
-   * nothing is on it. GONE is deleted.
+   * BOOTING was rented and has not reported. UNHEARD may hold work of earlier terms. PICTURED has
+   * not been heard in this term, but holds no more than what this node was told as the standby of
+   * the last. HEARD has shown our token. FENCING got a command whose fate is unknown. LOST has had
+   * no answer for so long that its lease is over, so nothing is on it. GONE is deleted.
    */
-  enum Phase { BOOTING, UNHEARD, PICTURED, HEARD, FENCING, LOST, GONE }
+  enum Phase {
+    BOOTING,
+    UNHEARD,
+    PICTURED,
+    HEARD,
+    FENCING,
+    LOST,
+    GONE
+  }
 
   /** What the leader wants of it. */
-  enum Plan { USE, DRAIN, DELETE }
+  enum Plan {
+    USE,
+    DRAIN,
+    DELETE
+  }
 
   final String id;
   String address;
@@ -39,46 +51,74 @@
 
   /** Everything that may be on the machine, or is meant for it, by task. */
   final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
+
   /** Room is taken for these; they go with the next command. */
   final List<Attempt> toLaunch = new ArrayList<>();
+
   /** Waiting at the leader for room on this machine, the most urgent first. */
   final List<Attempt> queue = new ArrayList<>();
+
   /** Entries to be killed or forgotten that no attempt stands for. */
   final Map<TaskId, Order> strays = new HashMap<>();
+
   /** Ended entries that may be forgotten: their outcome is durable, or needs no record. */
   final Map<TaskId, Order.Reap> reaps = new HashMap<>();
-  /** The images it should have, with their size, the one used longest ago first: it keeps only the latest. */
+
+  /**
+   * The images it should have, with their size, the one used longest ago first: it keeps only the
+   * latest.
+   */
   private final Map<String, Double> images = new LinkedHashMap<>();
+
   private double imagesGb;
 
   boolean commandInFlight;
   boolean killsPending;
+
   /** A command that only kills is on its way, beside whatever else is. */
   boolean killInFlight;
+
   long nextKillMicros;
   long nextAskMicros;
   long sinceMicros;
   long heardMicros;
+
   /** When our last 200 to a report of this machine left; its lease may run from then. */
   long answeredMicros;
+
   long holdUntilMicros;
   long idleSinceMicros;
   boolean rostered;
+
   /** To be given back for its silence alone. */
   boolean condemned;
+
   /** Silent, in a zone that nobody sees. */
   boolean dark;
+
   /** Its last report came through a peer: this node may not reach it. */
   boolean relayed;
+
   /** More than the demand asks for: used last, so that it falls idle and can be returned. */
   boolean surplus;
-  /** Dear and beyond what is at hand: it takes no more work that could go elsewhere, so it can be returned. */
+
+  /**
+   * Dear and beyond what is at hand: it takes no more work that could go elsewhere, so it can be
+   * returned.
+   */
   boolean closing;
+
   final OpenReport openReport = new OpenReport();
+
   /** Where its token stands in the list; -1 when it has none. */
   int tokenIndex = -1;
-  /** Where it stands among the machines that may be given waiting attempts; -1 when it is not among them. */
+
+  /**
+   * Where it stands among the machines that may be given waiting attempts; -1 when it is not among
+   * them.
+   */
   int queueableIndex = -1;
+
   int errorsInRow;
   final Set<String> failedJobs = new HashSet<>();
 
@@ -159,7 +199,9 @@
 
   /** None does while something unknown is here, since nobody knows what room that takes. */
   boolean fits(JobSpec spec) {
-    return strays.isEmpty() && spec.cpus() <= freeCpus + 1e-6 && spec.accelerators() <= freeAccelerators + 1e-6
+    return strays.isEmpty()
+        && spec.cpus() <= freeCpus + 1e-6
+        && spec.accelerators() <= freeAccelerators + 1e-6
         && spec.memoryGb() <= freeMemory + 1e-6;
   }
 
@@ -167,7 +209,10 @@
     return images.containsKey(spec.image());
   }
 
-  /** A task that uses an image is here or comes here: the machine drops what it has not used for longest. */
+  /**
+   * A task that uses an image is here or comes here: the machine drops what it has not used for
+   * longest.
+   */
   void useImage(JobSpec spec) {
     Double known = images.remove(spec.image());
     imagesGb += spec.imageGb() - (known == null ? 0 : known);
--- a/src/main/java/org/eiderstair/core/MachineReport.java
+++ b/src/main/java/org/eiderstair/core/MachineReport.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * A worker's account of itself. {@code (session, sequence)} orders accounts of one machine;
- * {@code token} is the highest fencing token that the worker had seen when it wrote this one.
+ * A worker's account of itself. {@code (session, sequence)} orders accounts of one machine; {@code
+ * token} is the highest fencing token that the worker had seen when it wrote this one.
  */
 public record MachineReport(
     String machine,
@@ -25,10 +25,23 @@
   public record Entry(TaskId task, long attempt, TaskState state, Exit exit, boolean saved) {}
 
   /** Where a task on a machine stands. */
-  public enum TaskState { FETCHING, RUNNING, SAVING, ENDED }
+  public enum TaskState {
+    FETCHING,
+    RUNNING,
+    SAVING,
+    ENDED
+  }
 
   /** Why a task ended. */
-  public enum Exit { NONE, DONE, STOPPED, ERROR, NO_ROOM, BUSY, UNKNOWN_JOB }
+  public enum Exit {
+    NONE,
+    DONE,
+    STOPPED,
+    ERROR,
+    NO_ROOM,
+    BUSY,
+    UNKNOWN_JOB
+  }
 
   /** True when this account was written after the other one. */
   public boolean newerThan(long otherSession, long otherSequence) {
--- a/src/main/java/org/eiderstair/core/MachineType.java
+++ b/src/main/java/org/eiderstair/core/MachineType.java
@@ -17,6 +17,8 @@
 
   /** Whether an otherwise empty machine of this type can hold one task of the job. */
   public boolean fits(JobSpec spec) {
-    return spec.cpus() <= cpus && spec.accelerators() <= accelerators && spec.memoryGb() <= memoryGb;
+    return spec.cpus() <= cpus
+        && spec.accelerators() <= accelerators
+        && spec.memoryGb() <= memoryGb;
   }
 }
--- a/src/main/java/org/eiderstair/core/Mandate.java
+++ b/src/main/java/org/eiderstair/core/Mandate.java
@@ -1,21 +1,28 @@
 package org.eiderstair.core;
 
 /**
- * Until when a leader may launch and until when it may answer reports: the one place for both bounds. They rest on two
- * clocks, which are two things:
+ * Until when a leader may launch and until when it may answer reports: the one place for both
+ * bounds. They rest on two clocks, which are two things:
+ *
  * <ul>
- * <li><em>authority</em>: when the latest renewal of its lease was sent. No other can lead before it is over;
- * <li><em>currency</em>: when the latest request was sent whose answer shows that the picture holds every change made up
- * to then ({@link Replica#currentMicros}). A renewed lease says nothing of the picture, nor the other way round.
+ *   <li><em>authority</em>: when the latest renewal of its lease was sent. No other can lead before
+ *       it is over;
+ *   <li><em>currency</em>: when the latest request was sent whose answer shows that the picture
+ *       holds every change made up to then ({@link Replica#currentMicros}). A renewed lease says
+ *       nothing of the picture, nor the other way round.
  * </ul>
- * A cancellation confirmed at C that this node does not know of was carried out later than its currency. All times are
- * of this node's steady clock, in microseconds. docs/design.md, "What a leader may do with an old picture", has the argument.
+ *
+ * A cancellation confirmed at C that this node does not know of was carried out later than its
+ * currency. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
+ * leader may do with an old picture", has the argument.
  */
 final class Mandate {
   /** For what lies between deciding and sending, beside the drift of clocks. */
   private static final long MARGIN_MICROS = 250_000;
+
   /** In this time a worker whose lease is over has found that, and has ended its tasks. */
   private static final long ENDING_MICROS = 3_000_000;
+
   /** Clocks of two machines differ by no more than 0.05%. */
   private static final long DRIFT_PART = 2_000;
 
@@ -37,8 +44,8 @@
   }
 
   /**
-   * Whether the bounds can hold at all: a leader must be able to answer reports for at least as long as its own lease lasts, else
-   * it would stop its workers between two renewals.
+   * Whether the bounds can hold at all: a leader must be able to answer reports for at least as
+   * long as its own lease lasts, else it would stop its workers between two renewals.
    */
   static boolean boundsHold(Settings settings) {
     return answersMicros(settings) >= settings.tuning().leaderTtlMicros();
@@ -58,22 +65,27 @@
     return replica.currentMicros();
   }
 
-  /** Until when nobody else can lead: backs what is durable or fenced, such as requests to the cloud. */
+  /**
+   * Until when nobody else can lead: backs what is durable or fenced, such as requests to the
+   * cloud.
+   */
   long authorityEnd() {
     return renewedMicros + leaseMicros;
   }
 
   /**
-   * Until when it may launch: while nobody else can lead, and while the picture is no older than a lease may be. What was
-   * cancelled elsewhere longer ago is never started. A launch may ride in an answer, so no longer than it may answer.
+   * Until when it may launch: while nobody else can lead, and while the picture is no older than a
+   * lease may be. What was cancelled elsewhere longer ago is never started. A launch may ride in an
+   * answer, so no longer than it may answer.
    */
   long launchEnd() {
     return Math.min(Math.min(renewedMicros, currentMicros()) + leaseMicros, answersEnd());
   }
 
   /**
-   * Until when it may answer reports, which renews workers' leases: those that were last answered without a kill lose them,
-   * and with them the tasks of every job cancelled unknown to this node, within {@code cancel_s} of the cancellation.
+   * Until when it may answer reports, which renews workers' leases: those that were last answered
+   * without a kill lose them, and with them the tasks of every job cancelled unknown to this node,
+   * within {@code cancel_s} of the cancellation.
    */
   long answersEnd() {
     return currentMicros() + answersMicros;
--- a/src/main/java/org/eiderstair/core/OpenReport.java
+++ b/src/main/java/org/eiderstair/core/OpenReport.java
@@ -1,12 +1,17 @@
 package org.eiderstair.core;
 
 /**
- * The report of one machine that waits for its answer, and what tells it from reports that no worker waits for any more: a worker
- * has one report in flight, gives it up for the next, and drops the answers to those of an earlier session.
+ * The report of one machine that waits for its answer, and what tells it from reports that no
+ * worker waits for any more: a worker has one report in flight, gives it up for the next, and drops
+ * the answers to those of an earlier session.
  */
 final class OpenReport {
   /** What becomes of a report that has come. */
-  enum Standing { OPEN, OLD_SESSION, OLD_REPORT }
+  enum Standing {
+    OPEN,
+    OLD_SESSION,
+    OLD_REPORT
+  }
 
   private static final long NOBODY = 0;
 
@@ -22,12 +27,13 @@
   }
 
   /**
-   * The one function for every change: a report waits from now on, or with exchange 0 none does. The exchange that waited
-   * before is given back, 0 if none did.
+   * The one function for every change: a report waits from now on, or with exchange 0 none does.
+   * The exchange that waited before is given back, 0 if none did.
    *
-   * <p>Found by the simulator (reports of three sessions held by a cut): numbers were compared without their sessions. A report of
-   * a dead session stayed; launches went with its answer, which nobody read, and were to be settled by a report with a larger
-   * number, which in the new session took five minutes to come: the tasks stood still beside room.
+   * <p>Found by the simulator (reports of three sessions held by a cut): numbers were compared
+   * without their sessions. A report of a dead session stayed; launches went with its answer, which
+   * nobody read, and were to be settled by a report with a larger number, which in the new session
+   * took five minutes to come: the tasks stood still beside room.
    */
   long become(long sequence, long nextExchange) {
     long before = exchange;
@@ -41,7 +47,9 @@
     return become(newest, NOBODY);
   }
 
-  /** The machine has begun another session: nobody reads an answer to a report of the one before. */
+  /**
+   * The machine has begun another session: nobody reads an answer to a report of the one before.
+   */
   long newSession() {
     return become(0, NOBODY);
   }
--- a/src/main/java/org/eiderstair/core/Placement.java
+++ b/src/main/java/org/eiderstair/core/Placement.java
@@ -13,9 +13,9 @@
 import java.util.function.Predicate;
 
 /**
- * The ordinary path: a task takes a uniformly random token whose machine fits it, else a random fitting
- * machine with a short queue, else it waits here. Jobs go by priority; a team inside its guarantee goes first
- * among equals, then the older job.
+ * The ordinary path: a task takes a uniformly random token whose machine fits it, else a random
+ * fitting machine with a short queue, else it waits here. Jobs go by priority; a team inside its
+ * guarantee goes first among equals, then the older job.
  */
 final class Placement {
   private static final int MOST_KILLS = 8;
@@ -36,13 +36,26 @@
   private final IntUnaryOperator random;
   private Set<Job> guaranteed = new HashSet<>();
   private long nextGuaranteedMicros;
-  /** What found no token in this pass; room only shrinks in a pass, so its like need not be tried again in it. */
+
+  /**
+   * What found no token in this pass; room only shrinks in a pass, so its like need not be tried
+   * again in it.
+   */
   private final List<JobSpec> unplaceable = new ArrayList<>();
+
   private long steps;
   private final LeftBehind leftBehind;
 
-  Placement(Settings settings, Ports ports, Replica replica, Fleet fleet, TokenList tokens, Teams teams, long term,
-      Demand demand, IntUnaryOperator random) {
+  Placement(
+      Settings settings,
+      Ports ports,
+      Replica replica,
+      Fleet fleet,
+      TokenList tokens,
+      Teams teams,
+      long term,
+      Demand demand,
+      IntUnaryOperator random) {
     this.demand = demand;
     this.settings = settings;
     this.ports = ports;
@@ -62,9 +75,10 @@
   }
 
   /**
-   * What unheard machines may hold for each team: no more than the tasks of its older jobs that are neither done nor
-   * seen, nor more than those machines' room. Of cancelled jobs, all that a worker may still run counts; after
-   * {@code cancel_s} nothing of one is anywhere. A finished job has nothing left to run.
+   * What unheard machines may hold for each team: no more than the tasks of its older jobs that are
+   * neither done nor seen, nor more than those machines' room. Of cancelled jobs, all that a worker
+   * may still run counts; after {@code cancel_s} nothing of one is anywhere. A finished job has
+   * nothing left to run.
    */
   private void measureUnheard(long nowMicros) {
     teams.forgetUnheard();
@@ -105,9 +119,9 @@
   }
 
   /**
-   * The order of service, the smallest first: by priority, among equals those inside their team's guarantee. Work of
-   * low priority inside a guarantee goes with the ordinary work that is inside one, since a guarantee holds against
-   * what other teams borrow, whatever its priority.
+   * The order of service, the smallest first: by priority, among equals those inside their team's
+   * guarantee. Work of low priority inside a guarantee goes with the ordinary work that is inside
+   * one, since a guarantee holds against what other teams borrow, whatever its priority.
    */
   private int rank(Job job) {
     if (leftBehind.goesAhead(job)) {
@@ -152,23 +166,42 @@
     return cpus;
   }
 
-  /** One line for operators: what waits, by class and team, what each team uses, and how much room is left. */
+  /**
+   * One line for operators: what waits, by class and team, what each team uses, and how much room
+   * is left.
+   */
   String summary(long nowMicros) {
     Map<String, Integer> waiting = new TreeMap<>();
     for (Job job : replica.open.values()) {
       if (job.waiting() + job.queued.size() > 0) {
         JobSpec spec = job.spec();
-        String why = !teams.allowsOneMore(spec) ? " at its limit" : !teams.leavesReserve(spec) ? " at its reserve" : "";
-        waiting.merge(spec.jobClass() + " of " + spec.team() + why, job.waiting() + job.queued.size(), Integer::sum);
+        String why =
+            !teams.allowsOneMore(spec)
+                ? " at its limit"
+                : !teams.leavesReserve(spec) ? " at its reserve" : "";
+        waiting.merge(
+            spec.jobClass() + " of " + spec.team() + why,
+            job.waiting() + job.queued.size(),
+            Integer::sum);
       }
     }
     double free = 0;
     for (Machine m : tokens.all()) {
       free += m.usable(nowMicros) ? m.freeCpus() : 0;
     }
-    return "machines " + fleet.machines.size() + ", unheard " + fleet.unheard().size() + ", tokens "
-        + tokens.all().size() + ", free cpus " + Math.round(free) + ", used by teams " + Math.round(teams.totalCpus())
-        + ", waiting " + waiting + leftBehind.summary();
+    return "machines "
+        + fleet.machines.size()
+        + ", unheard "
+        + fleet.unheard().size()
+        + ", tokens "
+        + tokens.all().size()
+        + ", free cpus "
+        + Math.round(free)
+        + ", used by teams "
+        + Math.round(teams.totalCpus())
+        + ", waiting "
+        + waiting
+        + leftBehind.summary();
   }
 
   /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
@@ -179,7 +212,8 @@
     byAge.sort(Comparator.comparing(Job::version));
     for (Job job : byAge) {
       Settings.Team team = settings.teams().get(job.spec().team());
-      double cpus = taken.merge(job.spec().team(), job.unfinished() * job.spec().cpus(), Double::sum);
+      double cpus =
+          taken.merge(job.spec().team(), job.unfinished() * job.spec().cpus(), Double::sum);
       if (team != null && team.cpus() > 0 && cpus <= team.cpus()) {
         inside.add(job);
       }
@@ -188,14 +222,16 @@
   }
 
   /**
-   * Stops work of other teams beyond their guarantees when a job inside its own team's guarantee has waited for a
-   * while. A job that is itself inside a guarantee is spared: it would be placed again at once, before the one it
-   * was stopped for (seen in an incident: the same tasks were stopped three times in a second). Work of lower priority
-   * is not stopped for priority alone: see docs/design.md for the figures.
+   * Stops work of other teams beyond their guarantees when a job inside its own team's guarantee
+   * has waited for a while. A job that is itself inside a guarantee is spared: it would be placed
+   * again at once, before the one it was stopped for (seen in an incident: the same tasks were
+   * stopped three times in a second). Work of lower priority is not stopped for priority alone: see
+   * docs/design.md for the figures.
    */
   private int preempt(Job job, Set<Job> guaranteed, long nowMicros, int most) {
     JobSpec spec = job.spec();
-    long waitedSince = Math.max(job.seenMicros + PREEMPT_AFTER_MICROS, job.preemptedMicros + PREEMPT_AGAIN_MICROS);
+    long waitedSince =
+        Math.max(job.seenMicros + PREEMPT_AFTER_MICROS, job.preemptedMicros + PREEMPT_AGAIN_MICROS);
     if (!guaranteed.contains(job) || nowMicros < waitedSince || !teams.allowsOneMore(spec)) {
       return 0;
     }
@@ -208,8 +244,12 @@
       for (Attempt a : m.attempts.values()) {
         if (a.stop && allowed.test(m)) {
           needed -= a.spec.cpus();
-        } else if (a.phase == Attempt.Phase.SEEN && a.job.open() && !a.stop && allowed.test(m)
-            && !guaranteed.contains(a.job) && spec.priority().compareTo(a.spec.priority()) <= 0
+        } else if (a.phase == Attempt.Phase.SEEN
+            && a.job.open()
+            && !a.stop
+            && allowed.test(m)
+            && !guaranteed.contains(a.job)
+            && spec.priority().compareTo(a.spec.priority()) <= 0
             && !a.spec.team().equals(spec.team())
             && teams.beyondGuarantee(a.spec.team()) >= a.spec.cpus()) {
           victims.add(a);
@@ -217,8 +257,10 @@
       }
     }
     // The least important first, and of those the one that loses the least work.
-    victims.sort(Comparator.comparing((Attempt a) -> a.spec.priority()).reversed()
-        .thenComparing(a -> -a.runningSinceMicros));
+    victims.sort(
+        Comparator.comparing((Attempt a) -> a.spec.priority())
+            .reversed()
+            .thenComparing(a -> -a.runningSinceMicros));
     int kills = 0;
     for (Attempt victim : victims) {
       if (needed <= 0 || kills >= most) {
@@ -228,8 +270,17 @@
       fleet.killSoon(victim.machine);
       needed -= victim.spec.cpus();
       kills++;
-      ports.info("stopping " + victim.task() + " on " + victim.machine.id + " for " + job.id + " of team "
-          + spec.team() + ", term=" + term);
+      ports.info(
+          "stopping "
+              + victim.task()
+              + " on "
+              + victim.machine.id
+              + " for "
+              + job.id
+              + " of team "
+              + spec.team()
+              + ", term="
+              + term);
     }
     return kills;
   }
@@ -252,7 +303,8 @@
   }
 
   private boolean mayHaveOneMore(Job job) {
-    return teams.allowsOneMore(job.spec()) && (teams.leavesReserve(job.spec()) || leftBehind.goesAhead(job));
+    return teams.allowsOneMore(job.spec())
+        && (teams.leavesReserve(job.spec()) || leftBehind.goesAhead(job));
   }
 
   private void place(Job job, long nowMicros) {
@@ -283,7 +335,9 @@
     }
   }
 
-  /** A token beats a place in a queue: what waits for one machine takes another that has room first. */
+  /**
+   * A token beats a place in a queue: what waits for one machine takes another that has room first.
+   */
   private void leaveQueues(Job job, Map<String, Integer> perZone, long nowMicros) {
     if (!job.hasQueued()) {
       return;
@@ -297,7 +351,8 @@
         return;
       }
     }
-    // Not all that the job has somewhere: copying those cost 80 KB a pass for a job of 16,000 tasks.
+    // Not all that the job has somewhere: copying those cost 80 KB a pass for a job of 16,000
+    // tasks.
     for (Attempt a : new ArrayList<>(job.queued)) {
       if (!mayHaveOneMore(job)) {
         return;
@@ -312,7 +367,8 @@
         return;
       }
       fleet.remove(a);
-      fleet.attach(new Attempt(job, a.index, fleet.nextAttempt(), m, Attempt.Phase.PLANNED, nowMicros));
+      fleet.attach(
+          new Attempt(job, a.index, fleet.nextAttempt(), m, Attempt.Phase.PLANNED, nowMicros));
       perZone.merge(m.zone, 1, Integer::sum);
     }
   }
@@ -320,9 +376,10 @@
   private Predicate<Machine> allowed(Job job, Map<String, Integer> perZone, long nowMicros) {
     JobSpec spec = job.spec();
     String only = spec.oneZone() ? chosenZone(job, perZone, nowMicros) : null;
-    return m -> isOpenTo(m, spec, nowMicros)
-        && (only == null || only.equals(m.zone))
-        && (!spec.spread() || perZone.getOrDefault(m.zone, 0) < spec.mostPerZone());
+    return m ->
+        isOpenTo(m, spec, nowMicros)
+            && (only == null || only.equals(m.zone))
+            && (!spec.spread() || perZone.getOrDefault(m.zone, 0) < spec.mostPerZone());
   }
 
   private static boolean isOpenTo(Machine m, JobSpec spec, long nowMicros) {
@@ -330,14 +387,16 @@
   }
 
   /**
-   * The tokens that fit a job's tasks, by how well they suit: machines that the demand still asks for; cheap machines
-   * for work that may use them, so that the others stay free for work that may not, or can be returned; then those
-   * that have the image; then those already in use. Looked up once for all of a job's tasks.
+   * The tokens that fit a job's tasks, by how well they suit: machines that the demand still asks
+   * for; cheap machines for work that may use them, so that the others stay free for work that may
+   * not, or can be returned; then those that have the image; then those already in use. Looked up
+   * once for all of a job's tasks.
    */
   private final class Candidates {
     private final JobSpec spec;
     private List<List<Machine>> byLiking;
     private int best = -1;
+
     /** It is known of its like that there is no token. */
     private boolean known;
 
@@ -346,8 +405,11 @@
     }
 
     void add(Machine m) {
-      int liking = (m.surplus ? 0 : 8) + (m.spot ? 4 : 0) + (m.hasImage(spec) ? 2 : 0)
-          + (m.attempts.isEmpty() ? 0 : 1);
+      int liking =
+          (m.surplus ? 0 : 8)
+              + (m.spot ? 4 : 0)
+              + (m.hasImage(spec) ? 2 : 0)
+              + (m.attempts.isEmpty() ? 0 : 1);
       if (byLiking == null) {
         byLiking = new ArrayList<>(Collections.nCopies(LIKINGS, null));
       }
@@ -421,8 +483,9 @@
   }
 
   /**
-   * Room that gathers for a more urgent task in the machine's queue. Seen after a burst: as every processor that came
-   * free went to a small task of low priority, no machine ever had room for the larger ones that were more urgent.
+   * Room that gathers for a more urgent task in the machine's queue. Seen after a burst: as every
+   * processor that came free went to a small task of low priority, no machine ever had room for the
+   * larger ones that were more urgent.
    */
   private static boolean isKept(Machine m, Job job) {
     return !m.queue.isEmpty() && m.queue.get(0).job.rank < job.rank;
@@ -430,15 +493,18 @@
 
   /** Whether a machine that fits the first would also fit the second. */
   private static boolean needsNoLess(JobSpec spec, JobSpec tried) {
-    return spec.cpus() >= tried.cpus() && spec.memoryGb() >= tried.memoryGb()
-        && spec.accelerators() >= tried.accelerators() && (tried.spotAllowed() || !spec.spotAllowed())
+    return spec.cpus() >= tried.cpus()
+        && spec.memoryGb() >= tried.memoryGb()
+        && spec.accelerators() >= tried.accelerators()
+        && (tried.spotAllowed() || !spec.spotAllowed())
         && (tried.zone() == null || tried.zone().equals(spec.zone()))
         && (tried.machineTypes() == null || tried.machineTypes().equals(spec.machineTypes()));
   }
 
   /**
-   * Of a few random machines with a short queue the one with the most room: so it is found in few looks. A queue is
-   * short for a task if what is less urgent gives way: that goes back to the common queue.
+   * Of a few random machines with a short queue the one with the most room: so it is found in few
+   * looks. A queue is short for a task if what is less urgent gives way: that goes back to the
+   * common queue.
    */
   private Machine shortQueue(Job job, Predicate<Machine> allowed) {
     List<Machine> all = fleet.queueable;
@@ -446,7 +512,9 @@
     for (int i = 0; i < QUEUE_PROBES && !all.isEmpty(); i++) {
       steps++;
       Machine m = all.get(random.applyAsInt(all.size()));
-      if (isShort(m.queue, job) && allowed.test(m) && !job.failedOn.contains(m.id)
+      if (isShort(m.queue, job)
+          && allowed.test(m)
+          && !job.failedOn.contains(m.id)
           && (best == null || suitsQueue(m, job) > suitsQueue(best, job))) {
         best = m;
       }
@@ -464,8 +532,7 @@
 
   private boolean isShort(List<Attempt> queue, Job job) {
     int most = settings.tuning().machineQueue();
-    return queue.size() < most
-        || most > 0 && queue.get(queue.size() - 1).job.rank > job.rank;
+    return queue.size() < most || most > 0 && queue.get(queue.size() - 1).job.rank > job.rank;
   }
 
   private Map<String, Integer> zonesOf(Job job) {
@@ -493,7 +560,9 @@
         room.merge(m.zone, m.freeCpus(), Double::sum);
       }
     }
-    return room.entrySet().stream().max(Map.Entry.<String, Double>comparingByValue()
-        .thenComparing(Map.Entry.comparingByKey())).map(Map.Entry::getKey).orElse("");
+    return room.entrySet().stream()
+        .max(Map.Entry.<String, Double>comparingByValue().thenComparing(Map.Entry.comparingByKey()))
+        .map(Map.Entry::getKey)
+        .orElse("");
   }
 }
--- a/src/main/java/org/eiderstair/core/Ports.java
+++ b/src/main/java/org/eiderstair/core/Ports.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * Collects effects and remembers what to do with the reply of each call. Continuations run inside the
- * core's one thread, so a reply is handled like any other event.
+ * Collects effects and remembers what to do with the reply of each call. Continuations run inside
+ * the core's one thread, so a reply is handled like any other event.
  */
 final class Ports {
   private record Pending(Request request, Consumer<Reply> then) {}
 
   private final Consumer<Effect> out;
   private final Map<Long, Pending> pending = new HashMap<>();
-  private BiConsumer<Request, Reply> watcher = (request, reply) -> { };
+  private BiConsumer<Request, Reply> watcher = (request, reply) -> {};
   private long lastCall;
 
   Ports(Consumer<Effect> out) {
--- a/src/main/java/org/eiderstair/core/RateBudget.java
+++ b/src/main/java/org/eiderstair/core/RateBudget.java
@@ -1,6 +1,8 @@
 package org.eiderstair.core;
 
-/** A token bucket worth one second, so that this node stays below a limit of the platform by itself. */
+/**
+ * A token bucket worth one second, so that this node stays below a limit of the platform by itself.
+ */
 final class RateBudget {
   private final double perSecond;
   private double available;
--- a/src/main/java/org/eiderstair/core/Records.java
+++ b/src/main/java/org/eiderstair/core/Records.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The values that eiderstair keeps in the state service. Readers ignore fields they do not know, so a newer
- * version may add some while an older one still runs.
+ * The values that eiderstair keeps in the state service. Readers ignore fields they do not know, so
+ * a newer version may add some while an older one still runs.
  */
 final class Records {
   static final String ROOT = "e/";
@@ -19,8 +19,10 @@
   static final String JOB = "e/job/";
   static final String PROGRESS = "e/prog/";
   static final String ROSTER = "e/roster/";
+
   /** Open rentals and returns; their form is the duties' own. */
   static final String DUTY = "e/duty/";
+
   /** Never dropped; its version is a condition of every transaction of the ledger. */
   static final String BARRIER = "e/duty/barrier";
 
@@ -72,7 +74,10 @@
   }
 
   /** A cancelled job keeps its description: a later leader may still find its tasks on machines. */
-  /** @param dayMicros when it was cancelled, by the time of day: also a leader that learns of it late keeps its deadline */
+  /**
+   * @param dayMicros when it was cancelled, by the time of day: also a leader that learns of it
+   *     late keeps its deadline
+   */
   static Map<String, Object> cancelledJob(JobSpec spec, int done, long dayMicros) {
     Map<String, Object> m = openJob(spec);
     m.put("s", "cancelled");
@@ -94,11 +99,27 @@
 
   @SuppressWarnings("unchecked")
   static JobSpec spec(String id, Map<String, Object> m) {
-    return new JobSpec(id, text(m, "class"), text(m, "team"), JobSpec.Shape.valueOf(text(m, "shape")),
-        JobSpec.Priority.valueOf(text(m, "prio")), (int) whole(m, "n", 0), real(m, "cpus"), real(m, "acc"),
-        real(m, "mem"), text(m, "img"), real(m, "imgGb"), (List<String>) m.get("types"), text(m, "zone"),
-        flag(m, "one"), flag(m, "spread"), flag(m, "spot"), whole(m, "est", 0), whole(m, "ckpt", 0),
-        whole(m, "save", 0), whole(m, "due", JobSpec.NO_DEADLINE));
+    return new JobSpec(
+        id,
+        text(m, "class"),
+        text(m, "team"),
+        JobSpec.Shape.valueOf(text(m, "shape")),
+        JobSpec.Priority.valueOf(text(m, "prio")),
+        (int) whole(m, "n", 0),
+        real(m, "cpus"),
+        real(m, "acc"),
+        real(m, "mem"),
+        text(m, "img"),
+        real(m, "imgGb"),
+        (List<String>) m.get("types"),
+        text(m, "zone"),
+        flag(m, "one"),
+        flag(m, "spread"),
+        flag(m, "spot"),
+        whole(m, "est", 0),
+        whole(m, "ckpt", 0),
+        whole(m, "save", 0),
+        whole(m, "due", JobSpec.NO_DEADLINE));
   }
 
   static Map<String, Object> leader(String node, long lease, String incarnation) {
@@ -144,9 +165,18 @@
     List<MachineType> types = new ArrayList<>();
     for (Object o : (List<Object>) value.getOrDefault("types", List.of())) {
       Map<String, Object> m = (Map<String, Object>) o;
-      types.add(new MachineType(text(m, "name"), real(m, "cpus"), real(m, "acc"), real(m, "mem"),
-          real(m, "cache"), real(m, "fetch"), real(m, "price"), real(m, "spot"), whole(m, "boot", 0),
-          (List<String>) m.get("zones")));
+      types.add(
+          new MachineType(
+              text(m, "name"),
+              real(m, "cpus"),
+              real(m, "acc"),
+              real(m, "mem"),
+              real(m, "cache"),
+              real(m, "fetch"),
+              real(m, "price"),
+              real(m, "spot"),
+              whole(m, "boot", 0),
+              (List<String>) m.get("zones")));
     }
     return types;
   }
--- a/src/main/java/org/eiderstair/core/Relay.java
+++ b/src/main/java/org/eiderstair/core/Relay.java
@@ -4,24 +4,35 @@
 import java.util.Map;
 
 /**
- * A follower's dealings with workers. It sends them to the leader; one that is soon back could not reach the
- * leader, so for a while its reports are passed on, and what the leader answers is passed back. A follower never
- * makes an answer of its own: only the leader may renew a lease.
+ * A follower's dealings with workers. It sends them to the leader; one that is soon back could not
+ * reach the leader, so for a while its reports are passed on, and what the leader answers is passed
+ * back. A follower never makes an answer of its own: only the leader may renew a lease.
  */
 final class Relay {
   private static final long BACK_SOON_MICROS = 12_000_000;
   private static final long RELAY_MICROS = 20_000_000;
   private static final long UNREACHED_MICROS = 2_000_000;
   private static final long FORGET_MICROS = 120_000_000;
+
   /** So many workers that soon came back from one leader are no chance. */
   private static final int MANY_BACK = 3;
+
   private static final long COUNTED_MICROS = 10_000_000;
 
   /** REDIRECTED was sent to the leader; RELAYED is passed on until its time is over. */
-  private enum State { REDIRECTED, RELAYED }
+  private enum State {
+    REDIRECTED,
+    RELAYED
+  }
 
-  /** Whether workers here reach the leader, as far as this node can tell; OUT_OF_REACH is believed for a while. */
-  private enum Reach { REACHED, OUT_OF_REACH }
+  /**
+   * Whether workers here reach the leader, as far as this node can tell; OUT_OF_REACH is believed
+   * for a while.
+   */
+  private enum Reach {
+    REACHED,
+    OUT_OF_REACH
+  }
 
   private record Visitor(State state, String leader, long sinceMicros) {}
 
@@ -56,20 +67,23 @@
       ports.respond(exchange, new Answer.Redirect(null));
       return;
     }
-    ports.call(new Request.PeerRelay(leader, report), reply -> {
-      if (reply instanceof Reply.Relayed relayed) {
-        ports.respond(exchange, relayed.answer());
-        return;
-      }
-      // When the leader has crashed, every worker comes here: one try tells, the rest would only cost time.
-      unreachedUntilMicros = nowMicros + UNREACHED_MICROS;
-      ports.respond(exchange, new Answer.Redirect(null));
-    });
+    ports.call(
+        new Request.PeerRelay(leader, report),
+        reply -> {
+          if (reply instanceof Reply.Relayed relayed) {
+            ports.respond(exchange, relayed.answer());
+            return;
+          }
+          // When the leader has crashed, every worker comes here: one try tells, the rest would
+          // only cost time.
+          unreachedUntilMicros = nowMicros + UNREACHED_MICROS;
+          ports.respond(exchange, new Answer.Redirect(null));
+        });
   }
 
   /**
-   * A worker came back soon from the leader. When several have, the others need not try it first: each try costs one its
-   * time limit, and its machine the work of that time.
+   * A worker came back soon from the leader. When several have, the others need not try it first:
+   * each try costs one its time limit, and its machine the work of that time.
    */
   private void cameBack(String leader, long nowMicros) {
     if (!leader.equals(judged) || nowMicros > countedSinceMicros + COUNTED_MICROS) {
@@ -92,7 +106,8 @@
   }
 
   private boolean outOfReach(String leader, long nowMicros) {
-    if (reach == Reach.OUT_OF_REACH && (!leader.equals(judged) || nowMicros > believedUntilMicros)) {
+    if (reach == Reach.OUT_OF_REACH
+        && (!leader.equals(judged) || nowMicros > believedUntilMicros)) {
       become(Reach.REACHED);
     }
     return reach == Reach.OUT_OF_REACH;
@@ -104,11 +119,14 @@
     if (same && last.state() == State.RELAYED && nowMicros < last.sinceMicros() + RELAY_MICROS) {
       return last;
     }
-    if (same && last.state() == State.REDIRECTED && nowMicros < last.sinceMicros() + BACK_SOON_MICROS) {
+    if (same
+        && last.state() == State.REDIRECTED
+        && nowMicros < last.sinceMicros() + BACK_SOON_MICROS) {
       cameBack(leader, nowMicros);
       ports.debug("machine " + machine + " is back soon from " + leader + ": relaying its reports");
       return new Visitor(State.RELAYED, leader, nowMicros);
     }
-    return new Visitor(outOfReach(leader, nowMicros) ? State.RELAYED : State.REDIRECTED, leader, nowMicros);
+    return new Visitor(
+        outOfReach(leader, nowMicros) ? State.RELAYED : State.REDIRECTED, leader, nowMicros);
   }
 }
--- a/src/main/java/org/eiderstair/core/Renting.java
+++ b/src/main/java/org/eiderstair/core/Renting.java
@@ -15,7 +15,10 @@
 import org.eiderstair.core.member.Membership;
 import org.eiderstair.core.member.Survey;
 
-/** Decides which machines to rent and to return, and watches the cloud's list for what went wrong there. */
+/**
+ * Decides which machines to rent and to return, and watches the cloud's list for what went wrong
+ * there.
+ */
 final class Renting {
   private static final long DECIDE_EVERY_MICROS = 1_000_000;
   private static final long LIST_EVERY_MICROS = 5_000_000;
@@ -26,12 +29,19 @@
   private static final long CHEAPEST_LIFE_MICROS = 60_000_000;
   private static final int BOOT_PATIENCE = 4;
   private static final int MOST_RENTALS = 4;
+
   /** A mark, a request to the cloud that may be slow, and one more. */
   private static final long RETURN_MICROS = 12_000_000;
+
   /** Above every price. */
   private static final double UNSEEN_PRICE = 1e9;
+
   private static final long RENT_GAP_MICROS = 100_000;
-  /** Lists lag by up to twice what the settings say, and a replaced leader's deletions are known by the marks alone. */
+
+  /**
+   * Lists lag by up to twice what the settings say, and a replaced leader's deletions are known by
+   * the marks alone.
+   */
   private static final long TOMBSTONE_MICROS = 30_000_000;
 
   private final Settings settings;
@@ -50,16 +60,26 @@
   private long nextCatalogMicros;
   private boolean listing;
   private boolean readingCatalog;
+
   /** Machines asked for, by name of the rental. */
   final Map<String, List<Machine>> awaited = new HashMap<>();
+
   private final Map<Offer, Long> refusedUntil = new HashMap<>();
   private final Duties duties;
   private final Membership membership;
   private final Ledger ledger;
   private Survey survey;
 
-  Renting(Settings settings, Ports ports, Replica replica, Fleet fleet, Leadership leadership, Ledger ledger,
-      Demand demand, Membership membership, long term) {
+  Renting(
+      Settings settings,
+      Ports ports,
+      Replica replica,
+      Fleet fleet,
+      Leadership leadership,
+      Ledger ledger,
+      Demand demand,
+      Membership membership,
+      long term) {
     this.settings = settings;
     this.ports = ports;
     this.replica = replica;
@@ -78,7 +98,10 @@
     closed = true;
   }
 
-  /** Takes over what earlier terms left open: their rentals are on their way, and nothing is placed on what leaves. */
+  /**
+   * Takes over what earlier terms left open: their rentals are on their way, and nothing is placed
+   * on what leaves.
+   */
   void takeOver(long nowMicros) {
     now = nowMicros;
     fleet.leaving(duties::leaving);
@@ -137,35 +160,50 @@
   private void readCatalog() {
     readingCatalog = true;
     calls.take(1);
-    ports.call(new Request.CloudCatalog(), reply -> {
-      readingCatalog = false;
-      if (closed || !(reply instanceof Reply.Catalog catalog)) {
-        nextCatalogMicros = now + RETRY_MICROS;
-        return;
-      }
-      nextCatalogMicros = now + CATALOG_EVERY_MICROS;
-      if (catalog.types().equals(replica.catalog())) {
-        return;
-      }
-      // Kept in the state service so that every node can judge jobs, also while the cloud does not answer.
-      Map<String, Object> value = Records.catalog(catalog.types());
-      ports.call(new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term),
-          new Request.Condition(Records.CATALOG, replica.catalogVersion())),
-          List.of(new Request.Write(Records.CATALOG, value, 0))), written -> {
-            if (written instanceof Reply.Applied applied) {
-              replica.apply(new Reply.Item(Records.CATALOG, value, applied.revision()));
-              fleet.typesChanged();
-            } else {
-              nextCatalogMicros = now + RETRY_MICROS;
-            }
-          });
-    });
+    ports.call(
+        new Request.CloudCatalog(),
+        reply -> {
+          readingCatalog = false;
+          if (closed || !(reply instanceof Reply.Catalog catalog)) {
+            nextCatalogMicros = now + RETRY_MICROS;
+            return;
+          }
+          nextCatalogMicros = now + CATALOG_EVERY_MICROS;
+          if (catalog.types().equals(replica.catalog())) {
+            return;
+          }
+          // Kept in the state service so that every node can judge jobs, also while the cloud does
+          // not answer.
+          Map<String, Object> value = Records.catalog(catalog.types());
+          ports.call(
+              new Request.StoreTxn(
+                  List.of(
+                      new Request.Condition(Records.LEADER, term),
+                      new Request.Condition(Records.CATALOG, replica.catalogVersion())),
+                  List.of(new Request.Write(Records.CATALOG, value, 0))),
+              written -> {
+                if (written instanceof Reply.Applied applied) {
+                  replica.apply(new Reply.Item(Records.CATALOG, value, applied.revision()));
+                  fleet.typesChanged();
+                } else {
+                  nextCatalogMicros = now + RETRY_MICROS;
+                }
+              });
+        });
   }
 
-  /** Machines that are of no more use: silent, failed to boot, drained, or idle for longer than they are worth. */
+  /**
+   * Machines that are of no more use: silent, failed to boot, drained, or idle for longer than they
+   * are worth.
+   */
   private void retire() {
-    survey = membership.survey(fleet.machines.values(), fleet.unreached(), settings.tuning().unheardDeleteMicros(),
-        settings.tuning().darkDeleteMicros(), now);
+    survey =
+        membership.survey(
+            fleet.machines.values(),
+            fleet.unreached(),
+            settings.tuning().unheardDeleteMicros(),
+            settings.tuning().darkDeleteMicros(),
+            now);
     returnOverdue();
     int spared = 0;
     for (Machine m : fleet.machines.values()) {
@@ -182,10 +220,15 @@
       String why = null;
       if (m.phase == Machine.Phase.BOOTING) {
         long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
-        why = now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.heardElsewhere(m.id) ? "never came up" : null;
+        why =
+            now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.heardElsewhere(m.id)
+                ? "never came up"
+                : null;
       } else if (verdict == Survey.Verdict.SILENT) {
         why = survey.evidence(m);
-      } else if (m.plan == Machine.Plan.DRAIN && m.attempts.isEmpty() && m.phase == Machine.Phase.HEARD) {
+      } else if (m.plan == Machine.Plan.DRAIN
+          && m.attempts.isEmpty()
+          && m.phase == Machine.Phase.HEARD) {
         why = "drained";
       }
       if (why != null) {
@@ -202,8 +245,9 @@
   }
 
   /**
-   * A task of a cancelled job that is not shown to be gone goes with its machine, while that can still be in time: a machine
-   * that hangs, or does not obey, must have nothing to go on with. Leases mostly end sooner; this asks nobody's clock but ours.
+   * A task of a cancelled job that is not shown to be gone goes with its machine, while that can
+   * still be in time: a machine that hangs, or does not obey, must have nothing to go on with.
+   * Leases mostly end sooner; this asks nobody's clock but ours.
    */
   private void returnOverdue() {
     long since = now - settings.cancelMicros() + RETURN_MICROS;
@@ -211,8 +255,13 @@
       if (job.cancelledMicros < since) {
         for (Attempt a : new ArrayList<>(job.active.values())) {
           if (a.mayBeThere() && a.machine.plan != Machine.Plan.DELETE) {
-            returnNow(a.machine, "not shown to have ended " + a.task() + ", cancelled "
-                + (now - job.cancelledMicros) / 1000 + " ms ago");
+            returnNow(
+                a.machine,
+                "not shown to have ended "
+                    + a.task()
+                    + ", cancelled "
+                    + (now - job.cancelledMicros) / 1000
+                    + " ms ago");
           }
         }
       }
@@ -220,7 +269,8 @@
   }
 
   private boolean isIdle(Machine m) {
-    return m.phase == Machine.Phase.HEARD && m.attempts.isEmpty()
+    return m.phase == Machine.Phase.HEARD
+        && m.attempts.isEmpty()
         && now > m.idleSinceMicros + settings.tuning().idleReturnMicros()
         && now > m.sinceMicros + CHEAPEST_LIFE_MICROS;
   }
@@ -234,7 +284,9 @@
       machine = m;
     }
 
-    /** Takes room for that many tasks, not necessarily whole, and says for how many there was some. */
+    /**
+     * Takes room for that many tasks, not necessarily whole, and says for how many there was some.
+     */
     double take(JobSpec spec, double tasks) {
       if (!machine.allows(spec)) {
         return 0;
@@ -249,11 +301,17 @@
   /** What part of a machine one task takes. */
   private static double share(JobSpec spec, MachineType type) {
     double share = Math.max(spec.cpus() / type.cpus(), spec.memoryGb() / type.memoryGb());
-    share = type.accelerators() > 0 ? Math.max(share, spec.accelerators() / type.accelerators()) : share;
+    share =
+        type.accelerators() > 0
+            ? Math.max(share, spec.accelerators() / type.accelerators())
+            : share;
     return Math.max(share, 1e-3);
   }
 
-  /** Compares the demand with the machines that are there or on their way, and rents or returns the difference. */
+  /**
+   * Compares the demand with the machines that are there or on their way, and rents or returns the
+   * difference.
+   */
   private void balance() {
     List<Room> rooms = new ArrayList<>();
     for (Machine m : fleet.machines.values()) {
@@ -264,11 +322,15 @@
       }
     }
     duties.awaited(rental -> awaited(rental).forEach(m -> rooms.add(new Room(m))));
-    // Cheap machines serve first, and among equals the busy ones: what is left over is best returned.
-    rooms.sort(Comparator.comparing((Room r) -> !r.machine.spot).thenComparing(r -> r.machine.attempts.isEmpty()));
+    // Cheap machines serve first, and among equals the busy ones: what is left over is best
+    // returned.
+    rooms.sort(
+        Comparator.comparing((Room r) -> !r.machine.spot)
+            .thenComparing(r -> r.machine.attempts.isEmpty()));
     Map<Offer, Double> wanted = new LinkedHashMap<>();
     List<Demand.Wish> wishes = demand.measure(now);
-    // Where some work may use dear machines only, those are kept by all demand: a burst of it cannot wait for a boot.
+    // Where some work may use dear machines only, those are kept by all demand: a burst of it
+    // cannot wait for a boot.
     boolean sparing = wishes.stream().allMatch(w -> w.spec().spotAllowed());
     for (Demand.Wish wish : wishes) {
       JobSpec spec = wish.spec();
@@ -286,8 +348,9 @@
         wanted.merge(offer, nowhere ? Math.max(1, machines) : machines, Double::sum);
       }
     }
-    wanted.forEach((offer, machines) ->
-        rent(offer, Math.min(settings.tuning().rentBatch(), (int) Math.ceil(machines - 0.1))));
+    wanted.forEach(
+        (offer, machines) ->
+            rent(offer, Math.min(settings.tuning().rentBatch(), (int) Math.ceil(machines - 0.1))));
     for (Room room : rooms) {
       room.machine.surplus = room.left > 0.999;
       room.machine.closing = sparing && room.machine.surplus && !room.machine.spot;
@@ -314,11 +377,13 @@
         for (boolean spot : new boolean[] {true, false}) {
           Offer offer = new Offer(type.name(), zone, spot);
           double price = (spot ? type.spotPrice() : type.price()) / Math.max(type.cpus(), 0.01);
-          if (!spec.allows(type.name(), zone, spot) || spot && type.spotPrice() <= 0
+          if (!spec.allows(type.name(), zone, spot)
+              || spot && type.spotPrice() <= 0
               || now < refusedUntil.getOrDefault(offer, 0L)) {
             continue;
           }
-          // In a zone that nobody sees a machine boots unseen, and is paid for: only where no other zone has room.
+          // In a zone that nobody sees a machine boots unseen, and is paid for: only where no other
+          // zone has room.
           price += membership.isDark(zone) ? UNSEEN_PRICE : 0;
           int there = inZone(zone);
           if (price < bestPrice - 1e-9 || price < bestPrice + 1e-9 && there < bestCount) {
@@ -338,7 +403,8 @@
       count += zone.equals(m.zone) ? 1 : 0;
     }
     int[] awaitedThere = {0};
-    duties.awaited(rental -> awaitedThere[0] += zone.equals(rental.offer().zone()) ? rental.count() : 0);
+    duties.awaited(
+        rental -> awaitedThere[0] += zone.equals(rental.offer().zone()) ? rental.count() : 0);
     return count + awaitedThere[0];
   }
 
@@ -352,28 +418,34 @@
   }
 
   /**
-   * Machines whose names are not known yet, as if they were booting: nothing is rented twice over. A rental of an earlier term
-   * may be of a type that the cloud no longer has; that must not end one leader after another.
+   * Machines whose names are not known yet, as if they were booting: nothing is rented twice over.
+   * A rental of an earlier term may be of a type that the cloud no longer has; that must not end
+   * one leader after another.
    */
   private List<Machine> awaited(Duties.Awaited rental) {
     if (replica.catalog().stream().noneMatch(t -> t.name().equals(rental.offer().type()))) {
       return List.of();
     }
-    return awaited.computeIfAbsent(rental.charter(), charter -> {
-      List<Machine> machines = new ArrayList<>(rental.count());
-      for (int i = 0; i < rental.count(); i++) {
-        Machine m = new Machine(charter + "/" + i, term, Machine.Phase.BOOTING, now);
-        m.typeName = rental.offer().type();
-        m.type = type(rental.offer().type());
-        m.zone = rental.offer().zone();
-        m.spot = rental.offer().spot();
-        machines.add(m);
-      }
-      return machines;
-    });
+    return awaited.computeIfAbsent(
+        rental.charter(),
+        charter -> {
+          List<Machine> machines = new ArrayList<>(rental.count());
+          for (int i = 0; i < rental.count(); i++) {
+            Machine m = new Machine(charter + "/" + i, term, Machine.Phase.BOOTING, now);
+            m.typeName = rental.offer().type();
+            m.type = type(rental.offer().type());
+            m.zone = rental.offer().zone();
+            m.spot = rental.offer().spot();
+            machines.add(m);
+          }
+          return machines;
+        });
   }
 
-  /** What the duties need of the leader: its writes, its calls to the cloud, and its picture of the machines. */
+  /**
+   * What the duties need of the leader: its writes, its calls to the cloud, and its picture of the
+   * machines.
+   */
   private final class Host implements Duties.Host {
     @Override
     public void put(String key, Map<String, Object> value, Runnable durable) {
@@ -392,35 +464,54 @@
 
     @Override
     public void rent(String charter, Offer offer, int count, Consumer<Duties.Rental> then) {
-      call(new Request.CloudRent(charter, offer.type(), offer.zone(), offer.spot(), count), reply -> {
-        if (!(reply instanceof Reply.Lost)) {
-          awaited.remove(charter);
-        }
-        if (reply instanceof Reply.Rented rented) {
-          then.accept(new Duties.Rental(Duties.Rental.Outcome.GRANTED, rented.machines(), ""));
-        } else {
-          then.accept(new Duties.Rental(reply instanceof Reply.Refused ? Duties.Rental.Outcome.REFUSED
-              : Duties.Rental.Outcome.NO_ANSWER, List.of(), reply.toString()));
-        }
-        nextDecideMicros = Math.min(nextDecideMicros, now);
-      });
+      call(
+          new Request.CloudRent(charter, offer.type(), offer.zone(), offer.spot(), count),
+          reply -> {
+            if (!(reply instanceof Reply.Lost)) {
+              awaited.remove(charter);
+            }
+            if (reply instanceof Reply.Rented rented) {
+              then.accept(new Duties.Rental(Duties.Rental.Outcome.GRANTED, rented.machines(), ""));
+            } else {
+              then.accept(
+                  new Duties.Rental(
+                      reply instanceof Reply.Refused
+                          ? Duties.Rental.Outcome.REFUSED
+                          : Duties.Rental.Outcome.NO_ANSWER,
+                      List.of(),
+                      reply.toString()));
+            }
+            nextDecideMicros = Math.min(nextDecideMicros, now);
+          });
     }
 
     @Override
     public void delete(List<String> machines, Consumer<Duties.Deletion> then) {
-      call(new Request.CloudDelete(machines), reply -> then.accept(reply instanceof Reply.Applied
-          ? Duties.Deletion.DONE : reply instanceof Reply.Refused ? Duties.Deletion.REFUSED
-          : Duties.Deletion.NO_ANSWER));
-    }
-
-    /** A holder that stood still must not send what its lease allowed before; its mark or name holds even so. */
+      call(
+          new Request.CloudDelete(machines),
+          reply ->
+              then.accept(
+                  reply instanceof Reply.Applied
+                      ? Duties.Deletion.DONE
+                      : reply instanceof Reply.Refused
+                          ? Duties.Deletion.REFUSED
+                          : Duties.Deletion.NO_ANSWER));
+    }
+
+    /**
+     * A holder that stood still must not send what its lease allowed before; its mark or name holds
+     * even so.
+     */
     private void call(Request request, Consumer<Reply> then) {
       calls.take(1);
-      ports.call(request, leadership.mandate().authorityEnd(), reply -> {
-        if (!closed) {
-          then.accept(reply);
-        }
-      });
+      ports.call(
+          request,
+          leadership.mandate().authorityEnd(),
+          reply -> {
+            if (!closed) {
+              then.accept(reply);
+            }
+          });
     }
 
     @Override
@@ -428,7 +519,8 @@
       awaited.remove(charter);
       for (String id : machines) {
         if (!fleet.machines.containsKey(id) && !fleet.gone.contains(id)) {
-          fleet.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros = now - ageMicros;
+          fleet.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros =
+              now - ageMicros;
         }
       }
     }
@@ -442,8 +534,10 @@
     public void gone(String machine) {
       Machine m = fleet.machines.get(machine);
       if (m != null && m.condemned) {
-        // What was refused for want of room there may be had now. Seen after a zone's cut: 350 machines were given back,
-        // and none rented for them until the last refusal was 15 s old. One that was idle is not missed.
+        // What was refused for want of room there may be had now. Seen after a zone's cut: 350
+        // machines were given back,
+        // and none rented for them until the last refusal was 15 s old. One that was idle is not
+        // missed.
         refusedUntil.remove(new Offer(m.typeName, m.zone, m.spot));
         nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
       }
@@ -483,30 +577,37 @@
       listed.clear();
     }
     calls.take(1);
-    ports.call(new Request.CloudList(after), reply -> {
-      if (closed || !(reply instanceof Reply.CloudMachines page)) {
-        listing = false;
-        return;
-      }
-      String last = null;
-      for (Reply.CloudMachine machine : page.machines()) {
-        last = machine.id();
-        listed.add(last);
-        seen(machine);
-      }
-      if (page.more() && last != null) {
-        list(last);
-      } else {
-        listing = false;
-        returnUnlisted();
-      }
-    });
+    ports.call(
+        new Request.CloudList(after),
+        reply -> {
+          if (closed || !(reply instanceof Reply.CloudMachines page)) {
+            listing = false;
+            return;
+          }
+          String last = null;
+          for (Reply.CloudMachine machine : page.machines()) {
+            last = machine.id();
+            listed.add(last);
+            seen(machine);
+          }
+          if (page.more() && last != null) {
+            list(last);
+          } else {
+            listing = false;
+            returnUnlisted();
+          }
+        });
   }
 
-  /** A rostered machine neither heard nor listed is most likely gone; its deletion costs nothing and proves it. */
+  /**
+   * A rostered machine neither heard nor listed is most likely gone; its deletion costs nothing and
+   * proves it.
+   */
   private void returnUnlisted() {
     for (Machine m : fleet.machines.values()) {
-      if (m.phase == Machine.Phase.UNHEARD && m.plan != Machine.Plan.DELETE && !listed.contains(m.id)
+      if (m.phase == Machine.Phase.UNHEARD
+          && m.plan != Machine.Plan.DELETE
+          && !listed.contains(m.id)
           && now > m.sinceMicros + 2_000_000) {
         returnNow(m, "neither heard nor listed");
       }
@@ -526,9 +627,11 @@
   }
 
   private void seen(Reply.CloudMachine listed) {
-    // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines that the one before
+    // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines
+    // that the one before
     // had just returned, took each for one that never came up, and returned it again.
-    if (fleet.gone.contains(listed.id()) || duties.leaving(listed.id()) && !fleet.machines.containsKey(listed.id())) {
+    if (fleet.gone.contains(listed.id())
+        || duties.leaving(listed.id()) && !fleet.machines.containsKey(listed.id())) {
       return;
     }
     Machine m = fleet.machines.get(listed.id());
@@ -537,7 +640,9 @@
         ports.info("machine " + listed.id() + " failed, term=" + term);
       }
       if (m == null) {
-        m = fleet.expect(listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
+        m =
+            fleet.expect(
+                listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       }
       leave(m);
       m.condemned = false;
--- a/src/main/java/org/eiderstair/core/Replica.java
+++ b/src/main/java/org/eiderstair/core/Replica.java
@@ -11,22 +11,29 @@
 import java.util.Set;
 
 /**
- * This node's copy of the state service's keys, loaded once and kept by one watch. It may be old, so only
- * final states are told to users from it without asking (see {@link Desk}).
+ * This node's copy of the state service's keys, loaded once and kept by one watch. It may be old,
+ * so only final states are told to users from it without asking (see {@link Desk}).
  */
 final class Replica {
   private static final int PAGE = 500;
+
   /** Far more than a late read can still be about. */
   private static final int MOST_DROPPED = 10_000;
+
   private static final long HOLD_MICROS = 4_000_000;
   private static final long RETRY_MICROS = 500_000;
   private static final long CANCEL_MARGIN_MICROS = 5_000_000;
   private static final int MOST_PROOFS = 64;
+
   /** Longer than a slow answer of the state service takes. */
   private static final long STUCK_MICROS = 1_500_000;
 
   /** LOADING reads every key; FOLLOWING has them and waits for changes. */
-  enum State { IDLE, LOADING, FOLLOWING }
+  enum State {
+    IDLE,
+    LOADING,
+    FOLLOWING
+  }
 
   /** Told of what changed after the replica holds it. */
   interface Listener {
@@ -42,7 +49,8 @@
   /** What was there when a request was sent is in the replica once it has reached that revision. */
   private record Proof(long sentMicros, long revision) {}
 
-  record RosterEntry(String machine, String address, String type, String zone, boolean spot, long version) {}
+  record RosterEntry(
+      String machine, String address, String type, String zone, boolean spot, long version) {}
 
   private final Settings settings;
   private final Ports ports;
@@ -56,20 +64,31 @@
   private long loadRevision;
   private long loadSentMicros;
   private long currentMicros = Long.MIN_VALUE / 2;
-  /** Requests whose answers showed a revision that this replica has yet to reach, the one sent first in front. */
+
+  /**
+   * Requests whose answers showed a revision that this replica has yet to reach, the one sent first
+   * in front.
+   */
   private final ArrayDeque<Proof> proofs = new ArrayDeque<>();
+
   /** Told from watches that were given up. */
   private long watchNumber;
+
   private long watchSentMicros;
 
   final Map<String, Job> jobs = new HashMap<>();
+
   /** Open jobs in the order in which this node learnt of them. */
   final Map<String, Job> open = new LinkedHashMap<>();
+
   /** Jobs cancelled lately, the one seen first in front: a worker may still run their tasks. */
   private final ArrayDeque<Job> cancelled = new ArrayDeque<>();
+
   final Map<String, RosterEntry> roster = new HashMap<>();
+
   /** Open rentals and returns by key, as they were written. */
   final Map<String, Reply.Item> duties = new HashMap<>();
+
   private final Map<String, Long> dropped = new LinkedHashMap<>();
   private Leader leader;
   private long leaderVersion;
@@ -109,18 +128,22 @@
   }
 
   /**
-   * When the latest request was sent whose answer shows that all changes up to then are in the replica. Nothing but such an
-   * answer moves it; above all not the renewal of a lease.
+   * When the latest request was sent whose answer shows that all changes up to then are in the
+   * replica. Nothing but such an answer moves it; above all not the renewal of a lease.
    */
   long currentMicros() {
     return currentMicros;
   }
 
-  /** A request sent then was answered with that revision: it is a proof once the replica has reached it. */
+  /**
+   * A request sent then was answered with that revision: it is a proof once the replica has reached
+   * it.
+   */
   void proves(long sentMicros, long atRevision) {
     if (atRevision <= revision) {
       currentMicros = Math.max(currentMicros, sentMicros);
-    } else if (proofs.size() < MOST_PROOFS && (proofs.isEmpty() || sentMicros > proofs.peekLast().sentMicros())) {
+    } else if (proofs.size() < MOST_PROOFS
+        && (proofs.isEmpty() || sentMicros > proofs.peekLast().sentMicros())) {
       proofs.add(new Proof(sentMicros, atRevision));
     }
   }
@@ -128,19 +151,27 @@
   /** Every change up to this revision is in the replica from now on. */
   private void reached(long atRevision) {
     revision = Math.max(revision, atRevision);
-    proofs.removeIf(proof -> {
-      boolean proven = proof.revision() <= revision;
-      currentMicros = proven ? Math.max(currentMicros, proof.sentMicros()) : currentMicros;
-      return proven;
-    });
+    proofs.removeIf(
+        proof -> {
+          boolean proven = proof.revision() <= revision;
+          currentMicros = proven ? Math.max(currentMicros, proof.sentMicros()) : currentMicros;
+          return proven;
+        });
   }
 
   void tick(long nowMicros) {
-    // A watch may hang or its answer be lost while others tell of changes: they are asked for anew, not waited for.
-    if (state == State.FOLLOWING && retryWatchAt == 0 && !proofs.isEmpty()
+    // A watch may hang or its answer be lost while others tell of changes: they are asked for anew,
+    // not waited for.
+    if (state == State.FOLLOWING
+        && retryWatchAt == 0
+        && !proofs.isEmpty()
         && nowMicros >= Math.max(watchSentMicros, proofs.peekFirst().sentMicros()) + STUCK_MICROS) {
-      ports.info("watch after revision " + revision + " is silent though there is revision "
-          + proofs.peekLast().revision() + ": opening another");
+      ports.info(
+          "watch after revision "
+              + revision
+              + " is silent though there is revision "
+              + proofs.peekLast().revision()
+              + ": opening another");
       watch();
     }
     retry(nowMicros);
@@ -170,36 +201,45 @@
   }
 
   private void loadPage(String after) {
-    ports.call(new Request.StoreList(Records.ROOT, after, PAGE), reply -> {
-      if (!(reply instanceof Reply.Listed listed)) {
-        become(State.IDLE, now);
-        return;
-      }
-      if (loadRevision < 0) {
-        loadRevision = listed.revision();
-      }
-      String last = null;
-      for (Reply.Item item : listed.items()) {
-        loading.add(item.key());
-        apply(item);
-        last = item.key();
-      }
-      if (listed.more() && last != null) {
-        loadPage(last);
-        return;
-      }
-      dropUnlisted();
-      reached(loadRevision);
-      proves(loadSentMicros, loadRevision);
-      loading = null;
-      boolean first = !everLoaded;
-      everLoaded = true;
-      if (first) {
-        ports.info("replica loaded: revision " + revision + ", " + jobs.size() + " jobs, " + open.size() + " open");
-        listener.loaded();
-      }
-      become(State.FOLLOWING, now);
-    });
+    ports.call(
+        new Request.StoreList(Records.ROOT, after, PAGE),
+        reply -> {
+          if (!(reply instanceof Reply.Listed listed)) {
+            become(State.IDLE, now);
+            return;
+          }
+          if (loadRevision < 0) {
+            loadRevision = listed.revision();
+          }
+          String last = null;
+          for (Reply.Item item : listed.items()) {
+            loading.add(item.key());
+            apply(item);
+            last = item.key();
+          }
+          if (listed.more() && last != null) {
+            loadPage(last);
+            return;
+          }
+          dropUnlisted();
+          reached(loadRevision);
+          proves(loadSentMicros, loadRevision);
+          loading = null;
+          boolean first = !everLoaded;
+          everLoaded = true;
+          if (first) {
+            ports.info(
+                "replica loaded: revision "
+                    + revision
+                    + ", "
+                    + jobs.size()
+                    + " jobs, "
+                    + open.size()
+                    + " open");
+            listener.loaded();
+          }
+          become(State.FOLLOWING, now);
+        });
   }
 
   /** After a gap in the watch, keys that the list no longer holds were dropped meanwhile. */
@@ -224,27 +264,29 @@
     long number = ++watchNumber;
     long sentMicros = now;
     watchSentMicros = now;
-    ports.call(new Request.StoreWatch(Records.ROOT, revision, HOLD_MICROS), reply -> {
-      if (number != watchNumber) {
-        return;
-      }
-      if (reply instanceof Reply.Changed changed) {
-        for (Reply.Item item : changed.changes()) {
-          apply(item);
-        }
-        reached(changed.revision());
-        proves(sentMicros, changed.revision());
-        // Changes that come close together cost one request, not one each.
-        retryWatchAt = now + (changed.changes().isEmpty() ? 0 : settings.gatherMicros());
-        retry(now);
-      } else if (reply instanceof Reply.Refused refused && refused.status() == 410) {
-        ports.info("watch fell behind revision " + revision + ": reading all keys again");
-        become(State.IDLE, now - RETRY_MICROS);
-      } else {
-        // Refused or lost: the same revision may be watched again, only not at once.
-        retryWatchAt = now + RETRY_MICROS;
-      }
-    });
+    ports.call(
+        new Request.StoreWatch(Records.ROOT, revision, HOLD_MICROS),
+        reply -> {
+          if (number != watchNumber) {
+            return;
+          }
+          if (reply instanceof Reply.Changed changed) {
+            for (Reply.Item item : changed.changes()) {
+              apply(item);
+            }
+            reached(changed.revision());
+            proves(sentMicros, changed.revision());
+            // Changes that come close together cost one request, not one each.
+            retryWatchAt = now + (changed.changes().isEmpty() ? 0 : settings.gatherMicros());
+            retry(now);
+          } else if (reply instanceof Reply.Refused refused && refused.status() == 410) {
+            ports.info("watch fell behind revision " + revision + ": reading all keys again");
+            become(State.IDLE, now - RETRY_MICROS);
+          } else {
+            // Refused or lost: the same revision may be watched again, only not at once.
+            retryWatchAt = now + RETRY_MICROS;
+          }
+        });
   }
 
   private long retryWatchAt;
@@ -256,7 +298,9 @@
     }
   }
 
-  /** Takes one key's newer value, from the watch, a list, a read, or this node's own transaction. */
+  /**
+   * Takes one key's newer value, from the watch, a list, a read, or this node's own transaction.
+   */
   void apply(Reply.Item item) {
     String key = item.key();
     try {
@@ -270,12 +314,15 @@
         applyDuty(item);
       } else if (key.equals(Records.LEADER)) {
         applyLeader(item);
-      } else if (key.equals(Records.CATALOG) && item.value() != null && item.version() > catalogVersion) {
+      } else if (key.equals(Records.CATALOG)
+          && item.value() != null
+          && item.version() > catalogVersion) {
         catalogVersion = item.version();
         catalog = Records.catalog(item.value());
       }
     } catch (RuntimeException e) {
-      // Guards against a value written by a broken or much newer version: one bad key must not stop the node.
+      // Guards against a value written by a broken or much newer version: one bad key must not stop
+      // the node.
       ports.error("unreadable value of " + key + ": " + e);
     }
   }
@@ -286,9 +333,10 @@
   }
 
   /**
-   * A read showed that the key does not exist as of a revision. That is a fact with a date like any other: what was written
-   * after it is not gone. Without that, a roster entry written after the read, and told by a watch that was faster than the
-   * read's answer, left this node's picture: its take-over would not have asked that machine.
+   * A read showed that the key does not exist as of a revision. That is a fact with a date like any
+   * other: what was written after it is not gone. Without that, a roster entry written after the
+   * read, and told by a watch that was faster than the read's answer, left this node's picture: its
+   * take-over would not have asked that machine.
    */
   void missing(String key, long atRevision) {
     if (!key.startsWith(Records.PROGRESS)) {
@@ -314,14 +362,19 @@
     boolean isNew = job == null;
     if (isNew) {
       job = new Job(id);
-      // A node that was not there when the job came must not take it for new. Days differ a little between nodes.
+      // A node that was not there when the job came must not take it for new. Days differ a little
+      // between nodes.
       long atDay = Records.whole(item.value(), "at", 0);
       job.seenMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
       jobs.put(id, job);
     }
     long cancelledDay = Records.whole(item.value(), "c", 0);
     job.cancelledMicros = cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros);
-    job.become(next, item.version(), (int) Records.whole(item.value(), "n", 0), spec,
+    job.become(
+        next,
+        item.version(),
+        (int) Records.whole(item.value(), "n", 0),
+        spec,
         (int) Records.whole(item.value(), "d", 0));
     changed(job, isNew);
   }
@@ -340,7 +393,10 @@
     job.shrink();
   }
 
-  /** A peer has committed a cancellation. What this node knows of later, or not at all, the watch will bring. */
+  /**
+   * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
+   * will bring.
+   */
   void cancelledElsewhere(Cancellation told) {
     Job job = jobs.get(told.job());
     if (job != null && job.open() && told.version() > job.version()) {
@@ -351,8 +407,9 @@
   }
 
   /**
-   * Jobs whose tasks a worker may still run, by when this node has seen their cancelling. Older ones are forgotten here, so
-   * there is one bound for all who ask: what one of them would drop sooner, another would no longer count.
+   * Jobs whose tasks a worker may still run, by when this node has seen their cancelling. Older
+   * ones are forgotten here, so there is one bound for all who ask: what one of them would drop
+   * sooner, another would no longer count.
    */
   Collection<Job> cancelledLately(long nowMicros) {
     long since = nowMicros - settings.cancelMicros() - CANCEL_MARGIN_MICROS;
@@ -381,7 +438,8 @@
 
   private void applyDuty(Reply.Item item) {
     Reply.Item known = duties.get(item.key());
-    if (known != null && item.version() <= known.version() || item.version() <= dropped.getOrDefault(item.key(), 0L)) {
+    if (known != null && item.version() <= known.version()
+        || item.version() <= dropped.getOrDefault(item.key(), 0L)) {
       return;
     }
     if (item.value() == null) {
@@ -411,9 +469,15 @@
       droppedAt(machine, item.version());
       return;
     }
-    roster.put(machine, new RosterEntry(machine, Records.text(item.value(), "addr"),
-        Records.text(item.value(), "type"), Records.text(item.value(), "zone"),
-        Records.flag(item.value(), "spot"), item.version()));
+    roster.put(
+        machine,
+        new RosterEntry(
+            machine,
+            Records.text(item.value(), "addr"),
+            Records.text(item.value(), "type"),
+            Records.text(item.value(), "zone"),
+            Records.flag(item.value(), "spot"),
+            item.version()));
   }
 
   private void applyLeader(Reply.Item item) {
@@ -421,8 +485,14 @@
       return;
     }
     leaderVersion = item.version();
-    leader = item.value() == null ? null : new Leader(Records.text(item.value(), "node"),
-        Records.text(item.value(), "run"), Records.whole(item.value(), "lease", 0), item.version());
+    leader =
+        item.value() == null
+            ? null
+            : new Leader(
+                Records.text(item.value(), "node"),
+                Records.text(item.value(), "run"),
+                Records.whole(item.value(), "lease", 0),
+                item.version());
     listener.leaderChanged();
   }
 }
--- a/src/main/java/org/eiderstair/core/Reply.java
+++ b/src/main/java/org/eiderstair/core/Reply.java
@@ -32,7 +32,13 @@
   record Rented(List<String> machines) implements Reply {}
 
   /** A machine as the cloud lists it. */
-  record CloudMachine(String id, String address, String type, String zone, boolean spot, String state,
+  record CloudMachine(
+      String id,
+      String address,
+      String type,
+      String zone,
+      boolean spot,
+      String state,
       long ageMicros) {}
 
   record CloudMachines(List<CloudMachine> machines, boolean more) implements Reply {}
--- a/src/main/java/org/eiderstair/core/Request.java
+++ b/src/main/java/org/eiderstair/core/Request.java
@@ -29,7 +29,8 @@
 
   record CloudCatalog() implements Request {}
 
-  record CloudRent(String request, String type, String zone, boolean spot, int count) implements Request {}
+  record CloudRent(String request, String type, String zone, boolean spot, int count)
+      implements Request {}
 
   record CloudDelete(List<String> machines) implements Request {}
 
@@ -37,12 +38,15 @@
 
   record WorkerStatus(String address) implements Request {}
 
-  record WorkerCommands(String address, long token, long session, List<Order> orders) implements Request {}
+  record WorkerCommands(String address, long token, long session, List<Order> orders)
+      implements Request {}
 
   /** Asks a peer whether the state service serves it. */
   record PeerAsk(String peer) implements Request {}
 
-  /** Asks a peer which machines it hears, as changes after what one of its runs has told already. */
+  /**
+   * Asks a peer which machines it hears, as changes after what one of its runs has told already.
+   */
   record PeerHeard(String peer, String run, long after) implements Request {}
 
   /** Tells a peer what changed in the leader's picture. */
