--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -11,7 +11,10 @@
 import org.eiderstair.core.standby.Batch;
 import org.eiderstair.core.standby.Standby;
 
-/** Everything that a leader does in one term. A new term starts with a new one: nothing is carried over. */
+/**
+ * Everything that a leader does in one term. A new term starts with a new one: nothing is carried
+ * over.
+ */
 final class Scheduler implements Ledger.Listener {
   private static final long PASS_GAP_MICROS = 30_000;
   private static final long BUSY_MICROS = 60_000;
@@ -41,8 +44,15 @@
   private long lastPassMicros = Long.MIN_VALUE / 2;
   private long now;
 
-  Scheduler(Settings settings, Ports ports, Replica replica, Leadership leadership, Membership membership,
-      Standby standby, long term, IntUnaryOperator random) {
+  Scheduler(
+      Settings settings,
+      Ports ports,
+      Replica replica,
+      Leadership leadership,
+      Membership membership,
+      Standby standby,
+      long term,
+      IntUnaryOperator random) {
     this.settings = settings;
     this.standby = standby;
     this.membership = membership;
@@ -53,11 +63,13 @@
     this.ledger = new Ledger(settings, ports, replica, term, this);
     this.tokens = new TokenList(settings.tuning().tokenListSize());
     Teams teams = new Teams(settings);
-    this.fleet = new Fleet(settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
+    this.fleet =
+        new Fleet(settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
     Demand demand = new Demand(settings, replica);
-    this.placement = new Placement(settings, ports, replica, fleet, tokens, teams, term, demand, random);
-    this.renting = new Renting(settings, ports, replica, fleet, leadership, ledger, demand, membership,
-        term);
+    this.placement =
+        new Placement(settings, ports, replica, fleet, tokens, teams, term, demand, random);
+    this.renting =
+        new Renting(settings, ports, replica, fleet, leadership, ledger, demand, membership, term);
   }
 
   void close() {
@@ -89,7 +101,8 @@
     now = nowMicros;
     electedMicros = electedMicros == 0 ? now : electedMicros;
     if (!started) {
-      // What an earlier term wrote last must be in the picture, above all its roster and its newest jobs.
+      // What an earlier term wrote last must be in the picture, above all its roster and its newest
+      // jobs.
       if (replica.revision() < term) {
         return;
       }
@@ -99,7 +112,8 @@
       renting.takeOver(now);
       membership.begin(now);
     }
-    // Passes are due soon after every event: one that is late says that there is more to do than can be done.
+    // Passes are due soon after every event: one that is late says that there is more to do than
+    // can be done.
     fleet.tick(now, now > passDueMicros() + BUSY_MICROS);
     if (now >= nextReachMicros) {
       nextReachMicros = now + REACH_EVERY_MICROS;
@@ -112,15 +126,26 @@
     membership.tick(unreached || renting.missesMachines(), now);
     int heardByPeers = unreached ? fleet.heardBy(membership) : 0;
     if (heardByPeers >= HANDED_OVER) {
-      // Whoever stands next hears them: sooner than by this node's patience, which is for machines that are dead.
-      leadership.giveUp("no machine reaches this node while peers hear " + heardByPeers + " of them: "
-          + membership.evidence());
+      // Whoever stands next hears them: sooner than by this node's patience, which is for machines
+      // that are dead.
+      leadership.giveUp(
+          "no machine reaches this node while peers hear "
+              + heardByPeers
+              + " of them: "
+              + membership.evidence());
       return;
     }
     if (now >= nextSummaryMicros) {
       nextSummaryMicros = now + SUMMARY_EVERY_MICROS;
-      ports.info("leading, term=" + term + ": " + placement.summary(now) + "; " + renting.summary()
-          + "; standby " + standby.summary());
+      ports.info(
+          "leading, term="
+              + term
+              + ": "
+              + placement.summary(now)
+              + "; "
+              + renting.summary()
+              + "; standby "
+              + standby.summary());
     }
     standby.tick(now);
     renting.tick(now);
@@ -130,13 +155,21 @@
     ledger.tick(now);
   }
 
-  /** Begins with what this node holds as the standby of the last term, if all checks hold; else everything is asked. */
+  /**
+   * Begins with what this node holds as the standby of the last term, if all checks hold; else
+   * everything is asked.
+   */
   private void inherit() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
-    fleet.takeOver(electedMicros,
-        standby.inherit(term, replica.revision(), record == null ? null : record.value()), now);
+    fleet.takeOver(
+        electedMicros,
+        standby.inherit(term, replica.revision(), record == null ? null : record.value()),
+        now);
     if (record != null || settings.keepsStandby()) {
-      standby.leads(new StandbyHost(), term, settings.keepsStandby() ? inOtherZonesFirst() : List.of(),
+      standby.leads(
+          new StandbyHost(),
+          term,
+          settings.keepsStandby() ? inOtherZonesFirst() : List.of(),
           record == null ? 0 : record.version());
     }
   }
@@ -146,10 +179,14 @@
     Map<String, String> zones = settings.nodeZones();
     String own = zones.getOrDefault(settings.node(), "");
     return settings.peers().stream()
-        .sorted(Comparator.comparing((String peer) -> own.equals(zones.get(peer)))).toList();
+        .sorted(Comparator.comparing((String peer) -> own.equals(zones.get(peer))))
+        .toList();
   }
 
-  /** The leader's side of the standby: its picture, the peer link, and the record under the leader key. */
+  /**
+   * The leader's side of the standby: its picture, the peer link, and the record under the leader
+   * key.
+   */
   private final class StandbyHost implements Standby.Host {
     @Override
     public boolean whole() {
@@ -163,15 +200,20 @@
 
     @Override
     public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {
-      ports.call(new Request.PeerStandby(peer, batch),
+      ports.call(
+          new Request.PeerStandby(peer, batch),
           reply -> then.accept(reply instanceof Reply.StandbyAck acked ? acked.ack() : null));
     }
 
     @Override
     public void write(long version, Map<String, Object> record, LongConsumer then) {
-      ports.call(new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term),
-          new Request.Condition(Standby.RECORD, version)),
-          List.of(new Request.Write(Standby.RECORD, record, 0))), reply -> {
+      ports.call(
+          new Request.StoreTxn(
+              List.of(
+                  new Request.Condition(Records.LEADER, term),
+                  new Request.Condition(Standby.RECORD, version)),
+              List.of(new Request.Write(Standby.RECORD, record, 0))),
+          reply -> {
             if (reply instanceof Reply.Applied applied) {
               replica.apply(new Reply.Item(Standby.RECORD, record, applied.revision()));
               then.accept(applied.revision());
@@ -183,14 +225,16 @@
 
     @Override
     public void read(BiConsumer<Long, Map<String, Object>> then) {
-      ports.call(new Request.StoreGet(Standby.RECORD), reply -> {
-        if (reply instanceof Reply.Found found) {
-          Reply.Item item = found.item();
-          then.accept(item == null ? 0L : item.version(), item == null ? null : item.value());
-        } else {
-          then.accept(-1L, null);
-        }
-      });
+      ports.call(
+          new Request.StoreGet(Standby.RECORD),
+          reply -> {
+            if (reply instanceof Reply.Found found) {
+              Reply.Item item = found.item();
+              then.accept(item == null ? 0L : item.version(), item == null ? null : item.value());
+            } else {
+              then.accept(-1L, null);
+            }
+          });
     }
 
     @Override
@@ -204,9 +248,13 @@
     }
   }
 
-  /** When the next pass is to be made: soon after something changed, and now and then for what time alone changes. */
+  /**
+   * When the next pass is to be made: soon after something changed, and now and then for what time
+   * alone changes.
+   */
   long passDueMicros() {
-    return lastPassMicros + (fleet.changed || fleet.owesAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
+    return lastPassMicros
+        + (fleet.changed || fleet.owesAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and tells the machines. */
--- a/src/main/java/org/eiderstair/core/Settings.java
+++ b/src/main/java/org/eiderstair/core/Settings.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * What the core needs to know of its deployment. Read from the platform's file and the operators' own.
+ * What the core needs to know of its deployment. Read from the platform's file and the operators'
+ * own.
  *
  * @param cpuShare of one core that this node has; 0 when that is not known
  * @param nodeZones the zone of each controller, this one included, as far as it is known
@@ -26,40 +27,73 @@
     Map<String, String> nodeZones,
     double cpuShare) {
 
-  /** Streaming to a standby costs a leader and its standby about a fiftieth of a core each at the fleet size. */
+  /**
+   * Streaming to a standby costs a leader and its standby about a fiftieth of a core each at the
+   * fleet size.
+   */
   private static final double STANDBY_SHARE = 0.2;
 
   /** Where it is not known in which zones the controllers are. */
-  public Settings(String node, List<String> peers, List<String> zones, Map<String, Team> teams,
-      List<Objective> objectives, long reportMicros, long leaseMicros, long cancelMicros, double stateRps,
-      double stateWriteRps, int stateTxnOps, double cloudRps, Tuning tuning) {
-    this(node, peers, zones, teams, objectives, reportMicros, leaseMicros, cancelMicros, stateRps, stateWriteRps,
-        stateTxnOps, cloudRps, tuning, Map.of(), 0);
+  public Settings(
+      String node,
+      List<String> peers,
+      List<String> zones,
+      Map<String, Team> teams,
+      List<Objective> objectives,
+      long reportMicros,
+      long leaseMicros,
+      long cancelMicros,
+      double stateRps,
+      double stateWriteRps,
+      int stateTxnOps,
+      double cloudRps,
+      Tuning tuning) {
+    this(
+        node,
+        peers,
+        zones,
+        teams,
+        objectives,
+        reportMicros,
+        leaseMicros,
+        cancelMicros,
+        stateRps,
+        stateWriteRps,
+        stateTxnOps,
+        cloudRps,
+        tuning,
+        Map.of(),
+        0);
   }
 
   /**
-   * How long requests of one kind are gathered before one asks the state service for all of them: with watching and
-   * confirming on every node, about two thirds of its limit at the most.
+   * How long requests of one kind are gathered before one asks the state service for all of them:
+   * with watching and confirming on every node, about two thirds of its limit at the most.
    */
   public long gatherMicros() {
     return (long) (3e6 * (peers.size() + 1) / stateRps);
   }
 
   /**
-   * Whether cancelled work can be gone within {@code cancelMicros} by the leases alone: whatever is unreachable, and however
-   * late commands are. docs/design.md, "What a leader may do with an old picture", has the sum.
+   * Whether cancelled work can be gone within {@code cancelMicros} by the leases alone: whatever is
+   * unreachable, and however late commands are. docs/design.md, "What a leader may do with an old
+   * picture", has the sum.
    */
   public boolean cancellationBoundsHold() {
     return Mandate.boundsHold(this);
   }
 
-  /** Whether a leader keeps a standby in sync: where the machine is large enough, and operators did not turn it off. */
+  /**
+   * Whether a leader keeps a standby in sync: where the machine is large enough, and operators did
+   * not turn it off.
+   */
   public boolean keepsStandby() {
     return tuning.standbys() > 0 && (cpuShare <= 0 || cpuShare >= STANDBY_SHARE);
   }
 
   /** A team's guarantee and limit; a limit of 0 means none. */
-  public record Team(String name, double cpus, double cpusMax, double accelerators, double acceleratorsMax) {}
+  public record Team(
+      String name, double cpus, double cpusMax, double accelerators, double acceleratorsMax) {}
 
   /** What users expect of a class of jobs. */
   public record Objective(String kind, String jobClass, long withinMicros, double share) {}
@@ -76,7 +110,8 @@
       int rentBatch,
       int standbys) {
     public static Tuning defaults() {
-      return new Tuning(256, 2, 4_500_000L, 1_200_000L, 10_000_000L, 10_000_000L, 20_000_000L, 50, 1);
+      return new Tuning(
+          256, 2, 4_500_000L, 1_200_000L, 10_000_000L, 10_000_000L, 20_000_000L, 50, 1);
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/StateReach.java
+++ b/src/main/java/org/eiderstair/core/StateReach.java
@@ -1,18 +1,27 @@
 package org.eiderstair.core;
 
 /**
- * Whether the state service serves this node. A single node cannot tell an outage from a refusal that only it gets:
- * its peers can. A node that alone is refused does not say that it is ready, and gives way as leader; in an outage
- * all stay as they are, since none could do better.
+ * Whether the state service serves this node. A single node cannot tell an outage from a refusal
+ * that only it gets: its peers can. A node that alone is refused does not say that it is ready, and
+ * gives way as leader; in an outage all stay as they are, since none could do better.
  */
 final class StateReach {
 
-  /** DOUBTED had no answer for a while and asks its peers; ALONE was told by one of them that it is served. */
-  enum State { SERVED, DOUBTED, ALONE }
+  /**
+   * DOUBTED had no answer for a while and asks its peers; ALONE was told by one of them that it is
+   * served.
+   */
+  enum State {
+    SERVED,
+    DOUBTED,
+    ALONE
+  }
 
   private static final long PROBE_AFTER_MICROS = 1_000_000;
+
   /** Younger than an answer that a peer in doubt can still remember from before an outage. */
   private static final long ATTEST_WITHIN_MICROS = 1_300_000;
+
   private static final long DOUBT_AFTER_MICROS = 2_500_000;
   private static final long ASK_EVERY_MICROS = 1_000_000;
   private static final long BELIEVE_MICROS = 3_500_000;
@@ -51,18 +60,24 @@
   /** What this node tells a peer that asks. */
   Answer.Standing standing() {
     Replica.Leader known = replica.leader();
-    // Seen at the start of an outage: a peer that had not noticed yet made the others believe they were alone.
+    // Seen at the start of an outage: a peer that had not noticed yet made the others believe they
+    // were alone.
     boolean served = now < servedMicros + ATTEST_WITHIN_MICROS && replica.loaded();
-    return new Answer.Standing(served, known == null ? null : known.node(),
-        known == null ? 0 : known.term());
+    return new Answer.Standing(
+        served, known == null ? null : known.node(), known == null ? 0 : known.term());
   }
 
   /** An answer came from the state service, or none did. */
   void replied(Request request, Reply reply) {
-    boolean ofState = request instanceof Request.StoreTxn || request instanceof Request.StoreGet
-        || request instanceof Request.StoreList || request instanceof Request.StoreWatch
-        || request instanceof Request.LeaseGrant || request instanceof Request.LeaseTouch;
-    boolean refused = reply instanceof Reply.Lost || reply instanceof Reply.Refused r && r.status() == 503;
+    boolean ofState =
+        request instanceof Request.StoreTxn
+            || request instanceof Request.StoreGet
+            || request instanceof Request.StoreList
+            || request instanceof Request.StoreWatch
+            || request instanceof Request.LeaseGrant
+            || request instanceof Request.LeaseTouch;
+    boolean refused =
+        reply instanceof Reply.Lost || reply instanceof Reply.Refused r && r.status() == 503;
     if (ofState && !refused) {
       servedMicros = now;
       become(State.SERVED);
@@ -79,7 +94,7 @@
     }
     if (now >= nextProbeMicros) {
       nextProbeMicros = now + PROBE_AFTER_MICROS;
-      ports.call(new Request.StoreGet(Records.LEADER), reply -> { });
+      ports.call(new Request.StoreGet(Records.LEADER), reply -> {});
     }
     if (now < servedMicros + DOUBT_AFTER_MICROS) {
       return;
@@ -94,16 +109,20 @@
   }
 
   private void ask(String peer) {
-    ports.call(new Request.PeerAsk(peer), reply -> {
-      if (state != State.SERVED && reply instanceof Reply.PeerStanding standing && standing.served()) {
-        attestedMicros = now;
-        if (standing.term() >= leaderTerm) {
-          leaderTerm = standing.term();
-          leader = standing.leader();
-        }
-        become(State.ALONE);
-      }
-    });
+    ports.call(
+        new Request.PeerAsk(peer),
+        reply -> {
+          if (state != State.SERVED
+              && reply instanceof Reply.PeerStanding standing
+              && standing.served()) {
+            attestedMicros = now;
+            if (standing.term() >= leaderTerm) {
+              leaderTerm = standing.term();
+              leader = standing.leader();
+            }
+            become(State.ALONE);
+          }
+        });
   }
 
   /** The one function for every change of state. */
--- a/src/main/java/org/eiderstair/core/TakeOver.java
+++ b/src/main/java/org/eiderstair/core/TakeOver.java
@@ -1,14 +1,21 @@
 package org.eiderstair.core;
 
-/** How a term began, for one line in the log: where the time between the election and ordinary work went. */
+/**
+ * How a term began, for one line in the log: where the time between the election and ordinary work
+ * went.
+ */
 final class TakeOver {
 
   /**
-   * CATCHING_UP reads what the term before wrote last. HEARING hears the machines that were in the roster; older work waits
-   * unless all that may be on them is known from the standby's picture. WHOLE has heard each of them, or had proof that it is
-   * gone.
+   * CATCHING_UP reads what the term before wrote last. HEARING hears the machines that were in the
+   * roster; older work waits unless all that may be on them is known from the standby's picture.
+   * WHOLE has heard each of them, or had proof that it is gone.
    */
-  enum Phase { CATCHING_UP, HEARING, WHOLE }
+  enum Phase {
+    CATCHING_UP,
+    HEARING,
+    WHOLE
+  }
 
   private static final long NEVER = -1;
 
@@ -37,9 +44,23 @@
   private void become(Phase next, long nowMicros) {
     phase = next;
     if (next == Phase.WHOLE) {
-      ports.info("take-over WHOLE, term=" + term + ": " + machines + " machines" + (pictured ? " known from the standby's picture" : "") + "; ms after the election: caught up "
-          + since(caughtUpMicros) + ", first launch " + since(launchedMicros) + ", half heard " + since(halfMicros)
-          + ", 95% heard " + since(mostMicros) + ", all heard or gone " + since(nowMicros));
+      ports.info(
+          "take-over WHOLE, term="
+              + term
+              + ": "
+              + machines
+              + " machines"
+              + (pictured ? " known from the standby's picture" : "")
+              + "; ms after the election: caught up "
+              + since(caughtUpMicros)
+              + ", first launch "
+              + since(launchedMicros)
+              + ", half heard "
+              + since(halfMicros)
+              + ", 95% heard "
+              + since(mostMicros)
+              + ", all heard or gone "
+              + since(nowMicros));
     }
   }
 
--- a/src/main/java/org/eiderstair/core/TaskId.java
+++ b/src/main/java/org/eiderstair/core/TaskId.java
@@ -2,7 +2,8 @@
 
 /** A task of a job, by its number. */
 public record TaskId(String job, int index) {
-  // Written out: the ones a record makes are linked at run time, and this is the busiest key of all.
+  // Written out: the ones a record makes are linked at run time, and this is the busiest key of
+  // all.
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskId that && index == that.index && job.equals(that.job);
--- a/src/main/java/org/eiderstair/core/TaskSet.java
+++ b/src/main/java/org/eiderstair/core/TaskSet.java
@@ -5,8 +5,8 @@
 
 /**
  * Writes a set of task numbers as text, since the state service holds no binary values: as ranges
- * ({@code r:0-5,9}) or, when that would be longer, as a base64 bitmap ({@code b:...}). The bitmap bounds the
- * length at 16.7 KB for the largest job of 100,000 tasks.
+ * ({@code r:0-5,9}) or, when that would be longer, as a base64 bitmap ({@code b:...}). The bitmap
+ * bounds the length at 16.7 KB for the largest job of 100,000 tasks.
  */
 final class TaskSet {
   private TaskSet() {}
@@ -45,7 +45,8 @@
       end = end < 0 ? text.length() : end;
       int dash = text.indexOf('-', at);
       if (dash > 0 && dash < end) {
-        set.set(Integer.parseInt(text, at, dash, 10), Integer.parseInt(text, dash + 1, end, 10) + 1);
+        set.set(
+            Integer.parseInt(text, at, dash, 10), Integer.parseInt(text, dash + 1, end, 10) + 1);
       } else {
         set.set(Integer.parseInt(text, at, end, 10));
       }
--- a/src/main/java/org/eiderstair/core/Teams.java
+++ b/src/main/java/org/eiderstair/core/Teams.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What each team uses, counting everything that may run, against its limit and its guarantee. Kept by increments as
- * attempts come and go; a test compares it with a full count.
+ * What each team uses, counting everything that may run, against its limit and its guarantee. Kept
+ * by increments as attempts come and go; a test compares it with a full count.
  */
 final class Teams {
   private static final double ROUNDING = 1e-6;
@@ -23,6 +23,7 @@
   private final Map<String, Map<JobSpec.Priority, Double>> reserves = new HashMap<>();
   private final Settings settings;
   private final Map<String, Use> uses = new HashMap<>();
+
   /** What machines that this term has not heard could be running, by team. */
   private final Map<String, Use> unheard = new HashMap<>();
 
@@ -90,11 +91,14 @@
   }
 
   /**
-   * Keeps part of a team's limit for its own more urgent work, as much as that lately wanted at once: else long
-   * tasks of lower priority fill the limit, and an urgent job waits for them although machines are free.
+   * Keeps part of a team's limit for its own more urgent work, as much as that lately wanted at
+   * once: else long tasks of lower priority fill the limit, and an urgent job waits for them
+   * although machines are free.
    */
   void reserve(String team, JobSpec.Priority priority, double cpus) {
-    reserves.computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class)).merge(priority, cpus, Double::sum);
+    reserves
+        .computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class))
+        .merge(priority, cpus, Double::sum);
   }
 
   /** Whether one more task leaves the team's more urgent work its share of the limit. */
@@ -127,7 +131,9 @@
   boolean canEverHold(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     int tasks = spec.shape() == JobSpec.Shape.SERVICE ? spec.tasks() : 1;
-    return team != null && (team.cpusMax() <= 0 || spec.cpus() * tasks <= team.cpusMax() + ROUNDING)
-        && (team.acceleratorsMax() <= 0 || spec.accelerators() * tasks <= team.acceleratorsMax() + ROUNDING);
+    return team != null
+        && (team.cpusMax() <= 0 || spec.cpus() * tasks <= team.cpusMax() + ROUNDING)
+        && (team.acceleratorsMax() <= 0
+            || spec.accelerators() * tasks <= team.acceleratorsMax() + ROUNDING);
   }
 }
--- a/src/main/java/org/eiderstair/core/TokenList.java
+++ b/src/main/java/org/eiderstair/core/TokenList.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * The bounded list of machines that reported free room: the dispatcher's memory of the paper's section 3.1.
- * A machine is stored at most once, and not when the list is full; a later report tries again.
+ * The bounded list of machines that reported free room: the dispatcher's memory of the paper's
+ * section 3.1. A machine is stored at most once, and not when the list is full; a later report
+ * tries again.
  */
 final class TokenList {
   private final int capacity;
--- a/src/main/java/org/eiderstair/core/duty/Duties.java
+++ b/src/main/java/org/eiderstair/core/duty/Duties.java
@@ -10,35 +10,50 @@
 import java.util.function.Consumer;
 
 /**
- * What only one controller may do: rent machines and give them back. Its holder is the leader, its epoch the leader's
- * term. The cloud knows no epochs, so what fences a holder that was replaced is written under the leader key before the
- * cloud is asked: a rental's name, which is never used for another, and a mark on each machine that is to go.
- * docs/duties.md weighs the other ways.
+ * What only one controller may do: rent machines and give them back. Its holder is the leader, its
+ * epoch the leader's term. The cloud knows no epochs, so what fences a holder that was replaced is
+ * written under the leader key before the cloud is asked: a rental's name, which is never used for
+ * another, and a mark on each machine that is to go. docs/duties.md weighs the other ways.
  */
 public final class Duties {
   /** Keys of open rentals and returns; what follows is their name. */
   public static final String RENTALS = "e/duty/rent/";
+
   public static final String RETURNS = "e/duty/leave/";
 
   /** What one request to the cloud takes at most. */
   private static final int MOST_RETURNED = 100;
+
   private static final int RENTALS_AT_ONCE = 4;
   private static final int RETURNS_AT_ONCE = 2;
   private static final long RETRY_MICROS = 1_500_000;
 
   /**
-   * Who holds the duties, as this node sees it. SETTLING carries out what earlier epochs left open, and may rent and
-   * return beside it. HELD has nothing of theirs left. ENDED decides nothing more: another may hold them.
+   * Who holds the duties, as this node sees it. SETTLING carries out what earlier epochs left open,
+   * and may rent and return beside it. HELD has nothing of theirs left. ENDED decides nothing more:
+   * another may hold them.
    */
-  enum Holding { SETTLING, HELD, ENDED }
+  enum Holding {
+    SETTLING,
+    HELD,
+    ENDED
+  }
 
   /** What came of a rental: machines, certainly none, or no answer. */
   public record Rental(Outcome outcome, List<String> machines, String why) {
-    public enum Outcome { GRANTED, REFUSED, NO_ANSWER }
+    public enum Outcome {
+      GRANTED,
+      REFUSED,
+      NO_ANSWER
+    }
   }
 
   /** What came of a request to delete: done, certainly not carried out, or no answer. */
-  public enum Deletion { DONE, REFUSED, NO_ANSWER }
+  public enum Deletion {
+    DONE,
+    REFUSED,
+    NO_ANSWER
+  }
 
   /** What the duties need of their holder. */
   public interface Host {
@@ -90,14 +105,17 @@
   private final Map<String, RentalIntent> rentalOf = new HashMap<>();
   private final Map<String, Return> returns = new LinkedHashMap<>();
   private final Map<String, Return> returnOf = new HashMap<>();
+
   /** Decided since the last mark was written; they go together with the next. */
   private final Set<String> toMark = new LinkedHashSet<>();
+
   private int rentalsAsked;
   private int returnsAsked;
 
   /**
    * @param epoch the holder's term
-   * @param tombstoneMicros how long a mark outlives its machine, since older lists of the cloud may still show it
+   * @param tombstoneMicros how long a mark outlives its machine, since older lists of the cloud may
+   *     still show it
    * @param dayOffsetMicros the time of day less the steady time
    */
   public Duties(Host host, long epoch, long tombstoneMicros, long dayOffsetMicros) {
@@ -107,30 +125,41 @@
     this.dayOffsetMicros = dayOffsetMicros;
   }
 
-  /** Takes over what earlier epochs left open. One record that cannot be read is passed over and stops nothing. */
+  /**
+   * Takes over what earlier epochs left open. One record that cannot be read is passed over and
+   * stops nothing.
+   */
   public void resume(Map<String, Map<String, Object>> records, long nowMicros) {
     now = nowMicros;
     beganMicros = now;
-    records.forEach((key, value) -> {
-      try {
-        if (key.startsWith(RENTALS)) {
-          resume(RentalIntent.read(key.substring(RENTALS.length()), value));
-        } else if (key.startsWith(RETURNS)) {
-          Return r = Return.read(key.substring(RETURNS.length()), value);
-          if (r.machines().isEmpty()) {
-            // All of it was taken back, and its holder ended before it could say so.
-            host.drop(key, () -> { });
-          } else {
-            returns.put(r.name, r);
-            r.machines().forEach(m -> returnOf.put(m, r));
+    records.forEach(
+        (key, value) -> {
+          try {
+            if (key.startsWith(RENTALS)) {
+              resume(RentalIntent.read(key.substring(RENTALS.length()), value));
+            } else if (key.startsWith(RETURNS)) {
+              Return r = Return.read(key.substring(RETURNS.length()), value);
+              if (r.machines().isEmpty()) {
+                // All of it was taken back, and its holder ended before it could say so.
+                host.drop(key, () -> {});
+              } else {
+                returns.put(r.name, r);
+                r.machines().forEach(m -> returnOf.put(m, r));
+              }
+            }
+          } catch (RuntimeException e) {
+            host.error(
+                "unreadable duty " + key + ", left alone, term=" + epoch + ": " + e.getMessage());
           }
-        }
-      } catch (RuntimeException e) {
-        host.error("unreadable duty " + key + ", left alone, term=" + epoch + ": " + e.getMessage());
-      }
-    });
-    host.info("duties SETTLING, term=" + epoch + ": " + rentals.size() + " rentals and " + returns.size()
-        + " returns of earlier terms are open");
+        });
+    host.info(
+        "duties SETTLING, term="
+            + epoch
+            + ": "
+            + rentals.size()
+            + " rentals and "
+            + returns.size()
+            + " returns of earlier terms are open");
     settledAll();
   }
 
@@ -141,7 +170,10 @@
     }
   }
 
-  /** Called once the machines of a rental are known, by its answer or by what an earlier epoch had learnt. */
+  /**
+   * Called once the machines of a rental are known, by its answer or by what an earlier epoch had
+   * learnt.
+   */
   private void named(RentalIntent r) {
     long age = Math.max(0, now + dayOffsetMicros - r.decidedDayMicros);
     List<String> booting = new ArrayList<>();
@@ -152,7 +184,10 @@
       }
     }
     host.booting(r.charter, r.offer, booting, age);
-    r.machines().stream().filter(m -> host.onRoster(m) || host.isGone(m)).toList().forEach(this::accounted);
+    r.machines().stream()
+        .filter(m -> host.onRoster(m) || host.isGone(m))
+        .toList()
+        .forEach(this::accounted);
   }
 
   public void close() {
@@ -162,8 +197,17 @@
   }
 
   private void become(Holding next) {
-    host.info("duties " + holding + " -> " + next + ", term=" + epoch + ", after " + (now - beganMicros) / 1000 + " ms: "
-        + summary());
+    host.info(
+        "duties "
+            + holding
+            + " -> "
+            + next
+            + ", term="
+            + epoch
+            + ", after "
+            + (now - beganMicros) / 1000
+            + " ms: "
+            + summary());
     holding = next;
   }
 
@@ -177,7 +221,9 @@
   /** Decides a rental. It is written first, and asked for as soon as that is durable. */
   public void rent(Offer offer, int count) {
     String charter = "r-" + epoch + "-" + ++numbers;
-    RentalIntent r = new RentalIntent(charter, epoch, offer, count, now + dayOffsetMicros, RentalIntent.State.DECIDED);
+    RentalIntent r =
+        new RentalIntent(
+            charter, epoch, offer, count, now + dayOffsetMicros, RentalIntent.State.DECIDED);
     rentals.put(charter, r);
     host.put(RENTALS + charter, r.record(), () -> become(r, RentalIntent.State.WRITTEN, "durable"));
   }
@@ -204,13 +250,14 @@
     if (holding == Holding.ENDED) {
       return;
     }
-    host.info("rental " + r.charter + " " + r.state() + " -> " + next + ", term=" + epoch + ": " + r.count + " "
-        + r.offer + ": " + why);
+    host.info(
+        "rental " + r.charter + " " + r.state() + " -> " + next + ", term=" + epoch + ": " + r.count
+            + " " + r.offer + ": " + why);
     r.become(next);
     if (next == RentalIntent.State.SETTLED) {
       rentals.remove(r.charter);
       r.machines().forEach(m -> rentalOf.remove(m, r));
-      host.drop(RENTALS + r.charter, () -> { });
+      host.drop(RENTALS + r.charter, () -> {});
       settledAll();
     }
   }
@@ -218,24 +265,29 @@
   private void ask(RentalIntent r) {
     become(r, RentalIntent.State.ASKED, "asking");
     rentalsAsked++;
-    host.rent(r.charter, r.offer, r.count, rental -> {
-      rentalsAsked--;
-      if (holding == Holding.ENDED) {
-        return;
-      }
-      switch (rental.outcome()) {
-        case GRANTED -> granted(r, rental.machines());
-        case REFUSED -> {
-          become(r, RentalIntent.State.SETTLED, "not rented: " + rental.why());
-          host.shortOf(r.offer, rental.why());
-        }
-        case NO_ANSWER -> {
-          // It may have been carried out, or may yet be: only the same name tells, and rents nothing twice.
-          r.notBeforeMicros = now + RETRY_MICROS;
-          become(r, RentalIntent.State.WRITTEN, rental.why());
-        }
-      }
-    });
+    host.rent(
+        r.charter,
+        r.offer,
+        r.count,
+        rental -> {
+          rentalsAsked--;
+          if (holding == Holding.ENDED) {
+            return;
+          }
+          switch (rental.outcome()) {
+            case GRANTED -> granted(r, rental.machines());
+            case REFUSED -> {
+              become(r, RentalIntent.State.SETTLED, "not rented: " + rental.why());
+              host.shortOf(r.offer, rental.why());
+            }
+            case NO_ANSWER -> {
+              // It may have been carried out, or may yet be: only the same name tells, and rents
+              // nothing twice.
+              r.notBeforeMicros = now + RETRY_MICROS;
+              become(r, RentalIntent.State.WRITTEN, rental.why());
+            }
+          }
+        });
   }
 
   private void granted(RentalIntent r, List<String> machines) {
@@ -248,7 +300,7 @@
     if (machines.isEmpty()) {
       become(r, RentalIntent.State.SETTLED, "none");
     } else if (rentals.containsKey(r.charter)) {
-      host.put(RENTALS + r.charter, r.record(), () -> { });
+      host.put(RENTALS + r.charter, r.record(), () -> {});
       settledAll();
     }
   }
@@ -261,13 +313,16 @@
     }
   }
 
-  /** A successor must not take a machine that is gone for one that boots, since an open rental names it. */
+  /**
+   * A successor must not take a machine that is gone for one that boots, since an open rental names
+   * it.
+   */
   private void gone(String machine) {
     host.gone(machine);
     accounted(machine);
     RentalIntent r = rentalOf.remove(machine);
     if (r != null) {
-      host.put(RENTALS + r.charter, r.record(), () -> { });
+      host.put(RENTALS + r.charter, r.record(), () -> {});
     }
   }
 
@@ -278,7 +333,10 @@
     return returnOf.containsKey(machine) || toMark.contains(machine);
   }
 
-  /** The machine is to go. It is marked first, with others, and given back as soon as that is durable. */
+  /**
+   * The machine is to go. It is marked first, with others, and given back as soon as that is
+   * durable.
+   */
   public void giveBack(String machine) {
     if (!leaving(machine)) {
       toMark.add(machine);
@@ -286,8 +344,8 @@
   }
 
   /**
-   * The machine is wanted after all, since it was heard: true when that is still possible. It may be used again once
-   * {@link Host#kept} says so.
+   * The machine is wanted after all, since it was heard: true when that is still possible. It may
+   * be used again once {@link Host#kept} says so.
    */
   public boolean takeBack(String machine) {
     if (toMark.remove(machine)) {
@@ -300,17 +358,18 @@
     }
     r.machines().remove(machine);
     r.rewriting = true;
-    Runnable kept = () -> {
-      r.rewriting = false;
-      if (holding != Holding.ENDED) {
-        returnOf.remove(machine, r);
-        host.info("machine " + machine + " is kept after all, term=" + epoch);
-        host.kept(machine);
-        if (r.machines().isEmpty() && returns.containsKey(r.name)) {
-          become(r, Return.State.SETTLED, "none left");
-        }
-      }
-    };
+    Runnable kept =
+        () -> {
+          r.rewriting = false;
+          if (holding != Holding.ENDED) {
+            returnOf.remove(machine, r);
+            host.info("machine " + machine + " is kept after all, term=" + epoch);
+            host.kept(machine);
+            if (r.machines().isEmpty() && returns.containsKey(r.name)) {
+              become(r, Return.State.SETTLED, "none left");
+            }
+          }
+        };
     host.put(RETURNS + r.name, r.record(), kept);
     return true;
   }
@@ -324,12 +383,15 @@
       returns.put(name, r);
       machines.forEach(m -> returnOf.put(m, r));
       marking = true;
-      host.put(RETURNS + name, r.record(), () -> {
-        marking = false;
-        if (r.state() == Return.State.DECIDED) {
-          become(r, Return.State.MARKED, "durable");
-        }
-      });
+      host.put(
+          RETURNS + name,
+          r.record(),
+          () -> {
+            marking = false;
+            if (r.state() == Return.State.DECIDED) {
+              become(r, Return.State.MARKED, "durable");
+            }
+          });
     }
   }
 
@@ -337,13 +399,24 @@
     if (holding == Holding.ENDED) {
       return;
     }
-    host.info("return " + r.name + " " + r.state() + " -> " + next + ", term=" + epoch + ": " + r.machines().size()
-        + " machines: " + why);
+    host.info(
+        "return "
+            + r.name
+            + " "
+            + r.state()
+            + " -> "
+            + next
+            + ", term="
+            + epoch
+            + ": "
+            + r.machines().size()
+            + " machines: "
+            + why);
     r.become(next);
     if (next == Return.State.SETTLED) {
       returns.remove(r.name);
       r.machines().forEach(m -> returnOf.remove(m, r));
-      host.drop(RETURNS + r.name, () -> { });
+      host.drop(RETURNS + r.name, () -> {});
     }
     settledAll();
   }
@@ -352,23 +425,25 @@
     boolean first = r.touch();
     become(r, Return.State.ASKED, "asking");
     returnsAsked++;
-    host.delete(List.copyOf(r.machines()), deletion -> {
-      returnsAsked--;
-      if (holding == Holding.ENDED) {
-        return;
-      }
-      if (deletion == Deletion.DONE) {
-        r.goneMicros = now;
-        become(r, Return.State.GONE, "confirmed");
-        List.copyOf(r.machines()).forEach(this::gone);
-      } else {
-        r.notBeforeMicros = now + RETRY_MICROS;
-        if (first && deletion == Deletion.REFUSED) {
-          r.untouch();
-        }
-        become(r, Return.State.MARKED, deletion.toString());
-      }
-    });
+    host.delete(
+        List.copyOf(r.machines()),
+        deletion -> {
+          returnsAsked--;
+          if (holding == Holding.ENDED) {
+            return;
+          }
+          if (deletion == Deletion.DONE) {
+            r.goneMicros = now;
+            become(r, Return.State.GONE, "confirmed");
+            List.copyOf(r.machines()).forEach(this::gone);
+          } else {
+            r.notBeforeMicros = now + RETRY_MICROS;
+            if (first && deletion == Deletion.REFUSED) {
+              r.untouch();
+            }
+            become(r, Return.State.MARKED, deletion.toString());
+          }
+        });
   }
 
   public void tick(long nowMicros) {
@@ -381,10 +456,15 @@
     }
     List<Return> over = null;
     for (Return r : returns.values()) {
-      if (r.state() == Return.State.MARKED && !r.rewriting && !r.machines().isEmpty() && now >= r.notBeforeMicros
-          && returnsAsked < RETURNS_AT_ONCE && host.mayCall()) {
+      if (r.state() == Return.State.MARKED
+          && !r.rewriting
+          && !r.machines().isEmpty()
+          && now >= r.notBeforeMicros
+          && returnsAsked < RETURNS_AT_ONCE
+          && host.mayCall()) {
         ask(r);
-      } else if (r.state() == Return.State.GONE && now > r.goneMicros + tombstoneMicros
+      } else if (r.state() == Return.State.GONE
+          && now > r.goneMicros + tombstoneMicros
           && r.machines().stream().noneMatch(host::onRoster)) {
         over = over == null ? new ArrayList<>() : over;
         over.add(r);
@@ -394,7 +474,9 @@
       over.forEach(r -> become(r, Return.State.SETTLED, "forgotten by list and roster"));
     }
     for (RentalIntent r : rentals.values()) {
-      if (r.state() == RentalIntent.State.WRITTEN && now >= r.notBeforeMicros && rentalsAsked < RENTALS_AT_ONCE
+      if (r.state() == RentalIntent.State.WRITTEN
+          && now >= r.notBeforeMicros
+          && rentalsAsked < RENTALS_AT_ONCE
           && host.mayCall()) {
         ask(r);
       }
--- a/src/main/java/org/eiderstair/core/duty/DutyFields.java
+++ b/src/main/java/org/eiderstair/core/duty/DutyFields.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads fields of the duties' records; what cannot be read is an IllegalArgumentException that names the field. */
+/**
+ * Reads fields of the duties' records; what cannot be read is an IllegalArgumentException that
+ * names the field.
+ */
 final class DutyFields {
   private DutyFields() {}
 
--- a/src/main/java/org/eiderstair/core/duty/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/duty/RentalIntent.java
@@ -8,31 +8,47 @@
 import java.util.Set;
 
 /**
- * One rental. It is durable before the cloud is asked, so that a successor asks again under the same name and learns
- * what was rented, instead of renting it twice. The cloud checks no term: the name is what fences.
+ * One rental. It is durable before the cloud is asked, so that a successor asks again under the
+ * same name and learns what was rented, instead of renting it twice. The cloud checks no term: the
+ * name is what fences.
  */
 final class RentalIntent {
 
   /**
-   * DECIDED is being written. WRITTEN is durable and may be asked for. ASKED waits for the cloud; with no answer it is
-   * WRITTEN again and asked for under the same name. ANSWERED knows its machines, which are not all in the roster yet.
-   * SETTLED is over: its machines are all rostered or gone, or the cloud had none.
+   * DECIDED is being written. WRITTEN is durable and may be asked for. ASKED waits for the cloud;
+   * with no answer it is WRITTEN again and asked for under the same name. ANSWERED knows its
+   * machines, which are not all in the roster yet. SETTLED is over: its machines are all rostered
+   * or gone, or the cloud had none.
    */
-  enum State { DECIDED, WRITTEN, ASKED, ANSWERED, SETTLED }
+  enum State {
+    DECIDED,
+    WRITTEN,
+    ASKED,
+    ANSWERED,
+    SETTLED
+  }
 
   final String charter;
+
   /** The epoch that decided it; the one that settles it may be a later one. */
   final long epoch;
+
   final Offer offer;
   final int count;
   final long decidedDayMicros;
   private State state;
-  /** All machines that the cloud named, and of those the ones that nothing else durable tells of yet. */
+
+  /**
+   * All machines that the cloud named, and of those the ones that nothing else durable tells of
+   * yet.
+   */
   private final List<String> machines = new ArrayList<>();
+
   private final Set<String> unsettled = new LinkedHashSet<>();
   long notBeforeMicros;
 
-  RentalIntent(String charter, long epoch, Offer offer, int count, long decidedDayMicros, State state) {
+  RentalIntent(
+      String charter, long epoch, Offer offer, int count, long decidedDayMicros, State state) {
     this.charter = charter;
     this.epoch = epoch;
     this.offer = offer;
@@ -47,13 +63,14 @@
 
   /** The one function for every change of state. */
   void become(State next) {
-    boolean legal = switch (next) {
-      case DECIDED -> false;
-      case WRITTEN -> state == State.DECIDED || state == State.ASKED;
-      case ASKED -> state == State.WRITTEN;
-      case ANSWERED -> state == State.ASKED;
-      case SETTLED -> state == State.ASKED || state == State.ANSWERED;
-    };
+    boolean legal =
+        switch (next) {
+          case DECIDED -> false;
+          case WRITTEN -> state == State.DECIDED || state == State.ASKED;
+          case ASKED -> state == State.WRITTEN;
+          case ANSWERED -> state == State.ASKED;
+          case SETTLED -> state == State.ASKED || state == State.ANSWERED;
+        };
     if (!legal) {
       throw new IllegalStateException("rental " + charter + ": " + state + " -> " + next);
     }
@@ -69,7 +86,10 @@
     return machines;
   }
 
-  /** Something else durable tells of the machine now, or it is gone; true once that holds for all of them. */
+  /**
+   * Something else durable tells of the machine now, or it is gone; true once that holds for all of
+   * them.
+   */
   boolean accounted(String machine) {
     unsettled.remove(machine);
     return state == State.ANSWERED && unsettled.isEmpty();
@@ -92,14 +112,23 @@
 
   /** Reads what an earlier epoch wrote; unknown fields are ignored, a missing one is refused. */
   static RentalIntent read(String charter, Map<String, Object> m) {
-    Offer offer = new Offer(DutyFields.text(m, "type"), DutyFields.text(m, "zone"),
-        Boolean.TRUE.equals(m.get("spot")));
+    Offer offer =
+        new Offer(
+            DutyFields.text(m, "type"),
+            DutyFields.text(m, "zone"),
+            Boolean.TRUE.equals(m.get("spot")));
     int count = (int) DutyFields.whole(m, "n");
     if (count < 1) {
       throw new IllegalArgumentException("n: " + count);
     }
-    RentalIntent intent = new RentalIntent(charter, DutyFields.whole(m, "epoch"), offer, count,
-        DutyFields.whole(m, "at"), m.containsKey("ids") ? State.ANSWERED : State.WRITTEN);
+    RentalIntent intent =
+        new RentalIntent(
+            charter,
+            DutyFields.whole(m, "epoch"),
+            offer,
+            count,
+            DutyFields.whole(m, "at"),
+            m.containsKey("ids") ? State.ANSWERED : State.WRITTEN);
     if (m.containsKey("ids")) {
       intent.named(DutyFields.texts(m, "ids"));
     }
--- a/src/main/java/org/eiderstair/core/duty/Return.java
+++ b/src/main/java/org/eiderstair/core/duty/Return.java
@@ -8,26 +8,36 @@
 import java.util.Set;
 
 /**
- * Machines that are given back together. The mark is durable before the cloud is asked: no epoch places anything on a
- * marked machine, so a request that arrives minutes late, from a holder that was replaced, hits nothing in use.
+ * Machines that are given back together. The mark is durable before the cloud is asked: no epoch
+ * places anything on a marked machine, so a request that arrives minutes late, from a holder that
+ * was replaced, hits nothing in use.
  */
 final class Return {
 
   /**
-   * DECIDED is being written. MARKED is durable and may be asked for. ASKED may have been carried out, now or later; with
-   * no answer it is asked again. GONE was confirmed; the mark stays while old lists may still show the machines and
-   * until the roster has forgotten them. SETTLED is over.
+   * DECIDED is being written. MARKED is durable and may be asked for. ASKED may have been carried
+   * out, now or later; with no answer it is asked again. GONE was confirmed; the mark stays while
+   * old lists may still show the machines and until the roster has forgotten them. SETTLED is over.
    */
-  enum State { DECIDED, MARKED, ASKED, GONE, SETTLED }
+  enum State {
+    DECIDED,
+    MARKED,
+    ASKED,
+    GONE,
+    SETTLED
+  }
 
   final String name;
   final long epoch;
   private final Set<String> machines;
   private State state;
+
   /** No request under this mark was ever sent, or each was certainly not carried out. */
   private boolean untouched;
+
   /** The record is being written anew, without a machine that was taken back. */
   boolean rewriting;
+
   long notBeforeMicros;
   long goneMicros;
 
@@ -49,13 +59,14 @@
 
   /** The one function for every change of state. */
   void become(State next) {
-    boolean legal = switch (next) {
-      case DECIDED -> false;
-      case MARKED -> state == State.DECIDED || state == State.ASKED;
-      case ASKED -> state == State.MARKED && !rewriting;
-      case GONE -> state == State.ASKED;
-      case SETTLED -> state == State.GONE || machines.isEmpty();
-    };
+    boolean legal =
+        switch (next) {
+          case DECIDED -> false;
+          case MARKED -> state == State.DECIDED || state == State.ASKED;
+          case ASKED -> state == State.MARKED && !rewriting;
+          case GONE -> state == State.ASKED;
+          case SETTLED -> state == State.GONE || machines.isEmpty();
+        };
     if (!legal) {
       throw new IllegalStateException("return " + name + ": " + state + " -> " + next);
     }
@@ -74,7 +85,9 @@
     untouched = true;
   }
 
-  /** Whether a machine may be kept after all: no request that could still hit it may be on its way. */
+  /**
+   * Whether a machine may be kept after all: no request that could still hit it may be on its way.
+   */
   boolean mayTakeBack() {
     return untouched && (state == State.DECIDED || state == State.MARKED);
   }
@@ -86,9 +99,13 @@
     return m;
   }
 
-  /** Reads an earlier epoch's mark. Whether its request left is not known, so it is finished in any case. */
+  /**
+   * Reads an earlier epoch's mark. Whether its request left is not known, so it is finished in any
+   * case.
+   */
   static Return read(String name, Map<String, Object> m) {
-    Return r = new Return(name, DutyFields.whole(m, "epoch"), DutyFields.texts(m, "ids"), State.MARKED);
+    Return r =
+        new Return(name, DutyFields.whole(m, "epoch"), DutyFields.texts(m, "ids"), State.MARKED);
     r.untouched = false;
     return r;
   }
--- a/src/main/java/org/eiderstair/core/member/Ear.java
+++ b/src/main/java/org/eiderstair/core/member/Ear.java
@@ -7,15 +7,22 @@
 import java.util.Map;
 
 /**
- * Whom this node hears by itself, as numbered changes: a peer that knows them up to a number is told what changed since.
- * A machine that goes on reporting here is no change and costs nothing to tell.
+ * Whom this node hears by itself, as numbered changes: a peer that knows them up to a number is
+ * told what changed since. A machine that goes on reporting here is no change and costs nothing to
+ * tell.
  */
 final class Ear {
-  /** Far more than the machines of a deployment; the oldest changes go first, and who knew less is told all. */
+  /**
+   * Far more than the machines of a deployment; the oldest changes go first, and who knew less is
+   * told all.
+   */
   private static final int MOST = 8_192;
 
   /** HEARD reports here; QUIET did, and is now heard elsewhere or nowhere. */
-  enum State { HEARD, QUIET }
+  enum State {
+    HEARD,
+    QUIET
+  }
 
   private static final class Sight {
     final String machine;
@@ -30,11 +37,15 @@
   }
 
   private final long keepMicros;
+
   /** In the order of their last change. */
   private final Map<String, Sight> byChange = new LinkedHashMap<>();
+
   /** Those heard now, the one heard longest ago first. */
   private final Map<String, Sight> heard = new LinkedHashMap<>();
+
   private long last;
+
   /** Changes up to this number may be missing above. */
   private long forgotten;
 
@@ -80,7 +91,10 @@
     }
   }
 
-  /** What changed after a number, at most so much; from the beginning when that is not known any more. */
+  /**
+   * What changed after a number, at most so much; from the beginning when that is not known any
+   * more.
+   */
   Hearing tell(String run, long after, int most, long nowMicros) {
     sweep(nowMicros);
     boolean whole = after < forgotten || after > last;
@@ -95,7 +109,9 @@
         more = true;
         break;
       }
-      changes.add(new Hearing.Change(s.machine, s.state == State.HEARD, Math.max(0, nowMicros - s.sinceMicros)));
+      changes.add(
+          new Hearing.Change(
+              s.machine, s.state == State.HEARD, Math.max(0, nowMicros - s.sinceMicros)));
       told = s.number;
     }
     return new Hearing(run, whole, more ? told : last, more, changes);
--- a/src/main/java/org/eiderstair/core/member/Membership.java
+++ b/src/main/java/org/eiderstair/core/member/Membership.java
@@ -11,18 +11,24 @@
 import java.util.function.Predicate;
 
 /**
- * Which machines any live controller hears. Each node keeps whom it hears itself, and tells a peer that asks what changed
- * since the last time. A leader asks only while it misses machines, so on a quiet day this costs nothing.
+ * Which machines any live controller hears. Each node keeps whom it hears itself, and tells a peer
+ * that asks what changed since the last time. A leader asks only while it misses machines, so on a
+ * quiet day this costs nothing.
  */
 public final class Membership {
   /** So many changes fit well into what a peer takes at once. */
   private static final int MOST_TOLD = 400;
+
   private static final long ASK_EVERY_MICROS = 500_000;
+
   /** What a peer told is believed for so long without word from it. */
   private static final long LIVE_MICROS = 3_000_000;
+
   private static final long UNABLE_MICROS = 30_000_000;
+
   /** A peer that has not answered for so long is taken to be out of reach. */
   private static final long ANSWER_MICROS = 1_000_000;
+
   private static final long SOON_MICROS = 2_000_000;
   private static final long DARK_MICROS = 120_000_000;
 
@@ -35,13 +41,20 @@
   public record Answer(Hearing hearing) {}
 
   /**
-   * What is known of a peer's hearing. UNKNOWN has told nothing yet, or lately; TOLD has; UNABLE is of a version that
-   * does not tell.
+   * What is known of a peer's hearing. UNKNOWN has told nothing yet, or lately; TOLD has; UNABLE is
+   * of a version that does not tell.
    */
-  enum PeerState { UNKNOWN, TOLD, UNABLE }
+  enum PeerState {
+    UNKNOWN,
+    TOLD,
+    UNABLE
+  }
 
   /** DARK: most of a zone's machines are silent, and none of its controllers answers; SEEN else. */
-  enum ZoneState { SEEN, DARK }
+  enum ZoneState {
+    SEEN,
+    DARK
+  }
 
   private static final class Peer {
     PeerState state = PeerState.UNKNOWN;
@@ -50,8 +63,10 @@
     boolean asking;
     long nextAskMicros;
     long askedMicros;
+
     /** When the question left whose answer is the latest: what it tells is no older. */
     long toldMicros = Long.MIN_VALUE / 2;
+
     final Set<String> hears = new HashSet<>();
   }
 
@@ -62,10 +77,13 @@
   private final String run;
   private final Ear ear;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
+
   /** How many peers hear a machine. */
   private final Map<String, Integer> heardBy = new HashMap<>();
+
   /** Zones that nobody sees, and since when. */
   private final Map<String, Long> darkZones = new HashMap<>();
+
   private long beganMicros;
   private boolean beginning;
   private long now;
@@ -73,10 +91,17 @@
   /**
    * @param nodeZones the zone of each node, this one included, as far as it is known
    * @param run differs for every run of this node
-   * @param reportMicros how often a machine reports: one that has not for half as long again is not heard
+   * @param reportMicros how often a machine reports: one that has not for half as long again is not
+   *     heard
    */
-  public Membership(String node, List<String> peers, Map<String, String> nodeZones, String run, long reportMicros,
-      Asker asker, Consumer<String> log) {
+  public Membership(
+      String node,
+      List<String> peers,
+      Map<String, String> nodeZones,
+      String run,
+      long reportMicros,
+      Asker asker,
+      Consumer<String> log) {
     this.log = log;
     this.node = node;
     this.nodeZones = nodeZones;
@@ -86,7 +111,10 @@
     peers.forEach(p -> this.peers.put(p, new Peer()));
   }
 
-  /** A new term judges anew: it asks all peers, so that it knows which zones it sees before it decides anything on them. */
+  /**
+   * A new term judges anew: it asks all peers, so that it knows which zones it sees before it
+   * decides anything on them.
+   */
   public void begin(long nowMicros) {
     darkZones.clear();
     beganMicros = nowMicros;
@@ -98,7 +126,10 @@
     return !beginning && nowMicros >= beganMicros;
   }
 
-  /** Seen on the bench: a leader that took over during a zone's cut rented 125 machines there, in its first tenth of a second. */
+  /**
+   * Seen on the bench: a leader that took over during a zone's cut rented 125 machines there, in
+   * its first tenth of a second.
+   */
   private void endOfBeginning() {
     if (mayYetTell(beganMicros) && now < beganMicros + ANSWER_MICROS) {
       return;
@@ -122,7 +153,9 @@
     return ear.tell(run, run.equals(ofRun) ? after : -1, MOST_TOLD, nowMicros);
   }
 
-  /** @param missed whether machines are missed, so that peers are asked for them */
+  /**
+   * @param missed whether machines are missed, so that peers are asked for them
+   */
   public void tick(boolean missed, long nowMicros) {
     now = nowMicros;
     for (Map.Entry<String, Peer> e : peers.entrySet()) {
@@ -145,29 +178,34 @@
     p.nextAskMicros = now + ASK_EVERY_MICROS;
     String knownRun = p.run;
     long knownAfter = p.after;
-    asker.ask(name, p.run, p.after, answer -> {
-      p.asking = false;
-      // Changes after what is forgotten here by now would leave out the rest: machines heard there would seem silent.
-      if (answer == null || !p.run.equals(knownRun) || p.after != knownAfter) {
-        return;
-      }
-      if (answer.hearing() == null) {
-        become(p, PeerState.UNABLE);
-        p.nextAskMicros = now + UNABLE_MICROS;
-        return;
-      }
-      take(p, answer.hearing());
-      if (answer.hearing().more()) {
-        p.nextAskMicros = now;
-      } else {
-        p.toldMicros = p.askedMicros;
-        become(p, PeerState.TOLD);
-        // A zone is cut off only while nobody reaches its controllers either.
-        if (nodeZones.containsKey(name)) {
-          become(nodeZones.get(name), ZoneState.SEEN, name + " answers");
-        }
-      }
-    });
+    asker.ask(
+        name,
+        p.run,
+        p.after,
+        answer -> {
+          p.asking = false;
+          // Changes after what is forgotten here by now would leave out the rest: machines heard
+          // there would seem silent.
+          if (answer == null || !p.run.equals(knownRun) || p.after != knownAfter) {
+            return;
+          }
+          if (answer.hearing() == null) {
+            become(p, PeerState.UNABLE);
+            p.nextAskMicros = now + UNABLE_MICROS;
+            return;
+          }
+          take(p, answer.hearing());
+          if (answer.hearing().more()) {
+            p.nextAskMicros = now;
+          } else {
+            p.toldMicros = p.askedMicros;
+            become(p, PeerState.TOLD);
+            // A zone is cut off only while nobody reaches its controllers either.
+            if (nodeZones.containsKey(name)) {
+              become(nodeZones.get(name), ZoneState.SEEN, name + " answers");
+            }
+          }
+        });
   }
 
   private void take(Peer p, Hearing told) {
@@ -203,28 +241,34 @@
   }
 
   /**
-   * Looks at all machines of a term together. Many gone silent together are one fault, this node's or a zone's, more
-   * likely than many.
+   * Looks at all machines of a term together. Many gone silent together are one fault, this node's
+   * or a zone's, more likely than many.
    *
    * @param unreached whether hardly any machine reaches this node by itself just now
    * @param patienceMicros how long a machine alone may be silent
    * @param darkMicros how long one of a zone that nobody sees may be
    */
-  public Survey survey(Iterable<? extends Survey.Member> machines, boolean unreached, long patienceMicros,
-      long darkMicros, long nowMicros) {
+  public Survey survey(
+      Iterable<? extends Survey.Member> machines,
+      boolean unreached,
+      long patienceMicros,
+      long darkMicros,
+      long nowMicros) {
     now = nowMicros;
     Survey survey = new Survey(this, machines, unreached, patienceMicros, darkMicros, nowMicros);
-    survey.zones((zone, dark, latestMicros) -> {
-      if (dark && !reached(zone) && !darkZones.containsKey(zone)) {
-        become(zone, ZoneState.DARK, survey.evidence());
-      }
-    });
-    survey.zones((zone, dark, latestMicros) -> {
-      Long since = darkZones.get(zone);
-      if (since != null && !dark && latestMicros > Math.max(since, now - LIVE_MICROS)) {
-        become(zone, ZoneState.SEEN, "its machines are heard again");
-      }
-    });
+    survey.zones(
+        (zone, dark, latestMicros) -> {
+          if (dark && !reached(zone) && !darkZones.containsKey(zone)) {
+            become(zone, ZoneState.DARK, survey.evidence());
+          }
+        });
+    survey.zones(
+        (zone, dark, latestMicros) -> {
+          Long since = darkZones.get(zone);
+          if (since != null && !dark && latestMicros > Math.max(since, now - LIVE_MICROS)) {
+            become(zone, ZoneState.SEEN, "its machines are heard again");
+          }
+        });
     for (Map.Entry<String, Long> e : List.copyOf(darkZones.entrySet())) {
       // A zone whose machines were all given back has none that could tell that it is seen again.
       if (now > e.getValue() + DARK_MICROS) {
@@ -244,11 +288,15 @@
     log.accept("zone " + zone + " is " + next + ": " + why);
   }
 
-  /** Whether this node or a peer that answers is in the zone: then its silent machines are dead, not cut off. */
+  /**
+   * Whether this node or a peer that answers is in the zone: then its silent machines are dead, not
+   * cut off.
+   */
   private boolean reached(String zone) {
     for (Map.Entry<String, String> e : nodeZones.entrySet()) {
       Peer p = peers.get(e.getKey());
-      if (zone.equals(e.getValue()) && (e.getKey().equals(node) || p != null && p.state == PeerState.TOLD)) {
+      if (zone.equals(e.getValue())
+          && (e.getKey().equals(node) || p != null && p.state == PeerState.TOLD)) {
         return true;
       }
     }
@@ -265,11 +313,16 @@
     return heardBy.containsKey(machine);
   }
 
-  /** Whether some peer has yet to say what it has heard since then, and may still: it was asked just now. */
+  /**
+   * Whether some peer has yet to say what it has heard since then, and may still: it was asked just
+   * now.
+   */
   boolean mayYetTell(long sinceMicros) {
     for (Peer p : peers.values()) {
       boolean told = p.state == PeerState.TOLD && p.toldMicros >= sinceMicros;
-      if (!told && p.state != PeerState.UNABLE && (!p.asking || now < p.askedMicros + ANSWER_MICROS)) {
+      if (!told
+          && p.state != PeerState.UNABLE
+          && (!p.asking || now < p.askedMicros + ANSWER_MICROS)) {
         return true;
       }
     }
@@ -288,11 +341,12 @@
   /** For the log: how many of the peers have told lately what they hear. */
   public String evidence() {
     List<String> told = new ArrayList<>();
-    peers.forEach((name, p) -> {
-      if (p.state == PeerState.TOLD) {
-        told.add(name + " hears " + p.hears.size());
-      }
-    });
+    peers.forEach(
+        (name, p) -> {
+          if (p.state == PeerState.TOLD) {
+            told.add(name + " hears " + p.hears.size());
+          }
+        });
     return told.isEmpty() ? "no peer tells" : String.join(", ", told);
   }
 }
--- a/src/main/java/org/eiderstair/core/member/Survey.java
+++ b/src/main/java/org/eiderstair/core/member/Survey.java
@@ -4,14 +4,16 @@
 import java.util.Map;
 
 /**
- * Why machines are silent, judged over all of them at one moment. A leader that lost its workers destroyed a healthy
- * fleet within ten seconds: each machine by itself looked dead.
+ * Why machines are silent, judged over all of them at one moment. A leader that lost its workers
+ * destroyed a healthy fleet within ten seconds: each machine by itself looked dead.
  */
 public final class Survey {
   /** Fewer silent machines than that are no zone's fault and none of this node's. */
   private static final int MANY = 3;
+
   /** One in so many is few. */
   private static final int FEW_PART = 20;
+
   /** So many times the patience with one machine when most of all are silent. */
   private static final int CUT_OFF_FACTOR = 3;
 
@@ -21,7 +23,10 @@
 
     String zone();
 
-    /** When the leader heard it last, by itself or through a peer; Long.MAX_VALUE for one that has yet to come up. */
+    /**
+     * When the leader heard it last, by itself or through a peer; Long.MAX_VALUE for one that has
+     * yet to come up.
+     */
     long lastHeardMicros();
 
     /** Work of earlier terms may be on it, and waits until it is heard or gone. */
@@ -29,11 +34,18 @@
   }
 
   /**
-   * HEARD is not silent. DOUBTED is, but not for long, or peers have yet to say whether they hear it. ELSEWHERE is heard
-   * by a peer. CUT_OFF: most machines are silent, so the fault is likely this node's. DARK: its zone is. SILENT is
-   * taken for dead.
+   * HEARD is not silent. DOUBTED is, but not for long, or peers have yet to say whether they hear
+   * it. ELSEWHERE is heard by a peer. CUT_OFF: most machines are silent, so the fault is likely
+   * this node's. DARK: its zone is. SILENT is taken for dead.
    */
-  public enum Verdict { HEARD, DOUBTED, ELSEWHERE, CUT_OFF, DARK, SILENT }
+  public enum Verdict {
+    HEARD,
+    DOUBTED,
+    ELSEWHERE,
+    CUT_OFF,
+    DARK,
+    SILENT
+  }
 
   private static final class Zone {
     int silent;
@@ -56,7 +68,12 @@
   private int elsewhere;
   private int holding;
 
-  Survey(Membership peers, Iterable<? extends Member> machines, boolean unreached, long patienceMicros, long darkMicros,
+  Survey(
+      Membership peers,
+      Iterable<? extends Member> machines,
+      boolean unreached,
+      long patienceMicros,
+      long darkMicros,
       long now) {
     this.unreached = unreached;
     this.peers = peers;
@@ -81,7 +98,9 @@
     }
   }
 
-  /** Silent for long enough to ask peers for it, so that they have answered when patience is over. */
+  /**
+   * Silent for long enough to ask peers for it, so that they have answered when patience is over.
+   */
   private boolean isMissed(Member m) {
     long patience = m.holdsBack() ? patienceMicros * 2 / 5 : patienceMicros;
     return m.lastHeardMicros() != Long.MAX_VALUE && now > m.lastHeardMicros() + patience * 4 / 5;
@@ -102,8 +121,9 @@
   }
 
   /**
-   * Most machines are silent, or none reaches this node any more: those heard longest ago are merely the first to run out of
-   * patience. Seen in a cut: 33 were given back in the second before peers heard them.
+   * Most machines are silent, or none reaches this node any more: those heard longest ago are
+   * merely the first to run out of patience. Seen in a cut: 33 were given back in the second before
+   * peers heard them.
    */
   public boolean cutOff() {
     return silent >= MANY && (unreached || silent * 2 > all);
@@ -118,21 +138,25 @@
       return Verdict.ELSEWHERE;
     }
     boolean dark = peers.isDark(String.valueOf(m.zone()));
-    // Where all work waits for what is unheard, a whole zone that nobody sees has said enough in half the time; so have a few
+    // Where all work waits for what is unheard, a whole zone that nobody sees has said enough in
+    // half the time; so have a few
     // machines that do not answer when they are asked, while all others have.
     boolean few = holding * FEW_PART <= all;
-    long patience = m.holdsBack() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
+    long patience =
+        m.holdsBack() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
     if (now <= last + patience) {
       return Verdict.DOUBTED;
     }
-    // What peers told before the machine was missed proves nothing. One that cannot be reached is not waited for longer.
+    // What peers told before the machine was missed proves nothing. One that cannot be reached is
+    // not waited for longer.
     if (peers.mayYetTell(last) && now <= last + patience * 5 / 4) {
       return Verdict.DOUBTED;
     }
     if (cutOff() && now <= last + patienceMicros * CUT_OFF_FACTOR) {
       return Verdict.CUT_OFF;
     }
-    // Waiting costs little, as what is on it comes free when its lease ends; but not where only its end tells.
+    // Waiting costs little, as what is on it comes free when its lease ends; but not where only its
+    // end tells.
     if (dark && !m.holdsBack() && now <= last + darkMicros) {
       return Verdict.DARK;
     }
@@ -141,14 +165,33 @@
 
   /** The same of all machines together. */
   public String evidence() {
-    return silent + " of " + all + " silent, " + elsewhere + " heard by peers alone" + (cutOff() ? ", cut off" : "")
-        + "; " + peers.evidence();
+    return silent
+        + " of "
+        + all
+        + " silent, "
+        + elsewhere
+        + " heard by peers alone"
+        + (cutOff() ? ", cut off" : "")
+        + "; "
+        + peers.evidence();
   }
 
   /** What a verdict rests on, for the log. */
   public String evidence(Member m) {
     Zone z = zones.getOrDefault(String.valueOf(m.zone()), new Zone());
-    return "silent for " + (now - m.lastHeardMicros()) / 1000 + " ms, as " + silent + " of " + all + " machines and "
-        + z.silent + " of " + z.all + " in " + m.zone() + "; " + peers.evidence();
+    return "silent for "
+        + (now - m.lastHeardMicros()) / 1000
+        + " ms, as "
+        + silent
+        + " of "
+        + all
+        + " machines and "
+        + z.silent
+        + " of "
+        + z.all
+        + " in "
+        + m.zone()
+        + "; "
+        + peers.evidence();
   }
 }
--- a/src/main/java/org/eiderstair/core/standby/Batch.java
+++ b/src/main/java/org/eiderstair/core/standby/Batch.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Changes of the leader's picture, in their order. Numbers go up by one for each change of a filling; a filling begins with
- * all that the leader knows, and a later one replaces it.
+ * Changes of the leader's picture, in their order. Numbers go up by one for each change of a
+ * filling; a filling begins with all that the leader knows, and a later one replaces it.
  *
  * @param term the leader's
  * @param filling numbers the leader's fillings; late copies of an earlier one are told by it
@@ -14,9 +14,11 @@
 public record Batch(long term, long filling, long first, boolean more, List<Change> changes) {
 
   /**
-   * Something may be on a machine, or is certainly not any more. With an empty job: the machine is known, in that session.
+   * Something may be on a machine, or is certainly not any more. With an empty job: the machine is
+   * known, in that session.
    */
-  public record Change(boolean there, String machine, long session, String job, int index, long attempt) {}
+  public record Change(
+      boolean there, String machine, long session, String job, int index, long attempt) {}
 
   /** What the standby answers. Not accepted: it needs another filling, or follows nobody now. */
   public record Ack(String run, boolean accepted, long upTo) {}
--- a/src/main/java/org/eiderstair/core/standby/Copy.java
+++ b/src/main/java/org/eiderstair/core/standby/Copy.java
@@ -8,10 +8,16 @@
 final class Copy {
 
   /**
-   * EMPTY has nothing of use. FILLING has the beginning of a picture. FOLLOWING has a whole one, and acknowledges. FROZEN has a
-   * whole one that does not change any more: this node stands, so it acknowledges nothing of older terms.
+   * EMPTY has nothing of use. FILLING has the beginning of a picture. FOLLOWING has a whole one,
+   * and acknowledges. FROZEN has a whole one that does not change any more: this node stands, so it
+   * acknowledges nothing of older terms.
    */
-  enum State { EMPTY, FILLING, FOLLOWING, FROZEN }
+  enum State {
+    EMPTY,
+    FILLING,
+    FOLLOWING,
+    FROZEN
+  }
 
   /** A task on a machine. */
   record Task(String job, int index) {}
@@ -48,7 +54,11 @@
   /** Takes a batch; true when all up to its end is here now. */
   boolean take(Batch batch) {
     boolean newer = batch.term() > term || batch.term() == term && batch.filling() > filling;
-    if (!newer && (batch.term() < term || batch.filling() < filling || state == State.EMPTY || state == State.FROZEN)) {
+    if (!newer
+        && (batch.term() < term
+            || batch.filling() < filling
+            || state == State.EMPTY
+            || state == State.FROZEN)) {
       return false;
     }
     if (newer) {
--- a/src/main/java/org/eiderstair/core/standby/Primary.java
+++ b/src/main/java/org/eiderstair/core/standby/Primary.java
@@ -7,26 +7,38 @@
 import java.util.Map;
 
 /**
- * The leader's side: sends changes to one peer at a time, names it in the record once it has all, and from before that lets a
- * launch go only after it has been acknowledged.
+ * The leader's side: sends changes to one peer at a time, names it in the record once it has all,
+ * and from before that lets a launch go only after it has been acknowledged.
  */
 final class Primary {
   /** Fits well into what a peer takes at once. */
   private static final int MOST_CHANGES = 400;
+
   private static final long HEARTBEAT_MICROS = 300_000;
+
   /** Longer than a healthy standby takes, shorter than anyone notices that launches wait. */
   private static final long SLOW_MICROS = 400_000;
+
   private static final long RETRY_MICROS = 2_000_000;
   private static final long TXN_RETRY_MICROS = 200_000;
   private static final int MOST_QUEUED = 200_000;
 
   /**
-   * CLEARING takes the name out of the record of an earlier term; nothing is launched until then, since its standby knows nothing of it. ALONE has
-   * no standby. FILLING sends all that is known; launches are free. ENLISTING holds launches until they are acknowledged, and
-   * writes the record once all before them is. IN_SYNC has it. STRIKING takes the name
-   * out; nothing is launched until then. ENDED.
+   * CLEARING takes the name out of the record of an earlier term; nothing is launched until then,
+   * since its standby knows nothing of it. ALONE has no standby. FILLING sends all that is known;
+   * launches are free. ENLISTING holds launches until they are acknowledged, and writes the record
+   * once all before them is. IN_SYNC has it. STRIKING takes the name out; nothing is launched until
+   * then. ENDED.
    */
-  enum State { CLEARING, ALONE, FILLING, ENLISTING, IN_SYNC, STRIKING, ENDED }
+  enum State {
+    CLEARING,
+    ALONE,
+    FILLING,
+    ENLISTING,
+    IN_SYNC,
+    STRIKING,
+    ENDED
+  }
 
   private final Standby.Host host;
   private final long term;
@@ -37,8 +49,10 @@
   private String run = "";
   private long fillings;
   private final ArrayDeque<Batch.Change> queue = new ArrayDeque<>();
+
   /** Numbers of the last change made, and of the last that was acknowledged. */
   private long made;
+
   private long acked;
   private long snapshotEnd;
   private boolean sending;
@@ -47,11 +61,16 @@
   private int failures;
   private boolean writing;
   private long nextWriteMicros;
+
   /** The record's version as this leader knows it; 0 when there is none. */
   private long recordVersion;
+
   private final ArrayDeque<Held> held = new ArrayDeque<>();
 
-  /** Something that launches, the number that must have been acknowledged before, and what to do when it may not leave. */
+  /**
+   * Something that launches, the number that must have been acknowledged before, and what to do
+   * when it may not leave.
+   */
   private record Held(long number, Runnable launch, Runnable withhold) {}
 
   Primary(Standby.Host host, long term, List<String> peers, long recordVersion) {
@@ -75,8 +94,17 @@
     if (state == State.ENDED) {
       return;
     }
-    host.info("standby " + state + " -> " + next + ", term=" + term + ", " + (peers.isEmpty() ? "no peer" : peers.get(peer))
-        + ": " + why);
+    host.info(
+        "standby "
+            + state
+            + " -> "
+            + next
+            + ", term="
+            + term
+            + ", "
+            + (peers.isEmpty() ? "no peer" : peers.get(peer))
+            + ": "
+            + why);
     state = next;
     if (next == State.ALONE) {
       queue.clear();
@@ -95,8 +123,9 @@
   }
 
   /**
-   * Whether a launch may leave, at once or after an acknowledgement. Not while the record is being written to name nobody: an
-   * outage of the state service makes that take as long as it lasts, and what comes with a launch must not wait for it.
+   * Whether a launch may leave, at once or after an acknowledgement. Not while the record is being
+   * written to name nobody: an outage of the state service makes that take as long as it lasts, and
+   * what comes with a launch must not wait for it.
    */
   boolean admitsLaunches() {
     return switch (state) {
@@ -120,8 +149,9 @@
   }
 
   /**
-   * Runs {@code launch} as soon as everything up to now has been acknowledged, or needs not be. Where that will not be, runs
-   * {@code withhold} instead: within twice the time after which a standby counts as slow.
+   * Runs {@code launch} as soon as everything up to now has been acknowledged, or needs not be.
+   * Where that will not be, runs {@code withhold} instead: within twice the time after which a
+   * standby counts as slow.
    */
   void launch(Runnable launch, Runnable withhold) {
     if (!admitsLaunches()) {
@@ -155,7 +185,8 @@
         }
       }
       case FILLING -> {
-        // An answer first, even where there is nothing to tell: it says which run of the peer the record is to name. Seen on the
+        // An answer first, even where there is nothing to tell: it says which run of the peer the
+        // record is to name. Seen on the
         // bench: a record written before it named none, and nobody could inherit.
         if (!run.isEmpty() && acked >= snapshotEnd && made - acked <= MOST_CHANGES) {
           snapshotEnd = made;
@@ -170,7 +201,7 @@
         }
       }
       case IN_SYNC -> send();
-      case ENDED -> { }
+      case ENDED -> {}
     }
   }
 
@@ -201,7 +232,8 @@
     while (changes.size() < MOST_CHANGES && !queue.isEmpty()) {
       changes.add(queue.poll());
     }
-    Batch batch = new Batch(term, fillings, acked + 1, acked + changes.size() < snapshotEnd, changes);
+    Batch batch =
+        new Batch(term, fillings, acked + 1, acked + changes.size() < snapshotEnd, changes);
     sending = true;
     sentMicros = now;
     long filling = fillings;
@@ -237,18 +269,21 @@
   }
 
   private void enlist() {
-    write(peers.get(peer), () -> {
-      if (state == State.ENLISTING) {
-        failures = 0;
-        become(State.IN_SYNC, "named in the record");
-      }
-    });
+    write(
+        peers.get(peer),
+        () -> {
+          if (state == State.ENLISTING) {
+            failures = 0;
+            become(State.IN_SYNC, "named in the record");
+          }
+        });
   }
 
   /**
-   * Writes a record that names nobody; only then may launches go that no standby has acknowledged. Found by the search of
-   * small cases: that the record is not there proves nothing, since a newer leader may have dropped it, or a write of this
-   * leader that names a standby may yet arrive. A newer version, under this leader's key, makes both fail.
+   * Writes a record that names nobody; only then may launches go that no standby has acknowledged.
+   * Found by the search of small cases: that the record is not there proves nothing, since a newer
+   * leader may have dropped it, or a write of this leader that names a standby may yet arrive. A
+   * newer version, under this leader's key, makes both fail.
    */
   private void strike() {
     write("", () -> become(State.ALONE, "the record names nobody"));
@@ -263,35 +298,40 @@
     record.put("epoch", term);
     record.put("node", name);
     record.put("run", run);
-    host.write(recordVersion, record, version -> {
-      writing = false;
-      if (version > 0) {
-        recordVersion = version;
-        written.run();
-        return;
-      }
-      nextWriteMicros = now + TXN_RETRY_MICROS;
-      if (version < 0) {
-        reread();
-      }
-    });
+    host.write(
+        recordVersion,
+        record,
+        version -> {
+          writing = false;
+          if (version > 0) {
+            recordVersion = version;
+            written.run();
+            return;
+          }
+          nextWriteMicros = now + TXN_RETRY_MICROS;
+          if (version < 0) {
+            reread();
+          }
+        });
   }
 
   /** A write failed on a version, or its fate is not known. */
   private void reread() {
     writing = true;
-    host.read((version, record) -> {
-      writing = false;
-      if (version >= 0) {
-        if (record != null && Boolean.TRUE.equals(record.get("claimed"))) {
-          // The standby has taken this term for over: nothing may be launched any more, whatever the lease says.
-          end();
-          host.claimed();
-          return;
-        }
-        recordVersion = version;
-      }
-      nextWriteMicros = now;
-    });
+    host.read(
+        (version, record) -> {
+          writing = false;
+          if (version >= 0) {
+            if (record != null && Boolean.TRUE.equals(record.get("claimed"))) {
+              // The standby has taken this term for over: nothing may be launched any more,
+              // whatever the lease says.
+              end();
+              host.claimed();
+              return;
+            }
+            recordVersion = version;
+          }
+          nextWriteMicros = now;
+        });
   }
 }
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -8,9 +8,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * A warm standby: one controller that holds the leader's picture of what may be on every machine, and is named for it in a
- * record under the leader key. While it is named, a launch leaves only after the standby has acknowledged it; so when the
- * standby is elected and the record still names it, what it does not hold is nowhere. docs/standby.md has the argument.
+ * A warm standby: one controller that holds the leader's picture of what may be on every machine,
+ * and is named for it in a record under the leader key. While it is named, a launch leaves only
+ * after the standby has acknowledged it; so when the standby is elected and the record still names
+ * it, what it does not hold is nowhere. docs/standby.md has the argument.
  */
 public final class Standby {
   /** The record's key. */
@@ -30,8 +31,9 @@
     void send(String peer, Batch batch, Consumer<Batch.Ack> then);
 
     /**
-     * Writes the record if it has that version and this leader's key is there. Told the new version;
-     * 0 when it was certainly not written and may be tried again; -1 when the version differs or its fate is not known.
+     * Writes the record if it has that version and this leader's key is there. Told the new
+     * version; 0 when it was certainly not written and may be tried again; -1 when the version
+     * differs or its fate is not known.
      */
     void write(long version, Map<String, Object> record, LongConsumer then);
 
@@ -44,8 +46,17 @@
     void info(String text);
   }
 
-  /** What a new leader must check before it decides on what it holds, in this order; REFUSED asks every machine instead. */
-  public enum Check { ELECTED, CAUGHT_UP, NAMED, WHOLE, REFUSED }
+  /**
+   * What a new leader must check before it decides on what it holds, in this order; REFUSED asks
+   * every machine instead.
+   */
+  public enum Check {
+    ELECTED,
+    CAUGHT_UP,
+    NAMED,
+    WHOLE,
+    REFUSED
+  }
 
   /** What may be on a machine, by task, and its session; 0 when it is not known. */
   public record Held(long session, Map<String, Map<Integer, Long>> attempts) {}
@@ -81,8 +92,11 @@
 
   /** Whether the record names this run of this node, for the term whose picture it holds whole. */
   public boolean named(Map<String, Object> record) {
-    return record != null && node.equals(record.get("node")) && run.equals(record.get("run"))
-        && record.get("epoch") instanceof Number epoch && epoch.longValue() == copy.term()
+    return record != null
+        && node.equals(record.get("node"))
+        && run.equals(record.get("run"))
+        && record.get("epoch") instanceof Number epoch
+        && epoch.longValue() == copy.term()
         && (copy.state() == Copy.State.FOLLOWING || copy.state() == Copy.State.FROZEN);
   }
 
@@ -109,7 +123,8 @@
   }
 
   /**
-   * What this node inherits as the leader of a new term, by machine; null when a check fails, and every machine must be asked.
+   * What this node inherits as the leader of a new term, by machine; null when a check fails, and
+   * every machine must be asked.
    *
    * @param record as of this term's beginning
    */
@@ -121,7 +136,9 @@
     }
     reached(Check.CAUGHT_UP, "revision " + revision);
     if (record == null || !node.equals(record.get("node")) || !run.equals(record.get("run"))) {
-      reached(Check.REFUSED, names(record) ? "the record names " + record.get("node") : "no standby was in sync");
+      reached(
+          Check.REFUSED,
+          names(record) ? "the record names " + record.get("node") : "no standby was in sync");
       return null;
     }
     reached(Check.NAMED, "by term " + record.get("epoch"));
@@ -131,19 +148,26 @@
     }
     reached(Check.WHOLE, copy.machines().size() + " machines");
     Map<String, Held> all = new LinkedHashMap<>();
-    copy.machines().forEach((machine, held) -> {
-      Map<String, Map<Integer, Long>> attempts = new LinkedHashMap<>();
-      held.attempts.forEach((task, attempt) ->
-          attempts.computeIfAbsent(task.job(), j -> new LinkedHashMap<>()).put(task.index(), attempt));
-      all.put(machine, new Held(held.session, attempts));
-    });
+    copy.machines()
+        .forEach(
+            (machine, held) -> {
+              Map<String, Map<Integer, Long>> attempts = new LinkedHashMap<>();
+              held.attempts.forEach(
+                  (task, attempt) ->
+                      attempts
+                          .computeIfAbsent(task.job(), j -> new LinkedHashMap<>())
+                          .put(task.index(), attempt));
+              all.put(machine, new Held(held.session, attempts));
+            });
     copy.forget();
     return all;
   }
 
   // The leader's side.
 
-  /** @param recordVersion of the record as it was when the term began; 0 when there was none */
+  /**
+   * @param recordVersion of the record as it was when the term began; 0 when there was none
+   */
   public void leads(Host host, long term, List<String> peers, long recordVersion) {
     primary = new Primary(host, term, peers, recordVersion);
   }
@@ -167,8 +191,9 @@
   }
 
   /**
-   * Runs {@code launch} once the standby in sync has acknowledged all changes made so far, at once when there is none; or
-   * {@code withhold} if that standby does not answer, the record must be written first, or the term is over.
+   * Runs {@code launch} once the standby in sync has acknowledged all changes made so far, at once
+   * when there is none; or {@code withhold} if that standby does not answer, the record must be
+   * written first, or the term is over.
    */
   public void launch(Runnable launch, Runnable withhold) {
     if (primary != null) {
@@ -186,7 +211,8 @@
 
   /** For the leader's line: who is in sync. */
   public String summary() {
-    return primary == null ? "off" : primary.standby() == null ? primary.state().toString()
-        : primary.standby() + " in sync";
+    return primary == null
+        ? "off"
+        : primary.standby() == null ? primary.state().toString() : primary.standby() + " in sync";
   }
 }
--- a/src/main/java/org/eiderstair/http/AskedConnection.java
+++ b/src/main/java/org/eiderstair/http/AskedConnection.java
@@ -17,7 +17,11 @@
 /** One connection to the state service, the cloud, a worker or a peer: one exchange at a time. */
 final class AskedConnection extends AbstractConnection implements HttpParser.ResponseHandler {
   /** FREE may take an exchange; ASKING waits for its response; CLOSED is over. */
-  private enum State { FREE, ASKING, CLOSED }
+  private enum State {
+    FREE,
+    ASKING,
+    CLOSED
+  }
 
   private static final int MOST_HEAD = 8 * 1024;
   private static final byte[] NO_BODY = new byte[0];
@@ -26,14 +30,20 @@
   interface Owner {
     void opened(AskedConnection connection);
 
-    void completed(AskedConnection connection, Exchange exchange, int status, byte[] content, boolean reusable);
+    void completed(
+        AskedConnection connection,
+        Exchange exchange,
+        int status,
+        byte[] content,
+        boolean reusable);
 
     void closed(AskedConnection connection, Exchange exchange, String why);
   }
 
   private final Owner owner;
   private final Callback fillable =
-      Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
+      Callback.from(
+          Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
   private final HttpParser parser = new HttpParser(this, MOST_HEAD, HttpCompliance.RFC7230);
   private final Body body = new Body();
   final Destination destination;
@@ -70,18 +80,23 @@
     }
     ByteBuffer head = Buffers.out();
     byte[] content = next.body() == null ? NO_BODY : next.body();
-    Heads.request(head, next.method(), next.path(), destination.address, content.length, next.body() != null);
-    Buffers.write(getEndPoint(), head, content, new Callback() {
-      @Override
-      public void failed(Throwable why) {
-        close();
-      }
-
-      @Override
-      public InvocationType getInvocationType() {
-        return InvocationType.NON_BLOCKING;
-      }
-    });
+    Heads.request(
+        head, next.method(), next.path(), destination.address, content.length, next.body() != null);
+    Buffers.write(
+        getEndPoint(),
+        head,
+        content,
+        new Callback() {
+          @Override
+          public void failed(Throwable why) {
+            close();
+          }
+
+          @Override
+          public InvocationType getInvocationType() {
+            return InvocationType.NON_BLOCKING;
+          }
+        });
     return true;
   }
 
--- a/src/main/java/org/eiderstair/http/Body.java
+++ b/src/main/java/org/eiderstair/http/Body.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** What has come of a body: it costs no more than what was really received, however long it says that it is. */
+/**
+ * What has come of a body: it costs no more than what was really received, however long it says
+ * that it is.
+ */
 final class Body {
   private static final byte[] NONE = new byte[0];
   private static final int LEAST = 512;
@@ -18,7 +21,9 @@
       return false;
     }
     if (length + added > bytes.length) {
-      bytes = Arrays.copyOf(bytes, Math.min(most, Math.max(LEAST, Math.max(length + added, bytes.length * 2))));
+      bytes =
+          Arrays.copyOf(
+              bytes, Math.min(most, Math.max(LEAST, Math.max(length + added, bytes.length * 2))));
     }
     chunk.get(bytes, length, added);
     length += added;
--- a/src/main/java/org/eiderstair/http/Buffers.java
+++ b/src/main/java/org/eiderstair/http/Buffers.java
@@ -7,15 +7,17 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One buffer a thread for reading and one for writing: connections that are quiet hold none, and there are hundreds.
- * Nothing in them outlives a call.
+ * One buffer a thread for reading and one for writing: connections that are quiet hold none, and
+ * there are hundreds. Nothing in them outlives a call.
  */
 final class Buffers {
   /** Larger than nearly all messages, and one system call's worth. */
   private static final int SIZE = 16 * 1024;
 
-  private static final ThreadLocal<ByteBuffer> IN = ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
-  private static final ThreadLocal<ByteBuffer> OUT = ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
+  private static final ThreadLocal<ByteBuffer> IN =
+      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
+  private static final ThreadLocal<ByteBuffer> OUT =
+      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
 
   private Buffers() {}
 
@@ -34,7 +36,10 @@
     return buffer;
   }
 
-  /** Writes head and body, at once where the socket takes them; {@code after} is told when all is written. */
+  /**
+   * Writes head and body, at once where the socket takes them; {@code after} is told when all is
+   * written.
+   */
   static void write(EndPoint endPoint, ByteBuffer head, byte[] body, Callback after) {
     ByteBuffer rest = null;
     try {
--- a/src/main/java/org/eiderstair/http/Destination.java
+++ b/src/main/java/org/eiderstair/http/Destination.java
@@ -3,13 +3,18 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 
-/** An address that requests go to, with its connections. Guarded by the owner of all connections. */
+/**
+ * An address that requests go to, with its connections. Guarded by the owner of all connections.
+ */
 final class Destination {
   final String address;
   final InetSocketAddress socket;
+
   /** Connections that may take an exchange, the one used last in front. */
   final ArrayDeque<AskedConnection> free = new ArrayDeque<>();
+
   final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
+
   /** Connections, those being made included. */
   int connections;
 
@@ -18,8 +23,12 @@
     int colon = address.lastIndexOf(':');
     String host = address.substring(0, colon);
     int port = Integer.parseInt(address, colon + 1, address.length(), 10);
-    // Addresses are literals; a worker's that is none must not cost a look-up, on the thread that owns the core at that.
-    socket = isLiteral(host) ? new InetSocketAddress(host, port) : InetSocketAddress.createUnresolved(host, port);
+    // Addresses are literals; a worker's that is none must not cost a look-up, on the thread that
+    // owns the core at that.
+    socket =
+        isLiteral(host)
+            ? new InetSocketAddress(host, port)
+            : InetSocketAddress.createUnresolved(host, port);
   }
 
   private static boolean isLiteral(String host) {
--- a/src/main/java/org/eiderstair/http/Exchange.java
+++ b/src/main/java/org/eiderstair/http/Exchange.java
@@ -17,12 +17,20 @@
   private final byte[] body;
   private final Outcome outcome;
   final long deadlineMicros;
+
   /** Guarded by the owner of all connections. */
   AskedConnection connection;
+
   boolean over;
 
   /** The body is null when there is none. */
-  Exchange(Destination destination, String method, String path, byte[] body, long deadlineMicros, Outcome outcome) {
+  Exchange(
+      Destination destination,
+      String method,
+      String path,
+      byte[] body,
+      long deadlineMicros,
+      Outcome outcome) {
     this.destination = destination;
     this.method = method;
     this.path = path;
--- a/src/main/java/org/eiderstair/http/Heads.java
+++ b/src/main/java/org/eiderstair/http/Heads.java
@@ -5,8 +5,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Writes the heads of messages, of which there are only a few kinds. Jetty's generator writes any, and brings dates,
- * locales and URIs for it: 60 ms of processor time of a start.
+ * Writes the heads of messages, of which there are only a few kinds. Jetty's generator writes any,
+ * and brings dates, locales and URIs for it: 60 ms of processor time of a start.
  */
 final class Heads {
   private static final byte[] VERSION = ascii("HTTP/1.1 ");
@@ -23,7 +23,8 @@
   private Heads() {}
 
   /** A request's head, for a target as it goes into the request line. */
-  static void request(ByteBuffer to, String method, String path, String host, int length, boolean hasBody) {
+  static void request(
+      ByteBuffer to, String method, String path, String host, int length, boolean hasBody) {
     to.clear();
     put(to, method);
     to.put((byte) ' ');
@@ -37,8 +38,11 @@
     to.put(END).flip();
   }
 
-  /** A response's head; {@code retryAfterS} of 0 and {@code allow} of null say that there is none. */
-  static void response(ByteBuffer to, int status, int retryAfterS, String allow, int length, boolean close) {
+  /**
+   * A response's head; {@code retryAfterS} of 0 and {@code allow} of null say that there is none.
+   */
+  static void response(
+      ByteBuffer to, int status, int retryAfterS, String allow, int length, boolean close) {
     to.clear();
     to.put(VERSION).put(status(status)).put(TYPE);
     if (retryAfterS > 0) {
--- a/src/main/java/org/eiderstair/http/Inbound.java
+++ b/src/main/java/org/eiderstair/http/Inbound.java
@@ -15,7 +15,10 @@
 import org.eiderstair.protocol.UserMessages;
 import org.eiderstair.protocol.WorkerMessages;
 
-/** Serves users, workers and health checks: turns requests into events, and the core's answers into responses. */
+/**
+ * Serves users, workers and health checks: turns requests into events, and the core's answers into
+ * responses.
+ */
 public final class Inbound {
   /** For what is refused before the core has seen it. */
   private static final int RETRY_AFTER_S = 1;
@@ -38,8 +41,8 @@
   private final Map<Long, Open> open = new ConcurrentHashMap<>();
 
   /**
-   * @param mostHeld how many bytes of requests may be here at once: more are refused, rather than that the memory of
-   *     a small machine runs out when many large ones come together
+   * @param mostHeld how many bytes of requests may be here at once: more are refused, rather than
+   *     that the memory of a small machine runs out when many large ones come together
    */
   public Inbound(Consumer<Event> events, int mostHeld) {
     this.events = events;
@@ -47,7 +50,8 @@
   }
 
   /** Listens for users and workers; says on which port. */
-  public int listen(Sockets sockets, String host, int port, int mostConnections) throws IOException {
+  public int listen(Sockets sockets, String host, int port, int mostConnections)
+      throws IOException {
     return sockets.listen(host, port, mostConnections, new Others());
   }
 
@@ -88,9 +92,15 @@
     public void request(ServedConnection from, String method, String path, byte[] body) {
       Open exchange = new Open(from, false);
       switch (path) {
-        case "/ready" -> with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.ReadyProbe(id)));
-        case "/agent/beat" -> with(exchange, method, "POST", body, (id, b) ->
-            events.accept(new Event.Reported(id, WorkerMessages.report(b), false)));
+        case "/ready" ->
+            with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.ReadyProbe(id)));
+        case "/agent/beat" ->
+            with(
+                exchange,
+                method,
+                "POST",
+                body,
+                (id, b) -> events.accept(new Event.Reported(id, WorkerMessages.report(b), false)));
         case WORK -> with(exchange, method, "POST", body, (id, b) -> submit(id, Pack.readMap(b)));
         default -> job(exchange, path, method, body);
       }
@@ -110,16 +120,33 @@
       if (path.equals(PeerMessages.STANDING_PATH)) {
         with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.PeerAsked(id)));
       } else if (path.equals(PeerMessages.HEARD_PATH)) {
-        with(exchange, method, "POST", body, (id, b) -> events.accept(PeerMessages.heardAsked(id, b)));
+        with(
+            exchange,
+            method,
+            "POST",
+            body,
+            (id, b) -> events.accept(PeerMessages.heardAsked(id, b)));
       } else if (path.equals(PeerMessages.STANDBY_PATH)) {
-        with(exchange, method, "POST", body, (id, b) ->
-            events.accept(new Event.StandbyTold(id, PeerMessages.standby(b))));
+        with(
+            exchange,
+            method,
+            "POST",
+            body,
+            (id, b) -> events.accept(new Event.StandbyTold(id, PeerMessages.standby(b))));
       } else if (path.equals(PeerMessages.CANCELLED_PATH)) {
-        with(exchange, method, "POST", body, (id, b) ->
-            events.accept(new Event.PeerCancelled(id, PeerMessages.cancelled(b))));
+        with(
+            exchange,
+            method,
+            "POST",
+            body,
+            (id, b) -> events.accept(new Event.PeerCancelled(id, PeerMessages.cancelled(b))));
       } else if (path.equals(PeerMessages.RELAY_PATH)) {
-        with(exchange, method, "POST", body, (id, b) ->
-            events.accept(new Event.Reported(id, PeerMessages.report(b), true)));
+        with(
+            exchange,
+            method,
+            "POST",
+            body,
+            (id, b) -> events.accept(new Event.Reported(id, PeerMessages.report(b), true)));
       } else {
         fail(from, 404, "no such path");
       }
@@ -145,7 +172,9 @@
 
   private void with(Open exchange, String method, String allowed, byte[] body, BodyUse then) {
     if (!method.equals(allowed)) {
-      exchange.connection().answer(405, 0, allowed, UserMessages.error("method not allowed"), false);
+      exchange
+          .connection()
+          .answer(405, 0, allowed, UserMessages.error("method not allowed"), false);
       return;
     }
     long id = lastExchange.incrementAndGet();
@@ -195,7 +224,12 @@
     } else if (answer instanceof Answer.Ready ready) {
       write(to, ready.ready() ? 200 : 503, NOTHING);
     } else if (answer instanceof Answer.Failure failure) {
-      to.answer(failure.status(), failure.retryAfterS(), null, UserMessages.error(failure.reason()), false);
+      to.answer(
+          failure.status(),
+          failure.retryAfterS(),
+          null,
+          UserMessages.error(failure.reason()),
+          false);
     }
   }
 
--- a/src/main/java/org/eiderstair/http/Outbound.java
+++ b/src/main/java/org/eiderstair/http/Outbound.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries the core's requests to the state service, the cloud, workers and peers, and brings back what came of them.
- * Connections are kept by destination, each with one exchange at a time; time that runs out is looked for by the thread
- * that owns the core, which ticks anyhow, and costs no timers.
+ * Carries the core's requests to the state service, the cloud, workers and peers, and brings back
+ * what came of them. Connections are kept by destination, each with one exchange at a time; time
+ * that runs out is looked for by the thread that owns the core, which ticks anyhow, and costs no
+ * timers.
  */
 public final class Outbound implements AskedConnection.Owner {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
@@ -50,7 +51,9 @@
     Reply read(Map<String, Object> message) throws Malformed;
 
     static Reader of(MapReader reader) {
-      return reader == null ? null : content -> reader.read(content.length == 0 ? Map.of() : Pack.readMap(content));
+      return reader == null
+          ? null
+          : content -> reader.read(content.length == 0 ? Map.of() : Pack.readMap(content));
     }
   }
 
@@ -64,16 +67,27 @@
   private final Map<String, Destination> destinations = new HashMap<>();
   private final Set<Exchange> underWay = new LinkedHashSet<>();
   private long nextExpireMicros;
+
   /**
-   * Connections to workers that are kept for the next command, the one idle longest first. Each worker holds one to report
-   * on besides: with two a machine, 1,600 machines took all sockets on a calm day, and users found none.
+   * Connections to workers that are kept for the next command, the one idle longest first. Each
+   * worker holds one to report on besides: with two a machine, 1,600 machines took all sockets on a
+   * calm day, and users found none.
    */
   private final Set<AskedConnection> idle = new LinkedHashSet<>();
+
   private final int mostIdle;
 
-  /** @param mostIdle so many connections to workers may be kept without use */
-  public Outbound(Sockets sockets, String stateAddress, String cloudAddress, Map<String, String> peerAddresses,
-      int mostIdle, LongSupplier clock, BiConsumer<Long, Reply> replies) {
+  /**
+   * @param mostIdle so many connections to workers may be kept without use
+   */
+  public Outbound(
+      Sockets sockets,
+      String stateAddress,
+      String cloudAddress,
+      Map<String, String> peerAddresses,
+      int mostIdle,
+      LongSupplier clock,
+      BiConsumer<Long, Reply> replies) {
     this.mostIdle = mostIdle;
     this.sockets = sockets;
     this.state = stateAddress;
@@ -94,58 +108,154 @@
 
   private void dispatch(long call, Request request) {
     if (request instanceof Request.StoreTxn txn) {
-      exchange(call, state, POST, "/txn", StoreMessages.txn(txn), STORE_MICROS, StoreMessages::applied,
+      exchange(
+          call,
+          state,
+          POST,
+          "/txn",
+          StoreMessages.txn(txn),
+          STORE_MICROS,
+          StoreMessages::applied,
           StoreMessages::conflict);
     } else if (request instanceof Request.StoreWatch w) {
-      String path = "/watch?Under=" + encode(w.prefix()) + "&From=" + w.after() + "&HoldMs=" + w.holdMicros() / 1000;
-      exchange(call, state, GET, path, null, w.holdMicros() + STORE_MICROS, StoreMessages::changed, null);
+      String path =
+          "/watch?Under="
+              + encode(w.prefix())
+              + "&From="
+              + w.after()
+              + "&HoldMs="
+              + w.holdMicros() / 1000;
+      exchange(
+          call,
+          state,
+          GET,
+          path,
+          null,
+          w.holdMicros() + STORE_MICROS,
+          StoreMessages::changed,
+          null);
     } else if (request instanceof Request.StoreGet get) {
-      exchange(call, state, GET, "/store/" + get.key(), null, STORE_MICROS, StoreMessages::found, null);
+      exchange(
+          call, state, GET, "/store/" + get.key(), null, STORE_MICROS, StoreMessages::found, null);
     } else if (request instanceof Request.StoreList list) {
-      String path = "/store?Under=" + encode(list.prefix()) + "&Page=" + list.limit()
-          + (list.after() == null ? "" : "&From=" + encode(list.after()));
+      String path =
+          "/store?Under="
+              + encode(list.prefix())
+              + "&Page="
+              + list.limit()
+              + (list.after() == null ? "" : "&From=" + encode(list.after()));
       exchange(call, state, GET, path, null, 2 * STORE_MICROS, StoreMessages::listed, null);
     } else if (request instanceof Request.LeaseGrant grant) {
-      exchange(call, state, POST, "/leases", StoreMessages.lease(grant.ttlMicros()), STORE_MICROS,
-          StoreMessages::leaseGranted, null);
+      exchange(
+          call,
+          state,
+          POST,
+          "/leases",
+          StoreMessages.lease(grant.ttlMicros()),
+          STORE_MICROS,
+          StoreMessages::leaseGranted,
+          null);
     } else if (request instanceof Request.LeaseTouch touch) {
-      exchange(call, state, POST, "/leases/" + touch.lease() + "/touch", NO_BODY, STORE_MICROS,
-          m -> new Reply.Applied(0), null);
+      exchange(
+          call,
+          state,
+          POST,
+          "/leases/" + touch.lease() + "/touch",
+          NO_BODY,
+          STORE_MICROS,
+          m -> new Reply.Applied(0),
+          null);
     } else if (request instanceof Request.LeaseDrop drop) {
-      exchange(call, state, "DELETE", "/leases/" + drop.lease(), null, STORE_MICROS,
-          m -> new Reply.Applied(0), null);
+      exchange(
+          call,
+          state,
+          "DELETE",
+          "/leases/" + drop.lease(),
+          null,
+          STORE_MICROS,
+          m -> new Reply.Applied(0),
+          null);
     } else if (request instanceof Request.CloudCatalog) {
       exchange(call, cloud, GET, "/catalog", null, CLOUD_MICROS, CloudMessages::catalog, null);
     } else if (request instanceof Request.CloudRent rent) {
-      exchange(call, cloud, POST, "/hosts", CloudMessages.rent(rent), CLOUD_MICROS, CloudMessages::rented,
+      exchange(
+          call,
+          cloud,
+          POST,
+          "/hosts",
+          CloudMessages.rent(rent),
+          CLOUD_MICROS,
+          CloudMessages::rented,
           null);
     } else if (request instanceof Request.CloudDelete delete) {
-      exchange(call, cloud, POST, "/hosts/delete", CloudMessages.delete(delete.machines()), CLOUD_MICROS,
-          m -> new Reply.Applied(0), null);
+      exchange(
+          call,
+          cloud,
+          POST,
+          "/hosts/delete",
+          CloudMessages.delete(delete.machines()),
+          CLOUD_MICROS,
+          m -> new Reply.Applied(0),
+          null);
     } else if (request instanceof Request.CloudList list) {
-      String path = "/hosts?Page=" + CloudMessages.PAGE + (list.after() == null ? "" : "&From=" + encode(list.after()));
+      String path =
+          "/hosts?Page="
+              + CloudMessages.PAGE
+              + (list.after() == null ? "" : "&From=" + encode(list.after()));
       exchange(call, cloud, GET, path, null, CLOUD_MICROS, CloudMessages::machines, null);
     } else if (request instanceof Request.WorkerStatus status) {
-      exchangeBytes(call, status.address(), GET, "/status", null, WORKER_MICROS,
-          content -> new Reply.Report(WorkerMessages.report(content), false), null);
+      exchangeBytes(
+          call,
+          status.address(),
+          GET,
+          "/status",
+          null,
+          WORKER_MICROS,
+          content -> new Reply.Report(WorkerMessages.report(content), false),
+          null);
     } else if (request instanceof Request.WorkerCommands c) {
-      exchangeBytes(call, c.address(), POST, "/commands",
-          WorkerMessages.command(c.token(), c.session(), c.orders()), WORKER_MICROS,
+      exchangeBytes(
+          call,
+          c.address(),
+          POST,
+          "/commands",
+          WorkerMessages.command(c.token(), c.session(), c.orders()),
+          WORKER_MICROS,
           content -> new Reply.Report(WorkerMessages.report(content), true),
           content -> new Reply.Report(WorkerMessages.report(content), false));
     } else if (request instanceof Request.PeerRelay relay) {
-      peer(call, relay.peer(), POST, PeerMessages.RELAY_PATH, PeerMessages.report(relay.report()),
+      peer(
+          call,
+          relay.peer(),
+          POST,
+          PeerMessages.RELAY_PATH,
+          PeerMessages.report(relay.report()),
           content -> new Reply.Relayed(PeerMessages.answer(content)));
     } else if (request instanceof Request.PeerAsk ask) {
       peer(call, ask.peer(), GET, PeerMessages.STANDING_PATH, null, PeerMessages::standing);
     } else if (request instanceof Request.PeerHeard heard) {
-      peer(call, heard.peer(), POST, PeerMessages.HEARD_PATH, PeerMessages.heardAsk(heard.run(), heard.after()),
+      peer(
+          call,
+          heard.peer(),
+          POST,
+          PeerMessages.HEARD_PATH,
+          PeerMessages.heardAsk(heard.run(), heard.after()),
           PeerMessages::heard);
     } else if (request instanceof Request.PeerStandby told) {
-      peer(call, told.peer(), POST, PeerMessages.STANDBY_PATH, PeerMessages.standby(told.batch()),
+      peer(
+          call,
+          told.peer(),
+          POST,
+          PeerMessages.STANDBY_PATH,
+          PeerMessages.standby(told.batch()),
           PeerMessages::standbyAck);
     } else if (request instanceof Request.PeerCancelled told) {
-      peer(call, told.peer(), POST, PeerMessages.CANCELLED_PATH, PeerMessages.cancelled(told.cancellations()),
+      peer(
+          call,
+          told.peer(),
+          POST,
+          PeerMessages.CANCELLED_PATH,
+          PeerMessages.cancelled(told.cancellations()),
           content -> new Reply.Applied(0));
     } else {
       throw new IllegalArgumentException("no way to send " + request);
@@ -157,55 +267,89 @@
     Reply read(byte[] content) throws Malformed;
   }
 
-  private void peer(long call, String name, String method, String path, byte[] body, PeerReader reader) {
+  private void peer(
+      long call, String name, String method, String path, byte[] body, PeerReader reader) {
     String address = peers.get(name);
     if (address == null) {
       replies.accept(call, new Reply.Lost("unknown node " + name));
       return;
     }
-    send(address, method, path, body, PEER_MICROS, new Exchange.Outcome() {
-      @Override
-      public void completed(int status, byte[] content) {
-        try {
-          replies.accept(call, status == 200 ? reader.read(content) : new Reply.Refused(status));
-        } catch (Malformed e) {
-          LOG.error("unreadable answer of {}: {}", name, e.getMessage());
-          replies.accept(call, new Reply.Lost(e.getMessage()));
-        }
-      }
+    send(
+        address,
+        method,
+        path,
+        body,
+        PEER_MICROS,
+        new Exchange.Outcome() {
+          @Override
+          public void completed(int status, byte[] content) {
+            try {
+              replies.accept(
+                  call, status == 200 ? reader.read(content) : new Reply.Refused(status));
+            } catch (Malformed e) {
+              LOG.error("unreadable answer of {}: {}", name, e.getMessage());
+              replies.accept(call, new Reply.Lost(e.getMessage()));
+            }
+          }
 
-      @Override
-      public void failed(String why) {
-        replies.accept(call, new Reply.Lost(why));
-      }
-    });
+          @Override
+          public void failed(String why) {
+            replies.accept(call, new Reply.Lost(why));
+          }
+        });
   }
 
   private static String encode(String text) {
     return URLEncoder.encode(text, StandardCharsets.UTF_8);
   }
 
-  private void exchange(long call, String address, String method, String path, byte[] body, long timeoutMicros,
-      MapReader ok, MapReader conflict) {
-    exchangeBytes(call, address, method, path, body, timeoutMicros, MapReader.of(ok), MapReader.of(conflict));
+  private void exchange(
+      long call,
+      String address,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      MapReader ok,
+      MapReader conflict) {
+    exchangeBytes(
+        call, address, method, path, body, timeoutMicros, MapReader.of(ok), MapReader.of(conflict));
   }
 
-  private void exchangeBytes(long call, String address, String method, String path, byte[] body, long timeoutMicros,
-      Reader ok, Reader conflict) {
-    send(address, method, path, body, timeoutMicros, new Exchange.Outcome() {
-      @Override
-      public void completed(int status, byte[] content) {
-        replies.accept(call, read(status, content, path, ok, conflict));
-      }
+  private void exchangeBytes(
+      long call,
+      String address,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
+      Reader ok,
+      Reader conflict) {
+    send(
+        address,
+        method,
+        path,
+        body,
+        timeoutMicros,
+        new Exchange.Outcome() {
+          @Override
+          public void completed(int status, byte[] content) {
+            replies.accept(call, read(status, content, path, ok, conflict));
+          }
 
-      @Override
-      public void failed(String why) {
-        replies.accept(call, new Reply.Lost(why));
-      }
-    });
+          @Override
+          public void failed(String why) {
+            replies.accept(call, new Reply.Lost(why));
+          }
+        });
   }
 
-  private void send(String address, String method, String path, byte[] body, long timeoutMicros,
+  private void send(
+      String address,
+      String method,
+      String path,
+      byte[] body,
+      long timeoutMicros,
       Exchange.Outcome outcome) {
     AskedConnection use;
     Exchange exchange;
@@ -246,7 +390,9 @@
   }
 
   private void connect(Destination to) {
-    sockets.connect(to.socket, (endPoint, context) -> new AskedConnection(endPoint, sockets.getExecutor(), to, this),
+    sockets.connect(
+        to.socket,
+        (endPoint, context) -> new AskedConnection(endPoint, sockets.getExecutor(), to, this),
         why -> notConnected(to, String.valueOf(why)));
   }
 
@@ -327,7 +473,8 @@
   }
 
   @Override
-  public void completed(AskedConnection connection, Exchange exchange, int status, byte[] content, boolean reusable) {
+  public void completed(
+      AskedConnection connection, Exchange exchange, int status, byte[] content, boolean reusable) {
     boolean ended;
     synchronized (this) {
       ended = exchange != null && end(exchange);
--- a/src/main/java/org/eiderstair/http/ServedConnection.java
+++ b/src/main/java/org/eiderstair/http/ServedConnection.java
@@ -16,15 +16,22 @@
 
 /**
  * One connection of a user, a worker or another controller, with Jetty's parser straight on its
- * endpoint: one request at a time, its body whole, its answer whole. Jetty's own server does a lot more for each
- * request, which a cold controller on a small machine cannot pay (figures in docs/operating.md).
+ * endpoint: one request at a time, its body whole, its answer whole. Jetty's own server does a lot
+ * more for each request, which a cold controller on a small machine cannot pay (figures in
+ * docs/operating.md).
  */
 final class ServedConnection extends AbstractConnection implements HttpParser.RequestHandler {
   /**
-   * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has refused it, and reads
-   * a little more of it so that the other side gets to read why; CLOSED is over.
+   * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has
+   * refused it, and reads a little more of it so that the other side gets to read why; CLOSED is
+   * over.
    */
-  private enum State { READING, ANSWERING, DRAINING, CLOSED }
+  private enum State {
+    READING,
+    ANSWERING,
+    DRAINING,
+    CLOSED
+  }
 
   private static final int MOST_HEAD = 8 * 1024;
   private static final int MOST_DRAINED = 512 * 1024;
@@ -50,14 +57,18 @@
   private final Requests requests;
   private final Runnable over;
   private final Callback fillable =
-      Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
+      Callback.from(
+          Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
   private final HttpParser parser = new HttpParser(this, MOST_HEAD, HttpCompliance.RFC7230);
   private final Body body = new Body();
   private State state = State.READING;
+
   /** There was more to read while the answer was awaited. */
   private boolean paused;
+
   /** What came behind a request; nobody pipelines, but it must not be lost. */
   private ByteBuffer early;
+
   private String method;
   private String path;
   private boolean keep;
@@ -69,7 +80,8 @@
     super(endPoint, executor);
     this.requests = requests;
     this.over = over;
-    // A cache of its own would cost each connection 100 KB: more than the machine has, with one worker on each.
+    // A cache of its own would cost each connection 100 KB: more than the machine has, with one
+    // worker on each.
     parser.setHeaderCacheSize(0);
   }
 
@@ -156,7 +168,10 @@
     requests.request(this, method, path, body.take());
   }
 
-  /** The one answer to the request that was handed over; {@code allow} is null but for a wrong method. */
+  /**
+   * The one answer to the request that was handed over; {@code allow} is null but for a wrong
+   * method.
+   */
   void answer(int status, int retryAfterS, String allow, byte[] content, boolean last) {
     if (is(State.CLOSED)) {
       return;
@@ -194,7 +209,9 @@
     }
   }
 
-  /** What the other side still sends is not read for long: a reset would take the answer from it. */
+  /**
+   * What the other side still sends is not read for long: a reset would take the answer from it.
+   */
   private void drain() {
     letGo();
     boolean again;
--- a/src/main/java/org/eiderstair/http/Sockets.java
+++ b/src/main/java/org/eiderstair/http/Sockets.java
@@ -27,9 +27,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * All sockets of this node on one of Jetty's connectors, with one selector and so one thread: those that others open
- * as well as those that this node opens. Jetty's connector for servers brings a whole server with it, whose start cost
- * 0.15 s of processor time.
+ * All sockets of this node on one of Jetty's connectors, with one selector and so one thread: those
+ * that others open as well as those that this node opens. Jetty's connector for servers brings a
+ * whole server with it, whose start cost 0.15 s of processor time.
  */
 public final class Sockets extends ClientConnector {
   private static final int BACKLOG = 256;
@@ -37,7 +37,10 @@
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1500);
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(90);
 
-  /** Everything here speaks plain HTTP: reading the system's certificates would cost a good part of a start. */
+  /**
+   * Everything here speaks plain HTTP: reading the system's certificates would cost a good part of
+   * a start.
+   */
   private static final class NoTls extends SslContextFactory.Client {
     @Override
     protected void doStart() {
@@ -46,13 +49,17 @@
   }
 
   /** A port that others connect to. */
-  private record Port(ServerSocketChannel channel, ServedConnection.Requests requests, int most,
+  private record Port(
+      ServerSocketChannel channel,
+      ServedConnection.Requests requests,
+      int most,
       AtomicInteger connections) {
 
     /**
-     * Sockets for the state service, the cloud, workers and peers must be left when users take all others. One too many
-     * is taken and closed: were the port not listened to for a while, a connection that ends in the same moment could
-     * make it register twice, and the connector would then close it for good.
+     * Sockets for the state service, the cloud, workers and peers must be left when users take all
+     * others. One too many is taken and closed: were the port not listened to for a while, a
+     * connection that ends in the same moment could make it register twice, and the connector would
+     * then close it for good.
      */
     boolean takesOneMore() {
       if (connections.incrementAndGet() <= most) {
@@ -71,7 +78,8 @@
   private final ScheduledExecutorScheduler timer;
 
   public Sockets(Executor executor) throws Exception {
-    // Its own executor would name threads by text that the JVM first has to learn to join: 6 ms of a start.
+    // Its own executor would name threads by text that the JVM first has to learn to join: 6 ms of
+    // a start.
     ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, Sockets::timerThread);
     timers.setRemoveOnCancelPolicy(true);
     timer = new ScheduledExecutorScheduler(timers);
@@ -92,8 +100,12 @@
     return made;
   }
 
-  /** Listens on an address, for at most so many connections at once; says on which port, if the system chose it. */
-  int listen(String host, int number, int most, ServedConnection.Requests requests) throws IOException {
+  /**
+   * Listens on an address, for at most so many connections at once; says on which port, if the
+   * system chose it.
+   */
+  int listen(String host, int number, int most, ServedConnection.Requests requests)
+      throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
     channel.configureBlocking(false);
@@ -106,20 +118,24 @@
   }
 
   /** Opens a connection; {@code failed} is told when that cannot be. */
-  void connect(SocketAddress address, ClientConnectionFactory connections, Consumer<Throwable> failed) {
+  void connect(
+      SocketAddress address, ClientConnectionFactory connections, Consumer<Throwable> failed) {
     connect(address, context(connections, failed));
   }
 
-  private static Map<String, Object> context(ClientConnectionFactory connections, Consumer<Throwable> failed) {
+  private static Map<String, Object> context(
+      ClientConnectionFactory connections, Consumer<Throwable> failed) {
     Map<String, Object> context = new HashMap<>();
     context.put(Transport.CONTEXT_KEY, Transport.TCP_IP);
     context.put(ClientConnectionFactory.CONTEXT_KEY, connections);
-    context.put(CONNECTION_PROMISE_CONTEXT_KEY, new Promise<Connection>() {
-      @Override
-      public void failed(Throwable why) {
-        failed.accept(why);
-      }
-    });
+    context.put(
+        CONNECTION_PROMISE_CONTEXT_KEY,
+        new Promise<Connection>() {
+          @Override
+          public void failed(Throwable why) {
+            failed.accept(why);
+          }
+        });
     return context;
   }
 
@@ -141,9 +157,12 @@
         channel.close();
         return;
       }
-      Sockets.this.accept(channel, context((endPoint, c) ->
-          new ServedConnection(endPoint, getExecutor(), port.requests, port::closed),
-          why -> port.closed()));
+      Sockets.this.accept(
+          channel,
+          context(
+              (endPoint, c) ->
+                  new ServedConnection(endPoint, getExecutor(), port.requests, port::closed),
+              why -> port.closed()));
     }
   }
 
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -21,17 +21,20 @@
   private static final long LOAD_EVERY_MICROS = 10_000_000;
 
   private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
+
   /**
-   * Outcomes of this node's own requests go before what others ask. Seen after a take-over with 361 machines: the
-   * lease had been renewed, but word of it waited behind 500 reports until the lease was thought to be over.
+   * Outcomes of this node's own requests go before what others ask. Seen after a take-over with 361
+   * machines: the lease had been renewed, but word of it waited behind 500 reports until the lease
+   * was thought to be over.
    */
   private final ConcurrentLinkedQueue<Event> outcomes = new ConcurrentLinkedQueue<>();
+
   private final Map<String, Integer> counts = new TreeMap<>();
   private int mostWaiting;
   private long nextLoadMicros;
   private Core core;
   private Consumer<Effect> effects;
-  private LongConsumer timeouts = now -> { };
+  private LongConsumer timeouts = now -> {};
 
   public void attach(Core withCore, Consumer<Effect> withEffects) {
     core = withCore;
@@ -78,9 +81,13 @@
     while (!Thread.currentThread().isInterrupted()) {
       try {
         long wait = core.dueMicros() - nowMicros();
-        Event event = wait > 0 && outcomes.isEmpty() ? events.poll(wait, TimeUnit.MICROSECONDS) : events.poll();
+        Event event =
+            wait > 0 && outcomes.isEmpty()
+                ? events.poll(wait, TimeUnit.MICROSECONDS)
+                : events.poll();
         takeOutcomes();
-        // What is decided for all events together costs the most: once for all at hand, but not for ever later.
+        // What is decided for all events together costs the most: once for all at hand, but not for
+        // ever later.
         for (int taken = 1; event != null; taken++) {
           take(event);
           takeOutcomes();
@@ -99,7 +106,10 @@
     }
   }
 
-  /** What an operator looks at first when a controller is slow: how much there was to do, and how much waited. */
+  /**
+   * What an operator looks at first when a controller is slow: how much there was to do, and how
+   * much waited.
+   */
   private void logLoad(long now) {
     mostWaiting = Math.max(mostWaiting, events.size());
     if (now < nextLoadMicros) {
@@ -107,8 +117,12 @@
     }
     nextLoadMicros = now + LOAD_EVERY_MICROS;
     Runtime runtime = Runtime.getRuntime();
-    LOG.info("load: {}, most waiting {}, heap {} of {} MB", counts, mostWaiting,
-        (runtime.totalMemory() - runtime.freeMemory()) >> 20, runtime.maxMemory() >> 20);
+    LOG.info(
+        "load: {}, most waiting {}, heap {} of {} MB",
+        counts,
+        mostWaiting,
+        (runtime.totalMemory() - runtime.freeMemory()) >> 20,
+        runtime.maxMemory() >> 20);
     counts.clear();
     mostWaiting = 0;
   }
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -16,12 +16,19 @@
 /** A running controller: the core with sockets and timers round it. */
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
+
   /** The selector's, and one more for what else there is to do; nothing that runs there blocks. */
   private static final int THREADS = 2;
+
   /** Of the heap, for requests that are here: what is made of one takes several times its room. */
   private static final int HELD_PART = 16;
+
   private static final int KEPT_SOCKETS = 200;
-  /** Of all sockets, for connections to workers between two commands; workers' reports, users and the rest come first. */
+
+  /**
+   * Of all sockets, for connections to workers between two commands; workers' reports, users and
+   * the rest come first.
+   */
   private static final int IDLE_PART = 5;
 
   private final ExecutorService threads;
@@ -34,34 +41,58 @@
     CoreLoop loop = new CoreLoop();
     LOG.info("node {} starts", config.settings().node());
     sockets = new Sockets(threads);
-    Inbound inbound = new Inbound(loop::offer, (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
-    int mostIdle = config.maxConnections() > 0 ? config.maxConnections() / IDLE_PART : Integer.MAX_VALUE;
-    Outbound outbound = new Outbound(sockets, config.stateAddress(), config.cloudAddress(), config.peerAddresses(),
-        mostIdle, CoreLoop::nowMicros, (call, reply) -> loop.offer(new Event.Replied(call, reply)));
-    // Runs of one node differ in their time or their process; nothing here needs to be hard to guess.
+    Inbound inbound =
+        new Inbound(loop::offer, (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
+    int mostIdle =
+        config.maxConnections() > 0 ? config.maxConnections() / IDLE_PART : Integer.MAX_VALUE;
+    Outbound outbound =
+        new Outbound(
+            sockets,
+            config.stateAddress(),
+            config.cloudAddress(),
+            config.peerAddresses(),
+            mostIdle,
+            CoreLoop::nowMicros,
+            (call, reply) -> loop.offer(new Event.Replied(call, reply)));
+    // Runs of one node differ in their time or their process; nothing here needs to be hard to
+    // guess.
     long time = System.currentTimeMillis();
     long process = ProcessHandle.current().pid();
-    String incarnation = Long.toHexString(time) + "-" + process + "-" + Long.toHexString(System.nanoTime());
-    var random = new XoRoShiRo128PlusPlus(time ^ config.settings().node().hashCode(), System.nanoTime() ^ process | 1);
-    Core core = new Core(config.settings(), incarnation, time * 1000 - CoreLoop.nowMicros(), random::nextInt,
-        loop::effect);
-    loop.attach(core, effect -> {
-      // Looked at again here: on a small machine seconds may lie between a decision and its effect.
-      long now = CoreLoop.nowMicros();
-      if (effect instanceof Effect.Call call) {
-        if (call.tooLate(now) != null) {
-          loop.offer(new Event.Replied(call.call(), call.tooLate(now)));
-        } else {
-          outbound.send(call.call(), call.request());
-        }
-      } else if (effect instanceof Effect.Respond respond) {
-        inbound.respond(respond.exchange(), respond.answerAt(now));
-      }
-    });
+    String incarnation =
+        Long.toHexString(time) + "-" + process + "-" + Long.toHexString(System.nanoTime());
+    var random =
+        new XoRoShiRo128PlusPlus(
+            time ^ config.settings().node().hashCode(), System.nanoTime() ^ process | 1);
+    Core core =
+        new Core(
+            config.settings(),
+            incarnation,
+            time * 1000 - CoreLoop.nowMicros(),
+            random::nextInt,
+            loop::effect);
+    loop.attach(
+        core,
+        effect -> {
+          // Looked at again here: on a small machine seconds may lie between a decision and its
+          // effect.
+          long now = CoreLoop.nowMicros();
+          if (effect instanceof Effect.Call call) {
+            if (call.tooLate(now) != null) {
+              loop.offer(new Event.Replied(call.call(), call.tooLate(now)));
+            } else {
+              outbound.send(call.call(), call.request());
+            }
+          } else if (effect instanceof Effect.Respond respond) {
+            inbound.respond(respond.exchange(), respond.answerAt(now));
+          }
+        });
     loop.timeouts(outbound::expire);
     coreThread = new Thread(null, loop, "core", 512 * 1024);
     coreThread.start();
-    int most = config.maxConnections() > KEPT_SOCKETS ? config.maxConnections() - KEPT_SOCKETS : Integer.MAX_VALUE;
+    int most =
+        config.maxConnections() > KEPT_SOCKETS
+            ? config.maxConnections() - KEPT_SOCKETS
+            : Integer.MAX_VALUE;
     port = inbound.listen(sockets, config.bindHost(), config.bindPort(), most);
     inbound.listenForPeers(sockets, config.peerHost(), config.peerPort());
     LOG.info("node {} listens on port {}", config.settings().node(), port);
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -19,9 +19,6 @@
 import org.eiderstair.peer.wire.HeardAsk;
 import org.eiderstair.peer.wire.HeardChange;
 import org.eiderstair.peer.wire.HeardTold;
-import org.eiderstair.peer.wire.StandbyAck;
-import org.eiderstair.peer.wire.StandbyBatch;
-import org.eiderstair.peer.wire.StandbyChange;
 import org.eiderstair.peer.wire.PeerStanding;
 import org.eiderstair.peer.wire.RelayedAnswer;
 import org.eiderstair.peer.wire.RelayedExit;
@@ -30,11 +27,14 @@
 import org.eiderstair.peer.wire.RelayedState;
 import org.eiderstair.peer.wire.RelayedTask;
 import org.eiderstair.peer.wire.RelayedVerb;
+import org.eiderstair.peer.wire.StandbyAck;
+import org.eiderstair.peer.wire.StandbyBatch;
+import org.eiderstair.peer.wire.StandbyChange;
 import org.eiderstair.protocol.Malformed;
 
 /**
- * What controllers send each other, in Avro's single-object encoding: every message names its schema, so nodes of
- * two versions understand each other or know that they do not.
+ * What controllers send each other, in Avro's single-object encoding: every message names its
+ * schema, so nodes of two versions understand each other or know that they do not.
  */
 public final class PeerMessages {
   public static final String RELAY_PATH = "/peer/relay";
@@ -49,12 +49,30 @@
   public static byte[] report(MachineReport r) {
     List<RelayedTask> tasks = new ArrayList<>(r.tasks().size());
     for (MachineReport.Entry e : r.tasks()) {
-      tasks.add(new RelayedTask(e.task().job(), e.task().index(), e.attempt(), RelayedState.valueOf(e.state().name()),
-          RelayedExit.valueOf(e.exit().name()), e.saved()));
+      tasks.add(
+          new RelayedTask(
+              e.task().job(),
+              e.task().index(),
+              e.attempt(),
+              RelayedState.valueOf(e.state().name()),
+              RelayedExit.valueOf(e.exit().name()),
+              e.saved()));
     }
     try {
-      return bytes(RelayedReport.getEncoder().encode(new RelayedReport(r.machine(), r.address(), r.type(), r.zone(),
-          r.spot(), r.session(), r.sequence(), r.token(), r.noticeMicros(), tasks)));
+      return bytes(
+          RelayedReport.getEncoder()
+              .encode(
+                  new RelayedReport(
+                      r.machine(),
+                      r.address(),
+                      r.type(),
+                      r.zone(),
+                      r.spot(),
+                      r.session(),
+                      r.sequence(),
+                      r.token(),
+                      r.noticeMicros(),
+                      tasks)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
@@ -65,12 +83,25 @@
       RelayedReport r = RelayedReport.getDecoder().decode(bytes);
       List<MachineReport.Entry> tasks = new ArrayList<>(r.getTasks().size());
       for (RelayedTask t : r.getTasks()) {
-        tasks.add(new MachineReport.Entry(new TaskId(t.getJob(), t.getIndex()), t.getAttempt(),
-            MachineReport.TaskState.valueOf(t.getState().name()), MachineReport.Exit.valueOf(t.getExit().name()),
-            t.getSaved()));
+        tasks.add(
+            new MachineReport.Entry(
+                new TaskId(t.getJob(), t.getIndex()),
+                t.getAttempt(),
+                MachineReport.TaskState.valueOf(t.getState().name()),
+                MachineReport.Exit.valueOf(t.getExit().name()),
+                t.getSaved()));
       }
-      return new MachineReport(r.getMachine(), r.getAddress(), r.getType(), r.getZone(), r.getSpot(), r.getSession(),
-          r.getSequence(), r.getToken(), r.getNoticeMicros(), tasks);
+      return new MachineReport(
+          r.getMachine(),
+          r.getAddress(),
+          r.getType(),
+          r.getZone(),
+          r.getSpot(),
+          r.getSession(),
+          r.getSequence(),
+          r.getToken(),
+          r.getNoticeMicros(),
+          tasks);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not a relayed report: " + e.getMessage());
     }
@@ -81,8 +112,10 @@
     if (answer instanceof Answer.Command command) {
       List<RelayedOrder> orders = new ArrayList<>(command.orders().size());
       for (Order o : command.orders()) {
-        RelayedVerb verb = o instanceof Order.Launch ? RelayedVerb.LAUNCH
-            : o instanceof Order.Kill ? RelayedVerb.KILL : RelayedVerb.REAP;
+        RelayedVerb verb =
+            o instanceof Order.Launch
+                ? RelayedVerb.LAUNCH
+                : o instanceof Order.Kill ? RelayedVerb.KILL : RelayedVerb.REAP;
         long grace = o instanceof Order.Kill kill ? kill.graceMicros() : 0;
         orders.add(new RelayedOrder(verb, o.task().job(), o.task().index(), o.attempt(), grace));
       }
@@ -106,15 +139,17 @@
         List<Order> orders = new ArrayList<>(a.getOrders().size());
         for (RelayedOrder o : a.getOrders()) {
           TaskId task = new TaskId(o.getJob(), o.getIndex());
-          orders.add(switch (o.getVerb()) {
-            case LAUNCH -> new Order.Launch(task, o.getAttempt());
-            case KILL -> new Order.Kill(task, o.getAttempt(), o.getGraceMicros());
-            case REAP -> new Order.Reap(task, o.getAttempt());
-          });
+          orders.add(
+              switch (o.getVerb()) {
+                case LAUNCH -> new Order.Launch(task, o.getAttempt());
+                case KILL -> new Order.Kill(task, o.getAttempt(), o.getGraceMicros());
+                case REAP -> new Order.Reap(task, o.getAttempt());
+              });
         }
         return new Answer.Command(a.getToken(), orders);
       }
-      return a.getStatus() == 421 ? new Answer.Redirect(a.getNode())
+      return a.getStatus() == 421
+          ? new Answer.Redirect(a.getNode())
           : new Answer.Failure(a.getStatus(), a.getReason(), 0);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not a relayed answer: " + e.getMessage());
@@ -123,8 +158,9 @@
 
   public static byte[] standing(Answer.Standing standing) {
     try {
-      return bytes(PeerStanding.getEncoder().encode(
-          new PeerStanding(standing.served(), standing.leader(), standing.term())));
+      return bytes(
+          PeerStanding.getEncoder()
+              .encode(new PeerStanding(standing.served(), standing.leader(), standing.term())));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
@@ -162,8 +198,11 @@
       changes.add(new HeardChange(c.machine(), c.heard(), c.forMicros()));
     }
     try {
-      return bytes(HeardTold.getEncoder().encode(
-          new HeardTold(hearing.run(), hearing.whole(), hearing.last(), hearing.more(), changes)));
+      return bytes(
+          HeardTold.getEncoder()
+              .encode(
+                  new HeardTold(
+                      hearing.run(), hearing.whole(), hearing.last(), hearing.more(), changes)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
@@ -176,7 +215,8 @@
       for (HeardChange c : told.getChanges()) {
         changes.add(new Hearing.Change(c.getMachine(), c.getHeard(), c.getForMicros()));
       }
-      return new Reply.PeerHeard(new Hearing(told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
+      return new Reply.PeerHeard(
+          new Hearing(told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not machines heard: " + e.getMessage());
     }
@@ -185,11 +225,15 @@
   public static byte[] standby(Batch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
     for (Batch.Change c : batch.changes()) {
-      changes.add(new StandbyChange(c.there(), c.machine(), c.session(), c.job(), c.index(), c.attempt()));
+      changes.add(
+          new StandbyChange(c.there(), c.machine(), c.session(), c.job(), c.index(), c.attempt()));
     }
     try {
-      return bytes(StandbyBatch.getEncoder().encode(
-          new StandbyBatch(batch.term(), batch.filling(), batch.first(), batch.more(), changes)));
+      return bytes(
+          StandbyBatch.getEncoder()
+              .encode(
+                  new StandbyBatch(
+                      batch.term(), batch.filling(), batch.first(), batch.more(), changes)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
@@ -200,8 +244,14 @@
       StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
       List<Batch.Change> changes = new ArrayList<>(b.getChanges().size());
       for (StandbyChange c : b.getChanges()) {
-        changes.add(new Batch.Change(c.getThere(), c.getMachine(), c.getSession(), c.getJob(), c.getIndex(),
-            c.getAttempt()));
+        changes.add(
+            new Batch.Change(
+                c.getThere(),
+                c.getMachine(),
+                c.getSession(),
+                c.getJob(),
+                c.getIndex(),
+                c.getAttempt()));
       }
       return new Batch(b.getTerm(), b.getFilling(), b.getFirst(), b.getMore(), changes);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
@@ -211,7 +261,8 @@
 
   public static byte[] standbyAck(Batch.Ack ack) {
     try {
-      return bytes(StandbyAck.getEncoder().encode(new StandbyAck(ack.run(), ack.accepted(), ack.upTo())));
+      return bytes(
+          StandbyAck.getEncoder().encode(new StandbyAck(ack.run(), ack.accepted(), ack.upTo())));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -36,10 +36,18 @@
     List<MachineType> types = new ArrayList<>();
     for (Object item : new Fields(message).list("Hulls")) {
       Fields f = Fields.of(item, "Hulls");
-      types.add(new MachineType(f.text("Label"), f.amount("Cores"), f.amount("Accelerators"), f.amount("MemoryGb"),
-          f.has("LocalGb") ? f.amount("LocalGb") : 0, f.has("PullGbPerS") ? f.amount("PullGbPerS") : 0,
-          f.amount("Hourly"), f.has("MarketPrice") ? f.amount("MarketPrice") : 0, f.micros("StartupS"),
-          f.texts("Fjords")));
+      types.add(
+          new MachineType(
+              f.text("Label"),
+              f.amount("Cores"),
+              f.amount("Accelerators"),
+              f.amount("MemoryGb"),
+              f.has("LocalGb") ? f.amount("LocalGb") : 0,
+              f.has("PullGbPerS") ? f.amount("PullGbPerS") : 0,
+              f.amount("Hourly"),
+              f.has("MarketPrice") ? f.amount("MarketPrice") : 0,
+              f.micros("StartupS"),
+              f.texts("Fjords")));
     }
     return new Reply.Catalog(types);
   }
@@ -49,8 +57,15 @@
     List<Reply.CloudMachine> machines = new ArrayList<>();
     for (Object item : top.list("Skerries")) {
       Fields f = Fields.of(item, "Skerries");
-      machines.add(new Reply.CloudMachine(f.text("Id"), f.textOrNull("Endpoint"), f.text("Hull"), f.text("Fjord"),
-          f.flag("Driftwood"), f.text("Tide"), f.micros("AgeS")));
+      machines.add(
+          new Reply.CloudMachine(
+              f.text("Id"),
+              f.textOrNull("Endpoint"),
+              f.text("Hull"),
+              f.text("Fjord"),
+              f.flag("Driftwood"),
+              f.text("Tide"),
+              f.micros("AgeS")));
     }
     return new Reply.CloudMachines(machines, Boolean.TRUE.equals(top.raw("Truncated")));
   }
--- a/src/main/java/org/eiderstair/protocol/Pack.java
+++ b/src/main/java/org/eiderstair/protocol/Pack.java
@@ -13,14 +13,22 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 
-/** MessagePack to and from plain maps, lists, text, numbers, booleans and null; nothing is binary. */
+/**
+ * MessagePack to and from plain maps, lists, text, numbers, booleans and null; nothing is binary.
+ */
 public final class Pack {
   private static final int DEEPEST = 24;
+
   /** Small buffers: the library's defaults are made for far larger messages. */
-  private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(1024);
+  private static final MessagePack.PackerConfig PACKER =
+      new MessagePack.PackerConfig().withBufferSize(1024);
 
-  /** Names of fields come again and again: each is made into text once. A slot that is taken stays taken. */
+  /**
+   * Names of fields come again and again: each is made into text once. A slot that is taken stays
+   * taken.
+   */
   private static final String[] NAMES = new String[512];
+
   private static final int LONGEST_NAME = 24;
 
   private Pack() {}
@@ -62,27 +70,36 @@
   }
 
   /**
-   * Takes the maps of one list of a message as they come, instead of a map for each: a report's tasks are most of what
-   * a leader reads. The values stand in the order of {@link #names}, null where there is none; they are overwritten
-   * by the next. Of the first, each differs; the others are one of a few words.
+   * Takes the maps of one list of a message as they come, instead of a map for each: a report's
+   * tasks are most of what a leader reads. The values stand in the order of {@link #names}, null
+   * where there is none; they are overwritten by the next. Of the first, each differs; the others
+   * are one of a few words.
    */
   interface Rows {
     String field();
 
     String[] names();
 
-    /** The list begins, also when the message holds it twice: what was taken before does not count. */
+    /**
+     * The list begins, also when the message holds it twice: what was taken before does not count.
+     */
     void begin();
 
     void row(Object[] values) throws Malformed;
   }
 
-  /** Reads exactly one map. Lengths are checked against what is there before anything is allocated for them. */
+  /**
+   * Reads exactly one map. Lengths are checked against what is there before anything is allocated
+   * for them.
+   */
   public static Map<String, Object> readMap(byte[] bytes) throws Malformed {
     return readMap(bytes, null);
   }
 
-  /** The same, but for one list, which is handed over row by row; what is left in the map for it is no row's. */
+  /**
+   * The same, but for one list, which is handed over row by row; what is left in the map for it is
+   * no row's.
+   */
   static Map<String, Object> readMap(byte[] bytes, Rows rows) throws Malformed {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       if (!unpacker.hasNext() || unpacker.getNextFormat().getValueType() != ValueType.MAP) {
@@ -108,14 +125,18 @@
         throw new Malformed("a key is not text");
       }
       String name = name(text(unpacker, size, depth));
-      boolean row = rows != null && name.equals(rows.field())
-          && unpacker.getNextFormat().getValueType() == ValueType.ARRAY;
+      boolean row =
+          rows != null
+              && name.equals(rows.field())
+              && unpacker.getNextFormat().getValueType() == ValueType.ARRAY;
       map.put(name, row ? rows(unpacker, size, depth + 1, rows) : value(unpacker, size, depth + 1));
     }
     return map;
   }
 
-  /** An empty list when all of them were maps, else what was none: for a reader of fields to refuse. */
+  /**
+   * An empty list when all of them were maps, else what was none: for a reader of fields to refuse.
+   */
   private static List<Object> rows(MessageUnpacker unpacker, int size, int depth, Rows rows)
       throws IOException, Malformed {
     int count = unpacker.unpackArrayHeader();
@@ -143,7 +164,8 @@
           at--;
         }
         boolean word = at > 0 && unpacker.getNextFormat().getValueType() == ValueType.STRING;
-        Object value = word ? name(text(unpacker, size, depth + 2)) : value(unpacker, size, depth + 2);
+        Object value =
+            word ? name(text(unpacker, size, depth + 2)) : value(unpacker, size, depth + 2);
         if (at >= 0) {
           values[at] = value;
         }
@@ -154,10 +176,11 @@
   }
 
   /**
-   * The bytes of a text. The library's own way to read text sets aside 16 KB for each message, which cost an unchanged
-   * report more than all the rest of its way: 26 KB against 8.
+   * The bytes of a text. The library's own way to read text sets aside 16 KB for each message,
+   * which cost an unchanged report more than all the rest of its way: 26 KB against 8.
    */
-  private static byte[] text(MessageUnpacker unpacker, int size, int depth) throws IOException, Malformed {
+  private static byte[] text(MessageUnpacker unpacker, int size, int depth)
+      throws IOException, Malformed {
     int length = unpacker.unpackRawStringHeader();
     check(length, unpacker, size, depth);
     return unpacker.readPayload(length);
@@ -196,7 +219,8 @@
     return true;
   }
 
-  private static Object value(MessageUnpacker unpacker, int size, int depth) throws IOException, Malformed {
+  private static Object value(MessageUnpacker unpacker, int size, int depth)
+      throws IOException, Malformed {
     switch (unpacker.getNextFormat().getValueType()) {
       case NIL:
         unpacker.unpackNil();
@@ -224,7 +248,8 @@
     }
   }
 
-  private static void check(long items, MessageUnpacker unpacker, int size, int depth) throws Malformed {
+  private static void check(long items, MessageUnpacker unpacker, int size, int depth)
+      throws Malformed {
     if (depth > DEEPEST) {
       throw new Malformed("nested too deeply");
     }
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -83,7 +83,9 @@
     for (Object item : f.list("News")) {
       Fields i = Fields.of(item, "News");
       boolean put = i.has("Put");
-      items.add(new Reply.Item(put ? i.text("Put") : i.text("Drop"), put ? data(i) : null, i.whole("Stamp")));
+      items.add(
+          new Reply.Item(
+              put ? i.text("Put") : i.text("Drop"), put ? data(i) : null, i.whole("Stamp")));
     }
     return new Reply.Changed(items, f.whole("LedgerRev"));
   }
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -16,10 +16,26 @@
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,20}");
   private static final Map<String, JobSpec.Shape> SHAPES =
       Map.of("sweep", JobSpec.Shape.ARRAY, "standing", JobSpec.Shape.SERVICE);
-  private static final Map<String, JobSpec.Priority> URGENCIES = Map.of("production", JobSpec.Priority.PRODUCTION,
-      "urgent", JobSpec.Priority.HIGH, "normal", JobSpec.Priority.NORMAL, "low", JobSpec.Priority.LOW);
-  private static final Map<Answer.Phase, String> PHASES = Map.of(Answer.Phase.PENDING, "pending",
-      Answer.Phase.RUNNING, "running", Answer.Phase.DONE, "done", Answer.Phase.CANCELLED, "cancelled");
+  private static final Map<String, JobSpec.Priority> URGENCIES =
+      Map.of(
+          "production",
+          JobSpec.Priority.PRODUCTION,
+          "urgent",
+          JobSpec.Priority.HIGH,
+          "normal",
+          JobSpec.Priority.NORMAL,
+          "low",
+          JobSpec.Priority.LOW);
+  private static final Map<Answer.Phase, String> PHASES =
+      Map.of(
+          Answer.Phase.PENDING,
+          "pending",
+          Answer.Phase.RUNNING,
+          "running",
+          Answer.Phase.DONE,
+          "done",
+          Answer.Phase.CANCELLED,
+          "cancelled");
 
   private UserMessages() {}
 
@@ -51,14 +67,32 @@
       throw new Malformed("Pieces is not between 1 and " + MOST_TASKS);
     }
     List<String> types = f.has("Hulls") ? f.texts("Hulls") : null;
-    if (types != null && (types.size() > MOST_TYPES || types.stream().anyMatch(t -> t.length() > LONGEST_TYPE))) {
+    if (types != null
+        && (types.size() > MOST_TYPES || types.stream().anyMatch(t -> t.length() > LONGEST_TYPE))) {
       // A job's record must fit into one value of the state service.
       throw new Malformed("Hulls is too long");
     }
-    return new JobSpec(id(message), f.text("JobkindGroup"), f.text("Crew"), shape, priority, (int) tasks,
-        f.amount("Cores"), f.amount("Accelerators"), f.amount("MemoryGb"), f.text("Bundle"), f.amount("ImageGb"),
-        types, f.textOrNull("Fjord"), f.flag("OneZone"), f.flag("Scatter"), f.flag("Driftwood"), f.micros("GuessS"),
-        f.micros("CairnEveryS"), f.micros("CairnS"), f.microsOr("DueS", JobSpec.NO_DEADLINE));
+    return new JobSpec(
+        id(message),
+        f.text("JobkindGroup"),
+        f.text("Crew"),
+        shape,
+        priority,
+        (int) tasks,
+        f.amount("Cores"),
+        f.amount("Accelerators"),
+        f.amount("MemoryGb"),
+        f.text("Bundle"),
+        f.amount("ImageGb"),
+        types,
+        f.textOrNull("Fjord"),
+        f.flag("OneZone"),
+        f.flag("Scatter"),
+        f.flag("Driftwood"),
+        f.micros("GuessS"),
+        f.micros("CairnEveryS"),
+        f.micros("CairnS"),
+        f.microsOr("DueS", JobSpec.NO_DEADLINE));
   }
 
   public static byte[] view(Answer.JobView view) {
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -13,10 +13,30 @@
 
 /** What workers send and get. */
 public final class WorkerMessages {
-  private static final Map<String, TaskState> STATES = Map.of("fetching", TaskState.FETCHING, "running",
-      TaskState.RUNNING, "flushing", TaskState.SAVING, "ended", TaskState.ENDED);
-  private static final Map<String, Exit> EXITS = Map.of("done", Exit.DONE, "halted", Exit.STOPPED, "error", Exit.ERROR,
-      "full", Exit.NO_ROOM, "busy", Exit.BUSY, "no_such", Exit.UNKNOWN_JOB);
+  private static final Map<String, TaskState> STATES =
+      Map.of(
+          "fetching",
+          TaskState.FETCHING,
+          "running",
+          TaskState.RUNNING,
+          "flushing",
+          TaskState.SAVING,
+          "ended",
+          TaskState.ENDED);
+  private static final Map<String, Exit> EXITS =
+      Map.of(
+          "done",
+          Exit.DONE,
+          "halted",
+          Exit.STOPPED,
+          "error",
+          Exit.ERROR,
+          "full",
+          Exit.NO_ROOM,
+          "busy",
+          Exit.BUSY,
+          "no_such",
+          Exit.UNKNOWN_JOB);
 
   private WorkerMessages() {}
 
@@ -66,9 +86,17 @@
       throw pieces.fault;
     }
     List<Entry> entries = pieces.entries;
-    return new MachineReport(f.text("Skerry"), f.text("Endpoint"), f.text("Hull"), f.text("Fjord"),
-        f.flag("Driftwood"), f.whole("Watch"), f.whole("Tally"), f.whole("Baton"),
-        f.microsOr("WarningS", MachineReport.NO_NOTICE), entries);
+    return new MachineReport(
+        f.text("Skerry"),
+        f.text("Endpoint"),
+        f.text("Hull"),
+        f.text("Fjord"),
+        f.flag("Driftwood"),
+        f.whole("Watch"),
+        f.whole("Tally"),
+        f.whole("Baton"),
+        f.microsOr("WarningS", MachineReport.NO_NOTICE),
+        entries);
   }
 
   private static Entry entry(Object[] values) throws Malformed {
@@ -82,7 +110,8 @@
       // A reason this version does not know can only mean that the task did not complete.
       exit = EXITS.getOrDefault(Fields.text(values[3], "Cause"), Exit.ERROR);
     }
-    return new Entry(task, Fields.whole(values[1], "Try"), state, exit, Boolean.TRUE.equals(values[4]));
+    return new Entry(
+        task, Fields.whole(values[1], "Try"), state, exit, Boolean.TRUE.equals(values[4]));
   }
 
   /** The answer to a report. */
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -16,8 +16,9 @@
 import org.eiderstair.protocol.WorkerMessages;
 
 /**
- * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM counts for each thread:
- * what stands for processor time in a test without a clock. An event's must not grow with the fleet.
+ * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM
+ * counts for each thread: what stands for processor time in a test without a clock. An event's must
+ * not grow with the fleet.
  */
 class AllocationTest {
   private static final int ROUNDS = 400;
@@ -40,7 +41,9 @@
   }
 
   private static void within(String what, int machines, long bytes, long most) {
-    assertTrue(bytes <= most, what + " at " + machines + " machines: " + bytes + " bytes, at most " + most);
+    assertTrue(
+        bytes <= most,
+        what + " at " + machines + " machines: " + bytes + " bytes, at most " + most);
   }
 
   private static LeaderBench busy(int machines) {
@@ -59,12 +62,32 @@
         pieces.add(Map.of("Piece", a.task().toString(), "Try", a.number, "Tide", "running"));
       }
     }
-    return Pack.write(Map.of("Skerry", m.id, "Endpoint", "10.0.0.1:9000", "Hull", "t", "Fjord", m.zone, "Driftwood",
-        m.spot, "Watch", 1L, "Tally", bench.sequences.merge(m.id, 1L, Long::sum), "Baton", m.token(), "Pieces",
-        pieces));
+    return Pack.write(
+        Map.of(
+            "Skerry",
+            m.id,
+            "Endpoint",
+            "10.0.0.1:9000",
+            "Hull",
+            "t",
+            "Fjord",
+            m.zone,
+            "Driftwood",
+            m.spot,
+            "Watch",
+            1L,
+            "Tally",
+            bench.sequences.merge(m.id, 1L, Long::sum),
+            "Baton",
+            m.token(),
+            "Pieces",
+            pieces));
   }
 
-  /** A report of a machine with eight tasks in which nothing has changed, the most frequent event there is. */
+  /**
+   * A report of a machine with eight tasks in which nothing has changed, the most frequent event
+   * there is.
+   */
   @Example
   void anUnchangedReportIsNearlyFree() throws Malformed {
     for (int machines : new int[] {50, 500, 2000, -2000}) {
@@ -83,18 +106,28 @@
       bodies.add(report(bench, bench.fleet.machines.get("m-" + i % machines)));
     }
     bench.effects.clear();
-    within("report", machines, bytes(i -> {
-      bench.now += 1_000;
-      bench.fleet.reported(++bench.exchange, WorkerMessages.report(bodies.get(i)), false, bench.now);
-      bench.fleet.flush(bench.now);
-      bench.standby.tick(bench.now);
-      Answer.Command answer = (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
-      WorkerMessages.orders(answer.token(), answer.orders());
-      bench.effects.clear();
-    }), 8000);
+    within(
+        "report",
+        machines,
+        bytes(
+            i -> {
+              bench.now += 1_000;
+              bench.fleet.reported(
+                  ++bench.exchange, WorkerMessages.report(bodies.get(i)), false, bench.now);
+              bench.fleet.flush(bench.now);
+              bench.standby.tick(bench.now);
+              Answer.Command answer =
+                  (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
+              WorkerMessages.orders(answer.token(), answer.orders());
+              bench.effects.clear();
+            }),
+        8000);
   }
 
-  /** With a standby in sync: its changes, batches and what holds a launch until they are acknowledged. */
+  /**
+   * With a standby in sync: its changes, batches and what holds a launch until they are
+   * acknowledged.
+   */
   @Example
   void aPlacedTaskWithAStandby() throws Malformed {
     LeaderBench bench = busy(500);
@@ -116,17 +149,19 @@
       bench.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
     }
     int[] placed = {0};
-    long all = bytes(i -> {
-      bench.report(bench.fleet.machines.get("m-" + i % machines), 4);
-      bench.placement.place(bench.now);
-      for (Machine m : bench.fleet.machines.values()) {
-        placed[0] += i >= ROUNDS ? m.toLaunch.size() : 0;
-      }
-      bench.fleet.flush(bench.now);
-      bench.standby.tick(bench.now);
-      bench.deliver();
-      bench.effects.clear();
-    });
+    long all =
+        bytes(
+            i -> {
+              bench.report(bench.fleet.machines.get("m-" + i % machines), 4);
+              bench.placement.place(bench.now);
+              for (Machine m : bench.fleet.machines.values()) {
+                placed[0] += i >= ROUNDS ? m.toLaunch.size() : 0;
+              }
+              bench.fleet.flush(bench.now);
+              bench.standby.tick(bench.now);
+              bench.deliver();
+              bench.effects.clear();
+            });
     assertTrue(placed[0] > ROUNDS, "placed " + placed[0]);
     within("placed task", machines, all * ROUNDS / placed[0], most);
   }
@@ -142,13 +177,31 @@
     LeaderBench bench = busy(machines);
     List<byte[]> news = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      news.add(Pack.write(Map.of("LedgerRev", 100L + i, "News", List.of(Map.of("Put", "e/prog/" + firstJob(bench).id,
-          "Data", Records.progress(firstJob(bench).done, 3), "Stamp", 100L + i)))));
+      news.add(
+          Pack.write(
+              Map.of(
+                  "LedgerRev",
+                  100L + i,
+                  "News",
+                  List.of(
+                      Map.of(
+                          "Put",
+                          "e/prog/" + firstJob(bench).id,
+                          "Data",
+                          Records.progress(firstJob(bench).done, 3),
+                          "Stamp",
+                          100L + i)))));
     }
-    within("watch change", machines, bytes(i -> {
-      Reply.Changed changed = (Reply.Changed) StoreMessages.changed(Pack.readMap(news.get(i)));
-      changed.changes().forEach(bench.replica::apply);
-    }), 1800);
+    within(
+        "watch change",
+        machines,
+        bytes(
+            i -> {
+              Reply.Changed changed =
+                  (Reply.Changed) StoreMessages.changed(Pack.readMap(news.get(i)));
+              changed.changes().forEach(bench.replica::apply);
+            }),
+        1800);
   }
 
   private static Job firstJob(LeaderBench bench) {
@@ -164,38 +217,84 @@
 
   private static void aSubmissionAndAPoll(int machines) throws Malformed {
     LeaderBench bench = busy(machines);
-    bench.replica.apply(new Reply.Item(Records.CATALOG, Records.catalog(List.of(LeaderBench.TYPE)), 2));
+    bench.replica.apply(
+        new Reply.Item(Records.CATALOG, Records.catalog(List.of(LeaderBench.TYPE)), 2));
     bench.load();
-    Desk desk = new Desk(bench.settings, bench.ports, bench.replica, told -> { });
+    Desk desk = new Desk(bench.settings, bench.ports, bench.replica, told -> {});
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      Map<String, Object> m = new HashMap<>(Map.of("Id", "job-" + (500_000 + i), "JobkindGroup", "c", "Crew", "red",
-          "Shape", "sweep", "Urgency", "normal", "Pieces", 12L, "Cores", 1.0, "Accelerators", 0.0, "MemoryGb", 1.0));
-      m.putAll(Map.of("Bundle", "img", "ImageGb", 0.1, "OneZone", false, "Scatter", false, "Driftwood", true,
-          "GuessS", 2.0, "CairnEveryS", 0.0, "CairnS", 0.0));
+      Map<String, Object> m =
+          new HashMap<>(
+              Map.of(
+                  "Id",
+                  "job-" + (500_000 + i),
+                  "JobkindGroup",
+                  "c",
+                  "Crew",
+                  "red",
+                  "Shape",
+                  "sweep",
+                  "Urgency",
+                  "normal",
+                  "Pieces",
+                  12L,
+                  "Cores",
+                  1.0,
+                  "Accelerators",
+                  0.0,
+                  "MemoryGb",
+                  1.0));
+      m.putAll(
+          Map.of(
+              "Bundle",
+              "img",
+              "ImageGb",
+              0.1,
+              "OneZone",
+              false,
+              "Scatter",
+              false,
+              "Driftwood",
+              true,
+              "GuessS",
+              2.0,
+              "CairnEveryS",
+              0.0,
+              "CairnS",
+              0.0));
       bodies.add(Pack.write(m));
     }
-    within("submission", machines, bytes(i -> {
-      Map<String, Object> message = Pack.readMap(bodies.get(i));
-      desk.submit(1, UserMessages.id(message), UserMessages.spec(message), null);
-      Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-      StoreMessages.txn((Request.StoreTxn) call.request());
-      bench.ports.replied(call.call(), new Reply.Applied(1000 + i));
-      Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
-      UserMessages.view((Answer.JobView) answer.answer());
-      bench.effects.clear();
-    }), 12_500);
+    within(
+        "submission",
+        machines,
+        bytes(
+            i -> {
+              Map<String, Object> message = Pack.readMap(bodies.get(i));
+              desk.submit(1, UserMessages.id(message), UserMessages.spec(message), null);
+              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              StoreMessages.txn((Request.StoreTxn) call.request());
+              bench.ports.replied(call.call(), new Reply.Applied(1000 + i));
+              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              UserMessages.view((Answer.JobView) answer.answer());
+              bench.effects.clear();
+            }),
+        12_500);
     long[] now = {1_000_000};
-    within("poll", machines, bytes(i -> {
-      desk.tick(now[0] += 1_000_000);
-      desk.poll(1, "job-" + (500_000 + i));
-      desk.tick(now[0] += 1_000_000);
-      Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-      StoreMessages.txn((Request.StoreTxn) call.request());
-      bench.ports.replied(call.call(), new Reply.Applied(0));
-      Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
-      UserMessages.view((Answer.JobView) answer.answer());
-      bench.effects.clear();
-    }), 6000);
+    within(
+        "poll",
+        machines,
+        bytes(
+            i -> {
+              desk.tick(now[0] += 1_000_000);
+              desk.poll(1, "job-" + (500_000 + i));
+              desk.tick(now[0] += 1_000_000);
+              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              StoreMessages.txn((Request.StoreTxn) call.request());
+              bench.ports.replied(call.call(), new Reply.Applied(0));
+              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              UserMessages.view((Answer.JobView) answer.answer());
+              bench.effects.clear();
+            }),
+        6000);
   }
 }
--- a/src/test/java/org/eiderstair/core/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/CommandSearchTest.java
@@ -19,13 +19,15 @@
 import org.eiderstair.core.standby.Standby;
 
 /**
- * Every order of a small case, to a stated depth: one machine, two leaders one after the other, one or two tasks of a job that may
- * be cancelled; commands, replies, reports and answers that are delivered, lost, given up and executed late. States that look
- * the same are visited once. Further: {@code mvn -B test -Dtest=CommandSearchTest -Dsearch.states=200000}.
+ * Every order of a small case, to a stated depth: one machine, two leaders one after the other, one
+ * or two tasks of a job that may be cancelled; commands, replies, reports and answers that are
+ * delivered, lost, given up and executed late. States that look the same are visited once. Further:
+ * {@code mvn -B test -Dtest=CommandSearchTest -Dsearch.states=200000}.
  *
- * <p>What must hold in every state, for the newest leader: a task that it may place elsewhere is not alive on the machine and
- * no launch of it can still be executed there ({@code ran_twice}); it counts at least what the team runs ({@code quota}); no launch
- * leaves for a job that it knows to be cancelled; and once all messages have come or are lost, a few reports later nothing of a
+ * <p>What must hold in every state, for the newest leader: a task that it may place elsewhere is
+ * not alive on the machine and no launch of it can still be executed there ({@code ran_twice}); it
+ * counts at least what the team runs ({@code quota}); no launch leaves for a job that it knows to
+ * be cancelled; and once all messages have come or are lost, a few reports later nothing of a
  * cancelled job is left ({@code ran_cancelled}), and all of an open one is done or runs.
  */
 class CommandSearchTest {
@@ -37,11 +39,17 @@
   private static final String MACHINE = "m-0";
   private static final int MOST_IN_FLIGHT = 2;
   private static final int MOST_SESSIONS = 2;
+
   /** Times since an answer that differ by less are taken for the same. */
   private static final long LEASES_ALIKE = 10;
 
   /** What the service is made to do wrong, to see that the search finds it. */
-  private enum Mistake { NONE, FORGETS_LAUNCHES, FORGETS_CANCELLED, NEVER_KILLS }
+  private enum Mistake {
+    NONE,
+    FORGETS_LAUNCHES,
+    FORGETS_CANCELLED,
+    NEVER_KILLS
+  }
 
   /** A direct command on its way; the leader may have given it up. */
   private static final class Command {
@@ -84,7 +92,16 @@
     final Map<TaskId, Entry> tasks = new TreeMap<>((a, b) -> Integer.compare(a.index(), b.index()));
 
     MachineReport view() {
-      return new MachineReport(MACHINE, "x", "t", "a", false, session, ++sequence, token, MachineReport.NO_NOTICE,
+      return new MachineReport(
+          MACHINE,
+          "x",
+          "t",
+          "a",
+          false,
+          session,
+          ++sequence,
+          token,
+          MachineReport.NO_NOTICE,
           List.copyOf(tasks.values()));
     }
 
@@ -93,10 +110,14 @@
       boolean same = known != null && known.attempt() == order.attempt();
       if (order instanceof Order.Launch) {
         if (known == null || !same && known.state() == TaskState.ENDED) {
-          tasks.put(order.task(), new Entry(order.task(), order.attempt(), TaskState.RUNNING, Exit.NONE, false));
+          tasks.put(
+              order.task(),
+              new Entry(order.task(), order.attempt(), TaskState.RUNNING, Exit.NONE, false));
         }
       } else if (same && order instanceof Order.Kill && known.state() != TaskState.ENDED) {
-        tasks.put(order.task(), new Entry(order.task(), order.attempt(), TaskState.ENDED, Exit.STOPPED, false));
+        tasks.put(
+            order.task(),
+            new Entry(order.task(), order.attempt(), TaskState.ENDED, Exit.STOPPED, false));
       } else if (same && order instanceof Order.Reap && known.state() == TaskState.ENDED) {
         tasks.remove(order.task());
       }
@@ -146,8 +167,28 @@
     }
 
     private void addJob(LeaderBench leader) {
-      JobSpec spec = new JobSpec(JOB, "c", "red", JobSpec.Shape.ARRAY, JobSpec.Priority.NORMAL, taskCount, 1, 0, 1, "img", 1,
-          null, null, false, false, true, 20 * SECOND, 0, 0, JobSpec.NO_DEADLINE);
+      JobSpec spec =
+          new JobSpec(
+              JOB,
+              "c",
+              "red",
+              JobSpec.Shape.ARRAY,
+              JobSpec.Priority.NORMAL,
+              taskCount,
+              1,
+              0,
+              1,
+              "img",
+              1,
+              null,
+              null,
+              false,
+              false,
+              true,
+              20 * SECOND,
+              0,
+              0,
+              JobSpec.NO_DEADLINE);
       leader.replica.apply(new Reply.Item(Records.jobKey(JOB), Records.openJob(spec), 5));
       leader.replica.jobs.get(JOB).shownRunning = 1;
     }
@@ -170,8 +211,12 @@
       }
       for (Entry entry : worker.tasks.values()) {
         if (entry.state() == TaskState.RUNNING) {
-          all.put("ends " + entry.task(), () -> worker.tasks.put(entry.task(),
-              new Entry(entry.task(), entry.attempt(), TaskState.ENDED, Exit.DONE, false)));
+          all.put(
+              "ends " + entry.task(),
+              () ->
+                  worker.tasks.put(
+                      entry.task(),
+                      new Entry(entry.task(), entry.attempt(), TaskState.ENDED, Exit.DONE, false)));
         }
       }
       if (worker.session <= MOST_SESSIONS) {
@@ -193,16 +238,20 @@
         if (report.answer != null) {
           all.put("answer arrives", this::answered);
         }
-        all.put("report is given up", () -> {
-          earlier = report.content;
-          report = null;
-        });
+        all.put(
+            "report is given up",
+            () -> {
+              earlier = report.content;
+              report = null;
+            });
       }
       if (earlier != null && copies < 1) {
-        all.put("copy of an earlier report", () -> {
-          copies++;
-          deliver(new Report(earlier, newest(), now, true));
-        });
+        all.put(
+            "copy of an earlier report",
+            () -> {
+              copies++;
+              deliver(new Report(earlier, newest(), now, true));
+            });
       }
     }
 
@@ -210,19 +259,23 @@
       if (c.reply == null) {
         all.put("command " + number + " arrives", () -> arrives(c));
       } else if (!c.givenUp) {
-        all.put("reply " + number + " arrives", () -> {
-          commands.remove(c);
-          leaders.get(c.leader).ports.replied(c.call, c.reply);
-        });
+        all.put(
+            "reply " + number + " arrives",
+            () -> {
+              commands.remove(c);
+              leaders.get(c.leader).ports.replied(c.call, c.reply);
+            });
       }
       if (!c.givenUp) {
-        all.put("command " + number + " is given up", () -> {
-          c.givenUp = true;
-          if (c.reply != null) {
-            commands.remove(c);
-          }
-          leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
-        });
+        all.put(
+            "command " + number + " is given up",
+            () -> {
+              c.givenUp = true;
+              if (c.reply != null) {
+                commands.remove(c);
+              }
+              leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
+            });
       } else {
         all.put("command " + number + " is lost", () -> commands.remove(c));
       }
@@ -281,7 +334,8 @@
       if (cancelled) {
         second.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
       }
-      second.replica.apply(new Reply.Item(Records.rosterKey(MACHINE), Records.roster("x", "t", "a", false), 4));
+      second.replica.apply(
+          new Reply.Item(Records.rosterKey(MACHINE), Records.roster("x", "t", "a", false), 4));
       second.fleet.takeOver(now, picture, now);
       Machine m = second.fleet.machines.get(MACHINE);
       m.type = LeaderBench.TYPE;
@@ -297,13 +351,15 @@
     private Map<String, Standby.Held> picture(LeaderBench first) {
       Map<Integer, Long> held = new HashMap<>();
       long[] session = new long[1];
-      first.fleet.snapshot(change -> {
-        session[0] = change.session();
-        if (!change.job().isEmpty()) {
-          held.put(change.index(), change.attempt());
-        }
-      });
-      return Map.of(MACHINE, new Standby.Held(session[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
+      first.fleet.snapshot(
+          change -> {
+            session[0] = change.session();
+            if (!change.job().isEmpty()) {
+              held.put(change.index(), change.attempt());
+            }
+          });
+      return Map.of(
+          MACHINE, new Standby.Held(session[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
     }
 
     private void cancel() {
@@ -325,7 +381,8 @@
     }
 
     private void answered() {
-      if (report.answer instanceof Answer.Command c && c.token() >= worker.token
+      if (report.answer instanceof Answer.Command c
+          && c.token() >= worker.token
           && report.content.session() == worker.session) {
         worker.token = c.token();
         worker.answeredSentMicros = report.sentMicros;
@@ -336,7 +393,9 @@
     }
 
     private void execute(List<Order> orders) {
-      orders.stream().filter(o -> !losesKills || !(o instanceof Order.Kill)).forEach(worker::execute);
+      orders.stream()
+          .filter(o -> !losesKills || !(o instanceof Order.Kill))
+          .forEach(worker::execute);
     }
 
     private void arrives(Command c) {
@@ -355,10 +414,14 @@
     private void collect(LeaderBench leader) {
       int k = leaders.indexOf(leader);
       for (Effect effect : leader.effects) {
-        if (effect instanceof Effect.Respond r && report != null && report.leader == k && report.exchange == r.exchange()) {
+        if (effect instanceof Effect.Respond r
+            && report != null
+            && report.leader == k
+            && report.exchange == r.exchange()) {
           report.answer = r.answer();
           noteLaunches(k, r.answer() instanceof Answer.Command c ? c.orders() : List.of());
-        } else if (effect instanceof Effect.Call c && c.request() instanceof Request.WorkerCommands w) {
+        } else if (effect instanceof Effect.Call c
+            && c.request() instanceof Request.WorkerCommands w) {
           commands.add(new Command(k, c.call(), w));
           noteLaunches(k, w.orders());
         }
@@ -388,7 +451,10 @@
           broken.add("ran_twice: " + task + " is free for the leader and alive on the machine");
         }
         if (free && !cancelled && launchMayArrive(task)) {
-          broken.add("ran_twice: " + task + " is free for the leader, and a launch of it may yet be executed");
+          broken.add(
+              "ran_twice: "
+                  + task
+                  + " is free for the leader, and a launch of it may yet be executed");
         }
       }
       if (whole && !cancelled && used > leader.teams.cpus("red") + 1e-6) {
@@ -397,10 +463,19 @@
     }
 
     private boolean launchMayArrive(TaskId task) {
-      boolean byCommand = commands.stream().anyMatch(c -> c.reply == null && c.request.token() >= worker.token
-          && c.request.session() == worker.session && launches(c.request.orders(), task));
-      boolean byAnswer = report != null && report.answer instanceof Answer.Command c && c.token() >= worker.token
-          && launches(c.orders(), task);
+      boolean byCommand =
+          commands.stream()
+              .anyMatch(
+                  c ->
+                      c.reply == null
+                          && c.request.token() >= worker.token
+                          && c.request.session() == worker.session
+                          && launches(c.request.orders(), task));
+      boolean byAnswer =
+          report != null
+              && report.answer instanceof Answer.Command c
+              && c.token() >= worker.token
+              && launches(c.orders(), task);
       return byCommand || byAnswer;
     }
 
@@ -418,10 +493,11 @@
       commands.clear();
       report = null;
       for (int round = 0; round < 9; round++) {
-        act(() -> {
-          report = new Report(worker.view(), newest(), now, false);
-          deliver(report);
-        });
+        act(
+            () -> {
+              report = new Report(worker.view(), newest(), now, false);
+              deliver(report);
+            });
         act(() -> pass(newest()));
         if (report != null && report.answer != null) {
           act(this::answered);
@@ -444,7 +520,10 @@
       }
     }
 
-    /** What tells two states apart. Of sequence numbers only their order counts, of attempts only which are the same. */
+    /**
+     * What tells two states apart. Of sequence numbers only their order counts, of attempts only
+     * which are the same.
+     */
     String key() {
       StringBuilder key = new StringBuilder();
       Ranks ranks = new Ranks();
@@ -453,9 +532,19 @@
       key.append(cancelled).append(copies).append(worker.token).append('/').append(worker.session);
       entries(key, attempts, List.copyOf(worker.tasks.values()));
       for (Command c : commands) {
-        key.append("|c").append(c.leader).append(c.givenUp).append(c.request.token()).append('/').append(c.request.session());
-        c.request.orders().forEach(o -> key.append(o.getClass().getSimpleName()).append(o.task().index())
-            .append(attempts.of(o.attempt())));
+        key.append("|c")
+            .append(c.leader)
+            .append(c.givenUp)
+            .append(c.request.token())
+            .append('/')
+            .append(c.request.session());
+        c.request
+            .orders()
+            .forEach(
+                o ->
+                    key.append(o.getClass().getSimpleName())
+                        .append(o.task().index())
+                        .append(attempts.of(o.attempt())));
         if (c.reply != null) {
           content(key, ranks, attempts, c.reply.report());
         }
@@ -465,8 +554,12 @@
         content(key, ranks, attempts, report.content);
         if (report.answer instanceof Answer.Command c) {
           key.append(c.token());
-          c.orders().forEach(o -> key.append(o.getClass().getSimpleName()).append(o.task().index())
-              .append(attempts.of(o.attempt())));
+          c.orders()
+              .forEach(
+                  o ->
+                      key.append(o.getClass().getSimpleName())
+                          .append(o.task().index())
+                          .append(attempts.of(o.attempt())));
         } else {
           key.append(report.answer);
         }
@@ -478,20 +571,36 @@
         Machine m = leader.fleet.machines.get(MACHINE);
         Job job = leader.replica.jobs.get(JOB);
         ranks.add(m.session, m.sequence);
-        key.append('#').append(m.phase).append(m.token()).append(m.commandInFlight).append(m.killInFlight)
-            .append(m.killsPending).append(job.done).append(job.state()).append(m.reaps.size()).append(m.strays.size())
-            .append(now >= m.holdUntilMicros).append(leader.leadership.inOffice())
+        key.append('#')
+            .append(m.phase)
+            .append(m.token())
+            .append(m.commandInFlight)
+            .append(m.killInFlight)
+            .append(m.killsPending)
+            .append(job.done)
+            .append(job.state())
+            .append(m.reaps.size())
+            .append(m.strays.size())
+            .append(now >= m.holdUntilMicros)
+            .append(leader.leadership.inOffice())
             .append((now - m.answeredMicros) / (LEASES_ALIKE * SECOND));
         for (Attempt a : m.attempts.values()) {
           key.append(a.index).append(a.phase).append(attempts.of(a.number));
           ranks.add(m.session, a.sentSequence);
         }
       }
-      return key.append(ranks).append((now - worker.answeredSentMicros) / (LEASES_ALIKE * SECOND)).toString();
+      return key.append(ranks)
+          .append((now - worker.answeredSentMicros) / (LEASES_ALIKE * SECOND))
+          .toString();
     }
 
     private void entries(StringBuilder key, Aliases attempts, List<Entry> entries) {
-      entries.forEach(e -> key.append(e.task().index()).append(attempts.of(e.attempt())).append(e.state()).append(e.exit()));
+      entries.forEach(
+          e ->
+              key.append(e.task().index())
+                  .append(attempts.of(e.attempt()))
+                  .append(e.state())
+                  .append(e.exit()));
     }
 
     private void content(StringBuilder key, Ranks ranks, Aliases attempts, MachineReport r) {
@@ -548,11 +657,13 @@
   private static void make(Mistake mistake, World world) {
     Machine m = world.newestLeader().fleet.machines.get(MACHINE);
     switch (mistake) {
-      case NONE -> { }
+      case NONE -> {}
       case FORGETS_LAUNCHES -> {
         if (!m.commandInFlight) {
-          new ArrayList<>(m.attempts.values()).stream().filter(a -> a.phase == Attempt.Phase.SENT)
-              .forEach(world.newestLeader().fleet::remove);
+          new ArrayList<>(m.attempts.values())
+              .stream()
+                  .filter(a -> a.phase == Attempt.Phase.SENT)
+                  .forEach(world.newestLeader().fleet::remove);
         }
       }
       case FORGETS_CANCELLED -> {
@@ -595,7 +706,10 @@
   void noOrderOfMessagesBreaksARule() {
     for (boolean withPicture : new boolean[] {false, true}) {
       for (int taskCount = 1; taskCount <= 2; taskCount++) {
-        assertEquals("", search(taskCount, withPicture, Mistake.NONE), "tasks " + taskCount + ", picture " + withPicture);
+        assertEquals(
+            "",
+            search(taskCount, withPicture, Mistake.NONE),
+            "tasks " + taskCount + ", picture " + withPicture);
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -9,12 +9,27 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** An event that throws half-way leaves a picture that nobody knows: a leader must not go on with it. */
+/**
+ * An event that throws half-way leaves a picture that nobody knows: a leader must not go on with
+ * it.
+ */
 class CoreFailureTest {
   private static final long SECOND = 1_000_000;
-  private final Settings settings = new Settings("n0", List.of("n1"), List.of("a"),
-      Map.of("red", new Settings.Team("red", 0, 0, 0, 0)), List.of(), 3 * SECOND, 20 * SECOND, 40 * SECOND, 100, 50, 16,
-      5, Settings.Tuning.defaults());
+  private final Settings settings =
+      new Settings(
+          "n0",
+          List.of("n1"),
+          List.of("a"),
+          Map.of("red", new Settings.Team("red", 0, 0, 0, 0)),
+          List.of(),
+          3 * SECOND,
+          20 * SECOND,
+          40 * SECOND,
+          100,
+          50,
+          16,
+          5,
+          Settings.Tuning.defaults());
   private final List<Effect> effects = new ArrayList<>();
   private final Core core = new Core(settings, "run", 0, n -> 0, effects::add);
   private long now = SECOND;
@@ -44,9 +59,13 @@
     assertTrue(core.leads());
   }
 
-  /** A report without its tasks: nothing that the protocol lets through, so it stands for any fault of ours. */
+  /**
+   * A report without its tasks: nothing that the protocol lets through, so it stands for any fault
+   * of ours.
+   */
   private static Event broken(long exchange) {
-    return new Event.Reported(exchange, new MachineReport("m", "x", "t", "a", true, 1, 1, 0, -1, null), false);
+    return new Event.Reported(
+        exchange, new MachineReport("m", "x", "t", "a", true, 1, 1, 0, -1, null), false);
   }
 
   @Example
@@ -55,12 +74,22 @@
     core.handle(broken(1), now);
     assertFalse(core.leads());
     taken(Request.LeaseDrop.class);
-    assertTrue(effects.stream().anyMatch(e -> e instanceof Effect.Log log && log.level() == Effect.Level.ERROR
-        && log.text().contains("Reported")));
-    reply(Request.StoreWatch.class, new Reply.Changed(List.of(new Reply.Item(Records.LEADER, null, 9)), 9));
+    assertTrue(
+        effects.stream()
+            .anyMatch(
+                e ->
+                    e instanceof Effect.Log log
+                        && log.level() == Effect.Level.ERROR
+                        && log.text().contains("Reported")));
+    reply(
+        Request.StoreWatch.class,
+        new Reply.Changed(List.of(new Reply.Item(Records.LEADER, null, 9)), 9));
     now += 5 * SECOND;
     core.handle(new Event.Tick(), now);
-    assertTrue(effects.stream().noneMatch(e -> e instanceof Effect.Call c && c.request() instanceof Request.LeaseGrant));
+    assertTrue(
+        effects.stream()
+            .noneMatch(
+                e -> e instanceof Effect.Call c && c.request() instanceof Request.LeaseGrant));
     now += 15 * SECOND;
     core.handle(new Event.Tick(), now);
     taken(Request.LeaseGrant.class);
@@ -71,6 +100,8 @@
     core.handle(new Event.Tick(), now);
     core.handle(new Event.Submit(1, null, null, null), now);
     core.handle(new Event.ReadyProbe(2), now);
-    assertEquals(1, effects.stream().filter(e -> e instanceof Effect.Respond r && r.exchange() == 2).count());
+    assertEquals(
+        1,
+        effects.stream().filter(e -> e instanceof Effect.Respond r && r.exchange() == 2).count());
   }
 }
