--- a/src/test/java/org/eiderstair/sim/MeetingsTest.java
+++ b/src/test/java/org/eiderstair/sim/MeetingsTest.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import java.util.function.UnaryOperator;
 import net.jqwik.api.Example;
 import org.eiderstair.core.Answer;
 import org.eiderstair.core.JobSpec;
@@ -15,8 +14,9 @@
 import org.eiderstair.core.Request;
 
 /**
- * Days on which the troubles of the users' page on meetings come in pairs and threes, drawn from fixed seeds. Another range:
- * {@code mvn -B test -Dtest=MeetingsTest -Dmeet.first=1000 -Dmeet.days=500}.
+ * Days on which the troubles of the users' page on meetings come in pairs and threes, drawn from
+ * fixed seeds. Another range: {@code mvn -B test -Dtest=MeetingsTest -Dmeet.first=1000
+ * -Dmeet.days=500}.
  */
 class MeetingsTest {
   private static final long SECOND = 1_000_000;
@@ -37,8 +37,11 @@
       for (int i = 0; i < count; i++) {
         Troubles.Kind kind = KINDS[day.random.nextInt(KINDS.length)];
         long span = (4 + day.random.nextInt(38)) * SECOND;
-        day.clock.after(at + day.random.nextInt(4_000_000), () -> day.troubles.begin(kind, Math.min(span,
-            LAST_TROUBLE + 50 * SECOND - day.clock.now())));
+        day.clock.after(
+            at + day.random.nextInt(4_000_000),
+            () ->
+                day.troubles.begin(
+                    kind, Math.min(span, LAST_TROUBLE + 50 * SECOND - day.clock.now())));
       }
     }
     return playToTheEnd(day);
@@ -53,26 +56,42 @@
   }
 
   private static String verdict(Day day) {
-    if (day.broken.isEmpty() && day.unfinished().isEmpty() && day.started > 0 && day.servedInTime >= 0.5) {
+    if (day.broken.isEmpty()
+        && day.unfinished().isEmpty()
+        && day.started > 0
+        && day.servedInTime >= 0.5) {
       return null;
     }
-    return day.broken.stream().limit(2).toList() + " unfinished " + day.unfinished() + " served " + day.servedInTime;
+    return day.broken.stream().limit(2).toList()
+        + " unfinished "
+        + day.unfinished()
+        + " served "
+        + day.servedInTime;
   }
 
   @Example
   void noRuleBreaksWhereTroublesMeet() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
-      String verdict = verdict(play(seed, s -> { }, d -> { }));
+      String verdict = verdict(play(seed, s -> {}, d -> {}));
       if (verdict != null) {
-        failures.add("seed " + seed + ": " + verdict + "; again: mvn -B test -Dtest=MeetingsTest#noRule* -Dmeet.first="
-            + seed + " -Dmeet.days=1 -DargLine=-Dsim.log=true");
+        failures.add(
+            "seed "
+                + seed
+                + ": "
+                + verdict
+                + "; again: mvn -B test -Dtest=MeetingsTest#noRule* -Dmeet.first="
+                + seed
+                + " -Dmeet.days=1 -DargLine=-Dsim.log=true");
       }
     }
     assertEquals(List.of(), failures);
   }
 
-  /** Commands that come late, with each other trouble, three times on a day and with a third one drawn. */
+  /**
+   * Commands that come late, with each other trouble, three times on a day and with a third one
+   * drawn.
+   */
   @Example
   void noRuleBreaksWhereLateCommandsMeetEachOtherTrouble() {
     List<String> failures = new ArrayList<>();
@@ -80,8 +99,16 @@
       for (long seed = FIRST; seed < FIRST + LATE_COMMAND_DAYS; seed++) {
         String verdict = verdict(playWithLateCommands(seed, other));
         if (verdict != null) {
-          failures.add(other + " seed " + seed + ": " + verdict + "; again: mvn -B test -Dtest=MeetingsTest#noRuleBreaksWhereLate*"
-              + " -Dmeet.first=" + seed + " -Dmeet.late=1 -DargLine=-Dsim.log=true");
+          failures.add(
+              other
+                  + " seed "
+                  + seed
+                  + ": "
+                  + verdict
+                  + "; again: mvn -B test -Dtest=MeetingsTest#noRuleBreaksWhereLate*"
+                  + " -Dmeet.first="
+                  + seed
+                  + " -Dmeet.late=1 -DargLine=-Dsim.log=true");
         }
       }
     }
@@ -89,7 +116,7 @@
   }
 
   private static Day playWithLateCommands(long seed, Troubles.Kind other) {
-    Day day = WholeDayTest.loaded(seed * 1000 + other.ordinal(), Day.Size.SMALL, s -> { });
+    Day day = WholeDayTest.loaded(seed * 1000 + other.ordinal(), Day.Size.SMALL, s -> {});
     for (int meeting = 0; meeting < 3; meeting++) {
       long at = (25 + meeting * 70 + day.random.nextInt(30)) * SECOND;
       Troubles.Kind third = KINDS[day.random.nextInt(KINDS.length)];
@@ -103,7 +130,8 @@
   }
 
   /** What a planted fault breaks on some day. */
-  private static void assertFound(String what, Consumer<Day.Sabotage> sabotage, Consumer<Day> planted) {
+  private static void assertFound(
+      String what, Consumer<Day.Sabotage> sabotage, Consumer<Day> planted) {
     List<String> found = new ArrayList<>();
     for (long seed = 1; seed <= 12 && found.stream().noneMatch(f -> f.contains(what)); seed++) {
       Day day = play(seed, sabotage, planted);
@@ -112,24 +140,30 @@
         found.add("served " + day.servedInTime);
       }
     }
-    assertTrue(found.stream().anyMatch(f -> f.contains(what)), what + " not found in " + found.stream().limit(5).toList());
+    assertTrue(
+        found.stream().anyMatch(f -> f.contains(what)),
+        what + " not found in " + found.stream().limit(5).toList());
   }
 
   private static void assertFound(String what, Consumer<Day> planted) {
-    assertFound(what, s -> { }, planted);
+    assertFound(what, s -> {}, planted);
   }
 
   /** Takes some orders out of all that is sent to machines. */
-  private static void assertFoundWithout(String what, Predicate<Order> lost, Consumer<Day> planted) {
-    assertFoundWithout(what, lost, s -> { }, planted);
+  private static void assertFoundWithout(
+      String what, Predicate<Order> lost, Consumer<Day> planted) {
+    assertFoundWithout(what, lost, s -> {}, planted);
   }
 
-  private static void assertFoundWithout(String what, Predicate<Order> lost, Consumer<Day.Sabotage> more,
-      Consumer<Day> planted) {
-    assertFound(what, more.andThen(s -> losing(lost, s)), day -> {
-      planted.accept(day);
-      losing(lost, day);
-    });
+  private static void assertFoundWithout(
+      String what, Predicate<Order> lost, Consumer<Day.Sabotage> more, Consumer<Day> planted) {
+    assertFound(
+        what,
+        more.andThen(s -> losing(lost, s)),
+        day -> {
+          planted.accept(day);
+          losing(lost, day);
+        });
   }
 
   private static List<Order> without(Predicate<Order> lost, List<Order> orders) {
@@ -138,13 +172,18 @@
 
   private static void losing(Predicate<Order> lost, Day.Sabotage s) {
     if (s.request instanceof Request.WorkerCommands c) {
-      s.request = new Request.WorkerCommands(c.address(), c.token(), c.session(), without(lost, c.orders()));
+      s.request =
+          new Request.WorkerCommands(
+              c.address(), c.token(), c.session(), without(lost, c.orders()));
     }
   }
 
   private static void losing(Predicate<Order> lost, Day day) {
     day.plantedAnswer =
-        a -> a instanceof Answer.Command c ? new Answer.Command(c.token(), without(lost, c.orders())) : a;
+        a ->
+            a instanceof Answer.Command c
+                ? new Answer.Command(c.token(), without(lost, c.orders()))
+                : a;
   }
 
   /** Machines that do not obey: what they may not go on with goes with them, in time. */
@@ -166,51 +205,129 @@
 
   @Example
   void answersThatAreOlderOrUntrueAreFound() {
-    assertFound("went_back", day -> day.plantedAnswer = a -> a instanceof Answer.JobView v
-        && v.phase() == Answer.Phase.CANCELLED && day.random.nextInt(3) == 0 ? called(v, Answer.Phase.RUNNING) : a);
-    assertFound("not_done", day -> day.plantedAnswer = a -> a instanceof Answer.JobView v
-        && v.phase() == Answer.Phase.RUNNING ? called(v, Answer.Phase.DONE) : a);
-    assertFound("forgotten", day -> day.plantedAnswer = a -> a instanceof Answer.JobView && day.random.nextInt(50) == 0
-        ? new Answer.Failure(404, "no such job", 0) : a);
-    assertFound("invented", day -> day.plantedAnswer = a -> a instanceof Answer.Failure f && f.status() == 404
-        ? new Answer.JobView(200, "job-900001", Answer.Phase.PENDING, 0, 0) : a);
-    assertFound("can never run", day -> {
-      day.clock.after(20 * SECOND, () -> day.troubles.begin(Troubles.Kind.ODD_REQUESTS, 20 * SECOND));
-      day.plantedAnswer = a -> a instanceof Answer.Failure f && f.status() == 422
-          ? new Answer.JobView(201, "job-800001", Answer.Phase.PENDING, 0, 0) : a;
-    });
+    assertFound(
+        "went_back",
+        day ->
+            day.plantedAnswer =
+                a ->
+                    a instanceof Answer.JobView v
+                            && v.phase() == Answer.Phase.CANCELLED
+                            && day.random.nextInt(3) == 0
+                        ? called(v, Answer.Phase.RUNNING)
+                        : a);
+    assertFound(
+        "not_done",
+        day ->
+            day.plantedAnswer =
+                a ->
+                    a instanceof Answer.JobView v && v.phase() == Answer.Phase.RUNNING
+                        ? called(v, Answer.Phase.DONE)
+                        : a);
+    assertFound(
+        "forgotten",
+        day ->
+            day.plantedAnswer =
+                a ->
+                    a instanceof Answer.JobView && day.random.nextInt(50) == 0
+                        ? new Answer.Failure(404, "no such job", 0)
+                        : a);
+    assertFound(
+        "invented",
+        day ->
+            day.plantedAnswer =
+                a ->
+                    a instanceof Answer.Failure f && f.status() == 404
+                        ? new Answer.JobView(200, "job-900001", Answer.Phase.PENDING, 0, 0)
+                        : a);
+    assertFound(
+        "can never run",
+        day -> {
+          day.clock.after(
+              20 * SECOND, () -> day.troubles.begin(Troubles.Kind.ODD_REQUESTS, 20 * SECOND));
+          day.plantedAnswer =
+              a ->
+                  a instanceof Answer.Failure f && f.status() == 422
+                      ? new Answer.JobView(201, "job-800001", Answer.Phase.PENDING, 0, 0)
+                      : a;
+        });
   }
 
   @Example
   void tasksWhereTheyMustNotBeAreFound() {
-    assertFoundWithout("ran_cancelled", o -> o instanceof Order.Kill, s -> {
-      if (s.request instanceof Request.CloudDelete) {
-        s.request = new Request.CloudDelete(List.of());
-      }
-    }, day -> { });
+    assertFoundWithout(
+        "ran_cancelled",
+        o -> o instanceof Order.Kill,
+        s -> {
+          if (s.request instanceof Request.CloudDelete) {
+            s.request = new Request.CloudDelete(List.of());
+          }
+        },
+        day -> {});
     assertFound("quota", day -> day.checkedLimit = day.size.limit() / 3);
-    assertFound("wrong_place", day -> day.plantedSubmission = s -> new JobSpec(s.id(), s.jobClass(), s.team(), s.shape(),
-        s.priority(), s.tasks(), s.cpus(), s.accelerators(), s.memoryGb(), s.image(), s.imageGb(), s.machineTypes(), null,
-        s.oneZone(), s.spread(), s.spotAllowed(), s.estimateMicros(), s.checkpointEveryMicros(), s.saveMicros(),
-        s.deadlineMicros()));
+    assertFound(
+        "wrong_place",
+        day ->
+            day.plantedSubmission =
+                s ->
+                    new JobSpec(
+                        s.id(),
+                        s.jobClass(),
+                        s.team(),
+                        s.shape(),
+                        s.priority(),
+                        s.tasks(),
+                        s.cpus(),
+                        s.accelerators(),
+                        s.memoryGb(),
+                        s.image(),
+                        s.imageGb(),
+                        s.machineTypes(),
+                        null,
+                        s.oneZone(),
+                        s.spread(),
+                        s.spotAllowed(),
+                        s.estimateMicros(),
+                        s.checkpointEveryMicros(),
+                        s.saveMicros(),
+                        s.deadlineMicros()));
   }
 
   @Example
   void whoIsLeftBehindIsFound() {
-    assertFoundWithout("waits", o -> o instanceof Order.Launch && o.task().job().endsWith("1"), day -> { });
+    assertFoundWithout(
+        "waits", o -> o instanceof Order.Launch && o.task().job().endsWith("1"), day -> {});
     Day[] today = new Day[1];
-    assertFoundWithout("largest", o -> o instanceof Order.Launch && today[0].spec(o.task().job()).tasks() > 9,
+    assertFoundWithout(
+        "largest",
+        o -> o instanceof Order.Launch && today[0].spec(o.task().job()).tasks() > 9,
+        day -> today[0] = day);
+    assertFoundWithout(
+        "served",
+        o -> o instanceof Order.Launch && o.task().job().compareTo("job-000012") < 0,
+        day -> {});
+    // Only large jobs are held back, until long after the half of them should have been done: less
+    // than a tenth of all jobs.
+    assertFoundWithout(
+        "served",
+        o ->
+            o instanceof Order.Launch
+                && today[0].clock.now() < OVER + 15 * SECOND
+                && today[0].spec(o.task().job()).tasks() > 10,
         day -> today[0] = day);
-    assertFoundWithout("served", o -> o instanceof Order.Launch && o.task().job().compareTo("job-000012") < 0, day -> { });
-    // Only large jobs are held back, until long after the half of them should have been done: less than a tenth of all jobs.
-    assertFoundWithout("served", o -> o instanceof Order.Launch && today[0].clock.now() < OVER + 15 * SECOND
-        && today[0].spec(o.task().job()).tasks() > 10, day -> today[0] = day);
   }
 
   /** Nobody answers about one job in ten, though its state is known. */
   @Example
   void whoIsNotAnsweredIsFound() {
-    assertFound("unanswered", day -> day.plantedAnswer = a -> a instanceof Answer.JobView view && view.id().endsWith("3")
-        && day.clock.now() > OVER ? new Answer.Failure(503, "planted", 1) : a);
+    assertFound(
+        "unanswered",
+        day ->
+            day.plantedAnswer =
+                a ->
+                    a instanceof Answer.JobView view
+                            && view.id().endsWith("3")
+                            && day.clock.now() > OVER
+                        ? new Answer.Failure(503, "planted", 1)
+                        : a);
   }
 }
--- a/src/test/java/org/eiderstair/sim/Net.java
+++ b/src/test/java/org/eiderstair/sim/Net.java
@@ -16,7 +16,9 @@
   private final UnaryOperator<String> zoneOf;
   private final Map<String, List<Runnable>> cutZones = new HashMap<>();
 
-  /** @param zoneOf the zone of a host, null for one that is in none */
+  /**
+   * @param zoneOf the zone of a host, null for one that is in none
+   */
   Net(Clock clock, Random random, UnaryOperator<String> zoneOf) {
     this.zoneOf = zoneOf;
     this.clock = clock;
@@ -63,6 +65,8 @@
   }
 
   private long delay() {
-    return random.nextInt(300) == 0 ? 300_000 + random.nextInt(2_000_000) : 500 + random.nextInt(6_000);
+    return random.nextInt(300) == 0
+        ? 300_000 + random.nextInt(2_000_000)
+        : 500 + random.nextInt(6_000);
   }
 }
--- a/src/test/java/org/eiderstair/sim/PageTest.java
+++ b/src/test/java/org/eiderstair/sim/PageTest.java
@@ -13,8 +13,8 @@
 import org.eiderstair.core.JobSpec;
 
 /**
- * Each meeting of the users' page and letter by itself, on a few small days; docs/meetings.md has a line for each. Other
- * seeds: {@code mvn -B test -Dtest=PageTest -Dpage.first=100 -Dpage.days=50}.
+ * Each meeting of the users' page and letter by itself, on a few small days; docs/meetings.md has a
+ * line for each. Other seeds: {@code mvn -B test -Dtest=PageTest -Dpage.first=100 -Dpage.days=50}.
  */
 class PageTest {
   private static final long SECOND = 1_000_000;
@@ -22,8 +22,14 @@
   private static final int DAYS = Integer.getInteger("page.days", 4);
   private static final int GROWN = Integer.getInteger("page.grown", 12);
   private static final int FLEET = Integer.getInteger("page.fleet", 1);
-  /** In this order at the larger sizes: late commands at the limits, then the seven of the users' letter. */
-  private static final List<String> LARGE = List.of("29", "16", "20", "06", "08", "04", "23", "10", "26", "27", "28", "30");
+
+  /**
+   * In this order at the larger sizes: late commands at the limits, then the seven of the users'
+   * letter.
+   */
+  private static final List<String> LARGE =
+      List.of("29", "16", "20", "06", "08", "04", "23", "10", "26", "27", "28", "30");
+
   private static final long AT = 80;
 
   /** A trouble so many seconds after the meeting, for so many. */
@@ -33,76 +39,191 @@
     return new Begin(after, kind, span);
   }
 
-  private static final Map<String, List<Begin>> MEETINGS = new TreeMap<>(Map.ofEntries(
-      Map.entry("01 cancelled as the leader is refused alone, then an outage", List.of(at(0, LEADER_REFUSED_ALONE, 14),
-          at(0.1, CANCEL_NOW, 0), at(1, STATE_OUTAGE, 40))),
-      Map.entry("02 tasks that end far apart across a change of leader", List.of(at(-25, TASKS_FAR_APART, 0),
-          at(-10, TASKS_FAR_APART, 0), at(0, LEADER_ENDS, 0), at(9, LEADER_ENDS, 0))),
-      Map.entry("03 transactions without an answer are carried out late", List.of(at(0, LATE_WRITES, 60),
-          at(20, LEADER_ENDS, 0), at(30, MACHINES_DIE, 0))),
-      Map.entry("04 only the answer of a transaction is lost", List.of(at(0, LOST_ANSWERS, 60), at(0, CLOSE_LOOKS, 60),
-          at(1, ODD_REQUESTS, 50), at(15, CANCEL_NOW, 0))),
-      Map.entry("05 more work than room, urgent and not", List.of(at(0, FLOOD, 60), at(5, FLOOD, 60))),
-      Map.entry("06 quick boots while writes lag, and the leader ends", List.of(at(0, LATE_WRITES, 25),
-          at(0, QUICK_BOOTS, 25), at(4, LEADER_ENDS, 0), at(12, LEADER_ENDS, 0))),
-      Map.entry("07 commands and answers held up for seconds", List.of(at(0, MACHINES_HANG, 8), at(2, MACHINES_CUT, 6),
-          at(12, MACHINES_CUT, 3), at(13, CANCEL_NOW, 0))),
-      Map.entry("08 users ask at all nodes right after an answer", List.of(at(-60, CLOSE_LOOKS, 180),
-          at(0, ODD_REQUESTS, 60), at(10, CANCEL_NOW, 0), at(30, LEADER_ENDS, 0))),
-      Map.entry("09 a team at its limit, machines that can't be asked, a change of leader, a cancellation",
-          List.of(at(-25, FLOOD, 80), at(0, MACHINES_CUT, 30), at(1, LEADER_ENDS, 0), at(2, CANCEL_NOW, 0))),
-      Map.entry("10 one-task jobs, four a second", List.of(at(-60, ONE_TASK_JOBS, 150))),
-      Map.entry("11 a report is held back until a new leader has acted", List.of(at(-10, REPORTS_FOR_THE_NEXT, 20),
-          at(8, LEADER_ENDS, 0))),
-      Map.entry("12 a question, a repeat or a cancellation meets the end of the last task",
-          List.of(at(-60, CANCEL_AT_END, 180), at(-60, CLOSE_LOOKS, 180))),
-      Map.entry("13 the leader is cut from store and peers, jobs are cancelled through the new one",
-          List.of(at(0, LEADER_CUT_FROM_STATE_AND_PEERS, 45), at(6, CANCEL_NOW, 0), at(10, CANCEL_NOW, 0))),
-      Map.entry("14 the store is slow, refuses the leader, then everybody, while users cancel and ask",
-          List.of(at(0, SLOW_STATE, 12), at(0, CLOSE_LOOKS, 70), at(8, LEADER_REFUSED_ALONE, 14), at(8.2, CANCEL_NOW, 0),
-              at(10, STATE_OUTAGE, 40))),
-      Map.entry("15 workers reach no controller, commands reach them", List.of(at(0, ALL_MUTE, 30),
-          at(4, CANCEL_NOW, 0), at(8, CANCEL_NOW, 0))),
-      Map.entry("16 every team at its limit, cancelled jobs on machines cut off or hung, the leader changes",
-          List.of(at(-25, FLOOD, 80), at(-24, FLOOD, 80), at(0, CANCEL_NOW_WITH_HANG, 20), at(0, MACHINES_CUT, 30),
-              at(2, LEADER_ENDS, 0))),
-      Map.entry("17 hand over and back, all end, one returns", List.of(at(0, LEADER_CHANGES, 10), at(12, ALL_END, 0),
-          at(13, LEADER_ENDS, 0))),
-      Map.entry("18 a zone with workers and a controller is cut off", List.of(at(0, ZONE_CUT, 30),
-          at(5, CANCEL_NOW, 0))),
-      Map.entry("19 leaders change ten times in two minutes, also in an outage", List.of(at(0, LEADER_CHANGES, 55),
-          at(60, LEADER_CHANGES, 55), at(30, STATE_OUTAGE, 15), at(70, STATE_OUTAGE, 5))),
-      Map.entry("20 jobs are cancelled while work changes hands", List.of(at(0, LEADER_ENDS, 0), at(0.1, CANCEL_NOW, 0),
-          at(1.5, CANCEL_NOW, 0), at(2.5, CANCEL_NOW, 0), at(30, STANDING_STILL, 12), at(31, CANCEL_NOW, 0),
-          at(33, CANCEL_NOW, 0))),
-      Map.entry("21 an old report arrives after newer ones", List.of(at(-40, LATE_REPORTS, 120), at(0, ALL_AWAY, 0))),
-      Map.entry("22 all controllers are away for longer than a lease", List.of(at(0, ALL_AWAY, 0),
-          at(24, CANCEL_NOW, 0))),
-      Map.entry("23 an old report reaches every controller as a new leader begins", List.of(
-          at(-20, REPORTS_FOR_THE_NEXT, 60), at(0, LEADER_CHANGES, 40), at(5, CANCEL_NOW, 0))),
-      Map.entry("24 the leader ends while machines can't be reached or don't hear the next",
-          List.of(at(0, MACHINES_CUT, 35), at(0, DEAF, 35), at(1, LEADER_ENDS, 0), at(3, CANCEL_NOW, 0))),
-      Map.entry("25 jobs bound to a zone lose machines", List.of(at(0, MACHINES_DIE, 0), at(15, MACHINES_DIE, 0),
-          at(20, LEADER_ENDS, 0), at(30, ZONE_CUT, 15))),
-      Map.entry("26 commands of a leader that has ended arrive after the next one's", List.of(at(-5, LATE_COMMANDS, 60),
-          at(0, LEADER_ENDS, 0), at(1, CANCEL_NOW, 0), at(6, LEADER_ENDS, 0), at(14, LEADER_ENDS, 0))),
-      Map.entry("27 commands of a deposed leader arrive after the next one's", List.of(at(-5, LATE_COMMANDS, 60),
-          at(0, STANDING_STILL, 18), at(3, CANCEL_NOW, 0), at(20, LEADER_CUT_FROM_STATE_AND_PEERS, 25),
-          at(28, CANCEL_NOW, 0))),
-      Map.entry("28 commands come late while cancelled jobs' machines hang, are deaf or mute", List.of(
-          at(-2, LATE_COMMANDS, 60), at(0, CANCEL_NOW_WITH_HANG, 10), at(1, DEAF, 25), at(2, ALL_MUTE, 20),
-          at(8, CANCEL_NOW, 0))),
-      Map.entry("29 commands come late while teams are at their limits and new machines come up at once", List.of(
-          at(-25, FLOOD, 80), at(-2, LATE_COMMANDS, 60), at(0, QUICK_BOOTS, 25), at(4, LEADER_ENDS, 0),
-          at(6, CANCEL_NOW, 0))),
-      Map.entry("30 commands come late in an outage, and of a leader that the state service refuses", List.of(
-          at(-2, LATE_COMMANDS, 60), at(0, LEADER_REFUSED_ALONE, 12), at(1, CANCEL_NOW, 0), at(4, STATE_OUTAGE, 20),
-          at(12, CANCEL_NOW, 0)))));
+  private static final Map<String, List<Begin>> MEETINGS =
+      new TreeMap<>(
+          Map.ofEntries(
+              Map.entry(
+                  "01 cancelled as the leader is refused alone, then an outage",
+                  List.of(
+                      at(0, LEADER_REFUSED_ALONE, 14),
+                      at(0.1, CANCEL_NOW, 0),
+                      at(1, STATE_OUTAGE, 40))),
+              Map.entry(
+                  "02 tasks that end far apart across a change of leader",
+                  List.of(
+                      at(-25, TASKS_FAR_APART, 0),
+                      at(-10, TASKS_FAR_APART, 0),
+                      at(0, LEADER_ENDS, 0),
+                      at(9, LEADER_ENDS, 0))),
+              Map.entry(
+                  "03 transactions without an answer are carried out late",
+                  List.of(at(0, LATE_WRITES, 60), at(20, LEADER_ENDS, 0), at(30, MACHINES_DIE, 0))),
+              Map.entry(
+                  "04 only the answer of a transaction is lost",
+                  List.of(
+                      at(0, LOST_ANSWERS, 60),
+                      at(0, CLOSE_LOOKS, 60),
+                      at(1, ODD_REQUESTS, 50),
+                      at(15, CANCEL_NOW, 0))),
+              Map.entry(
+                  "05 more work than room, urgent and not",
+                  List.of(at(0, FLOOD, 60), at(5, FLOOD, 60))),
+              Map.entry(
+                  "06 quick boots while writes lag, and the leader ends",
+                  List.of(
+                      at(0, LATE_WRITES, 25),
+                      at(0, QUICK_BOOTS, 25),
+                      at(4, LEADER_ENDS, 0),
+                      at(12, LEADER_ENDS, 0))),
+              Map.entry(
+                  "07 commands and answers held up for seconds",
+                  List.of(
+                      at(0, MACHINES_HANG, 8),
+                      at(2, MACHINES_CUT, 6),
+                      at(12, MACHINES_CUT, 3),
+                      at(13, CANCEL_NOW, 0))),
+              Map.entry(
+                  "08 users ask at all nodes right after an answer",
+                  List.of(
+                      at(-60, CLOSE_LOOKS, 180),
+                      at(0, ODD_REQUESTS, 60),
+                      at(10, CANCEL_NOW, 0),
+                      at(30, LEADER_ENDS, 0))),
+              Map.entry(
+                  "09 a team at its limit, machines that can't be asked, a change of leader, a cancellation",
+                  List.of(
+                      at(-25, FLOOD, 80),
+                      at(0, MACHINES_CUT, 30),
+                      at(1, LEADER_ENDS, 0),
+                      at(2, CANCEL_NOW, 0))),
+              Map.entry("10 one-task jobs, four a second", List.of(at(-60, ONE_TASK_JOBS, 150))),
+              Map.entry(
+                  "11 a report is held back until a new leader has acted",
+                  List.of(at(-10, REPORTS_FOR_THE_NEXT, 20), at(8, LEADER_ENDS, 0))),
+              Map.entry(
+                  "12 a question, a repeat or a cancellation meets the end of the last task",
+                  List.of(at(-60, CANCEL_AT_END, 180), at(-60, CLOSE_LOOKS, 180))),
+              Map.entry(
+                  "13 the leader is cut from store and peers, jobs are cancelled through the new one",
+                  List.of(
+                      at(0, LEADER_CUT_FROM_STATE_AND_PEERS, 45),
+                      at(6, CANCEL_NOW, 0),
+                      at(10, CANCEL_NOW, 0))),
+              Map.entry(
+                  "14 the store is slow, refuses the leader, then everybody, while users cancel and ask",
+                  List.of(
+                      at(0, SLOW_STATE, 12),
+                      at(0, CLOSE_LOOKS, 70),
+                      at(8, LEADER_REFUSED_ALONE, 14),
+                      at(8.2, CANCEL_NOW, 0),
+                      at(10, STATE_OUTAGE, 40))),
+              Map.entry(
+                  "15 workers reach no controller, commands reach them",
+                  List.of(at(0, ALL_MUTE, 30), at(4, CANCEL_NOW, 0), at(8, CANCEL_NOW, 0))),
+              Map.entry(
+                  "16 every team at its limit, cancelled jobs on machines cut off or hung, the leader changes",
+                  List.of(
+                      at(-25, FLOOD, 80),
+                      at(-24, FLOOD, 80),
+                      at(0, CANCEL_NOW_WITH_HANG, 20),
+                      at(0, MACHINES_CUT, 30),
+                      at(2, LEADER_ENDS, 0))),
+              Map.entry(
+                  "17 hand over and back, all end, one returns",
+                  List.of(at(0, LEADER_CHANGES, 10), at(12, ALL_END, 0), at(13, LEADER_ENDS, 0))),
+              Map.entry(
+                  "18 a zone with workers and a controller is cut off",
+                  List.of(at(0, ZONE_CUT, 30), at(5, CANCEL_NOW, 0))),
+              Map.entry(
+                  "19 leaders change ten times in two minutes, also in an outage",
+                  List.of(
+                      at(0, LEADER_CHANGES, 55),
+                      at(60, LEADER_CHANGES, 55),
+                      at(30, STATE_OUTAGE, 15),
+                      at(70, STATE_OUTAGE, 5))),
+              Map.entry(
+                  "20 jobs are cancelled while work changes hands",
+                  List.of(
+                      at(0, LEADER_ENDS, 0),
+                      at(0.1, CANCEL_NOW, 0),
+                      at(1.5, CANCEL_NOW, 0),
+                      at(2.5, CANCEL_NOW, 0),
+                      at(30, STANDING_STILL, 12),
+                      at(31, CANCEL_NOW, 0),
+                      at(33, CANCEL_NOW, 0))),
+              Map.entry(
+                  "21 an old report arrives after newer ones",
+                  List.of(at(-40, LATE_REPORTS, 120), at(0, ALL_AWAY, 0))),
+              Map.entry(
+                  "22 all controllers are away for longer than a lease",
+                  List.of(at(0, ALL_AWAY, 0), at(24, CANCEL_NOW, 0))),
+              Map.entry(
+                  "23 an old report reaches every controller as a new leader begins",
+                  List.of(
+                      at(-20, REPORTS_FOR_THE_NEXT, 60),
+                      at(0, LEADER_CHANGES, 40),
+                      at(5, CANCEL_NOW, 0))),
+              Map.entry(
+                  "24 the leader ends while machines can't be reached or don't hear the next",
+                  List.of(
+                      at(0, MACHINES_CUT, 35),
+                      at(0, DEAF, 35),
+                      at(1, LEADER_ENDS, 0),
+                      at(3, CANCEL_NOW, 0))),
+              Map.entry(
+                  "25 jobs bound to a zone lose machines",
+                  List.of(
+                      at(0, MACHINES_DIE, 0),
+                      at(15, MACHINES_DIE, 0),
+                      at(20, LEADER_ENDS, 0),
+                      at(30, ZONE_CUT, 15))),
+              Map.entry(
+                  "26 commands of a leader that has ended arrive after the next one's",
+                  List.of(
+                      at(-5, LATE_COMMANDS, 60),
+                      at(0, LEADER_ENDS, 0),
+                      at(1, CANCEL_NOW, 0),
+                      at(6, LEADER_ENDS, 0),
+                      at(14, LEADER_ENDS, 0))),
+              Map.entry(
+                  "27 commands of a deposed leader arrive after the next one's",
+                  List.of(
+                      at(-5, LATE_COMMANDS, 60),
+                      at(0, STANDING_STILL, 18),
+                      at(3, CANCEL_NOW, 0),
+                      at(20, LEADER_CUT_FROM_STATE_AND_PEERS, 25),
+                      at(28, CANCEL_NOW, 0))),
+              Map.entry(
+                  "28 commands come late while cancelled jobs' machines hang, are deaf or mute",
+                  List.of(
+                      at(-2, LATE_COMMANDS, 60),
+                      at(0, CANCEL_NOW_WITH_HANG, 10),
+                      at(1, DEAF, 25),
+                      at(2, ALL_MUTE, 20),
+                      at(8, CANCEL_NOW, 0))),
+              Map.entry(
+                  "29 commands come late while teams are at their limits and new machines come up at once",
+                  List.of(
+                      at(-25, FLOOD, 80),
+                      at(-2, LATE_COMMANDS, 60),
+                      at(0, QUICK_BOOTS, 25),
+                      at(4, LEADER_ENDS, 0),
+                      at(6, CANCEL_NOW, 0))),
+              Map.entry(
+                  "30 commands come late in an outage, and of a leader that the state service refuses",
+                  List.of(
+                      at(-2, LATE_COMMANDS, 60),
+                      at(0, LEADER_REFUSED_ALONE, 12),
+                      at(1, CANCEL_NOW, 0),
+                      at(4, STATE_OUTAGE, 20),
+                      at(12, CANCEL_NOW, 0)))));
 
   private static Day play(long seed, Day.Size size, List<Begin> meeting) {
-    Day day = WholeDayTest.loaded(seed, size, s -> { });
+    Day day = WholeDayTest.loaded(seed, size, s -> {});
     for (Begin b : meeting) {
-      day.clock.after((long) ((AT + b.after()) * SECOND), () -> day.troubles.begin(b.kind(), (long) (b.span() * SECOND)));
+      day.clock.after(
+          (long) ((AT + b.after()) * SECOND),
+          () -> day.troubles.begin(b.kind(), (long) (b.span() * SECOND)));
     }
     day.clock.after(280 * SECOND, day::calm);
     day.clock.runUntil(360 * SECOND);
@@ -112,46 +233,82 @@
   }
 
   /**
-   * Found on a hunted day: with more urgent work than room, one of 118 jobs of the other class began. Urgent work that never
-   * ends must leave it its part.
+   * Found on a hunted day: with more urgent work than room, one of 118 jobs of the other class
+   * began. Urgent work that never ends must leave it its part.
    */
   @Example
   void aFloodThatNeverEndsLeavesNobodyBehind() {
     for (long seed = 1; seed <= 3; seed++) {
-      Day day = new Day(seed, Day.Size.SMALL, s -> { });
+      Day day = new Day(seed, Day.Size.SMALL, s -> {});
       for (int i = 0; i < 75; i++) {
         int number = i;
-        day.clock.after(3 * SECOND + i * 4 * SECOND, () -> {
-          day.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
-          if (number % 3 == 0) {
-            day.submit(job(2 * number + 1, JobSpec.Priority.LOW, 3));
-          }
-        });
+        day.clock.after(
+            3 * SECOND + i * 4 * SECOND,
+            () -> {
+              day.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
+              if (number % 3 == 0) {
+                day.submit(job(2 * number + 1, JobSpec.Priority.LOW, 3));
+              }
+            });
       }
       day.clock.runUntil(330 * SECOND);
-      assertTrue(day.leastServed(150 * SECOND) >= 0.5, "seed " + seed + " served " + day.leastServed(150 * SECOND));
+      assertTrue(
+          day.leastServed(150 * SECOND) >= 0.5,
+          "seed " + seed + " served " + day.leastServed(150 * SECOND));
       assertEquals(List.of(), day.broken);
     }
   }
 
   private static JobSpec job(int number, JobSpec.Priority priority, int tasks) {
-    return new JobSpec(String.format("job-%06d", number), priority.name(), number % 8 < 4 ? "red" : "blue",
-        JobSpec.Shape.ARRAY, priority, tasks, 1, 0, 1, "img", 0.5, null, null, false, false, true, 18 * SECOND, 0, 0,
+    return new JobSpec(
+        String.format("job-%06d", number),
+        priority.name(),
+        number % 8 < 4 ? "red" : "blue",
+        JobSpec.Shape.ARRAY,
+        priority,
+        tasks,
+        1,
+        0,
+        1,
+        "img",
+        0.5,
+        null,
+        null,
+        false,
+        false,
+        true,
+        18 * SECOND,
+        0,
+        0,
         JobSpec.NO_DEADLINE);
   }
 
   private static List<String> failures(Day.Size size, long days, Predicate<String> chosen) {
     List<String> failures = new ArrayList<>();
-    MEETINGS.forEach((name, meeting) -> {
-      for (long seed = FIRST; chosen.test(name) && seed < FIRST + days; seed++) {
-        Day day = play(seed, size, meeting);
-        if (!day.broken.isEmpty() || !day.unfinished().isEmpty() || day.started == 0 || day.servedInTime < 0.5) {
-          failures.add(name + ", seed " + seed + ": " + day.broken.stream().limit(2).toList() + " unfinished "
-              + day.unfinished() + " served " + day.servedInTime
-              + "; again: mvn -B test -Dtest=PageTest -Dpage.first=" + seed + " -Dpage.days=1 -DargLine=-Dsim.log=true");
-        }
-      }
-    });
+    MEETINGS.forEach(
+        (name, meeting) -> {
+          for (long seed = FIRST; chosen.test(name) && seed < FIRST + days; seed++) {
+            Day day = play(seed, size, meeting);
+            if (!day.broken.isEmpty()
+                || !day.unfinished().isEmpty()
+                || day.started == 0
+                || day.servedInTime < 0.5) {
+              failures.add(
+                  name
+                      + ", seed "
+                      + seed
+                      + ": "
+                      + day.broken.stream().limit(2).toList()
+                      + " unfinished "
+                      + day.unfinished()
+                      + " served "
+                      + day.servedInTime
+                      + "; again: mvn -B test -Dtest=PageTest -Dpage.first="
+                      + seed
+                      + " -Dpage.days=1 -DargLine=-Dsim.log=true");
+            }
+          }
+        });
     return failures;
   }
 
@@ -160,7 +317,10 @@
     assertEquals(List.of(), failures(Day.Size.SMALL, DAYS, name -> true));
   }
 
-  /** Others by hand: {@code -Dpage.grown=30}, one day for each of so many scenarios, and {@code -Dpage.fleet=30}. */
+  /**
+   * Others by hand: {@code -Dpage.grown=30}, one day for each of so many scenarios, and {@code
+   * -Dpage.fleet=30}.
+   */
   @Example
   void someMeetingsAtTheGrownSizeKeepEveryRule() {
     assertEquals(List.of(), failures(Day.Size.GROWN, 1, firstOf(LARGE, GROWN)));
@@ -174,7 +334,10 @@
   /** By their numbers, the first of these and then the rest. */
   private static Predicate<String> firstOf(List<String> preferred, int count) {
     List<String> order = new ArrayList<>(preferred);
-    MEETINGS.keySet().stream().map(name -> name.substring(0, 2)).filter(n -> !preferred.contains(n)).forEach(order::add);
+    MEETINGS.keySet().stream()
+        .map(name -> name.substring(0, 2))
+        .filter(n -> !preferred.contains(n))
+        .forEach(order::add);
     return name -> order.indexOf(name.substring(0, 2)) < count;
   }
 }
--- a/src/test/java/org/eiderstair/sim/StateService.java
+++ b/src/test/java/org/eiderstair/sim/StateService.java
@@ -19,8 +19,15 @@
 
   private record Watch(String node, String prefix, long after, Consumer<Reply> reply) {}
 
-  /** What becomes of a transaction: carried out and answered, or with its answer lost, at once or late. */
-  enum Fate { ANSWERED, ANSWER_LOST, LATE }
+  /**
+   * What becomes of a transaction: carried out and answered, or with its answer lost, at once or
+   * late.
+   */
+  enum Fate {
+    ANSWERED,
+    ANSWER_LOST,
+    LATE
+  }
 
   private final Clock clock;
   private final TreeMap<String, Reply.Item> items = new TreeMap<>();
@@ -32,12 +39,16 @@
   private long lastLease;
   private boolean down;
   final Set<String> refused = new HashSet<>();
+
   /** Nodes whose watches are never answered, while all else is. */
   final Set<String> deafWatches = new HashSet<>();
+
   /** Decides what becomes of each transaction. */
   Function<Request.StoreTxn, Fate> fate = txn -> Fate.ANSWERED;
+
   private final Random random;
   int mostWrites;
+
   /** Every key that was ever there: what must be durable before it is acted on. */
   final Map<String, Map<String, Object>> ever = new HashMap<>();
 
@@ -69,7 +80,11 @@
 
   private void endLease(long id) {
     leases.remove(id);
-    List<String> keys = attached.entrySet().stream().filter(e -> e.getValue() == id).map(Map.Entry::getKey).toList();
+    List<String> keys =
+        attached.entrySet().stream()
+            .filter(e -> e.getValue() == id)
+            .map(Map.Entry::getKey)
+            .toList();
     if (!keys.isEmpty()) {
       revision++;
       keys.forEach(this::drop);
@@ -110,8 +125,10 @@
     } else if (request instanceof Request.StoreList list) {
       List<Reply.Item> page = new ArrayList<>();
       boolean more = false;
-      for (Reply.Item item : items.tailMap(list.after() == null ? list.prefix() : list.after(), list.after() == null)
-          .values()) {
+      for (Reply.Item item :
+          items
+              .tailMap(list.after() == null ? list.prefix() : list.after(), list.after() == null)
+              .values()) {
         if (!item.key().startsWith(list.prefix())) {
           break;
         }
@@ -126,9 +143,13 @@
       leases.put(++lastLease, new Lease(grant.ttlMicros(), clock.now() + grant.ttlMicros()));
       reply.accept(new Reply.LeaseGranted(lastLease));
     } else if (request instanceof Request.LeaseTouch touch) {
-      reply.accept(leases.computeIfPresent(touch.lease(),
-          (id, l) -> new Lease(l.ttlMicros(), clock.now() + l.ttlMicros())) == null
-          ? new Reply.Refused(404) : new Reply.Applied(0));
+      reply.accept(
+          leases.computeIfPresent(
+                      touch.lease(),
+                      (id, l) -> new Lease(l.ttlMicros(), clock.now() + l.ttlMicros()))
+                  == null
+              ? new Reply.Refused(404)
+              : new Reply.Applied(0));
     } else if (request instanceof Request.LeaseDrop drop) {
       if (leases.containsKey(drop.lease())) {
         endLease(drop.lease());
--- a/src/test/java/org/eiderstair/sim/TogetherTest.java
+++ b/src/test/java/org/eiderstair/sim/TogetherTest.java
@@ -9,21 +9,28 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 
-/** How controllers act together when some of them are blind: days with one fault each, the dearest at the fleet size. */
+/**
+ * How controllers act together when some of them are blind: days with one fault each, the dearest
+ * at the fleet size.
+ */
 class TogetherTest {
   private static final long SECOND = 1_000_000;
   private static final long FAULT = 80 * SECOND;
+
   /** More room than the work of the day ever asks for. */
   private static final Day.Size ROOMY = new Day.Size(5, 900, 240, 900, 160, 60);
+
   private final List<String> logs = new ArrayList<>();
 
-  /** @param fault happens while all machines are busy */
+  /**
+   * @param fault happens while all machines are busy
+   */
   private Day play(Day.Size size, Consumer<Day> fault) {
     return play(5, size, fault);
   }
 
   private Day play(long seed, Day.Size size, Consumer<Day> fault) {
-    Day day = WholeDayTest.loaded(seed, size, s -> { });
+    Day day = WholeDayTest.loaded(seed, size, s -> {});
     day.logs = logs::add;
     day.clock.after(FAULT, () -> fault.accept(day));
     day.clock.runUntil(320 * SECOND);
@@ -41,17 +48,25 @@
 
   /** From whichever state of an office. */
   private long leftOffice() {
-    return logs.stream().filter(l -> l.matches("leadership (LEADING|FADING|CATCHING_UP) -> FOLLOWING .*")).count();
+    return logs.stream()
+        .filter(l -> l.matches("leadership (LEADING|FADING|CATCHING_UP) -> FOLLOWING .*"))
+        .count();
   }
 
-  /** Found on the fleet's day of cuts: within ten seconds it gave back half of a healthy fleet as silent. */
+  /**
+   * Found on the fleet's day of cuts: within ten seconds it gave back half of a healthy fleet as
+   * silent.
+   */
   @Example
   void aLeaderCutFromItsWorkersHandsOverAndGivesBackNone() {
     int[] machines = new int[1];
-    Day day = play(Day.Size.fleet(3), d -> {
-      machines[0] = d.machines();
-      d.cutNodeFromWorkers(d.leader(), 40 * SECOND);
-    });
+    Day day =
+        play(
+            Day.Size.fleet(3),
+            d -> {
+              machines[0] = d.machines();
+              d.cutNodeFromWorkers(d.leader(), 40 * SECOND);
+            });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
     assertEquals(1, logged("no machine reaches this node while peers hear"));
@@ -66,22 +81,30 @@
 
   @Example
   void aLeaderCutFromWorkersAndPeersGivesBackNone() {
-    Day day = play(Day.Size.GROWN, d -> {
-      int leader = d.leader();
-      d.cutNodeFromWorkers(leader, 40 * SECOND);
-      d.cutNodeFromPeers(leader, 40 * SECOND);
-    });
+    Day day =
+        play(
+            Day.Size.GROWN,
+            d -> {
+              int leader = d.leader();
+              d.cutNodeFromWorkers(leader, 40 * SECOND);
+              d.cutNodeFromPeers(leader, 40 * SECOND);
+            });
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
-  /** Rentals of a leader that the cloud does not answer are settled by the next, under their names. */
+  /**
+   * Rentals of a leader that the cloud does not answer are settled by the next, under their names.
+   */
   @Example
   void whatALeaderCutFromTheCloudLeftOpenIsSettledByTheNext() {
-    Day day = play(Day.Size.GROWN, d -> {
-      int leader = d.leader();
-      d.cutNodeFromCloud(leader, 60 * SECOND);
-      d.clock.after(20 * SECOND, () -> d.crash(leader, 3 * SECOND));
-    });
+    Day day =
+        play(
+            Day.Size.GROWN,
+            d -> {
+              int leader = d.leader();
+              d.cutNodeFromCloud(leader, 60 * SECOND);
+              d.clock.after(20 * SECOND, () -> d.crash(leader, 3 * SECOND));
+            });
     assertTrue(logged("rentals and") >= 2, "taken over");
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
@@ -91,23 +114,26 @@
   void aZoneThatIsCutIsToldFromMachinesThatDied() {
     String[] zone = new String[1];
     int[] there = new int[2];
-    play(ROOMY, d -> {
-      int cut = (d.leader() + 1) % 3;
-      zone[0] = String.valueOf("abc".charAt(cut));
-      d.cutZone(cut, 70 * SECOND);
-      // So that machines are asked for during the cut.
-      d.clock.after(12 * SECOND, () -> d.killMachines(60));
-      d.clock.after(9 * SECOND, () -> there[0] = d.rentedIn(zone[0]));
-      d.clock.after(69 * SECOND, () -> there[1] = d.rentedIn(zone[0]));
-    });
+    play(
+        ROOMY,
+        d -> {
+          int cut = (d.leader() + 1) % 3;
+          zone[0] = String.valueOf("abc".charAt(cut));
+          d.cutZone(cut, 70 * SECOND);
+          // So that machines are asked for during the cut.
+          d.clock.after(12 * SECOND, () -> d.killMachines(60));
+          d.clock.after(9 * SECOND, () -> there[0] = d.rentedIn(zone[0]));
+          d.clock.after(69 * SECOND, () -> there[1] = d.rentedIn(zone[0]));
+        });
     assertEquals(1, logged("zone " + zone[0] + " is DARK"));
     assertEquals(1, logged("zone " + zone[0] + " is SEEN"));
     assertEquals(there[0], there[1], "rented where nobody sees");
   }
 
   /**
-   * How many are asked for a minute later depends on how much of the day's work is left then: of 80 drawn days two or three had
-   * fewer than two thirds of the machines of before, so it is the sum of several days that tells.
+   * How many are asked for a minute later depends on how much of the day's work is left then: of 80
+   * drawn days two or three had fewer than two thirds of the machines of before, so it is the sum
+   * of several days that tells.
    */
   @Example
   void halfOfAllMachinesDeadAtOnceAreReplaced() {
@@ -115,14 +141,20 @@
     int after = 0;
     for (long seed = 5; seed <= 8; seed++) {
       int[] machines = new int[3];
-      Day day = play(seed, Day.Size.GROWN, d -> {
-        machines[0] = d.machines();
-        d.killMachines(50);
-        d.clock.after(60 * SECOND, () -> {
-          machines[1] = d.alive();
-          machines[2] = d.machines() - d.alive();
-        });
-      });
+      Day day =
+          play(
+              seed,
+              Day.Size.GROWN,
+              d -> {
+                machines[0] = d.machines();
+                d.killMachines(50);
+                d.clock.after(
+                    60 * SECOND,
+                    () -> {
+                      machines[1] = d.alive();
+                      machines[2] = d.machines() - d.alive();
+                    });
+              });
       String what = "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
       assertTrue(machines[1] > machines[0] / 2, what);
       // None that died is paid for any more.
@@ -134,56 +166,80 @@
     assertTrue(after > before * 3 / 4, "alive a minute later " + after + " of " + before);
   }
 
-  /** The cloud's lists are old: 542 machines given back by one leader were found and given back again by the next. */
+  /**
+   * The cloud's lists are old: 542 machines given back by one leader were found and given back
+   * again by the next.
+   */
   @Example
   void aNewLeaderDoesNotFindWhatTheLastOneGaveBack() {
     int[] given = new int[1];
-    play(Day.Size.GROWN, d -> {
-      d.killMachines(30);
-      d.clock.after(14 * SECOND, () -> {
-        given[0] = (int) logged(": silent: ");
-        // Back at once, so that the next leader's first list is of the time before.
-        d.crash(d.leader(), SECOND / 3);
-      });
-    });
+    play(
+        Day.Size.GROWN,
+        d -> {
+          d.killMachines(30);
+          d.clock.after(
+              14 * SECOND,
+              () -> {
+                given[0] = (int) logged(": silent: ");
+                // Back at once, so that the next leader's first list is of the time before.
+                d.crash(d.leader(), SECOND / 3);
+              });
+        });
     assertTrue(given[0] > 20, "given back " + given[0]);
-    List<String> returned = logs.stream().filter(l -> l.startsWith("returning machine "))
-        .map(l -> l.split("[ :]")[2]).toList();
+    List<String> returned =
+        logs.stream()
+            .filter(l -> l.startsWith("returning machine "))
+            .map(l -> l.split("[ :]")[2])
+            .toList();
     assertEquals(0, logged("found in the list"));
     assertEquals(new HashSet<>(returned).size(), returned.size(), "some were given back twice");
   }
 
   @Example
   void allControllersRestartedWithinASecondLoseNothing() {
-    Day day = play(Day.Size.fleet(5), d -> {
-      for (int i = 0; i < 5; i++) {
-        d.crash(i, 300_000 + i * 150_000);
-      }
-    });
+    Day day =
+        play(
+            Day.Size.fleet(5),
+            d -> {
+              for (int i = 0; i < 5; i++) {
+                d.crash(i, 300_000 + i * 150_000);
+              }
+            });
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
-  /** It stands still after the acknowledgement, another leads meanwhile, and then it sends what it had decided. */
+  /**
+   * It stands still after the acknowledgement, another leads meanwhile, and then it sends what it
+   * had decided.
+   */
   @Example
   void aLeaderThatStandsStillIsReplacedByItsStandbyAndDoesNoHarm() {
     long[] claims = new long[2];
     long[] inherited = new long[2];
-    Day day = play(Day.Size.GROWN, d -> {
-      claims[0] = logged("claim of term");
-      inherited[0] = logged("inherits: WHOLE");
-      d.stall(d.leader(), 8 * SECOND);
-      d.clock.after(4 * SECOND, () -> {
-        claims[1] = logged("claim of term");
-        inherited[1] = logged("inherits: WHOLE");
-      });
-    });
+    Day day =
+        play(
+            Day.Size.GROWN,
+            d -> {
+              claims[0] = logged("claim of term");
+              inherited[0] = logged("inherits: WHOLE");
+              d.stall(d.leader(), 8 * SECOND);
+              d.clock.after(
+                  4 * SECOND,
+                  () -> {
+                    claims[1] = logged("claim of term");
+                    inherited[1] = logged("inherits: WHOLE");
+                  });
+            });
     // Before its lease could be over.
     assertEquals(1, claims[1] - claims[0]);
     assertEquals(1, inherited[1] - inherited[0]);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
-  /** Batches and acknowledgements held by a cut arrive after the election; the leader goes on, without its standby. */
+  /**
+   * Batches and acknowledgements held by a cut arrive after the election; the leader goes on,
+   * without its standby.
+   */
   @Example
   void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
     play(Day.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
@@ -193,11 +249,14 @@
 
   @Example
   void threeTakeOversInTenSeconds() {
-    Day day = play(Day.Size.GROWN, d -> {
-      for (int i = 0; i < 3; i++) {
-        d.clock.after(i * 3_300_000L, () -> d.crash(d.leader(), SECOND));
-      }
-    });
+    Day day =
+        play(
+            Day.Size.GROWN,
+            d -> {
+              for (int i = 0; i < 3; i++) {
+                d.clock.after(i * 3_300_000L, () -> d.crash(d.leader(), SECOND));
+              }
+            });
     assertTrue(logged("inherits: ELECTED") >= 4);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
@@ -205,10 +264,13 @@
   /** Nobody can claim or be elected then; and nobody launches. */
   @Example
   void theStateServiceIsOutDuringATakeOver() {
-    Day day = play(Day.Size.GROWN, d -> {
-      d.crash(d.leader(), 3 * SECOND);
-      d.stateOutage(12 * SECOND);
-    });
+    Day day =
+        play(
+            Day.Size.GROWN,
+            d -> {
+              d.crash(d.leader(), 3 * SECOND);
+              d.stateOutage(12 * SECOND);
+            });
     assertTrue(logged("inherits: ELECTED") >= 2);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
--- a/src/test/java/org/eiderstair/sim/Troubles.java
+++ b/src/test/java/org/eiderstair/sim/Troubles.java
@@ -7,7 +7,10 @@
 import org.eiderstair.core.JobSpec;
 import org.eiderstair.core.MachineReport;
 
-/** The troubles of the users' page on meetings, each for a while, so that they can be drawn together. */
+/**
+ * The troubles of the users' page on meetings, each for a while, so that they can be drawn
+ * together.
+ */
 final class Troubles {
   private static final long SECOND = 1_000_000;
   private static final int MOST_HANGING = 8;
@@ -16,10 +19,36 @@
 
   /** One trouble; it lasts for a while. */
   enum Kind {
-    LATE_WRITES, LOST_ANSWERS, LATE_REPORTS, REPORTS_FOR_THE_NEXT, DEAF, MUTE, LEADER_CUT_FROM_STATE_AND_PEERS,
-    CANCEL_NOW, CANCEL_NOW_WITH_HANG, CANCEL_AT_END, ODD_REQUESTS, CLOSE_LOOKS, STANDING_STILL, QUICK_BOOTS,
-    LEADER_REFUSED_ALONE, STATE_OUTAGE, LEADER_ENDS, ALL_END, LEADER_CHANGES, ZONE_CUT, MACHINES_CUT, MACHINES_HANG,
-    MACHINES_DIE, WATCH_HANGS, ONE_TASK_JOBS, TASKS_FAR_APART, FLOOD, SLOW_STATE, ALL_MUTE, ALL_AWAY,
+    LATE_WRITES,
+    LOST_ANSWERS,
+    LATE_REPORTS,
+    REPORTS_FOR_THE_NEXT,
+    DEAF,
+    MUTE,
+    LEADER_CUT_FROM_STATE_AND_PEERS,
+    CANCEL_NOW,
+    CANCEL_NOW_WITH_HANG,
+    CANCEL_AT_END,
+    ODD_REQUESTS,
+    CLOSE_LOOKS,
+    STANDING_STILL,
+    QUICK_BOOTS,
+    LEADER_REFUSED_ALONE,
+    STATE_OUTAGE,
+    LEADER_ENDS,
+    ALL_END,
+    LEADER_CHANGES,
+    ZONE_CUT,
+    MACHINES_CUT,
+    MACHINES_HANG,
+    MACHINES_DIE,
+    WATCH_HANGS,
+    ONE_TASK_JOBS,
+    TASKS_FAR_APART,
+    FLOOD,
+    SLOW_STATE,
+    ALL_MUTE,
+    ALL_AWAY,
     LATE_COMMANDS
   }
 
@@ -108,7 +137,13 @@
         // Twice what both teams may have, urgent and not, for about that long.
         int jobs = (int) (4 * day.size.limit() / day.size.tasks());
         for (int i = 0; i < jobs; i++) {
-          day.submit(job("job-5", "flood", JobSpec.Priority.values()[i % 4], day.size.tasks(), 4 * SECOND + micros / 8));
+          day.submit(
+              job(
+                  "job-5",
+                  "flood",
+                  JobSpec.Priority.values()[i % 4],
+                  day.size.tasks(),
+                  4 * SECOND + micros / 8));
         }
       }
       case SLOW_STATE -> {
@@ -135,8 +170,11 @@
   }
 
   private void writes(StateService.Fate fate, int percent, long micros) {
-    day.state.fate = txn -> !txn.writes().isEmpty() && day.random.nextInt(100) < percent ? fate
-        : StateService.Fate.ANSWERED;
+    day.state.fate =
+        txn ->
+            !txn.writes().isEmpty() && day.random.nextInt(100) < percent
+                ? fate
+                : StateService.Fate.ANSWERED;
     day.clock.after(micros, () -> day.state.fate = txn -> StateService.Fate.ANSWERED);
   }
 
@@ -150,7 +188,10 @@
     return some;
   }
 
-  /** Users call off jobs that run, within a fifth of a second; some of their machines hang from then on. */
+  /**
+   * Users call off jobs that run, within a fifth of a second; some of their machines hang from then
+   * on.
+   */
   private void cancelNow(long hangMicros) {
     int count = day.size.jobs() / 4;
     int hanging = 0;
@@ -171,20 +212,25 @@
     }
   }
 
-  /** A user was told that a job is accepted, done or cancelled: others ask at all nodes, at once and again. */
+  /**
+   * A user was told that a job is accepted, done or cancelled: others ask at all nodes, at once and
+   * again.
+   */
   void told(String job) {
     if (!closeLooks) {
       return;
     }
     for (int i = 0; i < 3 * day.size.nodes(); i++) {
       int node = i % day.size.nodes();
-      day.clock.after(i * 700, () -> {
-        if (day.random.nextInt(3) == 0) {
-          repeat(node, job, day.spec(job));
-        } else {
-          look(node, job);
-        }
-      });
+      day.clock.after(
+          i * 700,
+          () -> {
+            if (day.random.nextInt(3) == 0) {
+              repeat(node, job, day.spec(job));
+            } else {
+              look(node, job);
+            }
+          });
     }
     if (day.random.nextInt(4) == 0) {
       day.clock.after(500, () -> day.cancel(job));
@@ -199,19 +245,25 @@
   /** {@code spec} is null where the rest of the request cannot be read. */
   private void repeat(int node, String job, JobSpec spec) {
     Answer.Phase before = day.told(job);
-    day.ask(node, x -> new Event.Submit(x, job, spec, spec == null ? "Cores is missing" : null),
+    day.ask(
+        node,
+        x -> new Event.Submit(x, job, spec, spec == null ? "Cores is missing" : null),
         a -> checked(job, before, a));
   }
 
   private void checked(String job, Answer.Phase before, Answer answer) {
     if (answer instanceof Answer.JobView view) {
       day.heard(view, before);
-    } else if (answer instanceof Answer.Failure f && (f.status() == 400 || f.status() == 404 || f.status() == 422)) {
+    } else if (answer instanceof Answer.Failure f
+        && (f.status() == 400 || f.status() == 404 || f.status() == 422)) {
       day.breaks("forgotten: " + job + " answered " + f);
     }
   }
 
-  /** Repeated submissions, whole and unreadable ones, cancelled jobs that are done, and jobs that can never run. */
+  /**
+   * Repeated submissions, whole and unreadable ones, cancelled jobs that are done, and jobs that
+   * can never run.
+   */
   private void oddRequests(long untilMicros) {
     if (day.clock.now() > untilMicros) {
       return;
@@ -228,13 +280,38 @@
     }
     String odd = String.format("job-8%05d", ++numbers);
     boolean unreadable = day.random.nextBoolean();
-    JobSpec unfit = new JobSpec(odd, "NORMAL", "red", JobSpec.Shape.ARRAY, JobSpec.Priority.NORMAL, 1,
-        Day.TYPE.cpus() + 1, 0, 1, "img", 0.5, null, null, false, false, true, SECOND, 0, 0, JobSpec.NO_DEADLINE);
-    day.ask(node, x -> new Event.Submit(x, odd, unreadable ? null : unfit, unreadable ? "Cores is missing" : null), a -> {
-      if (a instanceof Answer.JobView) {
-        day.breaks("accepted: " + odd + " can never run");
-      }
-    });
+    JobSpec unfit =
+        new JobSpec(
+            odd,
+            "NORMAL",
+            "red",
+            JobSpec.Shape.ARRAY,
+            JobSpec.Priority.NORMAL,
+            1,
+            Day.TYPE.cpus() + 1,
+            0,
+            1,
+            "img",
+            0.5,
+            null,
+            null,
+            false,
+            false,
+            true,
+            SECOND,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    day.ask(
+        node,
+        x ->
+            new Event.Submit(
+                x, odd, unreadable ? null : unfit, unreadable ? "Cores is missing" : null),
+        a -> {
+          if (a instanceof Answer.JobView) {
+            day.breaks("accepted: " + odd + " can never run");
+          }
+        });
   }
 
   /** Four a second, a quarter of them cancelled. */
@@ -251,9 +328,28 @@
     }
   }
 
-  private JobSpec job(String prefix, String jobClass, JobSpec.Priority priority, int tasks, long estimateMicros) {
-    return new JobSpec(prefix + String.format("%05d", ++numbers), jobClass, numbers % 2 == 0 ? "red" : "blue",
-        JobSpec.Shape.ARRAY, priority, tasks, 1, 0, 1, "img", 0.5, null, null, false, false, true, estimateMicros, 0, 0,
+  private JobSpec job(
+      String prefix, String jobClass, JobSpec.Priority priority, int tasks, long estimateMicros) {
+    return new JobSpec(
+        prefix + String.format("%05d", ++numbers),
+        jobClass,
+        numbers % 2 == 0 ? "red" : "blue",
+        JobSpec.Shape.ARRAY,
+        priority,
+        tasks,
+        1,
+        0,
+        1,
+        "img",
+        0.5,
+        null,
+        null,
+        false,
+        false,
+        true,
+        estimateMicros,
+        0,
+        0,
         JobSpec.NO_DEADLINE);
   }
 
@@ -263,12 +359,15 @@
   }
 
   long bootMicros() {
-    return quickBoots ? 200_000 + day.random.nextInt(1_800_000) : 4_000_000 + day.random.nextInt(8_000_000);
+    return quickBoots
+        ? 200_000 + day.random.nextInt(1_800_000)
+        : 4_000_000 + day.random.nextInt(8_000_000);
   }
 
   /**
-   * How long a direct command or question that leaves now is held on its way; 0 for one that is not. One that is held stays
-   * unanswered, and is executed once if its token and session still match then.
+   * How long a direct command or question that leaves now is held on its way; 0 for one that is
+   * not. One that is held stays unanswered, and is executed once if its token and session still
+   * match then.
    */
   long commandDelayMicros() {
     boolean held = lateCommandsPercent > 0 && day.random.nextInt(100) < lateCommandsPercent;
@@ -283,8 +382,9 @@
     if (forNext) {
       kept.add(new Kept(worker, report));
     } else {
-      day.clock.after(2 * SECOND + day.random.nextInt((int) (day.leaseMicros() * 3 / 2)),
-          () -> day.deliver(worker, node, report, a -> { }));
+      day.clock.after(
+          2 * SECOND + day.random.nextInt((int) (day.leaseMicros() * 3 / 2)),
+          () -> day.deliver(worker, node, report, a -> {}));
     }
   }
 
@@ -293,7 +393,8 @@
     for (Kept k : kept) {
       for (int i = 0; i < day.size.nodes(); i++) {
         int node = i;
-        day.clock.after(day.random.nextInt(400_000), () -> day.deliver(k.worker(), node, k.report(), a -> { }));
+        day.clock.after(
+            day.random.nextInt(400_000), () -> day.deliver(k.worker(), node, k.report(), a -> {}));
       }
     }
     kept.clear();
--- a/src/test/java/org/eiderstair/sim/Waiting.java
+++ b/src/test/java/org/eiderstair/sim/Waiting.java
@@ -6,7 +6,10 @@
 import java.util.Set;
 import org.eiderstair.core.JobSpec;
 
-/** Looks for jobs that wait beside room or that nobody tells of once all faults are over, and for large ones that do not begin at all. */
+/**
+ * Looks for jobs that wait beside room or that nobody tells of once all faults are over, and for
+ * large ones that do not begin at all.
+ */
 final class Waiting {
   private static final long SECOND = 1_000_000;
   private static final long LONGEST = 90 * SECOND;
@@ -14,11 +17,15 @@
   private static final long LARGE_BEGIN = 240 * SECOND;
 
   private final Day day;
+
   /** Since when a job has waited while something of its size would have found room. */
   private final Map<String, Long> since = new HashMap<>();
+
   private final Set<String> begun = new HashSet<>();
+
   /** When a question about a job was last answered. */
   private final Map<String, Long> answered = new HashMap<>();
+
   private long calmSinceMicros;
 
   Waiting(Day day) {
@@ -39,8 +46,10 @@
   void watchLargest() {
     day.clock.after(SECOND, this::watchLargest);
     for (String id : day.accepted()) {
-      if (day.spec(id).tasks() > day.size.tasks() * 3 / 4 && !day.cancelAsked(id)
-          && day.clock.now() > day.submittedAt(id) + LARGE_BEGIN && begun.add(id)) {
+      if (day.spec(id).tasks() > day.size.tasks() * 3 / 4
+          && !day.cancelAsked(id)
+          && day.clock.now() > day.submittedAt(id) + LARGE_BEGIN
+          && begun.add(id)) {
         day.breaks("largest: " + id + " does not begin");
       }
     }
@@ -61,9 +70,14 @@
         answered(id);
       }
       JobSpec spec = day.spec(id);
-      boolean waits = !day.over(id) && !day.completed(id) && !day.cancelAsked(id) && !day.mistaken(id)
-          && day.machinesOf(id).isEmpty() && hasRoom(spec)
-          && day.teamUse(spec.team()) + spec.cpus() <= day.size.limit() + 1e-6;
+      boolean waits =
+          !day.over(id)
+              && !day.completed(id)
+              && !day.cancelAsked(id)
+              && !day.mistaken(id)
+              && day.machinesOf(id).isEmpty()
+              && hasRoom(spec)
+              && day.teamUse(spec.team()) + spec.cpus() <= day.size.limit() + 1e-6;
       if (!waits) {
         since.remove(id);
       } else if (day.clock.now() > since.computeIfAbsent(id, i -> day.clock.now()) + LONGEST) {
@@ -74,6 +88,7 @@
   }
 
   private boolean hasRoom(JobSpec spec) {
-    return day.workers().stream().anyMatch(w -> spec.allows(w.type, w.zone, w.spot) && w.hasRoom(spec.cpus()));
+    return day.workers().stream()
+        .anyMatch(w -> spec.allows(w.type, w.zone, w.spot) && w.hasRoom(spec.cpus()));
   }
 }
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -24,11 +24,27 @@
     boolean red = day.random.nextBoolean();
     int kind = day.random.nextInt(12);
     JobSpec.Priority priority = JobSpec.Priority.values()[day.random.nextInt(4)];
-    return new JobSpec(String.format("job-%06d", number), priority.name(), red ? "red" : "blue",
-        kind == 0 ? JobSpec.Shape.SERVICE : JobSpec.Shape.ARRAY, priority, kind == 0 ? 2 : 1 + day.random.nextInt(day.size.tasks()),
-        1 + day.random.nextInt(3), 0, 1, kind == 1 ? "mistake" : "img", 0.5, null,
-        kind == 2 ? "b" : null, kind == 3 || kind == 4, kind == 5 || kind == 6, day.random.nextInt(3) > 0,
-        (3 + day.random.nextInt(15)) * SECOND, 0, 0, JobSpec.NO_DEADLINE);
+    return new JobSpec(
+        String.format("job-%06d", number),
+        priority.name(),
+        red ? "red" : "blue",
+        kind == 0 ? JobSpec.Shape.SERVICE : JobSpec.Shape.ARRAY,
+        priority,
+        kind == 0 ? 2 : 1 + day.random.nextInt(day.size.tasks()),
+        1 + day.random.nextInt(3),
+        0,
+        1,
+        kind == 1 ? "mistake" : "img",
+        0.5,
+        null,
+        kind == 2 ? "b" : null,
+        kind == 3 || kind == 4,
+        kind == 5 || kind == 6,
+        day.random.nextInt(3) > 0,
+        (3 + day.random.nextInt(15)) * SECOND,
+        0,
+        0,
+        JobSpec.NO_DEADLINE);
   }
 
   private static void fault(Day day) {
@@ -71,7 +87,8 @@
         }
       }
       case 18 -> {
-        // A rental or a return is on its way, and is answered or carried out long after the take-over.
+        // A rental or a return is on its way, and is answered or carried out long after the
+        // take-over.
         day.cutNodeFromCloud(day.leader(), span + 20 * SECOND);
         int leader = day.leader();
         day.clock.after(span / 2, () -> day.crash(leader, 3 * SECOND));
@@ -132,14 +149,18 @@
     Day day = new Day(seed, size, sabotage);
     for (int i = 0; i < size.jobs(); i++) {
       int number = i;
-      day.clock.after((3 + day.random.nextInt(200)) * SECOND, () -> {
-        JobSpec spec = job(day, number);
-        day.submit(spec);
-        if (spec.shape() == JobSpec.Shape.SERVICE || spec.image().equals("mistake") || day.random.nextInt(6) == 0) {
-          day.clock.after((5 + day.random.nextInt(60)) * SECOND, () -> day.cancel(spec.id()));
-        }
-        day.pollUnknown("job-9" + number);
-      });
+      day.clock.after(
+          (3 + day.random.nextInt(200)) * SECOND,
+          () -> {
+            JobSpec spec = job(day, number);
+            day.submit(spec);
+            if (spec.shape() == JobSpec.Shape.SERVICE
+                || spec.image().equals("mistake")
+                || day.random.nextInt(6) == 0) {
+              day.clock.after((5 + day.random.nextInt(60)) * SECOND, () -> day.cancel(spec.id()));
+            }
+            day.pollUnknown("job-9" + number);
+          });
     }
     return day;
   }
@@ -148,9 +169,15 @@
   void everyRuleHoldsOnDrawnDaysAndAllWorkIsDone() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
-      Day day = play(seed, s -> { });
+      Day day = play(seed, s -> {});
       if (!day.broken.isEmpty() || !day.unfinished().isEmpty() || day.started == 0) {
-        failures.add("seed " + seed + ": " + day.broken.stream().limit(2).toList() + " unfinished " + day.unfinished());
+        failures.add(
+            "seed "
+                + seed
+                + ": "
+                + day.broken.stream().limit(2).toList()
+                + " unfinished "
+                + day.unfinished());
       }
       assertTrue(day.mostWrites() <= 12, "transaction with " + day.mostWrites() + " writes");
     }
@@ -160,18 +187,20 @@
   @Example
   void everyRuleHoldsAtTheGrownSize() {
     for (long seed = FIRST; seed < FIRST + GROWN_DAYS; seed++) {
-      Day day = play(seed, Day.Size.GROWN, s -> { });
+      Day day = play(seed, Day.Size.GROWN, s -> {});
       assertEquals(List.of(), day.broken, "seed " + seed);
       assertEquals(List.of(), day.unfinished(), "seed " + seed);
       assertTrue(day.started > 1000, "seed " + seed + " started " + day.started);
     }
   }
 
-  /** Half as many machines again as the largest deployment, with three and with five controllers. */
+  /**
+   * Half as many machines again as the largest deployment, with three and with five controllers.
+   */
   @Example
   void everyRuleHoldsAtTheFleetSizeAndNobodyIsLeftBehind() {
     for (long seed = FIRST; seed < FIRST + FLEET_DAYS; seed++) {
-      Day day = play(seed, Day.Size.fleet(seed % 2 == 0 ? 3 : 5), s -> { });
+      Day day = play(seed, Day.Size.fleet(seed % 2 == 0 ? 3 : 5), s -> {});
       assertEquals(List.of(), day.broken, "seed " + seed);
       assertEquals(List.of(), day.unfinished(), "seed " + seed);
       assertTrue(day.started > 5000, "seed " + seed + " started " + day.started);
@@ -181,25 +210,37 @@
 
   @Example
   void aDayRepeatsExactly() {
-    assertEquals(play(7, s -> { }).started, play(7, s -> { }).started);
+    assertEquals(play(7, s -> {}).started, play(7, s -> {}).started);
   }
 
-  /** Commands without sessions and fences are what the simulator must notice: else the days above prove nothing. */
+  /**
+   * Commands without sessions and fences are what the simulator must notice: else the days above
+   * prove nothing.
+   */
   @Example
   void aControllerThatLaunchesTwiceIsCaught() {
     List<Request.WorkerCommands> earlier = new ArrayList<>();
     boolean caught = false;
     for (long seed = 1; seed < 20 && !caught; seed++) {
       earlier.clear();
-      Day day = play(seed, s -> {
-        if (s.request instanceof Request.WorkerCommands c) {
-          c.orders().stream().filter(o -> o instanceof Order.Launch).findFirst().ifPresent(o -> earlier.add(c));
-          if (!earlier.isEmpty() && c.orders().isEmpty()) {
-            s.request = new Request.WorkerCommands(c.address(), c.token(), c.session(), earlier.get(0).orders());
-          }
-        }
-      });
-      caught = day.broken.stream().anyMatch(b -> b.contains("ran_twice") || b.contains("ran_cancelled"));
+      Day day =
+          play(
+              seed,
+              s -> {
+                if (s.request instanceof Request.WorkerCommands c) {
+                  c.orders().stream()
+                      .filter(o -> o instanceof Order.Launch)
+                      .findFirst()
+                      .ifPresent(o -> earlier.add(c));
+                  if (!earlier.isEmpty() && c.orders().isEmpty()) {
+                    s.request =
+                        new Request.WorkerCommands(
+                            c.address(), c.token(), c.session(), earlier.get(0).orders());
+                  }
+                }
+              });
+      caught =
+          day.broken.stream().anyMatch(b -> b.contains("ran_twice") || b.contains("ran_cancelled"));
     }
     assertTrue(caught);
     assertFalse(earlier.isEmpty());
--- a/src/test/java/org/eiderstair/sim/Worker.java
+++ b/src/test/java/org/eiderstair/sim/Worker.java
@@ -54,8 +54,10 @@
   private long hungUntilMicros;
   private final List<Runnable> whileHung = new ArrayList<>();
   long noticeAtMicros = -1;
+
   /** Until then what is sent to it is lost, while its reports arrive. */
   long deafUntilMicros;
+
   /** Until then it reaches no controller, while commands reach it. */
   long muteUntilMicros;
 
@@ -119,7 +121,8 @@
 
   /** Whether something is here that a leader of a later term than that has placed. */
   boolean usedAfter(long term) {
-    return tasks.values().stream().anyMatch(r -> r.state != TaskState.ENDED && r.attempt >> 31 > term);
+    return tasks.values().stream()
+        .anyMatch(r -> r.state != TaskState.ENDED && r.attempt >> 31 > term);
   }
 
   void die() {
@@ -130,8 +133,14 @@
 
   private MachineReport view() {
     List<MachineReport.Entry> entries = new ArrayList<>();
-    tasks.values().forEach(r -> entries.add(new MachineReport.Entry(r.task, r.attempt, r.state, r.exit, false)));
-    long notice = noticeAtMicros < 0 ? MachineReport.NO_NOTICE : Math.max(0, noticeAtMicros - day.clock.now());
+    tasks
+        .values()
+        .forEach(
+            r -> entries.add(new MachineReport.Entry(r.task, r.attempt, r.state, r.exit, false)));
+    long notice =
+        noticeAtMicros < 0
+            ? MachineReport.NO_NOTICE
+            : Math.max(0, noticeAtMicros - day.clock.now());
     return new MachineReport(id, id, type, zone, spot, session, ++tally, baton, notice, entries);
   }
 
@@ -143,38 +152,41 @@
     long thisReport = ++reportId;
     long sentSession = session;
     long sentMicros = day.clock.now();
-    Consumer<Answer> answered = answer -> {
-      if (dead || thisReport != reportId || !inFlight) {
-        return;
-      }
-      if (hung() || day.clock.now() < deafUntilMicros) {
-        return;
-      }
-      inFlight = false;
-      if (answer instanceof Answer.Command command) {
-        if (command.token() >= baton && sentSession == session) {
-          see(command.token());
-          answeredSentMicros = sentMicros;
-          command.orders().forEach(this::execute);
-        }
-      } else if (answer instanceof Answer.Redirect redirect && redirect.node() != null) {
-        node = day.indexOf(redirect.node());
-        reportSoon = true;
-      } else {
-        node = (node + 1) % day.size.nodes();
-        nextReportMicros = day.clock.now() + 1_000_000;
-      }
-    };
+    Consumer<Answer> answered =
+        answer -> {
+          if (dead || thisReport != reportId || !inFlight) {
+            return;
+          }
+          if (hung() || day.clock.now() < deafUntilMicros) {
+            return;
+          }
+          inFlight = false;
+          if (answer instanceof Answer.Command command) {
+            if (command.token() >= baton && sentSession == session) {
+              see(command.token());
+              answeredSentMicros = sentMicros;
+              command.orders().forEach(this::execute);
+            }
+          } else if (answer instanceof Answer.Redirect redirect && redirect.node() != null) {
+            node = day.indexOf(redirect.node());
+            reportSoon = true;
+          } else {
+            node = (node + 1) % day.size.nodes();
+            nextReportMicros = day.clock.now() + 1_000_000;
+          }
+        };
     if (day.clock.now() >= muteUntilMicros) {
       day.toNode(id, node, view(), answered);
     }
-    day.clock.after(4_000_000, () -> {
-      if (inFlight && thisReport == reportId) {
-        inFlight = false;
-        node = (node + 1) % day.size.nodes();
-        nextReportMicros = day.clock.now() + 1_000_000;
-      }
-    });
+    day.clock.after(
+        4_000_000,
+        () -> {
+          if (inFlight && thisReport == reportId) {
+            inFlight = false;
+            node = (node + 1) % day.size.nodes();
+            nextReportMicros = day.clock.now() + 1_000_000;
+          }
+        });
   }
 
   private void see(long token) {
@@ -194,7 +206,9 @@
       return;
     }
     boolean executed = false;
-    if (request instanceof Request.WorkerCommands c && c.token() >= baton && c.session() == session) {
+    if (request instanceof Request.WorkerCommands c
+        && c.token() >= baton
+        && c.session() == session) {
       see(c.token());
       c.orders().forEach(this::execute);
       executed = true;
