--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -35,6 +35,10 @@
 
   private Main() {}
 
+  /**
+   * Runs one command; the exit code is 0, 1 for a failure, or 2 for arguments or settings that
+   * cannot be used.
+   */
   public static void main(String[] args) {
     noLocales();
     setUpLogging();
--- a/src/main/java/org/eiderstair/cli/UserClient.java
+++ b/src/main/java/org/eiderstair/cli/UserClient.java
@@ -52,7 +52,11 @@
   }
 
   @Override
-  public void close() throws Exception {
-    http.stop();
+  public void close() {
+    try {
+      http.stop();
+    } catch (Exception e) {
+      throw new IllegalStateException("the connection does not close", e);
+    }
   }
 }
--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -34,6 +34,7 @@
     this.values = values;
   }
 
+  /** Reads and checks the file; settings that it does not have keep their defaults. */
   public static Settings.Tuning read(Path file) throws BadConfig {
     Map<String, Object> values = new HashMap<>();
     try {
--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -21,6 +21,7 @@
 public final class PlatformFile {
   private PlatformFile() {}
 
+  /** Reads and checks the file; the exception's message names the field that is wrong. */
   public static NodeConfig read(Path file, Settings.Tuning tuning) throws BadConfig {
     JsonNode root;
     try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
--- a/src/main/java/org/eiderstair/core/Answer.java
+++ b/src/main/java/org/eiderstair/core/Answer.java
@@ -10,6 +10,7 @@
   /** A job as its user sees it. */
   record JobView(int status, String id, Phase phase, int done, int running) implements Answer {}
 
+  /** Where a job stands; the last two are final. */
   enum Phase {
     PENDING,
     RUNNING,
@@ -41,5 +42,6 @@
   /** To a peer: what it told is known here now. */
   record Noted() implements Answer {}
 
+  /** To the load balancer: whether this node takes requests. */
   record Ready(boolean ready) implements Answer {}
 }
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -138,6 +138,7 @@
     return Math.min(due, desk.dueMicros());
   }
 
+  /** Decides what is due now, once for all events that were taken. */
   public void tick(long nowMicros) {
     guarded("tick", () -> tickWhole(nowMicros));
   }
@@ -244,6 +245,7 @@
     return record != null && Standby.names(record.value()) && !standby.named(record.value());
   }
 
+  /** Whether this node holds the office of leader. */
   public boolean leads() {
     return leadership.inOffice();
   }
--- a/src/main/java/org/eiderstair/core/Effect.java
+++ b/src/main/java/org/eiderstair/core/Effect.java
@@ -27,6 +27,7 @@
   record Respond(long exchange, Answer answer, long notAfterMicros) implements Effect {
     private static final Answer TOO_LATE = new Answer.Failure(503, "too late", 0);
 
+    /** The answer if it may still be sent at that time, else a refusal. */
     public Answer answerAt(long nowMicros) {
       return nowMicros > notAfterMicros ? TOO_LATE : answer;
     }
@@ -35,6 +36,7 @@
   /** A decision worth a line in the log. */
   record Log(Level level, String text) implements Effect {}
 
+  /** How much a line in the log matters. */
   enum Level {
     ERROR,
     INFO,
--- a/src/main/java/org/eiderstair/core/Event.java
+++ b/src/main/java/org/eiderstair/core/Event.java
@@ -18,8 +18,10 @@
    */
   record Submit(long exchange, String id, JobSpec spec, String fault) implements Event {}
 
+  /** A user asks for the state of a job. */
   record Poll(long exchange, String id) implements Event {}
 
+  /** A user cancels a job. */
   record Cancel(long exchange, String id) implements Event {}
 
   /** A peer asks whether the state service serves this node. */
@@ -37,6 +39,7 @@
   /** A peer tells of cancellations that it has committed. */
   record PeerCancelled(long exchange, List<Cancellation> cancellations) implements Event {}
 
+  /** The load balancer asks whether this node takes requests. */
   record ReadyProbe(long exchange) implements Event {}
 
   /** A worker reports; {@code relayed} when it came through another node. */
--- a/src/main/java/org/eiderstair/core/Reply.java
+++ b/src/main/java/org/eiderstair/core/Reply.java
@@ -20,15 +20,19 @@
   /** One key; null when it does not exist as of that revision. */
   record Found(Item item, long revision) implements Reply {}
 
+  /** Some keys in their order, and whether there are more. */
   record Listed(List<Item> items, boolean more, long revision) implements Reply {}
 
   /** Changes after a revision; an item without a value was dropped. */
   record Changed(List<Item> changes, long revision) implements Reply {}
 
+  /** A new lease. */
   record LeaseGranted(long lease) implements Reply {}
 
+  /** The types of machines that can be rented. */
   record Catalog(List<MachineType> types) implements Reply {}
 
+  /** The names of the machines that were rented. */
   record Rented(List<String> machines) implements Reply {}
 
   /** A machine as the cloud lists it. */
@@ -41,8 +45,10 @@
       String state,
       long ageMicros) {}
 
+  /** Some machines as the cloud lists them, and whether there are more. */
   record CloudMachines(List<CloudMachine> machines, boolean more) implements Reply {}
 
+  /** A machine's report, and whether it executed the command that asked for it. */
   record Report(MachineReport report, boolean executed) implements Reply {}
 
   /** A peer's word on whether the state service serves it, and whom it follows. */
@@ -54,6 +60,7 @@
   /** What a peer says to changes of the leader's picture. */
   record StandbyAck(Batch.Ack ack) implements Reply {}
 
+  /** The leader's answer to a report that was passed on. */
   record Relayed(Answer answer) implements Reply {}
 
   /** Answered, and certainly not executed: the status says why (404, 410, 429, 503 ...). */
--- a/src/main/java/org/eiderstair/core/Request.java
+++ b/src/main/java/org/eiderstair/core/Request.java
@@ -13,31 +13,44 @@
   /** Puts a value, or drops the key when the value is null. Lease 0 means none. */
   record Write(String key, Map<String, Object> value, long lease) {}
 
+  /** A transaction: all writes if all conditions hold, else none. */
   record StoreTxn(List<Condition> conditions, List<Write> writes) implements Request {}
 
+  /** Reads one key. */
   record StoreGet(String key) implements Request {}
 
+  /** Reads keys with a prefix, in their order, after a key. */
   record StoreList(String prefix, String after, int limit) implements Request {}
 
+  /** Waits for changes of keys with a prefix after a revision. */
   record StoreWatch(String prefix, long after, long holdMicros) implements Request {}
 
+  /** Asks for a lease. */
   record LeaseGrant(long ttlMicros) implements Request {}
 
+  /** Renews a lease. */
   record LeaseTouch(long lease) implements Request {}
 
+  /** Ends a lease, and removes the keys attached to it. */
   record LeaseDrop(long lease) implements Request {}
 
+  /** Asks for the types of machines that can be rented. */
   record CloudCatalog() implements Request {}
 
+  /** Rents machines; a repeated request name rents nothing twice. */
   record CloudRent(String request, String type, String zone, boolean spot, int count)
       implements Request {}
 
+  /** Deletes machines. */
   record CloudDelete(List<String> machines) implements Request {}
 
+  /** Lists machines after a name. */
   record CloudList(String after) implements Request {}
 
+  /** Asks a machine for its report. */
   record WorkerStatus(String address) implements Request {}
 
+  /** Commands for a machine, executed if token and session match. */
   record WorkerCommands(String address, long token, long session, List<Order> orders)
       implements Request {}
 
--- a/src/main/java/org/eiderstair/core/Settings.java
+++ b/src/main/java/org/eiderstair/core/Settings.java
@@ -109,6 +109,7 @@
       long idleReturnMicros,
       int rentBatch,
       int standbys) {
+    /** What holds where operators set nothing. */
     public static Tuning defaults() {
       return new Tuning(
           256, 2, 4_500_000L, 1_200_000L, 10_000_000L, 10_000_000L, 20_000_000L, 50, 1);
--- a/src/main/java/org/eiderstair/core/duty/Duties.java
+++ b/src/main/java/org/eiderstair/core/duty/Duties.java
@@ -41,6 +41,7 @@
 
   /** What came of a rental: machines, certainly none, or no answer. */
   public record Rental(Outcome outcome, List<String> machines, String why) {
+    /** How it ended; without an answer the machines may yet be rented. */
     public enum Outcome {
       GRANTED,
       REFUSED,
@@ -60,13 +61,16 @@
     /** Writes under the leader key of this epoch; {@code durable} runs once it is there. */
     void put(String key, Map<String, Object> value, Runnable durable);
 
+    /** Removes a record, and says when that is durable. */
     void drop(String key, Runnable durable);
 
     /** Whether one more request to the cloud keeps its limit and the lease that backs it. */
     boolean mayCall();
 
+    /** Asks the cloud for machines under a request name. */
     void rent(String charter, Offer offer, int count, Consumer<Rental> then);
 
+    /** Asks the cloud to delete machines. */
     void delete(List<String> machines, Consumer<Deletion> then);
 
     /** Machines are on their way, decided so long ago. */
@@ -81,13 +85,16 @@
     /** The machine, marked before, is in use again. */
     void kept(String machine);
 
+    /** Whether a machine is in the durable list of machines. */
     boolean onRoster(String machine);
 
     /** Whether this epoch has had it confirmed that the machine is gone. */
     boolean isGone(String machine);
 
+    /** Logs a line. */
     void info(String text);
 
+    /** Logs a line about something that should not be. */
     void error(String text);
   }
 
@@ -190,6 +197,7 @@
         .forEach(this::accounted);
   }
 
+  /** The term is over: nothing more is decided or asked for. */
   public void close() {
     if (holding != Holding.ENDED) {
       become(Holding.ENDED);
@@ -240,6 +248,7 @@
   /** A rental whose machines are not known yet. */
   public record Awaited(String charter, Offer offer, int count) {}
 
+  /** How many machines are rented or being rented and not yet there. */
   public int awaited() {
     int[] count = {0};
     awaited(rental -> count[0]++);
@@ -446,6 +455,7 @@
         });
   }
 
+  /** Time passes: asks for what is durable, and settles what is answered. */
   public void tick(long nowMicros) {
     now = nowMicros;
     if (holding == Holding.ENDED) {
--- a/src/main/java/org/eiderstair/core/member/Membership.java
+++ b/src/main/java/org/eiderstair/core/member/Membership.java
@@ -34,6 +34,7 @@
 
   /** How a peer is asked; it is told what came of it, null without an answer. */
   public interface Asker {
+    /** Asks a peer for the changes after those that one of its runs has told. */
     void ask(String peer, String run, long after, Consumer<Answer> then);
   }
 
--- a/src/main/java/org/eiderstair/core/member/Survey.java
+++ b/src/main/java/org/eiderstair/core/member/Survey.java
@@ -19,8 +19,10 @@
 
   /** A machine as its leader knows it. */
   public interface Member {
+    /** The machine's name. */
     String machine();
 
+    /** The zone that it is in. */
     String zone();
 
     /**
@@ -129,6 +131,7 @@
     return silent >= MANY && (unreached || silent * 2 > all);
   }
 
+  /** What was found for a machine. */
   public Verdict of(Member m) {
     long last = m.lastHeardMicros();
     if (!isMissed(m)) {
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -43,6 +43,7 @@
     /** The standby has claimed the term: leave office. */
     void claimed();
 
+    /** Logs a line. */
     void info(String text);
   }
 
@@ -172,6 +173,7 @@
     primary = new Primary(host, term, peers, recordVersion);
   }
 
+  /** This node leads no longer; launches that wait are withheld. */
   public void leaves() {
     if (primary != null) {
       primary.end();
@@ -179,6 +181,7 @@
     }
   }
 
+  /** Something changed in the leader's picture. */
   public void change(Batch.Change change) {
     if (primary != null) {
       primary.change(change);
@@ -203,6 +206,7 @@
     }
   }
 
+  /** Time passes. */
   public void tick(long nowMicros) {
     if (primary != null) {
       primary.tick(nowMicros);
--- a/src/main/java/org/eiderstair/http/Outbound.java
+++ b/src/main/java/org/eiderstair/http/Outbound.java
@@ -97,6 +97,7 @@
     this.replies = replies;
   }
 
+  /** Sends a request; its outcome becomes an event, exactly once. */
   public void send(long call, Request request) {
     try {
       dispatch(call, request);
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -36,6 +36,10 @@
   private Consumer<Effect> effects;
   private LongConsumer timeouts = now -> {};
 
+  /**
+   * Connects the loop with the core that it drives and with the consumer of its effects. Call once,
+   * before {@link #start}.
+   */
   public void attach(Core withCore, Consumer<Effect> withEffects) {
     core = withCore;
     effects = withEffects;
@@ -46,6 +50,7 @@
     timeouts = look;
   }
 
+  /** Hands an event to the core's thread; may be called from any thread. */
   public void offer(Event event) {
     if (event instanceof Event.Replied) {
       outcomes.add(event);
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -109,14 +109,20 @@
     return port;
   }
 
+  /** Waits until the controller is closed. */
   public void join() throws InterruptedException {
     coreThread.join();
   }
 
   @Override
-  public void close() throws Exception {
+  public void close() {
     coreThread.interrupt();
-    sockets.stop();
-    threads.shutdownNow();
+    try {
+      sockets.stop();
+    } catch (Exception e) {
+      throw new IllegalStateException("the sockets do not close", e);
+    } finally {
+      threads.shutdownNow();
+    }
   }
 }
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -46,6 +46,7 @@
 
   private PeerMessages() {}
 
+  /** Encodes a worker's report that is passed on to the leader. */
   public static byte[] report(MachineReport r) {
     List<RelayedTask> tasks = new ArrayList<>(r.tasks().size());
     for (MachineReport.Entry e : r.tasks()) {
@@ -78,6 +79,7 @@
     }
   }
 
+  /** Decodes a worker's report that a peer has passed on. */
   public static MachineReport report(byte[] bytes) throws Malformed {
     try {
       RelayedReport r = RelayedReport.getDecoder().decode(bytes);
@@ -107,6 +109,7 @@
     }
   }
 
+  /** Encodes the leader's answer to a report that was passed on. */
   public static byte[] answer(Answer answer) {
     RelayedAnswer a = new RelayedAnswer(503, 0L, List.of(), null, "");
     if (answer instanceof Answer.Command command) {
@@ -132,6 +135,7 @@
     }
   }
 
+  /** Decodes the leader's answer to a report that was passed on. */
   public static Answer answer(byte[] bytes) throws Malformed {
     try {
       RelayedAnswer a = RelayedAnswer.getDecoder().decode(bytes);
@@ -156,6 +160,7 @@
     }
   }
 
+  /** Encodes whether the state service serves this node, and whom it follows. */
   public static byte[] standing(Answer.Standing standing) {
     try {
       return bytes(
@@ -166,6 +171,7 @@
     }
   }
 
+  /** Decodes whether the state service serves a peer, and whom that follows. */
   public static Reply.PeerStanding standing(byte[] bytes) throws Malformed {
     try {
       PeerStanding s = PeerStanding.getDecoder().decode(bytes);
@@ -175,6 +181,7 @@
     }
   }
 
+  /** Encodes a question for the machines that report to a peer. */
   public static byte[] heardAsk(String run, long after) {
     try {
       return bytes(HeardAsk.getEncoder().encode(new HeardAsk(run, after)));
@@ -183,6 +190,7 @@
     }
   }
 
+  /** Decodes a question for the machines that report to this node. */
   public static Event.PeerHeardAsked heardAsked(long exchange, byte[] bytes) throws Malformed {
     try {
       HeardAsk asked = HeardAsk.getDecoder().decode(bytes);
@@ -192,6 +200,7 @@
     }
   }
 
+  /** Encodes the machines that report to this node. */
   public static byte[] heard(Hearing hearing) {
     List<HeardChange> changes = new ArrayList<>(hearing.changes().size());
     for (Hearing.Change c : hearing.changes()) {
@@ -208,6 +217,7 @@
     }
   }
 
+  /** Decodes the machines that report to a peer. */
   public static Reply.PeerHeard heard(byte[] bytes) throws Malformed {
     try {
       HeardTold told = HeardTold.getDecoder().decode(bytes);
@@ -222,6 +232,7 @@
     }
   }
 
+  /** Encodes changes of the leader's picture for its standby. */
   public static byte[] standby(Batch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
     for (Batch.Change c : batch.changes()) {
@@ -239,6 +250,7 @@
     }
   }
 
+  /** Decodes changes of the leader's picture. */
   public static Batch standby(byte[] bytes) throws Malformed {
     try {
       StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
@@ -259,6 +271,7 @@
     }
   }
 
+  /** Encodes the standby's acknowledgement. */
   public static byte[] standbyAck(Batch.Ack ack) {
     try {
       return bytes(
@@ -268,6 +281,7 @@
     }
   }
 
+  /** Decodes the standby's acknowledgement. */
   public static Reply.StandbyAck standbyAck(byte[] bytes) throws Malformed {
     try {
       StandbyAck a = StandbyAck.getDecoder().decode(bytes);
@@ -277,6 +291,7 @@
     }
   }
 
+  /** Encodes cancellations that this node has committed. */
   public static byte[] cancelled(List<Cancellation> cancellations) {
     List<CancelledJob> jobs = new ArrayList<>(cancellations.size());
     for (Cancellation c : cancellations) {
@@ -289,6 +304,7 @@
     }
   }
 
+  /** Decodes cancellations that a peer has committed. */
   public static List<Cancellation> cancelled(byte[] bytes) throws Malformed {
     try {
       List<Cancellation> cancellations = new ArrayList<>();
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -14,6 +14,7 @@
 
   private CloudMessages() {}
 
+  /** Encodes a rental request. */
   public static byte[] rent(Request.CloudRent r) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Charter", r.request());
@@ -24,14 +25,17 @@
     return Pack.write(m);
   }
 
+  /** Decodes the answer to a rental: the names of the machines. */
   public static Reply rented(Map<String, Object> message) throws Malformed {
     return new Reply.Rented(new Fields(message).texts("Skerries"));
   }
 
+  /** Encodes a request to delete machines. */
   public static byte[] delete(List<String> machines) {
     return Pack.write(Map.of("Skerries", machines));
   }
 
+  /** Decodes the catalogue of machine types. */
   public static Reply catalog(Map<String, Object> message) throws Malformed {
     List<MachineType> types = new ArrayList<>();
     for (Object item : new Fields(message).list("Hulls")) {
@@ -52,6 +56,7 @@
     return new Reply.Catalog(types);
   }
 
+  /** Decodes one page of the list of machines. */
   public static Reply machines(Map<String, Object> message) throws Malformed {
     Fields top = new Fields(message);
     List<Reply.CloudMachine> machines = new ArrayList<>();
--- a/src/main/java/org/eiderstair/protocol/Pack.java
+++ b/src/main/java/org/eiderstair/protocol/Pack.java
@@ -33,6 +33,7 @@
 
   private Pack() {}
 
+  /** Encodes a message as MessagePack. */
   public static byte[] write(Map<String, ?> map) {
     try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
       write(packer, map);
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -11,6 +11,7 @@
 public final class StoreMessages {
   private StoreMessages() {}
 
+  /** Encodes a transaction. */
   public static byte[] txn(Request.StoreTxn txn) {
     List<Object> when = new ArrayList<>();
     for (Request.Condition c : txn.conditions()) {
@@ -39,23 +40,28 @@
     return Pack.write(m);
   }
 
+  /** Encodes a request for a lease of that many milliseconds. */
   public static byte[] lease(long ttlMicros) {
     return Pack.write(Map.of("TtlMs", ttlMicros / 1000));
   }
 
+  /** Decodes the answer to a transaction that was carried out. */
   public static Reply applied(Map<String, Object> message) throws Malformed {
     return new Reply.Applied(new Fields(message).whole("LedgerRev"));
   }
 
+  /** Decodes the answer to a transaction whose conditions did not hold. */
   public static Reply conflict(Map<String, Object> message) throws Malformed {
     Fields f = new Fields(message);
     return new Reply.Conflict(f.texts("failed"), f.has("LedgerRev") ? f.whole("LedgerRev") : 0);
   }
 
+  /** Decodes the answer to a request for a lease. */
   public static Reply leaseGranted(Map<String, Object> message) throws Malformed {
     return new Reply.LeaseGranted(new Fields(message).whole("Tenure"));
   }
 
+  /** Decodes one key, or the answer that it does not exist. */
   public static Reply found(Map<String, Object> message) throws Malformed {
     Fields f = new Fields(message);
     long version = f.whole("Stamp");
@@ -67,6 +73,7 @@
     return new Reply.Found(null, new Fields(message).whole("LedgerRev"));
   }
 
+  /** Decodes one page of keys. */
   public static Reply listed(Map<String, Object> message) throws Malformed {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
@@ -77,6 +84,7 @@
     return new Reply.Listed(items, Boolean.TRUE.equals(f.raw("Truncated")), f.whole("LedgerRev"));
   }
 
+  /** Decodes the answer to a watch. */
   public static Reply changed(Map<String, Object> message) throws Malformed {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -39,6 +39,7 @@
 
   private UserMessages() {}
 
+  /** Whether a text has the form of a job id. */
   public static boolean isId(String id) {
     return ID.matcher(id).matches();
   }
@@ -52,6 +53,7 @@
     return id;
   }
 
+  /** Decodes and checks a submission; the exception names the field that is wrong. */
   public static JobSpec spec(Map<String, Object> message) throws Malformed {
     Fields f = new Fields(message);
     JobSpec.Shape shape = SHAPES.get(f.text("Shape"));
@@ -95,6 +97,7 @@
         f.microsOr("DueS", JobSpec.NO_DEADLINE));
   }
 
+  /** Encodes the state of a job. */
   public static byte[] view(Answer.JobView view) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Id", view.id());
@@ -104,6 +107,7 @@
     return Pack.write(m);
   }
 
+  /** Encodes the reason of a refusal. */
   public static byte[] error(String reason) {
     return Pack.write(Map.of("error", reason));
   }
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -76,6 +76,7 @@
     }
   }
 
+  /** Decodes and checks a worker's report. */
   public static MachineReport report(byte[] body) throws Malformed {
     Pieces pieces = new Pieces();
     Fields f = new Fields(Pack.readMap(body, pieces));
@@ -131,6 +132,7 @@
     return Pack.write(m);
   }
 
+  /** Encodes the body of a 421: the node to report to, or none when it is null. */
   public static byte[] redirect(String node) {
     return Pack.write(node == null ? Map.of() : Map.of("Harbour", node));
   }
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/CommandWorld.java
@@ -0,0 +1,412 @@
+package org.eiderstair.core;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.eiderstair.core.MachineReport.Entry;
+import org.eiderstair.core.MachineReport.Exit;
+import org.eiderstair.core.MachineReport.TaskState;
+import org.eiderstair.core.standby.Standby;
+
+/**
+ * One machine, a leader and perhaps the next one, and all messages between them. What breaks a rule
+ * is in {@link #broken}.
+ */
+final class CommandWorld {
+  static final String JOB = "job-1";
+  static final String MACHINE = "m-0";
+  private static final long SECOND = 1_000_000;
+  private static final long SECOND_TERM = 1_000;
+  private static final int MOST_SESSIONS = 2;
+
+  final List<LeaderBench> leaders = new ArrayList<>();
+  final int taskCount;
+  final boolean withPicture;
+  final SearchWorker worker = new SearchWorker();
+  final List<InFlightCommand> commands = new ArrayList<>();
+  InFlightReport report;
+  MachineReport earlier;
+  int copies;
+  boolean cancelled;
+  boolean losesKills;
+  long now = SECOND;
+  final List<String> broken = new ArrayList<>();
+
+  CommandWorld(int taskCount, boolean withPicture) {
+    this.taskCount = taskCount;
+    this.withPicture = withPicture;
+    LeaderBench first = new LeaderBench();
+    first.now = now;
+    first.lead();
+    first.machines(1);
+    Machine m = first.fleet.machines.get(MACHINE);
+    m.answeredMicros = now;
+    worker.token = m.token();
+    worker.answeredSentMicros = now;
+    addJob(first);
+    leaders.add(first);
+  }
+
+  int newest() {
+    return leaders.size() - 1;
+  }
+
+  LeaderBench newestLeader() {
+    return leaders.get(newest());
+  }
+
+  private void addJob(LeaderBench leader) {
+    JobSpec spec =
+        new JobSpec(
+            JOB,
+            "c",
+            "red",
+            JobSpec.Shape.ARRAY,
+            JobSpec.Priority.NORMAL,
+            taskCount,
+            1,
+            0,
+            1,
+            "img",
+            1,
+            null,
+            null,
+            false,
+            false,
+            true,
+            20 * SECOND,
+            0,
+            0,
+            JobSpec.NO_DEADLINE);
+    leader.replica.apply(new Reply.Item(Records.jobKey(JOB), Records.openJob(spec), 5));
+    leader.replica.jobs.get(JOB).shownRunning = 1;
+  }
+
+  /** What may happen next. */
+  Map<String, Runnable> actions() {
+    Map<String, Runnable> all = new LinkedHashMap<>();
+    all.put("pass", () -> pass(newest()));
+    if (newest() == 1) {
+      all.put("pass of the old leader", () -> pass(0));
+    } else {
+      all.put("take over", this::takeOver);
+    }
+    if (!cancelled) {
+      all.put("cancel", this::cancel);
+    }
+    reportActions(all);
+    for (int i = 0; i < commands.size(); i++) {
+      commandActions(all, commands.get(i), i);
+    }
+    for (Entry entry : worker.tasks.values()) {
+      if (entry.state() == TaskState.RUNNING) {
+        all.put(
+            "ends " + entry.task(),
+            () ->
+                worker.tasks.put(
+                    entry.task(),
+                    new Entry(entry.task(), entry.attempt(), TaskState.ENDED, Exit.DONE, false)));
+      }
+    }
+    if (worker.session <= MOST_SESSIONS) {
+      all.put("a lease passes", () -> now += newestLeader().settings.leaseMicros() + SECOND);
+    }
+    return all;
+  }
+
+  private void reportActions(Map<String, Runnable> all) {
+    if (report == null) {
+      for (int i = 0; i < leaders.size(); i++) {
+        int to = i;
+        all.put(
+            "report to " + to, () -> report = new InFlightReport(worker.view(), to, now, false));
+      }
+    } else {
+      if (report.exchange == 0) {
+        all.put("report arrives", () -> deliver(report));
+      }
+      if (report.answer != null) {
+        all.put("answer arrives", this::answered);
+      }
+      all.put(
+          "report is given up",
+          () -> {
+            earlier = report.content;
+            report = null;
+          });
+    }
+    if (earlier != null && copies < 1) {
+      all.put(
+          "copy of an earlier report",
+          () -> {
+            copies++;
+            deliver(new InFlightReport(earlier, newest(), now, true));
+          });
+    }
+  }
+
+  private void commandActions(Map<String, Runnable> all, InFlightCommand c, int number) {
+    if (c.reply == null) {
+      all.put("command " + number + " arrives", () -> arrives(c));
+    } else if (!c.givenUp) {
+      all.put(
+          "reply " + number + " arrives",
+          () -> {
+            commands.remove(c);
+            leaders.get(c.leader).ports.replied(c.call, c.reply);
+          });
+    }
+    if (!c.givenUp) {
+      all.put(
+          "command " + number + " is given up",
+          () -> {
+            c.givenUp = true;
+            if (c.reply != null) {
+              commands.remove(c);
+            }
+            leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
+          });
+    } else {
+      all.put("command " + number + " is lost", () -> commands.remove(c));
+    }
+  }
+
+  void act(Runnable action) {
+    now += 1_000;
+    if (now > worker.answeredSentMicros + newestLeader().settings.leaseMicros()) {
+      newSession();
+    }
+    for (LeaderBench leader : leaders) {
+      leader.now = now;
+      leader.replica.at(now);
+      leader.leadership.at(now);
+    }
+    action.run();
+    if (now > worker.answeredSentMicros + newestLeader().settings.leaseMicros()) {
+      newSession();
+    }
+    leaders.forEach(this::collect);
+    check();
+  }
+
+  private void newSession() {
+    worker.session++;
+    worker.sequence = 0;
+    worker.tasks.clear();
+    worker.answeredSentMicros = now;
+    report = null;
+  }
+
+  private void pass(int k) {
+    LeaderBench leader = leaders.get(k);
+    now += 2 * SECOND;
+    leader.now = now;
+    if (k == newest()) {
+      leader.renew();
+    }
+    leader.fleet.tick(now, false);
+    if (leader.leadership.mayLaunch(now)) {
+      leader.placement.place(now);
+    }
+    leader.fleet.flush(now);
+  }
+
+  private void takeOver() {
+    LeaderBench first = leaders.get(0);
+    Map<String, Standby.Held> picture = withPicture ? picture(first) : null;
+    if (!withPicture) {
+      now += first.settings.tuning().leaderTtlMicros();
+    }
+    LeaderBench second = new LeaderBench(SECOND_TERM);
+    second.now = now;
+    second.lead();
+    addJob(second);
+    if (cancelled) {
+      second.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
+    }
+    second.replica.apply(
+        new Reply.Item(Records.rosterKey(MACHINE), Records.roster("x", "t", "a", false), 4));
+    second.fleet.takeOver(now, picture, now);
+    Machine m = second.fleet.machines.get(MACHINE);
+    m.type = LeaderBench.TYPE;
+    m.measureRoom();
+    leaders.add(second);
+    if (withPicture) {
+      // Its standby has claimed the term: it never launches again.
+      first.fleet.close();
+      first.leadership.deposed("claimed");
+    }
+  }
+
+  private Map<String, Standby.Held> picture(LeaderBench first) {
+    Map<Integer, Long> held = new HashMap<>();
+    long[] session = new long[1];
+    first.fleet.snapshot(
+        change -> {
+          session[0] = change.session();
+          if (!change.job().isEmpty()) {
+            held.put(change.index(), change.attempt());
+          }
+        });
+    return Map.of(
+        MACHINE, new Standby.Held(session[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
+  }
+
+  private void cancel() {
+    cancelled = true;
+    LeaderBench leader = newestLeader();
+    leader.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
+    leader.fleet.jobOver(leader.replica.jobs.get(JOB));
+  }
+
+  private void deliver(InFlightReport r) {
+    LeaderBench leader = leaders.get(r.leader);
+    if (!leader.leadership.inOffice()) {
+      r.answer = new Answer.Redirect(null);
+      r.exchange = -1;
+      return;
+    }
+    r.exchange = ++leader.exchange;
+    leader.fleet.reported(r.exchange, r.content, false, now);
+  }
+
+  private void answered() {
+    if (report.answer instanceof Answer.Command c
+        && c.token() >= worker.token
+        && report.content.session() == worker.session) {
+      worker.token = c.token();
+      worker.answeredSentMicros = report.sentMicros;
+      execute(c.orders());
+    }
+    earlier = report.content;
+    report = null;
+  }
+
+  private void execute(List<Order> orders) {
+    orders.stream().filter(o -> !losesKills || !(o instanceof Order.Kill)).forEach(worker::execute);
+  }
+
+  private void arrives(InFlightCommand c) {
+    boolean valid = c.request.token() >= worker.token && c.request.session() == worker.session;
+    if (valid) {
+      worker.token = c.request.token();
+      execute(c.request.orders());
+    }
+    c.reply = new Reply.Report(worker.view(), valid);
+    if (c.givenUp) {
+      commands.remove(c);
+    }
+  }
+
+  /** Takes what a leader has sent. */
+  private void collect(LeaderBench leader) {
+    int k = leaders.indexOf(leader);
+    for (Effect effect : leader.effects) {
+      if (effect instanceof Effect.Respond r
+          && report != null
+          && report.leader == k
+          && report.exchange == r.exchange()) {
+        report.answer = r.answer();
+        noteLaunches(k, r.answer() instanceof Answer.Command c ? c.orders() : List.of());
+      } else if (effect instanceof Effect.Call c
+          && c.request() instanceof Request.WorkerCommands w) {
+        commands.add(new InFlightCommand(k, c.call(), w));
+        noteLaunches(k, w.orders());
+      }
+    }
+    leader.effects.clear();
+  }
+
+  private void noteLaunches(int k, List<Order> orders) {
+    if (cancelled && k == newest() && orders.stream().anyMatch(o -> o instanceof Order.Launch)) {
+      broken.add("launched what is cancelled");
+    }
+  }
+
+  private void check() {
+    LeaderBench leader = newestLeader();
+    if (!leader.leadership.inOffice()) {
+      return;
+    }
+    Job job = leader.replica.jobs.get(JOB);
+    boolean whole = leader.fleet.unheard().isEmpty();
+    double used = 0;
+    for (int i = 0; i < taskCount; i++) {
+      TaskId task = new TaskId(JOB, i);
+      used += worker.alive(task) ? 1 : 0;
+      boolean free = whole && !job.active.containsKey(i) && !job.done.get(i);
+      if (free && worker.alive(task)) {
+        broken.add("ran_twice: " + task + " is free for the leader and alive on the machine");
+      }
+      if (free && !cancelled && launchMayArrive(task)) {
+        broken.add(
+            "ran_twice: "
+                + task
+                + " is free for the leader, and a launch of it may yet be executed");
+      }
+    }
+    if (whole && !cancelled && used > leader.teams.cpus("red") + 1e-6) {
+      broken.add("quota: uses " + used + ", counted " + leader.teams.cpus("red"));
+    }
+  }
+
+  private boolean launchMayArrive(TaskId task) {
+    boolean byCommand =
+        commands.stream()
+            .anyMatch(
+                c ->
+                    c.reply == null
+                        && c.request.token() >= worker.token
+                        && c.request.session() == worker.session
+                        && launches(c.request.orders(), task));
+    boolean byAnswer =
+        report != null
+            && report.answer instanceof Answer.Command c
+            && c.token() >= worker.token
+            && launches(c.orders(), task);
+    return byCommand || byAnswer;
+  }
+
+  private static boolean launches(List<Order> orders, TaskId task) {
+    return orders.stream().anyMatch(o -> o instanceof Order.Launch && o.task().equals(task));
+  }
+
+  /** All messages are lost or over, and nothing fails any more. */
+  void settle() {
+    for (InFlightCommand c : new ArrayList<>(commands)) {
+      if (!c.givenUp) {
+        leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
+      }
+    }
+    commands.clear();
+    report = null;
+    for (int round = 0; round < 9; round++) {
+      act(
+          () -> {
+            report = new InFlightReport(worker.view(), newest(), now, false);
+            deliver(report);
+          });
+      act(() -> pass(newest()));
+      if (report != null && report.answer != null) {
+        act(this::answered);
+      }
+      report = null;
+      for (InFlightCommand c : new ArrayList<>(commands)) {
+        act(() -> arrives(c));
+        commands.remove(c);
+        act(() -> leaders.get(c.leader).ports.replied(c.call, c.reply));
+      }
+    }
+    Job job = newestLeader().replica.jobs.get(JOB);
+    for (int i = 0; i < taskCount; i++) {
+      TaskId task = new TaskId(JOB, i);
+      if (cancelled && worker.alive(task)) {
+        broken.add("ran_cancelled: " + task + " goes on");
+      } else if (!cancelled && !worker.alive(task) && !job.done.get(i)) {
+        broken.add("not placed: " + task);
+      }
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/InFlightCommand.java
@@ -0,0 +1,16 @@
+package org.eiderstair.core;
+
+/** A direct command on its way; the leader may have given it up. */
+final class InFlightCommand {
+  final int leader;
+  final long call;
+  final Request.WorkerCommands request;
+  boolean givenUp;
+  Reply.Report reply;
+
+  InFlightCommand(int leader, long call, Request.WorkerCommands request) {
+    this.leader = leader;
+    this.call = call;
+    this.request = request;
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/StateKey.java
@@ -0,0 +1,145 @@
+package org.eiderstair.core;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.eiderstair.core.MachineReport.Entry;
+
+/**
+ * What tells two states of a {@link CommandWorld} apart. Of sequence numbers only their order
+ * counts, of attempts only which are the same, of times only about how long ago.
+ */
+final class StateKey {
+  private static final long ALIKE_MICROS = 10_000_000;
+
+  private final CommandWorld world;
+  private final StringBuilder key = new StringBuilder();
+  private final Ranks ranks = new Ranks();
+  private final Aliases attempts = new Aliases();
+
+  private StateKey(CommandWorld world) {
+    this.world = world;
+  }
+
+  static String of(CommandWorld world) {
+    StateKey state = new StateKey(world);
+    state.worker();
+    world.commands.forEach(state::command);
+    state.reports();
+    world.leaders.forEach(state::leader);
+    return state.key.append(state.ranks).toString();
+  }
+
+  private void worker() {
+    SearchWorker worker = world.worker;
+    ranks.add(worker.session, worker.sequence);
+    key.append(world.cancelled)
+        .append(world.copies)
+        .append(worker.token)
+        .append('/')
+        .append(worker.session);
+    key.append((world.now - worker.answeredSentMicros) / ALIKE_MICROS);
+    entries(List.copyOf(worker.tasks.values()));
+  }
+
+  private void command(InFlightCommand c) {
+    key.append("|c").append(c.leader).append(c.givenUp);
+    key.append(c.request.token()).append('/').append(c.request.session());
+    orders(c.request.orders());
+    if (c.reply != null) {
+      content(c.reply.report());
+    }
+  }
+
+  private void reports() {
+    if (world.report != null) {
+      key.append("|r").append(world.report.leader).append(world.report.exchange > 0);
+      content(world.report.content);
+      if (world.report.answer instanceof Answer.Command c) {
+        key.append(c.token());
+        orders(c.orders());
+      } else {
+        key.append(world.report.answer);
+      }
+    }
+    if (world.earlier != null) {
+      key.append("|e");
+      content(world.earlier);
+    }
+  }
+
+  private void leader(LeaderBench leader) {
+    Machine m = leader.fleet.machines.get(CommandWorld.MACHINE);
+    Job job = leader.replica.jobs.get(CommandWorld.JOB);
+    ranks.add(m.session, m.sequence);
+    key.append('#').append(leader.leadership.inOffice()).append(job.done).append(job.state());
+    key.append(m.phase)
+        .append(m.token())
+        .append(m.commandInFlight)
+        .append(m.killInFlight)
+        .append(m.killsPending);
+    key.append(m.reaps.size()).append(m.strays.size()).append(world.now >= m.holdUntilMicros);
+    key.append((world.now - m.answeredMicros) / ALIKE_MICROS);
+    for (Attempt a : m.attempts.values()) {
+      key.append(a.index).append(a.phase).append(attempts.of(a.number));
+      ranks.add(m.session, a.sentSequence);
+    }
+  }
+
+  private void orders(List<Order> orders) {
+    for (Order o : orders) {
+      key.append(o.getClass().getSimpleName())
+          .append(o.task().index())
+          .append(attempts.of(o.attempt()));
+    }
+  }
+
+  private void entries(List<Entry> entries) {
+    for (Entry e : entries) {
+      key.append(e.task().index())
+          .append(attempts.of(e.attempt()))
+          .append(e.state())
+          .append(e.exit());
+    }
+  }
+
+  private void content(MachineReport r) {
+    ranks.add(r.session(), r.sequence());
+    key.append(r.token());
+    entries(r.tasks());
+  }
+
+  /** Replaces numbers by the order in which they are met. */
+  private static final class Aliases {
+    private final Map<Long, Integer> known = new HashMap<>();
+
+    char of(long number) {
+      return (char) ('a' + known.computeIfAbsent(number, n -> known.size()));
+    }
+  }
+
+  /** Replaces positions by their order among all that are given. */
+  private static final class Ranks {
+    private final List<long[]> positions = new ArrayList<>();
+
+    void add(long session, long sequence) {
+      positions.add(new long[] {session, sequence});
+    }
+
+    @Override
+    public String toString() {
+      List<long[]> sorted = new ArrayList<>(positions);
+      sorted.sort((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
+      StringBuilder ranks = new StringBuilder();
+      for (long[] position : positions) {
+        int rank = 0;
+        while (sorted.get(rank)[0] != position[0] || sorted.get(rank)[1] != position[1]) {
+          rank++;
+        }
+        ranks.append(position[0]).append('.').append(rank).append(' ');
+      }
+      return ranks.toString();
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/duty/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of renting and giving back. */
+package org.eiderstair.core.duty;
--- /dev/null
+++ b/src/test/java/org/eiderstair/http/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the connections, over real sockets. */
+package org.eiderstair.http;
--- a/src/test/java/org/eiderstair/node/StandIn.java
+++ b/src/test/java/org/eiderstair/node/StandIn.java
@@ -364,7 +364,11 @@
   }
 
   @Override
-  public void close() throws Exception {
-    server.stop();
+  public void close() {
+    try {
+      server.stop();
+    } catch (Exception e) {
+      throw new IllegalStateException("the server does not stop", e);
+    }
   }
 }
--- /dev/null
+++ b/src/test/java/org/eiderstair/protocol/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the messages, with generated inputs. */
+package org.eiderstair.protocol;
--- a/src/test/java/org/eiderstair/sim/Day.java
+++ b/src/test/java/org/eiderstair/sim/Day.java
@@ -74,6 +74,12 @@
   boolean newsLost;
 
   long longestStartMicros;
+
+  /**
+   * Of all that controllers decided: the same before and after a change that only moves or renames.
+   */
+  final EffectDigest effects = new EffectDigest();
+
   final Size size;
   private final Node[] nodes;
   private final Map<String, Worker> workers = new LinkedHashMap<>();
@@ -192,6 +198,7 @@
     }
 
     private void effect(Effect effect, int thisRun) {
+      effects.add(index, clock.now(), effect);
       if (effect instanceof Effect.Log log) {
         note(name() + " " + log.text());
         if (log.text().contains(": silent: ")) {
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/EffectDigestTest.java
@@ -0,0 +1,29 @@
+package org.eiderstair.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+
+import net.jqwik.api.Example;
+
+/**
+ * The same day gives the same effects. {@code mvn -B test -Dtest=EffectDigestTest -Ddigest.days=8}
+ * prints the digests of so many days, to be compared before and after a change that only moves or
+ * renames.
+ */
+class EffectDigestTest {
+  private static final int DAYS = Integer.getInteger("digest.days", 0);
+
+  @Example
+  void aDayGivesTheSameEffectsAgain() {
+    String digest = WholeDayTest.play(3, s -> {}).effects.toString();
+    assertEquals(digest, WholeDayTest.play(3, s -> {}).effects.toString());
+    assertNotEquals(digest, WholeDayTest.play(4, s -> {}).effects.toString());
+  }
+
+  @Example
+  void digestsOfSomeDays() {
+    for (long seed = 1; seed <= DAYS; seed++) {
+      System.out.println("digest of day " + seed + ": " + WholeDayTest.play(seed, s -> {}).effects);
+    }
+  }
+}
--- a/src/test/java/org/eiderstair/sim/PageTest.java
+++ b/src/test/java/org/eiderstair/sim/PageTest.java
@@ -1,6 +1,34 @@
 package org.eiderstair.sim;
 
-import static org.eiderstair.sim.Troubles.Kind.*;
+import static org.eiderstair.sim.Troubles.Kind.ALL_AWAY;
+import static org.eiderstair.sim.Troubles.Kind.ALL_END;
+import static org.eiderstair.sim.Troubles.Kind.ALL_MUTE;
+import static org.eiderstair.sim.Troubles.Kind.CANCEL_AT_END;
+import static org.eiderstair.sim.Troubles.Kind.CANCEL_NOW;
+import static org.eiderstair.sim.Troubles.Kind.CANCEL_NOW_WITH_HANG;
+import static org.eiderstair.sim.Troubles.Kind.CLOSE_LOOKS;
+import static org.eiderstair.sim.Troubles.Kind.DEAF;
+import static org.eiderstair.sim.Troubles.Kind.FLOOD;
+import static org.eiderstair.sim.Troubles.Kind.LATE_COMMANDS;
+import static org.eiderstair.sim.Troubles.Kind.LATE_REPORTS;
+import static org.eiderstair.sim.Troubles.Kind.LATE_WRITES;
+import static org.eiderstair.sim.Troubles.Kind.LEADER_CHANGES;
+import static org.eiderstair.sim.Troubles.Kind.LEADER_CUT_FROM_STATE_AND_PEERS;
+import static org.eiderstair.sim.Troubles.Kind.LEADER_ENDS;
+import static org.eiderstair.sim.Troubles.Kind.LEADER_REFUSED_ALONE;
+import static org.eiderstair.sim.Troubles.Kind.LOST_ANSWERS;
+import static org.eiderstair.sim.Troubles.Kind.MACHINES_CUT;
+import static org.eiderstair.sim.Troubles.Kind.MACHINES_DIE;
+import static org.eiderstair.sim.Troubles.Kind.MACHINES_HANG;
+import static org.eiderstair.sim.Troubles.Kind.ODD_REQUESTS;
+import static org.eiderstair.sim.Troubles.Kind.ONE_TASK_JOBS;
+import static org.eiderstair.sim.Troubles.Kind.QUICK_BOOTS;
+import static org.eiderstair.sim.Troubles.Kind.REPORTS_FOR_THE_NEXT;
+import static org.eiderstair.sim.Troubles.Kind.SLOW_STATE;
+import static org.eiderstair.sim.Troubles.Kind.STANDING_STILL;
+import static org.eiderstair.sim.Troubles.Kind.STATE_OUTAGE;
+import static org.eiderstair.sim.Troubles.Kind.TASKS_FAR_APART;
+import static org.eiderstair.sim.Troubles.Kind.ZONE_CUT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
