--- a/src/main/java/org/eiderstair/core/CancellationNews.java
+++ b/src/main/java/org/eiderstair/core/CancellationBroadcast.java
@@ -6,10 +6,10 @@
 /**
  * Tells the leader of cancellations that this node has committed, beside the state service, which
  * may refuse the leader alone. The user's answer never waits for it. It is a help and no proof:
- * that nothing was told means nothing, so it moves no bound of {@link Mandate}; and to stop a task
- * for a job key's newer version is right, whoever tells of it.
+ * that nothing was told means nothing, so it moves no bound of {@link LeadershipBounds}; and to
+ * stop a task for a job key's newer version is right, whoever tells of it.
  */
-final class CancellationNews {
+final class CancellationBroadcast {
   /**
    * More than any leader can miss for as long as it may answer; what is beyond waits for the watch.
    */
@@ -34,7 +34,7 @@
    */
   private String leader;
 
-  CancellationNews(String node, Ports ports) {
+  CancellationBroadcast(String node, Ports ports) {
     this.node = node;
     this.ports = ports;
   }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/CommandDispatcher.java
@@ -0,0 +1,456 @@
+package org.eiderstair.core;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.eiderstair.core.standby.Standby;
+
+/**
+ * Tells machines what was decided: in the answers to their reports, and by commands, of which one
+ * that launches or asks and one that only kills may be on their way to a machine at a time.
+ */
+final class CommandDispatcher {
+  /** Takes what a machine showed in its reply to a command. */
+  interface ReplyHandler {
+    /**
+     * @param settles whether no launch by command can still be on its way
+     */
+    void replied(Machine machine, MachineReport report, boolean settles);
+  }
+
+  private static final long ASK_AGAIN_MICROS = 1_500_000;
+  private static final long ASKING_EVERY_MICROS = 20_000;
+  private static final int MOST_ASKS = 8;
+
+  /** A question that has waited for so long waits for a time limit, and costs nothing meanwhile. */
+  private static final long SLOW_ASK_MICROS = 200_000;
+
+  private static final int MOST_SLOW_ASKS = 128;
+  private static final long UNREACHED_MICROS = 6_000_000;
+  private static final long KILL_AGAIN_MICROS = 300_000;
+  private static final long ASK_AFTER_LAUNCH_MICROS = 500_000;
+  private static final long ASK_AFTER_SILENCE_MICROS = 300_000;
+
+  private final Settings settings;
+  private final Ports ports;
+  private final LeaderTime time;
+  private final Leadership leadership;
+  private final Standby standby;
+  private final TokenList tokens;
+  private final WorkerRegistry registry;
+  private final AttemptTracker tracker;
+  private final long term;
+
+  /** Machines with something to send, and those whose report waits for its answer. */
+  private final Set<Machine> toSend = new LinkedHashSet<>();
+
+  private final Set<Machine> toAnswer = new LinkedHashSet<>();
+
+  /** Machines that are being asked, and since when, the one asked longest ago first. */
+  private final Map<Machine, Long> asks = new LinkedHashMap<>();
+
+  private int youngAsks;
+  private long nextAskingMicros;
+  private boolean closed;
+  private FailoverTimeline failover;
+  private ReplyHandler replies = (machine, report, settles) -> {};
+
+  CommandDispatcher(
+      Settings settings,
+      Ports ports,
+      LeaderTime time,
+      Leadership leadership,
+      Standby standby,
+      TokenList tokens,
+      WorkerRegistry registry,
+      AttemptTracker tracker,
+      long term) {
+    this.settings = settings;
+    this.ports = ports;
+    this.time = time;
+    this.leadership = leadership;
+    this.standby = standby;
+    this.tokens = tokens;
+    this.registry = registry;
+    this.tracker = tracker;
+    this.term = term;
+    tracker.planned(toSend::add);
+  }
+
+  /** Who takes what machines show in their replies. */
+  void replies(ReplyHandler handler) {
+    replies = handler;
+  }
+
+  /** Who follows when the first launch leaves. */
+  void follow(FailoverTimeline timeline) {
+    failover = timeline;
+  }
+
+  /** A report waits for its answer; the one that waited before is given up. */
+  void toAnswer(Machine m, long sequence, long exchange) {
+    refuse(m.pendingReport.become(sequence, exchange), "a newer report is here");
+    toAnswer.add(m);
+  }
+
+  /** The machine has begun a new session: nobody reads an answer to a report of the one before. */
+  void newSession(Machine m) {
+    refuse(m.pendingReport.newSession(), "report of an earlier session");
+    toAnswer.remove(m);
+  }
+
+  /** The answer that a machine's report waits for will show it our token: asking can wait. */
+  void tellsItself(Machine m) {
+    m.nextAskMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+  }
+
+  /** Nothing is to be sent to a machine that is gone. */
+  void forget(Machine m) {
+    toSend.remove(m);
+  }
+
+  /** Asks machines that are not heard yet, or whose fence was raised. */
+  void askDue() {
+    long now = time.nowMicros();
+    if (now < nextAskingMicros
+        || registry.unheard().isEmpty()
+            && registry.fencing().isEmpty()
+            && registry.pictured().isEmpty()) {
+      return;
+    }
+    nextAskingMicros = now + ASKING_EVERY_MICROS;
+    youngAsks = 0;
+    for (long since : asks.values()) {
+      youngAsks += now < since + SLOW_ASK_MICROS ? 1 : 0;
+    }
+    registry.fencing().forEach(this::askIfDue);
+    registry.unheard().forEach(this::askIfDue);
+    registry.pictured().forEach(this::askIfDue);
+  }
+
+  /**
+   * Reports that were still to be answered go elsewhere: this node may not renew their leases any
+   * more.
+   */
+  void close() {
+    closed = true;
+    for (Machine m : toAnswer) {
+      ports.respond(m.pendingReport.answered(), new Answer.Redirect(null));
+    }
+    toAnswer.clear();
+  }
+
+  void refuse(long exchange, String why) {
+    if (exchange != 0) {
+      ports.respond(exchange, new Answer.Failure(503, why, 0));
+    }
+  }
+
+  /** Whether reports wait for their answers. */
+  boolean owesAnswers() {
+    return !toAnswer.isEmpty();
+  }
+
+  /** A machine has something to be told to stop. */
+  void killSoon(Machine m) {
+    m.killsPending = true;
+    toSend.add(m);
+  }
+
+  /**
+   * Only so many at once: a burst of hundreds would hold up the lease's renewal and the users.
+   * Those that wait for their time limit do not count: seen during a zone's cut, 260 machines that
+   * nobody reached kept the others from being asked, and half of all were heard 4.8 s after the
+   * election instead of 1 s.
+   */
+  private void askIfDue(Machine m) {
+    if (youngAsks < MOST_ASKS
+        && asks.size() < MOST_SLOW_ASKS
+        && !m.commandInFlight
+        && time.nowMicros() >= m.nextAskMicros) {
+      ask(m);
+    }
+  }
+
+  /**
+   * Shows our token with no orders: that fences older commands and reports at once. Most machines
+   * are in their first session; one that is not says so in its refusal, and is asked again with
+   * what it said.
+   */
+  private void ask(Machine m) {
+    if (m.address == null || !leadership.mayLaunch(time.nowMicros())) {
+      return;
+    }
+    m.nextAskMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+    youngAsks++;
+    asks.put(m, time.nowMicros());
+    m.commandInFlight = true;
+    call(
+        m,
+        new Request.WorkerCommands(m.address, m.token(), Math.max(1, m.session), List.of()),
+        List.of(),
+        () -> asks.remove(m));
+  }
+
+  private List<Order> killsFor(Machine m) {
+    List<Order> kills = new ArrayList<>();
+    for (Attempt a : m.attempts.values()) {
+      if (a.mayBeThere() && (!a.job.open() || a.stop)) {
+        kills.add(new Order.Kill(a.task(), a.number, a.job.open() ? a.spec.saveMicros() : 0));
+      }
+    }
+    kills.addAll(m.strays.values());
+    return kills;
+  }
+
+  /**
+   * Tells each machine what was decided: in the answer to its report, else by one command at a
+   * time.
+   */
+  void flush() {
+    boolean mayLaunch = leadership.mayLaunch(time.nowMicros()) && standby.admitsLaunches();
+    boolean mayKill = leadership.mayEndWork(time.nowMicros());
+    for (Machine m : toAnswer) {
+      answer(m, mayLaunch);
+    }
+    toAnswer.clear();
+    for (Machine m : new ArrayList<>(toSend)) {
+      if (m.toLaunch.isEmpty() && !m.killsPending) {
+        toSend.remove(m);
+      } else if (!comesThroughPeer(m)) {
+        if (mayKill && m.killsPending && mayBeKilledOn(m)) {
+          sendKills(m);
+        }
+        if (mayLaunch
+            && !m.toLaunch.isEmpty()
+            && !m.commandInFlight
+            && m.known()
+            && time.nowMicros() >= m.holdUntilMicros) {
+          sendLaunches(m);
+        }
+      }
+    }
+  }
+
+  /**
+   * Kills wait for nothing else that is on its way to the machine: not for a launch or a question
+   * without an answer, which may take its whole time limit, nor for the pause after one. A kill may
+   * be repeated, and may come before or after anything.
+   */
+  private boolean mayBeKilledOn(Machine m) {
+    boolean sessionKnown = m.phase == Machine.Phase.FENCING || m.known();
+    return sessionKnown && !m.killInFlight && time.nowMicros() >= m.nextKillMicros;
+  }
+
+  /**
+   * This node may not reach a machine whose reports a peer passes on. Seen with a leader cut from
+   * its workers: each command ran into its time limit, and the fence raised for it kept the machine
+   * from work. Its next report is soon here.
+   */
+  private boolean comesThroughPeer(Machine m) {
+    return m.relayed && time.nowMicros() < m.heardMicros + settings.reportMicros() * 2;
+  }
+
+  private void answer(Machine m, boolean mayLaunch) {
+    List<Order> orders = killsFor(m);
+    orders.addAll(m.reaps.values());
+    List<Attempt> launches =
+        mayLaunch && m.phase == Machine.Phase.HEARD
+            ? launch(m, m.pendingReport.sequence())
+            : List.of();
+    registry.answered(m);
+    m.killsPending = false;
+    long exchange = m.pendingReport.answered();
+    long token = m.token();
+    if (launches.isEmpty()) {
+      respond(exchange, token, orders);
+      return;
+    }
+    standby.launch(
+        () -> {
+          leaves();
+          ports.respond(
+              exchange,
+              new Answer.Command(token, withLaunches(orders, launches)),
+              leadership.bounds().launchEnd());
+        },
+        () -> {
+          unlaunch(launches);
+          respond(exchange, token, orders);
+        });
+  }
+
+  /** Answers a report with what launches nothing. */
+  private void respond(long exchange, long token, List<Order> orders) {
+    if (closed) {
+      ports.respond(exchange, new Answer.Redirect(null));
+    } else {
+      ports.respond(exchange, new Answer.Command(token, orders), leadership.bounds().answersEnd());
+    }
+  }
+
+  private void sendLaunches(Machine m) {
+    List<Order> reaps = new ArrayList<>(m.reaps.values());
+    List<Attempt> launches = launch(m, -1);
+    long token = m.token();
+    long session = m.session;
+    m.commandInFlight = true;
+    standby.launch(
+        () -> {
+          leaves();
+          call(
+              m,
+              new Request.WorkerCommands(m.address, token, session, withLaunches(reaps, launches)),
+              launches,
+              () -> {});
+        },
+        () -> {
+          m.commandInFlight = false;
+          unlaunch(launches);
+        });
+  }
+
+  private void sendKills(Machine m) {
+    m.killsPending = false;
+    List<Order> kills = killsFor(m);
+    if (kills.isEmpty()) {
+      return;
+    }
+    m.killInFlight = true;
+    ports.call(
+        new Request.WorkerCommands(m.address, m.token(), m.session, kills),
+        leadership.bounds().answersEnd(),
+        reply -> {
+          m.killInFlight = false;
+          if (closed || m.phase == Machine.Phase.GONE) {
+            return;
+          }
+          // What it shows may have been written before a command that is still on its way arrives.
+          if (!absorbReply(m, reply, !m.commandInFlight)) {
+            m.nextKillMicros = time.nowMicros() + KILL_AGAIN_MICROS;
+            killSoon(m);
+          }
+        });
+  }
+
+  /** Takes what is planned for a machine out of its list, to be sent time.nowMicros(). */
+  private List<Attempt> launch(Machine m, long sequence) {
+    List<Attempt> launches = new ArrayList<>(m.toLaunch);
+    for (Attempt a : launches) {
+      a.phase = Attempt.Phase.SENT;
+      a.sentSequence = sequence;
+      a.sinceMicros = time.nowMicros();
+      tracker.tell(a, true);
+    }
+    m.toLaunch.clear();
+    return launches;
+  }
+
+  /** What was to be launched has not left, and will not: it is planned as before. */
+  private void unlaunch(List<Attempt> launches) {
+    for (Attempt a : launches) {
+      if (stillSent(a)) {
+        a.phase = Attempt.Phase.PLANNED;
+        a.machine.toLaunch.add(a);
+        toSend.add(a.machine);
+      }
+    }
+  }
+
+  private static boolean stillSent(Attempt a) {
+    return a.phase == Attempt.Phase.SENT && a.machine.attempts.get(a.task()) == a;
+  }
+
+  /**
+   * A launch may wait for the standby: what was cancelled or given up meanwhile is not started any
+   * more. The attempt of a cancelled job counts until the machine shows that it is not there, like
+   * any other.
+   */
+  private static List<Order> withLaunches(List<Order> orders, List<Attempt> launches) {
+    List<Order> all = new ArrayList<>(orders);
+    for (Attempt a : launches) {
+      if (a.job.open() && stillSent(a)) {
+        all.add(new Order.Launch(a.task(), a.number));
+      }
+    }
+    return all;
+  }
+
+  /** A launch leaves, after all that it had to wait for. */
+  private void leaves() {
+    if (failover != null) {
+      failover.launched(time.nowMicros());
+    }
+  }
+
+  /** Takes the report that is the reply of a command; false when there is none. */
+  private boolean absorbReply(Machine m, Reply reply, boolean settles) {
+    if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(m.id)) {
+      return false;
+    }
+    if (answer.report().token() >> 20 > term) {
+      leadership.deposed("machine " + m.id + " has seen token " + answer.report().token());
+      return true;
+    }
+    replies.replied(m, answer.report(), settles);
+    if (!answer.executed()) {
+      m.nextAskMicros = time.nowMicros();
+    }
+    return true;
+  }
+
+  private void call(Machine m, Request request, List<Attempt> launches, Runnable over) {
+    LeadershipBounds bounds = leadership.bounds();
+    ports.call(
+        request,
+        launches.isEmpty() ? bounds.answersEnd() : bounds.launchEnd(),
+        reply -> {
+          m.commandInFlight = false;
+          over.run();
+          if (closed || m.phase == Machine.Phase.GONE) {
+            return;
+          }
+          if (!m.toLaunch.isEmpty() || m.killsPending) {
+            toSend.add(m);
+          }
+          if (launches.stream().anyMatch(a -> !a.job.open())) {
+            // A kill that was sent meanwhile may have come before the launch.
+            killSoon(m);
+          }
+          if (!absorbReply(m, reply, true)) {
+            unanswered(m, !launches.isEmpty(), reply);
+          }
+        });
+  }
+
+  /**
+   * The command may still arrive, minutes later: kill it with a higher token before anything is
+   * concluded.
+   */
+  private void unanswered(Machine m, boolean launched, Reply reply) {
+    if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.PICTURED)) {
+      m.raiseFence();
+      tokens.remove(m);
+      // It may be out of this node's reach while its reports still come, relayed: no more launches
+      // for a while.
+      m.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
+    }
+    if (launched && m.phase == Machine.Phase.HEARD) {
+      ports.info(
+          "no answer from "
+              + m.id
+              + " to a command: raising its fence, term="
+              + term
+              + ": "
+              + reply);
+      registry.become(m, Machine.Phase.FENCING);
+    }
+    m.nextAskMicros =
+        Math.max(
+            m.nextAskMicros,
+            time.nowMicros() + (launched ? ASK_AFTER_LAUNCH_MICROS : ASK_AFTER_SILENCE_MICROS));
+  }
+}
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -20,7 +20,7 @@
   private final IntUnaryOperator random;
   private final Replica replica;
   private final Desk desk;
-  private final CancellationNews news;
+  private final CancellationBroadcast news;
   private final Leadership leadership;
   private final Relay relay;
   private final StateReach reach;
@@ -47,7 +47,7 @@
     this.random = random;
     this.ports = new Ports(effects);
     this.replica = new Replica(settings, ports, this, dayOffsetMicros);
-    this.news = new CancellationNews(settings.node(), ports);
+    this.news = new CancellationBroadcast(settings.node(), ports);
     this.desk = new Desk(settings, ports, replica, news::committed);
     this.relay = new Relay(ports);
     this.reach = new StateReach(settings, ports, replica);
--- a/src/main/java/org/eiderstair/core/TakeOver.java
+++ b/src/main/java/org/eiderstair/core/FailoverTimeline.java
@@ -4,7 +4,7 @@
  * How a term began, for one line in the log: where the time between the election and ordinary work
  * went.
  */
-final class TakeOver {
+final class FailoverTimeline {
 
   /**
    * CATCHING_UP reads what the term before wrote last. HEARING hears the machines that were in the
@@ -30,7 +30,7 @@
   private long mostMicros = NEVER;
   private long launchedMicros = NEVER;
 
-  TakeOver(Ports ports, long term, long electedMicros) {
+  FailoverTimeline(Ports ports, long term, long electedMicros) {
     this.ports = ports;
     this.term = term;
     this.electedMicros = electedMicros;
--- a/src/main/java/org/eiderstair/core/Leadership.java
+++ b/src/main/java/org/eiderstair/core/Leadership.java
@@ -5,7 +5,7 @@
 
 /**
  * Who may command. The leader key hangs on a lease; the revision that created it is the term. Until
- * when what may be done is for {@link Mandate} to say.
+ * when what may be done is for {@link LeadershipBounds} to say.
  */
 final class Leadership {
 
@@ -55,7 +55,7 @@
   private long now;
   private long lease;
   private long term;
-  private final Mandate mandate;
+  private final LeadershipBounds bounds;
 
   /**
    * Since when the lease is held again, 0 while it is not: the picture must be shown to be current
@@ -83,7 +83,7 @@
     this.replica = replica;
     this.incarnation = incarnation;
     this.listener = listener;
-    this.mandate = new Mandate(settings, replica);
+    this.bounds = new LeadershipBounds(settings, replica);
   }
 
   /** Whether this node neither leads nor asks to. */
@@ -93,7 +93,7 @@
 
   /** Whether launches may be sent at this moment. */
   boolean mayLaunch(long nowMicros) {
-    return state == State.LEADING && nowMicros < mandate.launchEnd();
+    return state == State.LEADING && nowMicros < bounds.launchEnd();
   }
 
   /**
@@ -101,7 +101,7 @@
    * leads by now.
    */
   boolean mayEndWork(long nowMicros) {
-    return inOffice() && nowMicros < mandate.answersEnd();
+    return inOffice() && nowMicros < bounds.answersEnd();
   }
 
   /** Whether workers' reports may be answered. */
@@ -114,8 +114,8 @@
   }
 
   /** Until when it may do what. */
-  Mandate mandate() {
-    return mandate;
+  LeadershipBounds bounds() {
+    return bounds;
   }
 
   /** The time at which what is told next happened. */
@@ -132,10 +132,10 @@
       case FOLLOWING -> considerStanding();
       case GRANTING, CREATING -> {}
       case LEADING -> {
-        if (now >= mandate.launchEnd()) {
+        if (now >= bounds.launchEnd()) {
           become(
               State.FADING,
-              now >= mandate.authorityEnd()
+              now >= bounds.authorityEnd()
                   ? "lease not renewed"
                   : "picture not shown to be current");
         }
@@ -147,11 +147,11 @@
         boolean begins =
             state == State.CATCHING_UP
                 && now < heldSinceMicros + settings.tuning().leaderTtlMicros();
-        if (now >= mandate.answersEnd() && !begins) {
+        if (now >= bounds.answersEnd() && !begins) {
           // Its lease may go on for ever while its watch hangs: then another has to lead.
           deposed(
               "picture not shown to be current for "
-                  + (now - mandate.currentMicros()) / 1000
+                  + (now - bounds.currentMicros()) / 1000
                   + " ms: workers lose their leases, for what may have been cancelled meanwhile");
           return;
         }
@@ -163,15 +163,15 @@
 
   /** Out of FADING only by both proofs, the one of the picture sent no earlier than the renewal. */
   private void catchUp() {
-    if (state == State.FADING && heldSinceMicros > 0 && now < mandate.authorityEnd()) {
+    if (state == State.FADING && heldSinceMicros > 0 && now < bounds.authorityEnd()) {
       become(State.CATCHING_UP, "renewed again");
     }
-    if (state == State.CATCHING_UP && now >= mandate.authorityEnd()) {
+    if (state == State.CATCHING_UP && now >= bounds.authorityEnd()) {
       become(State.FADING, "lease not renewed");
     }
     if (state == State.CATCHING_UP
-        && mandate.currentMicros() >= heldSinceMicros
-        && now < mandate.launchEnd()) {
+        && bounds.currentMicros() >= heldSinceMicros
+        && now < bounds.launchEnd()) {
       become(State.LEADING, "picture current");
     }
   }
@@ -225,7 +225,7 @@
         reply -> {
           if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
             lease = granted.lease();
-            mandate.renewed(sentMicros);
+            bounds.renewed(sentMicros);
             become(State.CREATING, "lease " + lease);
             create();
           } else {
@@ -246,7 +246,7 @@
           if (reply instanceof Reply.Applied applied) {
             term = applied.revision();
             replica.proves(sentMicros, term);
-            nextTouchMicros = mandate.renewedMicros() + settings.tuning().leaderRenewMicros();
+            nextTouchMicros = bounds.renewedMicros() + settings.tuning().leaderRenewMicros();
             replica.apply(new Reply.Item(Records.LEADER, value, term));
             if (replica.leader() != null && replica.leader().term() == term) {
               heldSinceMicros = sentMicros;
@@ -277,7 +277,7 @@
             return;
           }
           if (reply instanceof Reply.Applied) {
-            mandate.renewed(sentMicros);
+            bounds.renewed(sentMicros);
             nextTouchMicros = sentMicros + settings.tuning().leaderRenewMicros();
             if (state == State.FADING && heldSinceMicros == 0) {
               heldSinceMicros = sentMicros;
@@ -298,7 +298,7 @@
    */
   private void showCurrent() {
     if (state == State.LEADING
-        && now < mandate.currentMicros() + settings.tuning().leaderRenewMicros()) {
+        && now < bounds.currentMicros() + settings.tuning().leaderRenewMicros()) {
       return;
     }
     long sentMicros = now;
--- a/src/main/java/org/eiderstair/core/Mandate.java
+++ b/src/main/java/org/eiderstair/core/LeadershipBounds.java
@@ -16,7 +16,7 @@
  * currency. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
  * leader may do with an old picture", has the argument.
  */
-final class Mandate {
+final class LeadershipBounds {
   /** For what lies between deciding and sending, beside the drift of clocks. */
   private static final long MARGIN_MICROS = 250_000;
 
@@ -31,7 +31,7 @@
   private final Replica replica;
   private long renewedMicros;
 
-  Mandate(Settings settings, Replica replica) {
+  LeadershipBounds(Settings settings, Replica replica) {
     long ttl = settings.tuning().leaderTtlMicros();
     this.leaseMicros = ttl - ttl / DRIFT_PART - MARGIN_MICROS;
     this.answersMicros = Math.max(0, answersMicros(settings));
--- a/src/main/java/org/eiderstair/core/Machine.java
+++ b/src/main/java/org/eiderstair/core/Machine.java
@@ -108,7 +108,7 @@
    */
   boolean closing;
 
-  final OpenReport openReport = new OpenReport();
+  final PendingReport pendingReport = new PendingReport();
 
   /** Where its token stands in the list; -1 when it has none. */
   int tokenIndex = -1;
--- a/src/main/java/org/eiderstair/core/OpenReport.java
+++ b/src/main/java/org/eiderstair/core/PendingReport.java
@@ -5,7 +5,7 @@
  * worker waits for any more: a worker has one report in flight, gives it up for the next, and drops
  * the answers to those of an earlier session.
  */
-final class OpenReport {
+final class PendingReport {
   /** What becomes of a report that has come. */
   enum Standing {
     OPEN,
--- a/src/main/java/org/eiderstair/core/Placement.java
+++ b/src/main/java/org/eiderstair/core/Placement.java
@@ -28,7 +28,7 @@
   private final Settings settings;
   private final Ports ports;
   private final Replica replica;
-  private final Fleet fleet;
+  private final WorkerManager workers;
   private final TokenList tokens;
   private final Teams teams;
   private final long term;
@@ -50,7 +50,7 @@
       Settings settings,
       Ports ports,
       Replica replica,
-      Fleet fleet,
+      WorkerManager workers,
       TokenList tokens,
       Teams teams,
       long term,
@@ -60,13 +60,13 @@
     this.settings = settings;
     this.ports = ports;
     this.replica = replica;
-    this.fleet = fleet;
+    this.workers = workers;
     this.tokens = tokens;
     this.teams = teams;
     this.term = term;
     this.random = random;
     this.leftBehind = new LeftBehind(what -> ports.info(what + ", term=" + term));
-    fleet.begun(leftBehind::begun);
+    workers.begun(leftBehind::begun);
   }
 
   /** Tokens, machines and jobs looked at so far: what a test of growing cost counts. */
@@ -82,12 +82,12 @@
    */
   private void measureUnheard(long nowMicros) {
     teams.forgetUnheard();
-    if (fleet.unheard().isEmpty()) {
+    if (workers.unheard().isEmpty()) {
       return;
     }
     double cpus = 0;
     double accelerators = 0;
-    for (Machine m : fleet.unheard()) {
+    for (Machine m : workers.unheard()) {
       cpus += m.type == null ? Double.MAX_VALUE : m.type.cpus();
       accelerators += m.type == null ? Double.MAX_VALUE : m.type.accelerators();
     }
@@ -104,7 +104,7 @@
 
   /** Jobs with something to place now, in the order of service. */
   List<Job> order(long nowMicros) {
-    boolean unheard = !fleet.unheard().isEmpty();
+    boolean unheard = !workers.unheard().isEmpty();
     List<Job> jobs = new ArrayList<>();
     steps += replica.open.size();
     for (Job job : replica.open.values()) {
@@ -155,12 +155,12 @@
     }
     // What gave way to more urgent work takes the room that is left.
     serveQueues(Integer.MAX_VALUE, nowMicros);
-    fleet.toServe.clear();
+    workers.toServe().clear();
   }
 
   private double cpusInUse() {
     double cpus = 0;
-    for (Machine m : fleet.queueable) {
+    for (Machine m : workers.queueable()) {
       cpus += m.type.cpus();
     }
     return cpus;
@@ -190,9 +190,9 @@
       free += m.usable(nowMicros) ? m.freeCpus() : 0;
     }
     return "machines "
-        + fleet.machines.size()
+        + workers.machines().size()
         + ", unheard "
-        + fleet.unheard().size()
+        + workers.unheard().size()
         + ", tokens "
         + tokens.all().size()
         + ", free cpus "
@@ -240,7 +240,7 @@
     needed += (job.waiting() + job.queued.size()) * spec.cpus();
     Predicate<Machine> allowed = allowed(job, zonesOf(job), nowMicros);
     List<Attempt> victims = new ArrayList<>();
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       for (Attempt a : m.attempts.values()) {
         if (a.stop && allowed.test(m)) {
           needed -= a.spec.cpus();
@@ -267,7 +267,7 @@
         break;
       }
       victim.stop = true;
-      fleet.killSoon(victim.machine);
+      workers.killSoon(victim.machine);
       needed -= victim.spec.cpus();
       kills++;
       ports.info(
@@ -287,16 +287,16 @@
 
   /** A machine's own queue goes first, but never before waiting work that is more urgent. */
   private void serveQueues(int first, long nowMicros) {
-    for (Machine m : fleet.toServe) {
+    for (Machine m : workers.toServe()) {
       for (Attempt a : new ArrayList<>(m.queue)) {
         steps++;
         if (!a.job.open()) {
-          fleet.remove(a);
+          workers.remove(a);
         } else if (a.job.rank > first || !m.usable(nowMicros) || !m.fits(a.spec)) {
           // Nothing behind it goes ahead: room may be gathering for this one.
           break;
         } else if (mayHaveOneMore(a.job)) {
-          fleet.occupy(a);
+          workers.occupy(a);
         }
       }
     }
@@ -330,7 +330,7 @@
       if (m == null) {
         return;
       }
-      fleet.attach(new Attempt(job, index, fleet.nextAttempt(), m, phase, nowMicros));
+      workers.attach(new Attempt(job, index, workers.nextAttempt(), m, phase, nowMicros));
       perZone.merge(m.zone, 1, Integer::sum);
     }
   }
@@ -366,9 +366,9 @@
         perZone.merge(a.machine.zone, 1, Integer::sum);
         return;
       }
-      fleet.remove(a);
-      fleet.attach(
-          new Attempt(job, a.index, fleet.nextAttempt(), m, Attempt.Phase.PLANNED, nowMicros));
+      workers.remove(a);
+      workers.attach(
+          new Attempt(job, a.index, workers.nextAttempt(), m, Attempt.Phase.PLANNED, nowMicros));
       perZone.merge(m.zone, 1, Integer::sum);
     }
   }
@@ -507,7 +507,7 @@
    * common queue.
    */
   private Machine shortQueue(Job job, Predicate<Machine> allowed) {
-    List<Machine> all = fleet.queueable;
+    List<Machine> all = workers.queueable();
     Machine best = null;
     for (int i = 0; i < QUEUE_PROBES && !all.isEmpty(); i++) {
       steps++;
@@ -520,7 +520,7 @@
       }
     }
     if (best != null && best.queue.size() >= settings.tuning().machineQueue()) {
-      fleet.remove(best.queue.get(best.queue.size() - 1));
+      workers.remove(best.queue.get(best.queue.size() - 1));
     }
     return best;
   }
@@ -555,7 +555,7 @@
       }
     }
     Map<String, Double> room = new HashMap<>();
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       if (isOpenTo(m, job.spec(), nowMicros)) {
         room.merge(m.zone, m.freeCpus(), Double::sum);
       }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/ReachMonitor.java
@@ -0,0 +1,93 @@
+package org.eiderstair.core;
+
+import org.eiderstair.core.member.Membership;
+
+/** Whether the machines still reach this leader, as far as their reports tell. */
+final class ReachMonitor {
+  private static final long OUT_OF_REACH_MICROS = 2_500_000;
+  private static final int FEW = 3;
+  private static final long QUIET_MICROS = 1_500_000;
+  private static final int REPORTS = 10;
+
+  private final Settings settings;
+  private final LeaderTime time;
+  private final WorkerRegistry registry;
+
+  /** Reports that came from machines themselves, not through a peer, since the window began. */
+  private int direct;
+
+  private long windowMicros;
+  private long sinceMicros;
+  private boolean unreached;
+
+  ReachMonitor(Settings settings, LeaderTime time, WorkerRegistry registry) {
+    this.settings = settings;
+    this.time = time;
+    this.registry = registry;
+  }
+
+  /** The term's machines are known from now on. */
+  void begin() {
+    sinceMicros = time.nowMicros();
+  }
+
+  /** A report came from its machine itself. */
+  void reportedDirectly() {
+    direct++;
+  }
+
+  /**
+   * Whether hardly any machine reaches this leader by itself: over the time that ten reports of the
+   * fleet take, less than a tenth of them came. That alone may be the machines' fault as well as
+   * its own: peers tell.
+   */
+  boolean unreached() {
+    long now = time.nowMicros();
+    long window =
+        Math.max(
+            QUIET_MICROS,
+            REPORTS * settings.reportMicros() / Math.max(1, registry.leased().size()));
+    if (now >= windowMicros + window) {
+      double expected =
+          (double) (now - windowMicros) * registry.leased().size() / settings.reportMicros();
+      unreached =
+          windowMicros > sinceMicros
+              && registry.leased().size() >= FEW
+              && direct * REPORTS < expected;
+      windowMicros = now;
+      direct = 0;
+    }
+    return unreached;
+  }
+
+  /** How many machines that this leader knows a peer hears. */
+  int heardBy(Membership membership) {
+    return membership.heardElsewhere(
+        id -> {
+          Machine m = registry.machines().get(id);
+          return m != null && m.phase != Machine.Phase.BOOTING;
+        });
+  }
+
+  /**
+   * Whether this leader seems cut off from its machines: many of those it had heard are silent, and
+   * hardly any is not. Dead machines alone do not look like that, and relayed reports count as
+   * heard.
+   */
+  boolean outOfReach() {
+    long patience = settings.reportMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
+    long now = time.nowMicros();
+    int silent = 0;
+    int heard = 0;
+    for (Machine m : registry.machines().values()) {
+      if (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.FENCING) {
+        if (now > m.heardMicros + patience) {
+          silent++;
+        } else {
+          heard++;
+        }
+      }
+    }
+    return silent >= 3 && silent > heard * 3;
+  }
+}
--- a/src/main/java/org/eiderstair/core/Renting.java
+++ b/src/main/java/org/eiderstair/core/Renting.java
@@ -47,7 +47,7 @@
   private final Settings settings;
   private final Ports ports;
   private final Replica replica;
-  private final Fleet fleet;
+  private final WorkerManager workers;
   private final Leadership leadership;
   private final long term;
   private final RateBudget calls;
@@ -74,7 +74,7 @@
       Settings settings,
       Ports ports,
       Replica replica,
-      Fleet fleet,
+      WorkerManager workers,
       Leadership leadership,
       Ledger ledger,
       Demand demand,
@@ -83,7 +83,7 @@
     this.settings = settings;
     this.ports = ports;
     this.replica = replica;
-    this.fleet = fleet;
+    this.workers = workers;
     this.leadership = leadership;
     this.term = term;
     this.demand = demand;
@@ -104,11 +104,11 @@
    */
   void takeOver(long nowMicros) {
     now = nowMicros;
-    fleet.leaving(duties::leaving);
+    workers.leaving(duties::leaving);
     Map<String, Map<String, Object>> records = new TreeMap<>();
     replica.duties.values().forEach(item -> records.put(item.key(), item.value()));
     duties.resume(records, now);
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       if (duties.leaving(m.id)) {
         leave(m);
       }
@@ -148,7 +148,8 @@
     if (!listing && now >= nextListMicros && mayCall()) {
       listing = true;
       // What is gone already would hold back all older work until it is seen to be gone.
-      nextListMicros = now + (fleet.unheard().isEmpty() ? LIST_EVERY_MICROS : LIST_UNHEARD_MICROS);
+      nextListMicros =
+          now + (workers.unheard().isEmpty() ? LIST_EVERY_MICROS : LIST_UNHEARD_MICROS);
       list(null);
     }
   }
@@ -184,7 +185,7 @@
               written -> {
                 if (written instanceof Reply.Applied applied) {
                   replica.apply(new Reply.Item(Records.CATALOG, value, applied.revision()));
-                  fleet.typesChanged();
+                  workers.typesChanged();
                 } else {
                   nextCatalogMicros = now + RETRY_MICROS;
                 }
@@ -199,14 +200,14 @@
   private void retire() {
     survey =
         membership.survey(
-            fleet.machines.values(),
-            fleet.unreached(),
+            workers.machines().values(),
+            workers.reach().unreached(),
             settings.tuning().unheardDeleteMicros(),
             settings.tuning().darkDeleteMicros(),
             now);
     returnOverdue();
     int spared = 0;
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       if (m.plan == Machine.Plan.DELETE) {
         if (m.condemned && m.heardMicros > now - DECIDE_EVERY_MICROS) {
           // It was taken for dead, and is heard again.
@@ -314,7 +315,7 @@
    */
   private void balance() {
     List<Room> rooms = new ArrayList<>();
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       // What nobody sees is asked for elsewhere; it is not given back for it.
       m.surplus = false;
       if (m.plan == Machine.Plan.USE && m.type != null && !m.dark) {
@@ -399,7 +400,7 @@
 
   private int inZone(String zone) {
     int count = 0;
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       count += zone.equals(m.zone) ? 1 : 0;
     }
     int[] awaitedThere = {0};
@@ -506,7 +507,7 @@
       calls.take(1);
       ports.call(
           request,
-          leadership.mandate().authorityEnd(),
+          leadership.bounds().authorityEnd(),
           reply -> {
             if (!closed) {
               then.accept(reply);
@@ -518,8 +519,8 @@
     public void booting(String charter, Offer offer, List<String> machines, long ageMicros) {
       awaited.remove(charter);
       for (String id : machines) {
-        if (!fleet.machines.containsKey(id) && !fleet.gone.contains(id)) {
-          fleet.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros =
+        if (!workers.machines().containsKey(id) && !workers.isGone(id)) {
+          workers.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros =
               now - ageMicros;
         }
       }
@@ -532,7 +533,7 @@
 
     @Override
     public void gone(String machine) {
-      Machine m = fleet.machines.get(machine);
+      Machine m = workers.machines().get(machine);
       if (m != null && m.condemned) {
         // What was refused for want of room there may be had now. Seen after a zone's cut: 350
         // machines were given back,
@@ -541,17 +542,17 @@
         refusedUntil.remove(new Offer(m.typeName, m.zone, m.spot));
         nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
       }
-      fleet.deleted(machine);
+      workers.deleted(machine);
     }
 
     @Override
     public void kept(String machine) {
-      fleet.keep(machine);
+      workers.keep(machine);
     }
 
     @Override
     public boolean isGone(String machine) {
-      return fleet.gone.contains(machine);
+      return workers.isGone(machine);
     }
 
     @Override
@@ -604,7 +605,7 @@
    * proves it.
    */
   private void returnUnlisted() {
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       if (m.phase == Machine.Phase.UNHEARD
           && m.plan != Machine.Plan.DELETE
           && !listed.contains(m.id)
@@ -622,7 +623,7 @@
 
   /** Nothing is placed on it any more; what it runs goes on until it is gone. */
   private void leave(Machine m) {
-    fleet.drain(m);
+    workers.drain(m);
     m.plan = Machine.Plan.DELETE;
   }
 
@@ -630,18 +631,18 @@
     // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines
     // that the one before
     // had just returned, took each for one that never came up, and returned it again.
-    if (fleet.gone.contains(listed.id())
-        || duties.leaving(listed.id()) && !fleet.machines.containsKey(listed.id())) {
+    if (workers.isGone(listed.id())
+        || duties.leaving(listed.id()) && !workers.machines().containsKey(listed.id())) {
       return;
     }
-    Machine m = fleet.machines.get(listed.id());
+    Machine m = workers.machines().get(listed.id());
     if (listed.state().equals("failed")) {
       if (m == null || m.plan != Machine.Plan.DELETE) {
         ports.info("machine " + listed.id() + " failed, term=" + term);
       }
       if (m == null) {
         m =
-            fleet.expect(
+            workers.expect(
                 listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       }
       leave(m);
@@ -651,7 +652,9 @@
     }
     if (m == null) {
       ports.info("machine " + listed.id() + " found in the list, term=" + term);
-      m = fleet.expect(listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
+      m =
+          workers.expect(
+              listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       m.sinceMicros = now - listed.ageMicros();
     }
   }
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -33,7 +33,7 @@
   private final Replica replica;
   private final Ledger ledger;
   private final TokenList tokens;
-  private final Fleet fleet;
+  private final WorkerManager workers;
   private final Placement placement;
   private final Renting renting;
   private final long term;
@@ -63,18 +63,20 @@
     this.ledger = new Ledger(settings, ports, replica, term, this);
     this.tokens = new TokenList(settings.tuning().tokenListSize());
     Teams teams = new Teams(settings);
-    this.fleet =
-        new Fleet(settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
+    this.workers =
+        new WorkerManager(
+            settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
     Demand demand = new Demand(settings, replica);
     this.placement =
-        new Placement(settings, ports, replica, fleet, tokens, teams, term, demand, random);
+        new Placement(settings, ports, replica, workers, tokens, teams, term, demand, random);
     this.renting =
-        new Renting(settings, ports, replica, fleet, leadership, ledger, demand, membership, term);
+        new Renting(
+            settings, ports, replica, workers, leadership, ledger, demand, membership, term);
   }
 
   void close() {
     ledger.close();
-    fleet.close();
+    workers.close();
     // After the fleet: launches that the standby withholds now are told that the term is over.
     standby.leaves();
     renting.close();
@@ -82,7 +84,7 @@
 
   void reported(long exchange, MachineReport report, boolean relayed, long nowMicros) {
     if (started) {
-      fleet.reported(exchange, report, relayed, nowMicros);
+      workers.reported(exchange, report, relayed, nowMicros);
     } else {
       ports.respond(exchange, new Answer.Failure(503, "taking over", 0));
     }
@@ -91,9 +93,9 @@
   void jobChanged(Job job) {
     if (started) {
       if (!job.open()) {
-        fleet.jobOver(job);
+        workers.jobOver(job);
       }
-      fleet.changed = true;
+      workers.noteChange();
     }
   }
 
@@ -114,17 +116,17 @@
     }
     // Passes are due soon after every event: one that is late says that there is more to do than
     // can be done.
-    fleet.tick(now, now > passDueMicros() + BUSY_MICROS);
+    workers.tick(now, now > passDueMicros() + BUSY_MICROS);
     if (now >= nextReachMicros) {
       nextReachMicros = now + REACH_EVERY_MICROS;
-      if (fleet.outOfReach()) {
+      if (workers.reach().outOfReach()) {
         leadership.giveUp("most machines have not been heard for a while");
         return;
       }
     }
-    boolean unreached = fleet.unreached();
+    boolean unreached = workers.reach().unreached();
     membership.tick(unreached || renting.missesMachines(), now);
-    int heardByPeers = unreached ? fleet.heardBy(membership) : 0;
+    int heardByPeers = unreached ? workers.reach().heardBy(membership) : 0;
     if (heardByPeers >= HANDED_OVER) {
       // Whoever stands next hears them: sooner than by this node's patience, which is for machines
       // that are dead.
@@ -161,7 +163,7 @@
    */
   private void inherit() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
-    fleet.takeOver(
+    workers.takeOver(
         electedMicros,
         standby.inherit(term, replica.revision(), record == null ? null : record.value()),
         now);
@@ -190,12 +192,12 @@
   private final class StandbyHost implements Standby.Host {
     @Override
     public boolean whole() {
-      return fleet.unheard().isEmpty();
+      return workers.unheard().isEmpty();
     }
 
     @Override
     public void snapshot(Consumer<Batch.Change> each) {
-      fleet.snapshot(each);
+      workers.snapshot(each);
     }
 
     @Override
@@ -254,29 +256,29 @@
    */
   long passDueMicros() {
     return lastPassMicros
-        + (fleet.changed || fleet.owesAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
+        + (workers.changed() || workers.owesAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and tells the machines. */
   private void pass() {
-    boolean due = fleet.changed || now >= lastPassMicros + QUIET_PASS_MICROS;
+    boolean due = workers.changed() || now >= lastPassMicros + QUIET_PASS_MICROS;
     lastPassMicros = now;
     if (due && leadership.mayLaunch(now)) {
-      fleet.changed = false;
+      workers.takeChanged();
       placement.place(now);
     }
-    fleet.flush(now);
+    workers.flush(now);
     standby.tick(now);
   }
 
   @Override
   public void jobFinished(Job job) {
-    fleet.changed = true;
+    workers.noteChange();
   }
 
   @Override
   public void rosterWritten(String machine) {
-    fleet.rostered(machine);
+    workers.rostered(machine);
     renting.rostered(machine);
   }
 }
--- a/src/main/java/org/eiderstair/core/Settings.java
+++ b/src/main/java/org/eiderstair/core/Settings.java
@@ -80,7 +80,7 @@
    * picture", has the sum.
    */
   public boolean cancellationBoundsHold() {
-    return Mandate.boundsHold(this);
+    return LeadershipBounds.boundsHold(this);
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -18,7 +18,7 @@
 /**
  * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM
  * counts for each thread: what stands for processor time in a test without a clock. An event's must
- * not grow with the fleet.
+ * not grow with the workers.
  */
 class AllocationTest {
   private static final int ROUNDS = 400;
@@ -103,7 +103,7 @@
     }
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      bodies.add(report(bench, bench.fleet.machines.get("m-" + i % machines)));
+      bodies.add(report(bench, bench.workers.machines().get("m-" + i % machines)));
     }
     bench.effects.clear();
     within(
@@ -112,9 +112,9 @@
         bytes(
             i -> {
               bench.now += 1_000;
-              bench.fleet.reported(
+              bench.workers.reported(
                   ++bench.exchange, WorkerMessages.report(bodies.get(i)), false, bench.now);
-              bench.fleet.flush(bench.now);
+              bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
               Answer.Command answer =
                   (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
@@ -152,12 +152,12 @@
     long all =
         bytes(
             i -> {
-              bench.report(bench.fleet.machines.get("m-" + i % machines), 4);
+              bench.report(bench.workers.machines().get("m-" + i % machines), 4);
               bench.placement.place(bench.now);
-              for (Machine m : bench.fleet.machines.values()) {
+              for (Machine m : bench.workers.machines().values()) {
                 placed[0] += i >= ROUNDS ? m.toLaunch.size() : 0;
               }
-              bench.fleet.flush(bench.now);
+              bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
               bench.deliver();
               bench.effects.clear();
--- a/src/test/java/org/eiderstair/core/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/CommandSearchTest.java
@@ -48,7 +48,7 @@
 
   /** The state after each step, as a service with that mistake would have it. */
   private static void make(Mistake mistake, CommandWorld world) {
-    Machine m = world.newestLeader().fleet.machines.get(CommandWorld.MACHINE);
+    Machine m = world.newestLeader().workers.machines().get(CommandWorld.MACHINE);
     switch (mistake) {
       case NONE -> {}
       case FORGETS_LAUNCHES -> {
@@ -56,13 +56,13 @@
           new ArrayList<>(m.attempts.values())
               .stream()
                   .filter(a -> a.phase == Attempt.Phase.SENT)
-                  .forEach(world.newestLeader().fleet::remove);
+                  .forEach(world.newestLeader().workers::remove);
         }
       }
       case FORGETS_CANCELLED -> {
         for (Attempt a : new ArrayList<>(m.attempts.values())) {
           if (!a.job.open()) {
-            world.newestLeader().fleet.remove(a);
+            world.newestLeader().workers.remove(a);
           }
         }
       }
--- a/src/test/java/org/eiderstair/core/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/CommandWorld.java
@@ -41,7 +41,7 @@
     first.now = now;
     first.lead();
     first.machines(1);
-    Machine m = first.fleet.machines.get(MACHINE);
+    Machine m = first.workers.machines().get(MACHINE);
     m.answeredMicros = now;
     worker.token = m.token();
     worker.answeredSentMicros = now;
@@ -206,11 +206,11 @@
     if (k == newest()) {
       leader.renew();
     }
-    leader.fleet.tick(now, false);
+    leader.workers.tick(now, false);
     if (leader.leadership.mayLaunch(now)) {
       leader.placement.place(now);
     }
-    leader.fleet.flush(now);
+    leader.workers.flush(now);
   }
 
   private void takeOver() {
@@ -228,14 +228,14 @@
     }
     second.replica.apply(
         new Reply.Item(Records.rosterKey(MACHINE), Records.roster("x", "t", "a", false), 4));
-    second.fleet.takeOver(now, picture, now);
-    Machine m = second.fleet.machines.get(MACHINE);
+    second.workers.takeOver(now, picture, now);
+    Machine m = second.workers.machines().get(MACHINE);
     m.type = LeaderBench.TYPE;
     m.measureRoom();
     leaders.add(second);
     if (withPicture) {
       // Its standby has claimed the term: it never launches again.
-      first.fleet.close();
+      first.workers.close();
       first.leadership.deposed("claimed");
     }
   }
@@ -243,7 +243,7 @@
   private Map<String, Standby.Held> picture(LeaderBench first) {
     Map<Integer, Long> held = new HashMap<>();
     long[] session = new long[1];
-    first.fleet.snapshot(
+    first.workers.snapshot(
         change -> {
           session[0] = change.session();
           if (!change.job().isEmpty()) {
@@ -258,7 +258,7 @@
     cancelled = true;
     LeaderBench leader = newestLeader();
     leader.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
-    leader.fleet.jobOver(leader.replica.jobs.get(JOB));
+    leader.workers.jobOver(leader.replica.jobs.get(JOB));
   }
 
   private void deliver(InFlightReport r) {
@@ -269,7 +269,7 @@
       return;
     }
     r.exchange = ++leader.exchange;
-    leader.fleet.reported(r.exchange, r.content, false, now);
+    leader.workers.reported(r.exchange, r.content, false, now);
   }
 
   private void answered() {
@@ -331,7 +331,7 @@
       return;
     }
     Job job = leader.replica.jobs.get(JOB);
-    boolean whole = leader.fleet.unheard().isEmpty();
+    boolean whole = leader.workers.unheard().isEmpty();
     double used = 0;
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
--- a/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
@@ -21,12 +21,12 @@
     bench.keepStandby();
     bench.lead();
     bench.machines(1);
-    return bench.fleet.machines.get("m-0");
+    return bench.workers.machines().get("m-0");
   }
 
   private void pass() {
     bench.placement.place(bench.now);
-    bench.fleet.flush(bench.now);
+    bench.workers.flush(bench.now);
     bench.standby.tick(bench.now);
   }
 
@@ -70,7 +70,7 @@
 
   private void cancel(Job job) {
     bench.replica.cancelledElsewhere(new Cancellation(job.id, bench.versions + 1_000, 0));
-    bench.fleet.jobOver(job);
+    bench.workers.jobOver(job);
   }
 
   private Reply.Report reply(Machine m, boolean executed, Entry... entries) {
@@ -148,7 +148,7 @@
     bench.defersRecords = true;
     bench.standbyOfTheTermBefore();
     bench.machines(1);
-    Machine m = bench.fleet.machines.get("m-0");
+    Machine m = bench.workers.machines().get("m-0");
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(m, 0);
@@ -176,7 +176,7 @@
     bench.report(m, 0);
     pass();
     bench.effects.clear();
-    bench.fleet.close();
+    bench.workers.close();
     bench.standby.leaves();
     assertEquals(
         List.of(new Answer.Redirect(null)),
@@ -243,7 +243,7 @@
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.placement.place(bench.now);
     Attempt attempt = job.active.get(0);
-    bench.fleet.flush(bench.now);
+    bench.workers.flush(bench.now);
     bench.standby.tick(bench.now);
     cancel(job);
     pass();
@@ -283,7 +283,7 @@
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
     long earlierToken = 7;
-    bench.fleet.reported(
+    bench.workers.reported(
         1,
         new MachineReport(
             "m-gone",
@@ -300,9 +300,9 @@
         bench.now);
     assertEquals(1, job.active.size(), "counts at first: nothing has shown that it is not there");
     pass();
-    bench.fleet.tick(bench.now + bench.settings.leaseMicros(), false);
+    bench.workers.tick(bench.now + bench.settings.leaseMicros(), false);
     assertEquals(1, job.active.size());
-    bench.fleet.tick(bench.now + bench.settings.leaseMicros() + 2 * SECOND, false);
+    bench.workers.tick(bench.now + bench.settings.leaseMicros() + 2 * SECOND, false);
     assertEquals(0, job.active.size(), "its lease is over");
   }
 
@@ -312,15 +312,15 @@
     bench.lead();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
-    bench.fleet.reported(
+    bench.workers.reported(
         1,
         new MachineReport(
             "m-0", "x", "t", "a", true, 1, 9, 7, MachineReport.NO_NOTICE, List.of(running)),
         false,
         bench.now);
-    Machine m = bench.fleet.machines.get("m-0");
+    Machine m = bench.workers.machines().get("m-0");
     assertEquals(Machine.Phase.FENCING, m.phase);
-    bench.fleet.tick(bench.now, false);
+    bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
     bench.sequences.put("m-0", 9L);
     bench.ports.replied(commands().get(0).call(), reply(m, true, running));
@@ -335,15 +335,15 @@
   @Example
   void aMachineThatHasJustBootedIsNotAsked() {
     bench.lead();
-    bench.fleet.reported(
+    bench.workers.reported(
         1,
         new MachineReport(
             "m-new", "x", "t", "a", true, 1, 1, 0, MachineReport.NO_NOTICE, List.of()),
         false,
         bench.now);
     pass();
-    bench.fleet.tick(bench.now, false);
+    bench.workers.tick(bench.now, false);
     assertEquals(List.of(), commands());
-    assertEquals(Machine.Phase.BOOTING, bench.fleet.machines.get("m-new").phase);
+    assertEquals(Machine.Phase.BOOTING, bench.workers.machines().get("m-new").phase);
   }
 }
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -14,7 +14,7 @@
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
 
 /**
- * What an event costs must not grow with the fleet, and what is kept by increments must equal a
+ * What an event costs must not grow with the workers, and what is kept by increments must equal a
  * full count.
  */
 class GrowthTest {
@@ -33,10 +33,10 @@
     for (int round = 0; round < 20; round++) {
       int reports = Math.max(1, machines / 20);
       for (int i = 0; i < reports; i++) {
-        bench.report(bench.fleet.machines.get("m-" + (round * reports + i) % machines), 1);
+        bench.report(bench.workers.machines().get("m-" + (round * reports + i) % machines), 1);
       }
       bench.placement.place(bench.now);
-      for (Machine m : bench.fleet.machines.values()) {
+      for (Machine m : bench.workers.machines().values()) {
         placed += m.toLaunch.size();
       }
       bench.deliver();
@@ -61,8 +61,8 @@
         bench.replica.apply(
             new Reply.Item(Records.rosterKey("m-" + i), Records.roster("x", "t", "a", false), 1));
       }
-      bench.fleet.takeOver(bench.now, null, bench.now);
-      assertEquals(machines, bench.fleet.unheard().size());
+      bench.workers.takeOver(bench.now, null, bench.now);
+      assertEquals(machines, bench.workers.unheard().size());
       assertTrue(bench.effects.isEmpty(), "nothing is sent in a burst");
     }
   }
@@ -76,10 +76,10 @@
       bench.replica.apply(
           new Reply.Item(Records.rosterKey("m-" + i), Records.roster("x" + i, "t", "a", false), 1));
     }
-    bench.fleet.takeOver(bench.now, null, bench.now);
+    bench.workers.takeOver(bench.now, null, bench.now);
     // None of them answers, for less than a time limit.
     for (int i = 0; i < 100; i++) {
-      bench.fleet.tick(bench.now += 20_000, false);
+      bench.workers.tick(bench.now += 20_000, false);
     }
     long asked =
         bench.effects.stream()
@@ -99,7 +99,7 @@
     bench.machines(12);
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 3);
     for (int step = 0; step < 60; step++) {
-      List<Machine> machines = new ArrayList<>(bench.fleet.machines.values());
+      List<Machine> machines = new ArrayList<>(bench.workers.machines().values());
       Machine m = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
       switch (random.nextInt(6)) {
         case 0 ->
@@ -116,17 +116,17 @@
                     Records.jobKey(job.id),
                     Records.cancelledJob(job.spec(), 0, 0),
                     ++bench.versions));
-            bench.fleet.jobOver(job);
+            bench.workers.jobOver(job);
           }
         }
         case 2 -> {
           if (m != null && random.nextInt(4) == 0) {
-            bench.fleet.drain(m);
+            bench.workers.drain(m);
           }
         }
         case 3 -> {
           if (m != null && random.nextInt(8) == 0) {
-            bench.fleet.deleted(m.id);
+            bench.workers.deleted(m.id);
           }
         }
         default -> {
@@ -145,7 +145,7 @@
 
   private static void check(LeaderBench bench) {
     Map<String, Double> use = new LinkedHashMap<>();
-    for (Machine m : bench.fleet.machines.values()) {
+    for (Machine m : bench.workers.machines().values()) {
       double free = LeaderBench.TYPE.cpus();
       for (Attempt a : m.attempts.values()) {
         if (a.phase != Attempt.Phase.QUEUED) {
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -25,7 +25,7 @@
   final Teams teams;
   final TokenList tokens;
   final Leadership leadership;
-  final Fleet fleet;
+  final WorkerManager workers;
   final Standby standby = new Standby("n0", "run", text -> {});
   final Placement placement;
   final UniformRandomProvider random = new XoRoShiRo128PlusPlus(5, 7);
@@ -99,11 +99,13 @@
               @Override
               public void leftOffice(String why) {}
             });
-    fleet = new Fleet(settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
+    workers =
+        new WorkerManager(
+            settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
     Demand demand = new Demand(settings, replica);
     placement =
         new Placement(
-            settings, ports, replica, fleet, tokens, teams, term, demand, random::nextInt);
+            settings, ports, replica, workers, tokens, teams, term, demand, random::nextInt);
   }
 
   /** The leadership believes that it leads. */
@@ -152,7 +154,7 @@
 
           @Override
           public void snapshot(Consumer<Batch.Change> each) {
-            fleet.snapshot(each);
+            workers.snapshot(each);
           }
 
           @Override
@@ -206,7 +208,7 @@
 
   /** The lease was renewed and the picture shown to be current just now. */
   void renew() {
-    leadership.mandate().renewed(now);
+    leadership.bounds().renewed(now);
     replica.proves(now, replica.revision());
   }
 
@@ -226,7 +228,7 @@
       m.zone = TYPE.zones().get(i % 3);
       m.rostered = true;
       m.session = 1;
-      fleet.add(m);
+      workers.add(m);
       m.measureRoom();
       tokens.offer(m);
     }
@@ -282,7 +284,7 @@
     }
     long sequence = sequences.merge(m.id, 1L, Long::sum);
     now += 1_000;
-    fleet.reported(
+    workers.reported(
         ++exchange,
         new MachineReport(
             m.id,
@@ -301,7 +303,7 @@
 
   /** Stands for the commands and answers that bring what was planned to the machines. */
   void deliver() {
-    for (Machine m : fleet.machines.values()) {
+    for (Machine m : workers.machines().values()) {
       for (Attempt a : m.toLaunch) {
         a.phase = Attempt.Phase.SENT;
       }
--- a/src/test/java/org/eiderstair/core/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/PlacementTest.java
@@ -53,8 +53,8 @@
           0);
   private final Teams teams = new Teams(settings);
   private final TokenList tokens = new TokenList(10);
-  private final Fleet fleet =
-      new Fleet(
+  private final WorkerManager workers =
+      new WorkerManager(
           settings,
           ports,
           replica,
@@ -66,7 +66,7 @@
           1);
   private final Demand demand = new Demand(settings, replica);
   private final Placement placement =
-      new Placement(settings, ports, replica, fleet, tokens, teams, TERM, demand, n -> 0);
+      new Placement(settings, ports, replica, workers, tokens, teams, TERM, demand, n -> 0);
   private long versions = 1;
 
   private Job job(int number, String team, Priority priority, int tasks, double cpus) {
@@ -103,7 +103,7 @@
     m.zone = zone;
     m.spot = spot;
     m.rostered = true;
-    fleet.add(m);
+    workers.add(m);
     m.measureRoom();
     tokens.offer(m);
     return m;
@@ -152,7 +152,7 @@
     machine("m", "a", true);
     Machine unheard = new Machine("u", 1, Machine.Phase.UNHEARD, 0);
     unheard.type = TYPE;
-    fleet.add(unheard);
+    workers.add(unheard);
     placement.place(NOW);
     assertEquals(0, older.active.size(), "may be on the unheard machine");
     assertEquals(5, newer.active.size());
@@ -171,7 +171,7 @@
     machine("m", "a", true);
     Machine unheard = new Machine("u", 1, Machine.Phase.UNHEARD, 0);
     unheard.type = TYPE;
-    fleet.add(unheard);
+    workers.add(unheard);
     placement.place(NOW);
     assertEquals(
         2, newer.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
@@ -233,7 +233,7 @@
     assertTrue(large.hasQueued());
     for (int i = 0; i < 4; i++) {
       small.done.set(i);
-      fleet.remove(small.active.get(i));
+      workers.remove(small.active.get(i));
       placement.place(NOW + 2 + i);
     }
     assertEquals(
--- a/src/test/java/org/eiderstair/core/RentingTest.java
+++ b/src/test/java/org/eiderstair/core/RentingTest.java
@@ -28,7 +28,7 @@
             bench.settings,
             bench.ports,
             bench.replica,
-            bench.fleet,
+            bench.workers,
             bench.leadership,
             ledger,
             new Demand(bench.settings, bench.replica),
--- a/src/test/java/org/eiderstair/core/StateKey.java
+++ b/src/test/java/org/eiderstair/core/StateKey.java
@@ -70,7 +70,7 @@
   }
 
   private void leader(LeaderBench leader) {
-    Machine m = leader.fleet.machines.get(CommandWorld.MACHINE);
+    Machine m = leader.workers.machines().get(CommandWorld.MACHINE);
     Job job = leader.replica.jobs.get(CommandWorld.JOB);
     ranks.add(m.session, m.sequence);
     key.append('#').append(leader.leadership.inOffice()).append(job.done).append(job.state());
--- a/src/test/java/org/eiderstair/core/FleetTest.java
+++ b/src/test/java/org/eiderstair/core/WorkerManagerTest.java
@@ -13,7 +13,7 @@
 import org.eiderstair.core.standby.Standby;
 
 /** What a report may and may not prove. */
-class FleetTest {
+class WorkerManagerTest {
   private static final MachineType TYPE =
       new MachineType("t", 8, 2, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
   private final Settings settings =
@@ -58,8 +58,8 @@
             public void loaded() {}
           },
           0);
-  private final Fleet fleet =
-      new Fleet(
+  private final WorkerManager workers =
+      new WorkerManager(
           settings,
           ports,
           replica,
@@ -106,9 +106,9 @@
     machine.address = "x";
     machine.typeName = "t";
     machine.session = 1;
-    fleet.add(machine);
+    workers.add(machine);
     attempt = new Attempt(job, 0, 77, machine, phase, 0);
-    fleet.attach(attempt);
+    workers.attach(attempt);
   }
 
   private Leadership leadership() {
@@ -116,7 +116,7 @@
   }
 
   private void reported(MachineReport report, long nowMicros) {
-    fleet.reported(++exchange, report, false, nowMicros);
+    workers.reported(++exchange, report, false, nowMicros);
   }
 
   private MachineReport report(
@@ -168,7 +168,7 @@
     launched(Attempt.Phase.SEEN);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
     reported(report(1, 1, machine.token(), 12_000_000, running), 1_000_000);
-    fleet.flush(1_000_000);
+    workers.flush(1_000_000);
     assertEquals(List.of(new Order.Kill(task, 77, 4_000_000)), answers.get(0).orders());
     assertEquals(Machine.Plan.DRAIN, machine.plan);
   }
@@ -192,8 +192,8 @@
     // And every answer and command of the leader bears such a time.
     List<Effect> sent = new ArrayList<>();
     Ports sending = new Ports(sent::add);
-    Fleet other =
-        new Fleet(
+    WorkerManager other =
+        new WorkerManager(
             settings,
             sending,
             replica,
@@ -228,7 +228,7 @@
     launched(Attempt.Phase.SEEN);
     reported(report(1, 500, machine.token(), -1), 1_000_000);
     reported(report(2, 1, machine.token(), -1), 1_001_000);
-    fleet.flush(1_002_000);
+    workers.flush(1_002_000);
     assertEquals(List.of(2L), answeredExchanges());
     assertEquals(2, responds.size());
   }
@@ -239,14 +239,14 @@
     launched(Attempt.Phase.SEEN);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
     reported(report(1, 8, machine.token(), -1, running), 1_000_000);
-    fleet.flush(1_001_000);
+    workers.flush(1_001_000);
     reported(report(1, 9, machine.token(), -1, running), 4_000_000);
-    fleet.flush(4_001_000);
+    workers.flush(4_001_000);
     long heard = machine.heardMicros;
     long answered = machine.answeredMicros;
     reported(report(1, 8, machine.token(), -1), 9_000_000);
     reported(report(1, 9, machine.token(), -1, running), 9_500_000);
-    fleet.flush(9_600_000);
+    workers.flush(9_600_000);
     assertEquals(List.of(1L, 2L), answeredExchanges());
     assertEquals(heard, machine.heardMicros);
     assertEquals(answered, machine.answeredMicros);
