--- a/src/main/java/org/eiderstair/core/Answer.java
+++ b/src/main/java/org/eiderstair/core/Answer.java
@@ -1,8 +1,8 @@
 package org.eiderstair.core;
 
 import java.util.List;
-import org.eiderstair.core.member.Hearing;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.membership.HeartbeatDigest;
+import org.eiderstair.core.standby.ReplicationBatch;
 
 /** What a node says to a user, a worker or a health check. */
 public sealed interface Answer {
@@ -34,10 +34,10 @@
   record Standing(boolean served, String leader, long term) implements Answer {}
 
   /** To a peer: which machines this node hears by itself. */
-  record Heard(Hearing hearing) implements Answer {}
+  record Heard(HeartbeatDigest hearing) implements Answer {}
 
   /** To a leader: how far its picture is here. */
-  record StandbyAck(Batch.Ack ack) implements Answer {}
+  record StandbyAck(ReplicationBatch.Ack ack) implements Answer {}
 
   /** To a peer: what it told is known here now. */
   record Noted() implements Answer {}
--- a/src/main/java/org/eiderstair/core/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/AttemptTracker.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -13,7 +13,7 @@
  * the teams' use, queues and the standby's picture are kept by increments.
  */
 final class AttemptTracker {
-  private final Ports ports;
+  private final EffectSink sink;
   private final LeaderTime time;
   private final TokenList tokens;
   private final Teams teams;
@@ -28,8 +28,8 @@
   private boolean changed = true;
 
   AttemptTracker(
-      Ports ports, LeaderTime time, TokenList tokens, Teams teams, Standby standby, long term) {
-    this.ports = ports;
+      EffectSink sink, LeaderTime time, TokenList tokens, Teams teams, Standby standby, long term) {
+    this.sink = sink;
     this.time = time;
     this.tokens = tokens;
     this.teams = teams;
@@ -144,7 +144,7 @@
   }
 
   void free(Attempt a, String why) {
-    ports.debug(
+    sink.debug(
         "task "
             + a.task()
             + " attempt "
@@ -162,7 +162,7 @@
     for (Attempt a : new ArrayList<>(m.attempts.values())) {
       free(a, why);
     }
-    m.strays.clear();
+    m.orphans.clear();
     m.reaps.clear();
     m.forgetImages();
   }
@@ -189,6 +189,7 @@
   /** Tells the standby of an attempt that may be on its machine from now on, or is not any more. */
   void tell(Attempt a, boolean there) {
     standby.change(
-        new Batch.Change(there, a.machine.id, a.machine.session, a.job.id, a.index, a.number));
+        new ReplicationBatch.Change(
+            there, a.machine.id, a.machine.session, a.job.id, a.index, a.number));
   }
 }
--- a/src/main/java/org/eiderstair/core/CancellationBroadcast.java
+++ b/src/main/java/org/eiderstair/core/CancellationBroadcast.java
@@ -24,7 +24,7 @@
   }
 
   private final String node;
-  private final Ports ports;
+  private final EffectSink sink;
   private State state = State.IDLE;
   private final List<Cancellation> waiting = new ArrayList<>();
 
@@ -34,9 +34,9 @@
    */
   private String leader;
 
-  CancellationBroadcast(String node, Ports ports) {
+  CancellationBroadcast(String node, EffectSink sink) {
     this.node = node;
-    this.ports = ports;
+    this.sink = sink;
   }
 
   void leader(Replica.Leader known) {
@@ -61,7 +61,7 @@
         List.copyOf(waiting.subList(0, Math.min(MOST_AT_ONCE, waiting.size())));
     waiting.subList(0, some.size()).clear();
     state = State.TELLING;
-    ports.call(
+    sink.call(
         new Request.PeerCancelled(leader, some),
         reply -> {
           state = State.IDLE;
--- a/src/main/java/org/eiderstair/core/Renting.java
+++ b/src/main/java/org/eiderstair/core/CapacityManager.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.eiderstair.core.duty.Duties;
-import org.eiderstair.core.duty.Offer;
-import org.eiderstair.core.member.Membership;
-import org.eiderstair.core.member.Survey;
+import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.membership.ReachabilityClassifier;
+import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.provisioning.RentalOption;
 
 /**
  * Decides which machines to rent and to return, and watches the cloud's list for what went wrong
  * there.
  */
-final class Renting {
+final class CapacityManager {
   private static final long DECIDE_EVERY_MICROS = 1_000_000;
   private static final long LIST_EVERY_MICROS = 5_000_000;
   private static final long LIST_UNHEARD_MICROS = 1_500_000;
@@ -45,7 +45,7 @@
   private static final long TOMBSTONE_MICROS = 30_000_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private final WorkerManager workers;
   private final Leadership leadership;
@@ -64,33 +64,34 @@
   /** Machines asked for, by name of the rental. */
   final Map<String, List<Machine>> awaited = new HashMap<>();
 
-  private final Map<Offer, Long> refusedUntil = new HashMap<>();
-  private final Duties duties;
+  private final Map<RentalOption, Long> refusedUntil = new HashMap<>();
+  private final ProvisioningController duties;
   private final Membership membership;
-  private final Ledger ledger;
-  private Survey survey;
+  private final StateWriter stateWriter;
+  private ReachabilityClassifier survey;
 
-  Renting(
+  CapacityManager(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       Replica replica,
       WorkerManager workers,
       Leadership leadership,
-      Ledger ledger,
+      StateWriter stateWriter,
       Demand demand,
       Membership membership,
       long term) {
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
     this.workers = workers;
     this.leadership = leadership;
     this.term = term;
     this.demand = demand;
     this.calls = new RateBudget(settings.cloudRps() * 0.7);
-    this.ledger = ledger;
+    this.stateWriter = stateWriter;
     this.membership = membership;
-    this.duties = new Duties(new Host(), term, TOMBSTONE_MICROS, replica.dayMicros(0));
+    this.duties =
+        new ProvisioningController(new Host(), term, TOMBSTONE_MICROS, replica.dayMicros(0));
   }
 
   void close() {
@@ -149,7 +150,7 @@
       listing = true;
       // What is gone already would hold back all older work until it is seen to be gone.
       nextListMicros =
-          now + (workers.unheard().isEmpty() ? LIST_EVERY_MICROS : LIST_UNHEARD_MICROS);
+          now + (workers.unconfirmed().isEmpty() ? LIST_EVERY_MICROS : LIST_UNHEARD_MICROS);
       list(null);
     }
   }
@@ -161,7 +162,7 @@
   private void readCatalog() {
     readingCatalog = true;
     calls.take(1);
-    ports.call(
+    sink.call(
         new Request.CloudCatalog(),
         reply -> {
           readingCatalog = false;
@@ -176,7 +177,7 @@
           // Kept in the state service so that every node can judge jobs, also while the cloud does
           // not answer.
           Map<String, Object> value = Records.catalog(catalog.types());
-          ports.call(
+          sink.call(
               new Request.StoreTxn(
                   List.of(
                       new Request.Condition(Records.LEADER, term),
@@ -216,8 +217,8 @@
         }
         continue;
       }
-      Survey.Verdict verdict = survey.of(m);
-      m.dark = verdict == Survey.Verdict.DARK;
+      ReachabilityClassifier.Verdict verdict = survey.of(m);
+      m.dark = verdict == ReachabilityClassifier.Verdict.DARK;
       String why = null;
       if (m.phase == Machine.Phase.BOOTING) {
         long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
@@ -225,7 +226,7 @@
             now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.heardElsewhere(m.id)
                 ? "never came up"
                 : null;
-      } else if (verdict == Survey.Verdict.SILENT) {
+      } else if (verdict == ReachabilityClassifier.Verdict.SILENT) {
         why = survey.evidence(m);
       } else if (m.plan == Machine.Plan.DRAIN
           && m.attempts.isEmpty()
@@ -233,15 +234,15 @@
         why = "drained";
       }
       if (why != null) {
-        m.condemned = verdict == Survey.Verdict.SILENT;
+        m.condemned = verdict == ReachabilityClassifier.Verdict.SILENT;
         returnNow(m, m.condemned ? "silent: " + why : why);
-      } else if (verdict.ordinal() >= Survey.Verdict.ELSEWHERE.ordinal()) {
+      } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.ELSEWHERE.ordinal()) {
         spared++;
       }
     }
     if (spared != lastSpared) {
       lastSpared = spared;
-      ports.info("silent machines spared: " + spared + ", " + survey.evidence() + ", term=" + term);
+      sink.info("silent machines spared: " + spared + ", " + survey.evidence() + ", term=" + term);
     }
   }
 
@@ -328,7 +329,7 @@
     rooms.sort(
         Comparator.comparing((Room r) -> !r.machine.spot)
             .thenComparing(r -> r.machine.attempts.isEmpty()));
-    Map<Offer, Double> wanted = new LinkedHashMap<>();
+    Map<RentalOption, Double> wanted = new LinkedHashMap<>();
     List<Demand.Wish> wishes = demand.measure(now);
     // Where some work may use dear machines only, those are kept by all demand: a burst of it
     // cannot wait for a boot.
@@ -341,7 +342,7 @@
         double most = sparing && !room.machine.spot ? wish.pressing() : wish.tasks();
         got += room.take(spec, Math.max(0, most - got));
       }
-      Offer offer = choose(spec);
+      RentalOption offer = choose(spec);
       double most = sparing && offer != null && !offer.spot() ? wish.pressing() : wish.tasks();
       if (offer != null && most - got > 1e-3) {
         boolean nowhere = rooms.stream().noneMatch(r -> r.machine.allows(spec));
@@ -366,8 +367,8 @@
   }
 
   /** The cheapest offer per processor that the job may use and that was not refused just now. */
-  private Offer choose(JobSpec spec) {
-    Offer best = null;
+  private RentalOption choose(JobSpec spec) {
+    RentalOption best = null;
     double bestPrice = Double.MAX_VALUE;
     int bestCount = 0;
     for (MachineType type : replica.catalog()) {
@@ -376,7 +377,7 @@
       }
       for (String zone : type.zones()) {
         for (boolean spot : new boolean[] {true, false}) {
-          Offer offer = new Offer(type.name(), zone, spot);
+          RentalOption offer = new RentalOption(type.name(), zone, spot);
           double price = (spot ? type.spotPrice() : type.price()) / Math.max(type.cpus(), 0.01);
           if (!spec.allows(type.name(), zone, spot)
               || spot && type.spotPrice() <= 0
@@ -409,7 +410,7 @@
     return count + awaitedThere[0];
   }
 
-  private void rent(Offer offer, int count) {
+  private void rent(RentalOption offer, int count) {
     if (count < 1 || duties.awaited() >= MOST_RENTALS || !mayCall()) {
       return;
     }
@@ -423,7 +424,7 @@
    * A rental of an earlier term may be of a type that the cloud no longer has; that must not end
    * one leader after another.
    */
-  private List<Machine> awaited(Duties.Awaited rental) {
+  private List<Machine> awaited(ProvisioningController.Awaited rental) {
     if (replica.catalog().stream().noneMatch(t -> t.name().equals(rental.offer().type()))) {
       return List.of();
     }
@@ -447,24 +448,28 @@
    * What the duties need of the leader: its writes, its calls to the cloud, and its picture of the
    * machines.
    */
-  private final class Host implements Duties.Host {
+  private final class Host implements ProvisioningController.Host {
     @Override
     public void put(String key, Map<String, Object> value, Runnable durable) {
-      ledger.note(key, value, durable);
+      stateWriter.note(key, value, durable);
     }
 
     @Override
     public void drop(String key, Runnable durable) {
-      ledger.note(key, null, durable);
+      stateWriter.note(key, null, durable);
     }
 
     @Override
     public boolean mayCall() {
-      return Renting.this.mayCall() && leadership.mayLaunch(now);
+      return CapacityManager.this.mayCall() && leadership.mayLaunch(now);
     }
 
     @Override
-    public void rent(String charter, Offer offer, int count, Consumer<Duties.Rental> then) {
+    public void rent(
+        String charter,
+        RentalOption offer,
+        int count,
+        Consumer<ProvisioningController.Rental> then) {
       call(
           new Request.CloudRent(charter, offer.type(), offer.zone(), offer.spot(), count),
           reply -> {
@@ -472,13 +477,15 @@
               awaited.remove(charter);
             }
             if (reply instanceof Reply.Rented rented) {
-              then.accept(new Duties.Rental(Duties.Rental.Outcome.GRANTED, rented.machines(), ""));
+              then.accept(
+                  new ProvisioningController.Rental(
+                      ProvisioningController.Rental.Outcome.GRANTED, rented.machines(), ""));
             } else {
               then.accept(
-                  new Duties.Rental(
+                  new ProvisioningController.Rental(
                       reply instanceof Reply.Refused
-                          ? Duties.Rental.Outcome.REFUSED
-                          : Duties.Rental.Outcome.NO_ANSWER,
+                          ? ProvisioningController.Rental.Outcome.REFUSED
+                          : ProvisioningController.Rental.Outcome.NO_ANSWER,
                       List.of(),
                       reply.toString()));
             }
@@ -487,16 +494,16 @@
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<Duties.Deletion> then) {
+    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> then) {
       call(
           new Request.CloudDelete(machines),
           reply ->
               then.accept(
                   reply instanceof Reply.Applied
-                      ? Duties.Deletion.DONE
+                      ? ProvisioningController.Deletion.DONE
                       : reply instanceof Reply.Refused
-                          ? Duties.Deletion.REFUSED
-                          : Duties.Deletion.NO_ANSWER));
+                          ? ProvisioningController.Deletion.REFUSED
+                          : ProvisioningController.Deletion.NO_ANSWER));
     }
 
     /**
@@ -505,7 +512,7 @@
      */
     private void call(Request request, Consumer<Reply> then) {
       calls.take(1);
-      ports.call(
+      sink.call(
           request,
           leadership.bounds().authorityEnd(),
           reply -> {
@@ -516,7 +523,7 @@
     }
 
     @Override
-    public void booting(String charter, Offer offer, List<String> machines, long ageMicros) {
+    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
       awaited.remove(charter);
       for (String id : machines) {
         if (!workers.machines().containsKey(id) && !workers.isGone(id)) {
@@ -527,7 +534,7 @@
     }
 
     @Override
-    public void shortOf(Offer offer, String why) {
+    public void shortOf(RentalOption offer, String why) {
       refusedUntil.put(offer, now + REFUSED_PAUSE_MICROS);
     }
 
@@ -539,7 +546,7 @@
         // machines were given back,
         // and none rented for them until the last refusal was 15 s old. One that was idle is not
         // missed.
-        refusedUntil.remove(new Offer(m.typeName, m.zone, m.spot));
+        refusedUntil.remove(new RentalOption(m.typeName, m.zone, m.spot));
         nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
       }
       workers.deleted(machine);
@@ -562,12 +569,12 @@
 
     @Override
     public void info(String text) {
-      ports.info(text);
+      sink.info(text);
     }
 
     @Override
     public void error(String text) {
-      ports.error(text);
+      sink.error(text);
     }
   }
 
@@ -578,7 +585,7 @@
       listed.clear();
     }
     calls.take(1);
-    ports.call(
+    sink.call(
         new Request.CloudList(after),
         reply -> {
           if (closed || !(reply instanceof Reply.CloudMachines page)) {
@@ -606,7 +613,7 @@
    */
   private void returnUnlisted() {
     for (Machine m : workers.machines().values()) {
-      if (m.phase == Machine.Phase.UNHEARD
+      if (m.phase == Machine.Phase.UNCONFIRMED
           && m.plan != Machine.Plan.DELETE
           && !listed.contains(m.id)
           && now > m.sinceMicros + 2_000_000) {
@@ -616,7 +623,7 @@
   }
 
   private void returnNow(Machine m, String why) {
-    ports.info("returning machine " + m.id + ": " + why + ", term=" + term);
+    sink.info("returning machine " + m.id + ": " + why + ", term=" + term);
     leave(m);
     duties.giveBack(m.id);
   }
@@ -638,7 +645,7 @@
     Machine m = workers.machines().get(listed.id());
     if (listed.state().equals("failed")) {
       if (m == null || m.plan != Machine.Plan.DELETE) {
-        ports.info("machine " + listed.id() + " failed, term=" + term);
+        sink.info("machine " + listed.id() + " failed, term=" + term);
       }
       if (m == null) {
         m =
@@ -651,7 +658,7 @@
       return;
     }
     if (m == null) {
-      ports.info("machine " + listed.id() + " found in the list, term=" + term);
+      sink.info("machine " + listed.id() + " found in the list, term=" + term);
       m =
           workers.expect(
               listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
--- a/src/main/java/org/eiderstair/core/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/CommandDispatcher.java
@@ -35,7 +35,7 @@
   private static final long ASK_AFTER_SILENCE_MICROS = 300_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final LeaderTime time;
   private final Leadership leadership;
   private final Standby standby;
@@ -60,7 +60,7 @@
 
   CommandDispatcher(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       LeaderTime time,
       Leadership leadership,
       Standby standby,
@@ -69,7 +69,7 @@
       AttemptTracker tracker,
       long term) {
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.time = time;
     this.leadership = leadership;
     this.standby = standby;
@@ -116,9 +116,9 @@
   void askDue() {
     long now = time.nowMicros();
     if (now < nextAskingMicros
-        || registry.unheard().isEmpty()
+        || registry.unconfirmed().isEmpty()
             && registry.fencing().isEmpty()
-            && registry.pictured().isEmpty()) {
+            && registry.recovered().isEmpty()) {
       return;
     }
     nextAskingMicros = now + ASKING_EVERY_MICROS;
@@ -127,8 +127,8 @@
       youngAsks += now < since + SLOW_ASK_MICROS ? 1 : 0;
     }
     registry.fencing().forEach(this::askIfDue);
-    registry.unheard().forEach(this::askIfDue);
-    registry.pictured().forEach(this::askIfDue);
+    registry.unconfirmed().forEach(this::askIfDue);
+    registry.recovered().forEach(this::askIfDue);
   }
 
   /**
@@ -138,14 +138,14 @@
   void close() {
     closed = true;
     for (Machine m : toAnswer) {
-      ports.respond(m.pendingReport.answered(), new Answer.Redirect(null));
+      sink.respond(m.pendingReport.answered(), new Answer.Redirect(null));
     }
     toAnswer.clear();
   }
 
   void refuse(long exchange, String why) {
     if (exchange != 0) {
-      ports.respond(exchange, new Answer.Failure(503, why, 0));
+      sink.respond(exchange, new Answer.Failure(503, why, 0));
     }
   }
 
@@ -202,7 +202,7 @@
         kills.add(new Order.Kill(a.task(), a.number, a.job.open() ? a.spec.saveMicros() : 0));
       }
     }
-    kills.addAll(m.strays.values());
+    kills.addAll(m.orphans.values());
     return kills;
   }
 
@@ -272,7 +272,7 @@
     standby.launch(
         () -> {
           leaves();
-          ports.respond(
+          sink.respond(
               exchange,
               new Answer.Command(token, withLaunches(orders, launches)),
               leadership.bounds().launchEnd());
@@ -286,9 +286,9 @@
   /** Answers a report with what launches nothing. */
   private void respond(long exchange, long token, List<Order> orders) {
     if (closed) {
-      ports.respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
     } else {
-      ports.respond(exchange, new Answer.Command(token, orders), leadership.bounds().answersEnd());
+      sink.respond(exchange, new Answer.Command(token, orders), leadership.bounds().answersEnd());
     }
   }
 
@@ -320,7 +320,7 @@
       return;
     }
     m.killInFlight = true;
-    ports.call(
+    sink.call(
         new Request.WorkerCommands(m.address, m.token(), m.session, kills),
         leadership.bounds().answersEnd(),
         reply -> {
@@ -404,7 +404,7 @@
 
   private void call(Machine m, Request request, List<Attempt> launches, Runnable over) {
     LeadershipBounds bounds = leadership.bounds();
-    ports.call(
+    sink.call(
         request,
         launches.isEmpty() ? bounds.answersEnd() : bounds.launchEnd(),
         reply -> {
@@ -431,7 +431,7 @@
    * concluded.
    */
   private void unanswered(Machine m, boolean launched, Reply reply) {
-    if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.PICTURED)) {
+    if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.RECOVERED)) {
       m.raiseFence();
       tokens.remove(m);
       // It may be out of this node's reach while its reports still come, relayed: no more launches
@@ -439,7 +439,7 @@
       m.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
     }
     if (launched && m.phase == Machine.Phase.HEARD) {
-      ports.info(
+      sink.info(
           "no answer from "
               + m.id
               + " to a command: raising its fence, term="
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
-import org.eiderstair.core.member.Membership;
+import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -16,10 +16,10 @@
   private static final long CLAIM_AGAIN_MICROS = 2_000_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final IntUnaryOperator random;
   private final Replica replica;
-  private final Desk desk;
+  private final JobService jobService;
   private final CancellationBroadcast news;
   private final Leadership leadership;
   private final Relay relay;
@@ -45,13 +45,13 @@
       Consumer<Effect> effects) {
     this.settings = settings;
     this.random = random;
-    this.ports = new Ports(effects);
-    this.replica = new Replica(settings, ports, this, dayOffsetMicros);
-    this.news = new CancellationBroadcast(settings.node(), ports);
-    this.desk = new Desk(settings, ports, replica, news::committed);
-    this.relay = new Relay(ports);
-    this.reach = new StateReach(settings, ports, replica);
-    ports.watch(reach::replied);
+    this.sink = new EffectSink(effects);
+    this.replica = new Replica(settings, sink, this, dayOffsetMicros);
+    this.news = new CancellationBroadcast(settings.node(), sink);
+    this.jobService = new JobService(settings, sink, replica, news::committed);
+    this.relay = new Relay(sink);
+    this.reach = new StateReach(settings, sink, replica);
+    sink.watch(reach::replied);
     this.membership =
         new Membership(
             settings.node(),
@@ -60,9 +60,9 @@
             incarnation,
             settings.reportMicros(),
             this::askHeard,
-            ports::info);
-    this.standby = new Standby(settings.node(), incarnation, ports::info);
-    this.leadership = new Leadership(settings, ports, replica, incarnation, random, this);
+            sink::info);
+    this.standby = new Standby(settings.node(), incarnation, sink::info);
+    this.leadership = new Leadership(settings, sink, replica, incarnation, random, this);
   }
 
   /** One event, and what time has made due. */
@@ -88,7 +88,7 @@
       step.run();
     } catch (RuntimeException | StackOverflowError e) {
       StackTraceElement[] at = e.getStackTrace();
-      ports.error(what + " failed: " + e + (at.length == 0 ? "" : " at " + at[0]));
+      sink.error(what + " failed: " + e + (at.length == 0 ? "" : " at " + at[0]));
       if (leadership.inOffice()) {
         leadership.giveUp("half an event was taken");
       }
@@ -100,32 +100,32 @@
     replica.at(now);
     leadership.at(now);
     if (event instanceof Event.Replied replied) {
-      ports.replied(replied.call(), replied.reply());
+      sink.replied(replied.call(), replied.reply());
     } else if (event instanceof Event.Reported reported) {
       reported(reported);
     } else if (event instanceof Event.Poll poll) {
-      desk.poll(poll.exchange(), poll.id());
+      jobService.poll(poll.exchange(), poll.id());
     } else if (event instanceof Event.Submit submit) {
-      desk.submit(submit.exchange(), submit.id(), submit.spec(), submit.fault());
+      jobService.submit(submit.exchange(), submit.id(), submit.spec(), submit.fault());
     } else if (event instanceof Event.Cancel cancel) {
-      desk.cancel(cancel.exchange(), cancel.id());
+      jobService.cancel(cancel.exchange(), cancel.id());
     } else if (event instanceof Event.PeerAsked asked) {
-      ports.respond(asked.exchange(), reach.standing());
+      sink.respond(asked.exchange(), reach.standing());
     } else if (event instanceof Event.PeerHeardAsked asked) {
-      ports.respond(
+      sink.respond(
           asked.exchange(), new Answer.Heard(membership.tell(asked.run(), asked.after(), now)));
     } else if (event instanceof Event.StandbyTold told) {
       // A leader that is known to have been replaced is not followed.
       boolean mayFollow =
           leadership.follows()
               && (replica.leader() == null || told.batch().term() >= replica.leader().term());
-      ports.respond(
+      sink.respond(
           told.exchange(), new Answer.StandbyAck(standby.take(told.batch(), mayFollow, now)));
     } else if (event instanceof Event.PeerCancelled told) {
       told.cancellations().forEach(replica::cancelledElsewhere);
-      ports.respond(told.exchange(), new Answer.Noted());
+      sink.respond(told.exchange(), new Answer.Noted());
     } else if (event instanceof Event.ReadyProbe probe) {
-      ports.respond(probe.exchange(), new Answer.Ready(replica.loaded() && !reach.alone()));
+      sink.respond(probe.exchange(), new Answer.Ready(replica.loaded() && !reach.alone()));
     }
   }
 
@@ -135,7 +135,7 @@
     if (scheduler != null) {
       due = Math.min(due, scheduler.passDueMicros());
     }
-    return Math.min(due, desk.dueMicros());
+    return Math.min(due, jobService.dueMicros());
   }
 
   /** Decides what is due now, once for all events that were taken. */
@@ -155,7 +155,7 @@
     }
     claimIfMissed();
     leadership.tick(now);
-    desk.tick(now);
+    jobService.tick(now);
     if (scheduler != null) {
       scheduler.tick(now);
     }
@@ -174,7 +174,7 @@
     String newer = reach.newerLeader(leader == null ? 0 : leader.term());
     String target = newer != null ? newer : leader == null ? null : leader.node();
     if (event.relayed()) {
-      ports.respond(event.exchange(), new Answer.Redirect(null));
+      sink.respond(event.exchange(), new Answer.Redirect(null));
     } else {
       relay.reported(
           event.exchange(), event.report(), settings.node().equals(target) ? null : target, now);
@@ -182,7 +182,7 @@
   }
 
   private void askHeard(String peer, String run, long after, Consumer<Membership.Answer> then) {
-    ports.call(
+    sink.call(
         new Request.PeerHeard(peer, run, after),
         reply ->
             then.accept(
@@ -215,9 +215,9 @@
     Map<String, Object> claimed = Standby.claim(record.value());
     claiming = true;
     standby.stands();
-    ports.info(
+    sink.info(
         "claiming the term of " + leader.node() + ", which is not heard, term=" + leader.term());
-    ports.call(
+    sink.call(
         new Request.StoreTxn(
             List.of(
                 new Request.Condition(Records.LEADER, leader.term()),
@@ -226,10 +226,10 @@
         reply -> {
           claiming = false;
           nextClaimMicros = now + CLAIM_AGAIN_MICROS;
-          ports.info("claim of term " + leader.term() + ": " + reply);
+          sink.info("claim of term " + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(Standby.RECORD, claimed, applied.revision()));
-            ports.call(new Request.LeaseDrop(leader.lease()), dropped -> {});
+            sink.call(new Request.LeaseDrop(leader.lease()), dropped -> {});
           }
         });
   }
@@ -265,13 +265,13 @@
 
   @Override
   public void loaded() {
-    ports.info("node " + settings.node() + " ready");
+    sink.info("node " + settings.node() + " ready");
   }
 
   @Override
   public void tookOffice(long term) {
     scheduler =
-        new Scheduler(settings, ports, replica, leadership, membership, standby, term, random);
+        new Scheduler(settings, sink, replica, leadership, membership, standby, term, random);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/Ports.java
+++ b/src/main/java/org/eiderstair/core/EffectSink.java
@@ -9,7 +9,7 @@
  * Collects effects and remembers what to do with the reply of each call. Continuations run inside
  * the core's one thread, so a reply is handled like any other event.
  */
-final class Ports {
+final class EffectSink {
   private record Pending(Request request, Consumer<Reply> then) {}
 
   private final Consumer<Effect> out;
@@ -17,7 +17,7 @@
   private BiConsumer<Request, Reply> watcher = (request, reply) -> {};
   private long lastCall;
 
-  Ports(Consumer<Effect> out) {
+  EffectSink(Consumer<Effect> out) {
     this.out = out;
   }
 
--- a/src/main/java/org/eiderstair/core/Event.java
+++ b/src/main/java/org/eiderstair/core/Event.java
@@ -1,7 +1,7 @@
 package org.eiderstair.core;
 
 import java.util.List;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.standby.ReplicationBatch;
 
 /** What happens to the core. */
 public sealed interface Event {
@@ -34,7 +34,7 @@
   record PeerHeardAsked(long exchange, String run, long after) implements Event {}
 
   /** A leader tells what changed in its picture. */
-  record StandbyTold(long exchange, Batch batch) implements Event {}
+  record StandbyTold(long exchange, ReplicationBatch batch) implements Event {}
 
   /** A peer tells of cancellations that it has committed. */
   record PeerCancelled(long exchange, List<Cancellation> cancellations) implements Event {}
--- a/src/main/java/org/eiderstair/core/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/FailoverTimeline.java
@@ -19,19 +19,19 @@
 
   private static final long NEVER = -1;
 
-  private final Ports ports;
+  private final EffectSink sink;
   private final long term;
   private final long electedMicros;
   private Phase phase = Phase.CATCHING_UP;
   private int machines;
-  private boolean pictured;
+  private boolean recovered;
   private long caughtUpMicros = NEVER;
   private long halfMicros = NEVER;
   private long mostMicros = NEVER;
   private long launchedMicros = NEVER;
 
-  FailoverTimeline(Ports ports, long term, long electedMicros) {
-    this.ports = ports;
+  FailoverTimeline(EffectSink sink, long term, long electedMicros) {
+    this.sink = sink;
     this.term = term;
     this.electedMicros = electedMicros;
   }
@@ -44,13 +44,13 @@
   private void become(Phase next, long nowMicros) {
     phase = next;
     if (next == Phase.WHOLE) {
-      ports.info(
+      sink.info(
           "take-over WHOLE, term="
               + term
               + ": "
               + machines
               + " machines"
-              + (pictured ? " known from the standby's picture" : "")
+              + (recovered ? " known from the standby's picture" : "")
               + "; ms after the election: caught up "
               + since(caughtUpMicros)
               + ", first launch "
@@ -68,16 +68,16 @@
     return micros == NEVER ? "not yet" : String.valueOf((micros - electedMicros) / 1000);
   }
 
-  void caughtUp(int unheard, boolean withPicture, long nowMicros) {
-    machines = unheard;
-    pictured = withPicture;
+  void caughtUp(int unconfirmed, boolean withPicture, long nowMicros) {
+    machines = unconfirmed;
+    recovered = withPicture;
     caughtUpMicros = nowMicros;
     become(Phase.HEARING, nowMicros);
-    unheard(unheard, nowMicros);
+    unconfirmed(unconfirmed, nowMicros);
   }
 
   /** So many machines have not been heard yet. */
-  void unheard(int left, long nowMicros) {
+  void unconfirmed(int left, long nowMicros) {
     if (phase != Phase.HEARING) {
       return;
     }
--- a/src/main/java/org/eiderstair/core/Desk.java
+++ b/src/main/java/org/eiderstair/core/JobService.java
@@ -12,13 +12,13 @@
  * waits for an outage to end: what cannot be stored or confirmed is answered 503 at once, with when
  * to come back.
  */
-final class Desk {
+final class JobService {
   private static final int RETRY_AFTER_S = 1;
 
   private record Waiting(String id, Consumer<Job> current, Runnable unavailable) {}
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private final Teams limits;
   private final Consumer<Cancellation> committed;
@@ -30,10 +30,11 @@
   /**
    * @param committed is told of each cancellation that this node has committed
    */
-  Desk(Settings settings, Ports ports, Replica replica, Consumer<Cancellation> committed) {
+  JobService(
+      Settings settings, EffectSink sink, Replica replica, Consumer<Cancellation> committed) {
     this.committed = committed;
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
     this.limits = new Teams(settings);
   }
@@ -45,13 +46,13 @@
     }
     Job known = replica.jobs.get(id);
     if (known != null && !known.open()) {
-      ports.respond(exchange, known.view(200));
+      sink.respond(exchange, known.view(200));
       return;
     }
     confirm(
         id,
         job ->
-            ports.respond(
+            sink.respond(
                 exchange, job == null ? new Answer.Failure(404, "no such job", 0) : job.view(200)),
         () -> unavailable(exchange, "cannot confirm"));
   }
@@ -65,11 +66,11 @@
     Job known = replica.jobs.get(id);
     if (known != null) {
       if (!known.open()) {
-        ports.respond(exchange, known.view(200));
+        sink.respond(exchange, known.view(200));
       } else {
         confirm(
             id,
-            job -> ports.respond(exchange, job.view(200)),
+            job -> sink.respond(exchange, job.view(200)),
             () -> unavailable(exchange, "cannot confirm"));
       }
       return;
@@ -83,7 +84,7 @@
       confirm(
           id,
           job ->
-              ports.respond(
+              sink.respond(
                   exchange, job == null ? new Answer.Failure(status, refusal, 0) : job.view(200)),
           () -> unavailable(exchange, "cannot confirm"));
       return;
@@ -123,13 +124,13 @@
     Map<String, Object> value = Records.openJob(spec);
     value.put("at", replica.dayMicros(now));
     String key = Records.jobKey(spec.id());
-    ports.call(
+    sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, value, 0))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, value, applied.revision()));
-            ports.info(
+            sink.info(
                 "job "
                     + spec.id()
                     + " accepted: "
@@ -144,7 +145,7 @@
                     + spec.jobClass()
                     + " of "
                     + spec.team());
-            ports.respond(exchange, replica.jobs.get(spec.id()).view(201));
+            sink.respond(exchange, replica.jobs.get(spec.id()).view(201));
           } else if (reply instanceof Reply.Conflict) {
             read(
                 spec.id(),
@@ -152,7 +153,7 @@
                   if (job == null) {
                     unavailable(exchange, "conflict");
                   } else {
-                    ports.respond(exchange, job.view(200));
+                    sink.respond(exchange, job.view(200));
                   }
                 },
                 () -> unavailable(exchange, "cannot confirm"));
@@ -177,7 +178,7 @@
           id,
           found -> {
             if (found == null || tries <= 0) {
-              ports.respond(exchange, new Answer.Failure(404, "no such job", 0));
+              sink.respond(exchange, new Answer.Failure(404, "no such job", 0));
             } else {
               cancel(exchange, id, tries - 1);
             }
@@ -186,21 +187,21 @@
       return;
     }
     if (!job.open()) {
-      ports.respond(exchange, job.view(200));
+      sink.respond(exchange, job.view(200));
       return;
     }
     String key = Records.jobKey(id);
     Map<String, Object> value =
         Records.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
-    ports.call(
+    sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, job.version())),
             List.of(new Request.Write(key, value, 0))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, value, applied.revision()));
-            ports.info("job " + id + " cancelled");
-            ports.respond(exchange, job.view(200));
+            sink.info("job " + id + " cancelled");
+            sink.respond(exchange, job.view(200));
             committed.accept(new Cancellation(id, applied.revision(), job.view(200).done()));
           } else if (reply instanceof Reply.Conflict && tries > 0) {
             read(
@@ -214,7 +215,7 @@
   }
 
   private void unavailable(long exchange, String why) {
-    ports.respond(exchange, new Answer.Failure(503, why, RETRY_AFTER_S));
+    sink.respond(exchange, new Answer.Failure(503, why, RETRY_AFTER_S));
   }
 
   private void confirm(String id, Consumer<Job> current, Runnable unavailable) {
@@ -251,7 +252,7 @@
     List<Request.Condition> conditions = new ArrayList<>();
     versions.forEach(
         (id, version) -> conditions.add(new Request.Condition(Records.jobKey(id), version)));
-    ports.call(
+    sink.call(
         new Request.StoreTxn(conditions, List.of()),
         reply -> {
           confirming = false;
@@ -276,7 +277,7 @@
   /** Reads the job's key itself; what it shows is current. */
   private void read(String id, Consumer<Job> current, Runnable unavailable) {
     String key = Records.jobKey(id);
-    ports.call(
+    sink.call(
         new Request.StoreGet(key),
         reply -> {
           if (reply instanceof Reply.Found found) {
--- a/src/main/java/org/eiderstair/core/Leadership.java
+++ b/src/main/java/org/eiderstair/core/Leadership.java
@@ -46,7 +46,7 @@
   private static final long COLD_MICROS = 20_000_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private final Listener listener;
   private final String incarnation;
@@ -72,14 +72,14 @@
 
   Leadership(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       Replica replica,
       String incarnation,
       IntUnaryOperator random,
       Listener listener) {
     this.random = random;
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
     this.incarnation = incarnation;
     this.listener = listener;
@@ -182,7 +182,7 @@
       return;
     }
     boolean was = inOffice();
-    ports.info("leadership " + state + " -> " + next + " term=" + term + ": " + why);
+    sink.info("leadership " + state + " -> " + next + " term=" + term + ": " + why);
     state = next;
     if (next == State.FADING) {
       heldSinceMicros = 0;
@@ -205,8 +205,8 @@
       // An earlier run of this very node is certainly dead, so its lease need not run out.
       if (leader.node().equals(settings.node()) && leader.lease() != droppedOwnLease) {
         droppedOwnLease = leader.lease();
-        ports.info("giving up the lease of an earlier run, term=" + leader.term());
-        ports.call(
+        sink.info("giving up the lease of an earlier run, term=" + leader.term());
+        sink.call(
             new Request.LeaseDrop(leader.lease()),
             reply -> {
               if (!(reply instanceof Reply.Applied)) {
@@ -220,7 +220,7 @@
     become(State.GRANTING, "no leader");
     listener.stands();
     long sentMicros = now;
-    ports.call(
+    sink.call(
         new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
         reply -> {
           if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
@@ -238,7 +238,7 @@
   private void create() {
     var value = Records.leader(settings.node(), lease, incarnation);
     long sentMicros = now;
-    ports.call(
+    sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(Records.LEADER, 0)),
             List.of(new Request.Write(Records.LEADER, value, lease))),
@@ -256,7 +256,7 @@
           }
           // With no answer the key may yet appear: ending the lease removes it and makes a late
           // write fail.
-          ports.call(new Request.LeaseDrop(lease), ignored -> {});
+          sink.call(new Request.LeaseDrop(lease), ignored -> {});
           standAfterMicros = now + RETRY_MICROS;
           become(State.FOLLOWING, "not elected: " + reply);
         });
@@ -269,7 +269,7 @@
     touching = true;
     long sentMicros = now;
     long touchedTerm = term;
-    ports.call(
+    sink.call(
         new Request.LeaseTouch(lease),
         reply -> {
           touching = false;
@@ -302,7 +302,7 @@
       return;
     }
     long sentMicros = now;
-    ports.call(
+    sink.call(
         new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term)), List.of()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
@@ -314,7 +314,7 @@
   /** The leader key was seen to belong to another, or a worker showed a newer token. */
   void deposed(String why) {
     if (inOffice()) {
-      ports.call(new Request.LeaseDrop(lease), ignored -> {});
+      sink.call(new Request.LeaseDrop(lease), ignored -> {});
       become(State.FOLLOWING, why);
     }
   }
--- a/src/main/java/org/eiderstair/core/Machine.java
+++ b/src/main/java/org/eiderstair/core/Machine.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.eiderstair.core.member.Survey;
+import org.eiderstair.core.membership.ReachabilityClassifier;
 
 /** A machine as the leader of one term knows it: what may be on it, and how sure that is. */
-final class Machine implements Survey.Member {
+final class Machine implements ReachabilityClassifier.Member {
 
   /**
-   * BOOTING was rented and has not reported. UNHEARD may hold work of earlier terms. PICTURED has
-   * not been heard in this term, but holds no more than what this node was told as the standby of
-   * the last. HEARD has shown our token. FENCING got a command whose fate is unknown. LOST has had
-   * no answer for so long that its lease is over, so nothing is on it. GONE is deleted.
+   * BOOTING was rented and has not reported. UNCONFIRMED may hold work of earlier terms. RECOVERED
+   * has not been heard in this term, but holds no more than what this node was told as the standby
+   * of the last. HEARD has shown our token. FENCING got a command whose fate is unknown. LOST has
+   * had no answer for so long that its lease is over, so nothing is on it. GONE is deleted.
    */
   enum Phase {
     BOOTING,
-    UNHEARD,
-    PICTURED,
+    UNCONFIRMED,
+    RECOVERED,
     HEARD,
     FENCING,
     LOST,
@@ -59,7 +59,7 @@
   final List<Attempt> queue = new ArrayList<>();
 
   /** Entries to be killed or forgotten that no attempt stands for. */
-  final Map<TaskId, Order> strays = new HashMap<>();
+  final Map<TaskId, Order> orphans = new HashMap<>();
 
   /** Ended entries that may be forgotten: their outcome is durable, or needs no record. */
   final Map<TaskId, Order.Reap> reaps = new HashMap<>();
@@ -148,7 +148,7 @@
 
   @Override
   public boolean holdsBack() {
-    return phase == Phase.UNHEARD;
+    return phase == Phase.UNCONFIRMED;
   }
 
   long token() {
@@ -166,7 +166,7 @@
 
   /** Whether all that may be on it and its session are known, so that it can be given work. */
   boolean known() {
-    return phase == Phase.HEARD || phase == Phase.PICTURED && session > 0;
+    return phase == Phase.HEARD || phase == Phase.RECOVERED && session > 0;
   }
 
   private double freeCpus;
@@ -199,7 +199,7 @@
 
   /** None does while something unknown is here, since nobody knows what room that takes. */
   boolean fits(JobSpec spec) {
-    return strays.isEmpty()
+    return orphans.isEmpty()
         && spec.cpus() <= freeCpus + 1e-6
         && spec.accelerators() <= freeAccelerators + 1e-6
         && spec.memoryGb() <= freeMemory + 1e-6;
@@ -240,7 +240,7 @@
   }
 
   boolean hasRoom() {
-    return strays.isEmpty() && freeCpus > 1e-6 && freeMemory > 1e-6;
+    return orphans.isEmpty() && freeCpus > 1e-6 && freeMemory > 1e-6;
   }
 
   boolean allows(JobSpec spec) {
--- a/src/main/java/org/eiderstair/core/Placement.java
+++ b/src/main/java/org/eiderstair/core/Placement.java
@@ -26,7 +26,7 @@
   private static final long PREEMPT_AFTER_MICROS = 60_000_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private final WorkerManager workers;
   private final TokenList tokens;
@@ -44,11 +44,11 @@
   private final List<JobSpec> unplaceable = new ArrayList<>();
 
   private long steps;
-  private final LeftBehind leftBehind;
+  private final StarvationGuard leftBehind;
 
   Placement(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       Replica replica,
       WorkerManager workers,
       TokenList tokens,
@@ -58,14 +58,14 @@
       IntUnaryOperator random) {
     this.demand = demand;
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
     this.workers = workers;
     this.tokens = tokens;
     this.teams = teams;
     this.term = term;
     this.random = random;
-    this.leftBehind = new LeftBehind(what -> ports.info(what + ", term=" + term));
+    this.leftBehind = new StarvationGuard(what -> sink.info(what + ", term=" + term));
     workers.begun(leftBehind::begun);
   }
 
@@ -75,41 +75,41 @@
   }
 
   /**
-   * What unheard machines may hold for each team: no more than the tasks of its older jobs that are
-   * neither done nor seen, nor more than those machines' room. Of cancelled jobs, all that a worker
-   * may still run counts; after {@code cancel_s} nothing of one is anywhere. A finished job has
-   * nothing left to run.
+   * What unconfirmed machines may hold for each team: no more than the tasks of its older jobs that
+   * are neither done nor seen, nor more than those machines' room. Of cancelled jobs, all that a
+   * worker may still run counts; after {@code cancel_s} nothing of one is anywhere. A finished job
+   * has nothing left to run.
    */
   private void measureUnheard(long nowMicros) {
     teams.forgetUnheard();
-    if (workers.unheard().isEmpty()) {
+    if (workers.unconfirmed().isEmpty()) {
       return;
     }
     double cpus = 0;
     double accelerators = 0;
-    for (Machine m : workers.unheard()) {
+    for (Machine m : workers.unconfirmed()) {
       cpus += m.type == null ? Double.MAX_VALUE : m.type.cpus();
       accelerators += m.type == null ? Double.MAX_VALUE : m.type.accelerators();
     }
     for (Job job : replica.open.values()) {
       if (job.version() < term) {
-        teams.unheard(job.spec(), job.waiting());
+        teams.unconfirmed(job.spec(), job.waiting());
       }
     }
     for (Job job : replica.cancelledLately(nowMicros)) {
-      teams.unheard(job.spec(), job.tasks());
+      teams.unconfirmed(job.spec(), job.tasks());
     }
     teams.capUnheard(cpus, accelerators);
   }
 
   /** Jobs with something to place now, in the order of service. */
   List<Job> order(long nowMicros) {
-    boolean unheard = !workers.unheard().isEmpty();
+    boolean unconfirmed = !workers.unconfirmed().isEmpty();
     List<Job> jobs = new ArrayList<>();
     steps += replica.open.size();
     for (Job job : replica.open.values()) {
       job.rank = rank(job);
-      boolean heldBack = unheard && job.version() < term;
+      boolean heldBack = unconfirmed && job.version() < term;
       if (!heldBack && nowMicros >= job.notBeforeMicros && (job.waiting() > 0 || job.hasQueued())) {
         jobs.add(job);
       }
@@ -192,7 +192,7 @@
     return "machines "
         + workers.machines().size()
         + ", unheard "
-        + workers.unheard().size()
+        + workers.unconfirmed().size()
         + ", tokens "
         + tokens.all().size()
         + ", free cpus "
@@ -270,7 +270,7 @@
       workers.killSoon(victim.machine);
       needed -= victim.spec.cpus();
       kills++;
-      ports.info(
+      sink.info(
           "stopping "
               + victim.task()
               + " on "
--- a/src/main/java/org/eiderstair/core/ReachMonitor.java
+++ b/src/main/java/org/eiderstair/core/ReachMonitor.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core;
 
-import org.eiderstair.core.member.Membership;
+import org.eiderstair.core.membership.Membership;
 
 /** Whether the machines still reach this leader, as far as their reports tell. */
 final class ReachMonitor {
--- a/src/main/java/org/eiderstair/core/Records.java
+++ b/src/main/java/org/eiderstair/core/Records.java
@@ -23,7 +23,7 @@
   /** Open rentals and returns; their form is the duties' own. */
   static final String DUTY = "e/duty/";
 
-  /** Never dropped; its version is a condition of every transaction of the ledger. */
+  /** Never dropped; its version is a condition of every transaction of the stateWriter. */
   static final String BARRIER = "e/duty/barrier";
 
   private Records() {}
--- a/src/main/java/org/eiderstair/core/Relay.java
+++ b/src/main/java/org/eiderstair/core/Relay.java
@@ -36,7 +36,7 @@
 
   private record Visitor(State state, String leader, long sinceMicros) {}
 
-  private final Ports ports;
+  private final EffectSink sink;
   private long unreachedUntilMicros;
   private final Map<String, Visitor> visitors = new HashMap<>();
   private Reach reach = Reach.REACHED;
@@ -45,13 +45,13 @@
   private long countedSinceMicros;
   private long believedUntilMicros;
 
-  Relay(Ports ports) {
-    this.ports = ports;
+  Relay(EffectSink sink) {
+    this.sink = sink;
   }
 
   void reported(long exchange, MachineReport report, String leader, long nowMicros) {
     if (leader == null) {
-      ports.respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
       return;
     }
     Visitor next = next(report.machine(), leader, nowMicros);
@@ -60,24 +60,24 @@
       visitors.values().removeIf(v -> nowMicros > v.sinceMicros() + FORGET_MICROS);
     }
     if (next.state() == State.REDIRECTED) {
-      ports.respond(exchange, new Answer.Redirect(leader));
+      sink.respond(exchange, new Answer.Redirect(leader));
       return;
     }
     if (nowMicros < unreachedUntilMicros) {
-      ports.respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
       return;
     }
-    ports.call(
+    sink.call(
         new Request.PeerRelay(leader, report),
         reply -> {
           if (reply instanceof Reply.Relayed relayed) {
-            ports.respond(exchange, relayed.answer());
+            sink.respond(exchange, relayed.answer());
             return;
           }
           // When the leader has crashed, every worker comes here: one try tells, the rest would
           // only cost time.
           unreachedUntilMicros = nowMicros + UNREACHED_MICROS;
-          ports.respond(exchange, new Answer.Redirect(null));
+          sink.respond(exchange, new Answer.Redirect(null));
         });
   }
 
@@ -101,7 +101,7 @@
   private void become(Reach next) {
     if (next != reach) {
       reach = next;
-      ports.info("workers here: leader " + judged + " is " + next);
+      sink.info("workers here: leader " + judged + " is " + next);
     }
   }
 
@@ -123,7 +123,7 @@
         && last.state() == State.REDIRECTED
         && nowMicros < last.sinceMicros() + BACK_SOON_MICROS) {
       cameBack(leader, nowMicros);
-      ports.debug("machine " + machine + " is back soon from " + leader + ": relaying its reports");
+      sink.debug("machine " + machine + " is back soon from " + leader + ": relaying its reports");
       return new Visitor(State.RELAYED, leader, nowMicros);
     }
     return new Visitor(
--- a/src/main/java/org/eiderstair/core/Replica.java
+++ b/src/main/java/org/eiderstair/core/Replica.java
@@ -12,7 +12,7 @@
 
 /**
  * This node's copy of the state service's keys, loaded once and kept by one watch. It may be old,
- * so only final states are told to users from it without asking (see {@link Desk}).
+ * so only final states are told to users from it without asking (see {@link JobService}).
  */
 final class Replica {
   private static final int PAGE = 500;
@@ -53,7 +53,7 @@
       String machine, String address, String type, String zone, boolean spot, long version) {}
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Listener listener;
   private final long dayOffsetMicros;
   private State state = State.IDLE;
@@ -95,10 +95,10 @@
   private List<MachineType> catalog = List.of();
   private long catalogVersion;
 
-  Replica(Settings settings, Ports ports, Listener listener, long dayOffsetMicros) {
+  Replica(Settings settings, EffectSink sink, Listener listener, long dayOffsetMicros) {
     this.dayOffsetMicros = dayOffsetMicros;
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.listener = listener;
   }
 
@@ -166,7 +166,7 @@
         && retryWatchAt == 0
         && !proofs.isEmpty()
         && nowMicros >= Math.max(watchSentMicros, proofs.peekFirst().sentMicros()) + STUCK_MICROS) {
-      ports.info(
+      sink.info(
           "watch after revision "
               + revision
               + " is silent though there is revision "
@@ -201,7 +201,7 @@
   }
 
   private void loadPage(String after) {
-    ports.call(
+    sink.call(
         new Request.StoreList(Records.ROOT, after, PAGE),
         reply -> {
           if (!(reply instanceof Reply.Listed listed)) {
@@ -228,7 +228,7 @@
           boolean first = !everLoaded;
           everLoaded = true;
           if (first) {
-            ports.info(
+            sink.info(
                 "replica loaded: revision "
                     + revision
                     + ", "
@@ -264,7 +264,7 @@
     long number = ++watchNumber;
     long sentMicros = now;
     watchSentMicros = now;
-    ports.call(
+    sink.call(
         new Request.StoreWatch(Records.ROOT, revision, HOLD_MICROS),
         reply -> {
           if (number != watchNumber) {
@@ -280,7 +280,7 @@
             retryWatchAt = now + (changed.changes().isEmpty() ? 0 : settings.gatherMicros());
             retry(now);
           } else if (reply instanceof Reply.Refused refused && refused.status() == 410) {
-            ports.info("watch fell behind revision " + revision + ": reading all keys again");
+            sink.info("watch fell behind revision " + revision + ": reading all keys again");
             become(State.IDLE, now - RETRY_MICROS);
           } else {
             // Refused or lost: the same revision may be watched again, only not at once.
@@ -323,7 +323,7 @@
     } catch (RuntimeException e) {
       // Guards against a value written by a broken or much newer version: one bad key must not stop
       // the node.
-      ports.error("unreadable value of " + key + ": " + e);
+      sink.error("unreadable value of " + key + ": " + e);
     }
   }
 
@@ -424,7 +424,7 @@
     if (job == null) {
       // A job's key sorts before its progress, and is older; it must have been seen.
       if (item.value() != null) {
-        ports.debug("progress of unknown job " + id);
+        sink.debug("progress of unknown job " + id);
       }
       return;
     }
--- a/src/main/java/org/eiderstair/core/Reply.java
+++ b/src/main/java/org/eiderstair/core/Reply.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.member.Hearing;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.membership.HeartbeatDigest;
+import org.eiderstair.core.standby.ReplicationBatch;
 
 /** What came of a {@link Request}. */
 public sealed interface Reply {
@@ -55,10 +55,10 @@
   record PeerStanding(boolean served, String leader, long term) implements Reply {}
 
   /** Which machines a peer hears by itself. */
-  record PeerHeard(Hearing hearing) implements Reply {}
+  record PeerHeard(HeartbeatDigest hearing) implements Reply {}
 
   /** What a peer says to changes of the leader's picture. */
-  record StandbyAck(Batch.Ack ack) implements Reply {}
+  record StandbyAck(ReplicationBatch.Ack ack) implements Reply {}
 
   /** The leader's answer to a report that was passed on. */
   record Relayed(Answer answer) implements Reply {}
--- a/src/main/java/org/eiderstair/core/ReportHandler.java
+++ b/src/main/java/org/eiderstair/core/ReportHandler.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Set;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -15,11 +15,11 @@
   private static final long FAILURE_PAUSE_MICROS = 1_000_000;
   private static final long LONGEST_PAUSE_MICROS = 60_000_000;
 
-  private final Ports ports;
+  private final EffectSink sink;
   private final LeaderTime time;
   private final Replica replica;
   private final Leadership leadership;
-  private final Ledger ledger;
+  private final StateWriter stateWriter;
   private final TokenList tokens;
   private final Standby standby;
   private final WorkerRegistry registry;
@@ -29,11 +29,11 @@
   private final long term;
 
   ReportHandler(
-      Ports ports,
+      EffectSink sink,
       LeaderTime time,
       Replica replica,
       Leadership leadership,
-      Ledger ledger,
+      StateWriter stateWriter,
       TokenList tokens,
       Standby standby,
       WorkerRegistry registry,
@@ -41,11 +41,11 @@
       CommandDispatcher dispatcher,
       ReachMonitor reach,
       long term) {
-    this.ports = ports;
+    this.sink = sink;
     this.time = time;
     this.replica = replica;
     this.leadership = leadership;
-    this.ledger = ledger;
+    this.stateWriter = stateWriter;
     this.tokens = tokens;
     this.standby = standby;
     this.registry = registry;
@@ -63,17 +63,17 @@
    */
   void reported(long exchange, MachineReport report, boolean relayed) {
     if (report.token() >> 20 > term) {
-      ports.respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
       leadership.deposed("machine " + report.machine() + " has seen token " + report.token());
       return;
     }
     if (registry.isGone(report.machine())) {
-      ports.respond(exchange, new Answer.Failure(503, "machine was deleted", 0));
+      sink.respond(exchange, new Answer.Failure(503, "machine was deleted", 0));
       return;
     }
     Machine m = registry.machines().get(report.machine());
     if (m == null) {
-      ports.info("machine " + report.machine() + " appeared, term=" + term);
+      sink.info("machine " + report.machine() + " appeared, term=" + term);
       m =
           registry.expect(
               report.machine(), report.address(), report.type(), report.zone(), report.spot());
@@ -93,11 +93,11 @@
       registry.describe(m, report.address(), report.type(), report.zone(), report.spot());
     }
     if (!m.rostered && m.plan != Machine.Plan.DELETE) {
-      ledger.enrol(m);
+      stateWriter.register(m);
     }
     m.relayed = relayed;
     absorb(m, report, true, !m.commandInFlight);
-    if (m.phase == Machine.Phase.UNHEARD) {
+    if (m.phase == Machine.Phase.UNCONFIRMED) {
       // The answer shows it our token, and it reports again at once: asking would only cost time.
       dispatcher.tellsItself(m);
     }
@@ -116,7 +116,7 @@
     }
     m.heardMicros = time.nowMicros();
     if (report.session() > m.session && m.session > 0) {
-      ports.info(
+      sink.info(
           "machine "
               + m.id
               + " lost its lease and began session "
@@ -131,12 +131,12 @@
       registry.answered(m);
     }
     if (report.session() != m.session) {
-      standby.change(new Batch.Change(true, m.id, report.session(), "", 0, 0));
+      standby.change(new ReplicationBatch.Change(true, m.id, report.session(), "", 0, 0));
     }
     m.session = report.session();
     m.sequence = report.sequence();
     if (report.noticeMicros() != MachineReport.NO_NOTICE && m.plan == Machine.Plan.USE) {
-      ports.info("machine " + m.id + " has notice, term=" + term);
+      sink.info("machine " + m.id + " has notice, term=" + term);
       drain(m);
       saveProgress(m, report.noticeMicros());
     }
@@ -145,14 +145,14 @@
       boolean fenced = m.phase == Machine.Phase.FENCING;
       registry.become(m, Machine.Phase.HEARD);
       if (!fenced) {
-        ports.info("machine " + m.id + " heard, term=" + term);
+        sink.info("machine " + m.id + " heard, term=" + term);
         registry.answered(m);
         m.idleSinceMicros = time.nowMicros();
       }
     }
     if (!truth
-        && (m.phase == Machine.Phase.UNHEARD
-            || m.phase == Machine.Phase.PICTURED
+        && (m.phase == Machine.Phase.UNCONFIRMED
+            || m.phase == Machine.Phase.RECOVERED
             || m.phase == Machine.Phase.FENCING)) {
       // Older commands may still arrive there; what it shows proves nothing yet.
       return;
@@ -173,14 +173,14 @@
    * never booted.
    */
   private void holdNoLongerThanItsLease(Machine m) {
-    ports.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
+    sink.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
     registry.become(m, Machine.Phase.FENCING);
     registry.answered(m);
   }
 
   private void readEntries(
       Machine m, MachineReport report, boolean settlesAnswers, boolean settlesCommands) {
-    m.strays.clear();
+    m.orphans.clear();
     m.reaps.clear();
     Set<TaskId> shown = new HashSet<>();
     for (MachineReport.Entry entry : report.tasks()) {
@@ -240,11 +240,11 @@
       if (job != null && !job.open() && known == null && job.spec() != null) {
         adopt(m, job, entry);
       } else {
-        m.strays.put(entry.task(), new Order.Kill(entry.task(), entry.attempt(), 0));
+        m.orphans.put(entry.task(), new Order.Kill(entry.task(), entry.attempt(), 0));
       }
       return;
     }
-    ports.debug("task " + entry.task() + " found on " + m.id + ", term=" + term);
+    sink.debug("task " + entry.task() + " found on " + m.id + ", term=" + term);
     adopt(m, job, entry);
     noteRunning(job);
   }
@@ -262,7 +262,7 @@
 
   private void noteRunning(Job job) {
     if (job.open() && job.shownRunning == 0) {
-      ledger.progressed(job);
+      stateWriter.progressed(job);
     }
   }
 
@@ -288,9 +288,9 @@
         boolean all =
             job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
         if (all) {
-          ledger.finished(job);
+          stateWriter.finished(job);
         } else {
-          ledger.progressed(job);
+          stateWriter.progressed(job);
         }
       }
       // Forgotten only once durable: until then the machine's own record is the only proof.
@@ -306,8 +306,7 @@
     switch (entry.exit()) {
       case ERROR -> failed(m, job, task);
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-        ports.debug(
-            "task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
+        sink.debug("task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
         m.holdUntilMicros = time.nowMicros() + 1_000_000;
         tokens.remove(m);
       }
@@ -317,7 +316,7 @@
 
   /** Tells a machine that fails everything from a job that fails everywhere. */
   private void failed(Machine m, Job job, TaskId task) {
-    ports.info("task " + task + " failed on " + m.id + ", term=" + term);
+    sink.info("task " + task + " failed on " + m.id + ", term=" + term);
     boolean again = !job.failedOn.add(m.id);
     if ((again || job.failedOn.size() > 1) && time.nowMicros() >= job.notBeforeMicros) {
       job.failedRounds++;
@@ -334,7 +333,7 @@
         m.failedJobs.size() >= 2 && m.errorsInRow >= 3
             || job.failedOn.size() == 1 && m.errorsInRow >= 6;
     if (faulty && m.plan == Machine.Plan.USE) {
-      ports.info(
+      sink.info(
           "machine "
               + m.id
               + " fails the tasks of "
--- a/src/main/java/org/eiderstair/core/Request.java
+++ b/src/main/java/org/eiderstair/core/Request.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.standby.ReplicationBatch;
 
 /** What the core asks of the world. Each gets exactly one {@link Reply}. */
 public sealed interface Request {
@@ -63,7 +63,7 @@
   record PeerHeard(String peer, String run, long after) implements Request {}
 
   /** Tells a peer what changed in the leader's picture. */
-  record PeerStandby(String peer, Batch batch) implements Request {}
+  record PeerStandby(String peer, ReplicationBatch batch) implements Request {}
 
   /** Tells a peer of cancellations that this node has committed. */
   record PeerCancelled(String peer, List<Cancellation> cancellations) implements Request {}
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -7,15 +7,15 @@
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
 import java.util.function.LongConsumer;
-import org.eiderstair.core.member.Membership;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.core.standby.Standby;
 
 /**
  * Everything that a leader does in one term. A new term starts with a new one: nothing is carried
  * over.
  */
-final class Scheduler implements Ledger.Listener {
+final class Scheduler implements StateWriter.Listener {
   private static final long PASS_GAP_MICROS = 30_000;
   private static final long BUSY_MICROS = 60_000;
   private static final long QUIET_PASS_MICROS = 1_000_000;
@@ -28,14 +28,14 @@
   private final Settings settings;
   private final Standby standby;
   private final Membership membership;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Leadership leadership;
   private final Replica replica;
-  private final Ledger ledger;
+  private final StateWriter stateWriter;
   private final TokenList tokens;
   private final WorkerManager workers;
   private final Placement placement;
-  private final Renting renting;
+  private final CapacityManager capacity;
   private final long term;
   private boolean started;
   private long electedMicros;
@@ -46,7 +46,7 @@
 
   Scheduler(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       Replica replica,
       Leadership leadership,
       Membership membership,
@@ -56,37 +56,37 @@
     this.settings = settings;
     this.standby = standby;
     this.membership = membership;
-    this.ports = ports;
+    this.sink = sink;
     this.leadership = leadership;
     this.replica = replica;
     this.term = term;
-    this.ledger = new Ledger(settings, ports, replica, term, this);
+    this.stateWriter = new StateWriter(settings, sink, replica, term, this);
     this.tokens = new TokenList(settings.tuning().tokenListSize());
     Teams teams = new Teams(settings);
     this.workers =
         new WorkerManager(
-            settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
+            settings, sink, replica, leadership, stateWriter, tokens, teams, standby, term);
     Demand demand = new Demand(settings, replica);
     this.placement =
-        new Placement(settings, ports, replica, workers, tokens, teams, term, demand, random);
-    this.renting =
-        new Renting(
-            settings, ports, replica, workers, leadership, ledger, demand, membership, term);
+        new Placement(settings, sink, replica, workers, tokens, teams, term, demand, random);
+    this.capacity =
+        new CapacityManager(
+            settings, sink, replica, workers, leadership, stateWriter, demand, membership, term);
   }
 
   void close() {
-    ledger.close();
+    stateWriter.close();
     workers.close();
     // After the fleet: launches that the standby withholds now are told that the term is over.
     standby.leaves();
-    renting.close();
+    capacity.close();
   }
 
   void reported(long exchange, MachineReport report, boolean relayed, long nowMicros) {
     if (started) {
       workers.reported(exchange, report, relayed, nowMicros);
     } else {
-      ports.respond(exchange, new Answer.Failure(503, "taking over", 0));
+      sink.respond(exchange, new Answer.Failure(503, "taking over", 0));
     }
   }
 
@@ -111,7 +111,7 @@
       started = true;
       replica.jobs.values().forEach(Job::forgetPlaces);
       inherit();
-      renting.takeOver(now);
+      capacity.takeOver(now);
       membership.begin(now);
     }
     // Passes are due soon after every event: one that is late says that there is more to do than
@@ -125,7 +125,7 @@
       }
     }
     boolean unreached = workers.reach().unreached();
-    membership.tick(unreached || renting.missesMachines(), now);
+    membership.tick(unreached || capacity.missesMachines(), now);
     int heardByPeers = unreached ? workers.reach().heardBy(membership) : 0;
     if (heardByPeers >= HANDED_OVER) {
       // Whoever stands next hears them: sooner than by this node's patience, which is for machines
@@ -139,22 +139,22 @@
     }
     if (now >= nextSummaryMicros) {
       nextSummaryMicros = now + SUMMARY_EVERY_MICROS;
-      ports.info(
+      sink.info(
           "leading, term="
               + term
               + ": "
               + placement.summary(now)
               + "; "
-              + renting.summary()
+              + capacity.summary()
               + "; standby "
               + standby.summary());
     }
     standby.tick(now);
-    renting.tick(now);
+    capacity.tick(now);
     if (now >= passDueMicros()) {
       pass();
     }
-    ledger.tick(now);
+    stateWriter.tick(now);
   }
 
   /**
@@ -192,24 +192,24 @@
   private final class StandbyHost implements Standby.Host {
     @Override
     public boolean whole() {
-      return workers.unheard().isEmpty();
+      return workers.unconfirmed().isEmpty();
     }
 
     @Override
-    public void snapshot(Consumer<Batch.Change> each) {
+    public void snapshot(Consumer<ReplicationBatch.Change> each) {
       workers.snapshot(each);
     }
 
     @Override
-    public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {
-      ports.call(
+    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {
+      sink.call(
           new Request.PeerStandby(peer, batch),
           reply -> then.accept(reply instanceof Reply.StandbyAck acked ? acked.ack() : null));
     }
 
     @Override
     public void write(long version, Map<String, Object> record, LongConsumer then) {
-      ports.call(
+      sink.call(
           new Request.StoreTxn(
               List.of(
                   new Request.Condition(Records.LEADER, term),
@@ -227,7 +227,7 @@
 
     @Override
     public void read(BiConsumer<Long, Map<String, Object>> then) {
-      ports.call(
+      sink.call(
           new Request.StoreGet(Standby.RECORD),
           reply -> {
             if (reply instanceof Reply.Found found) {
@@ -246,7 +246,7 @@
 
     @Override
     public void info(String text) {
-      ports.info(text);
+      sink.info(text);
     }
   }
 
@@ -279,6 +279,6 @@
   @Override
   public void rosterWritten(String machine) {
     workers.rostered(machine);
-    renting.rostered(machine);
+    capacity.rostered(machine);
   }
 }
--- a/src/main/java/org/eiderstair/core/LeftBehind.java
+++ b/src/main/java/org/eiderstair/core/StarvationGuard.java
@@ -19,7 +19,7 @@
  * nothing is stopped for it; as long as every class and team is served, this changes nothing.
  * docs/design.md, "Nobody left behind".
  */
-final class LeftBehind {
+final class StarvationGuard {
   private static final long EVERY_MICROS = 1_000_000;
 
   /** A machine's boot, and a burst, are no reason yet. */
@@ -63,7 +63,7 @@
   private Set<String> behind = Set.of();
   private long measuredMicros;
 
-  LeftBehind(Consumer<String> log) {
+  StarvationGuard(Consumer<String> log) {
     this.log = log;
   }
 
--- a/src/main/java/org/eiderstair/core/StateReach.java
+++ b/src/main/java/org/eiderstair/core/StateReach.java
@@ -27,7 +27,7 @@
   private static final long BELIEVE_MICROS = 3_500_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private State state = State.SERVED;
   private long now;
@@ -38,9 +38,9 @@
   private String leader;
   private long leaderTerm;
 
-  StateReach(Settings settings, Ports ports, Replica replica) {
+  StateReach(Settings settings, EffectSink sink, Replica replica) {
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
   }
 
@@ -94,7 +94,7 @@
     }
     if (now >= nextProbeMicros) {
       nextProbeMicros = now + PROBE_AFTER_MICROS;
-      ports.call(new Request.StoreGet(Records.LEADER), reply -> {});
+      sink.call(new Request.StoreGet(Records.LEADER), reply -> {});
     }
     if (now < servedMicros + DOUBT_AFTER_MICROS) {
       return;
@@ -109,7 +109,7 @@
   }
 
   private void ask(String peer) {
-    ports.call(
+    sink.call(
         new Request.PeerAsk(peer),
         reply -> {
           if (state != State.SERVED
@@ -128,7 +128,7 @@
   /** The one function for every change of state. */
   private void become(State next) {
     if (next != state) {
-      ports.info("state service: " + state + " -> " + next);
+      sink.info("state service: " + state + " -> " + next);
       state = next;
     }
   }
--- a/src/main/java/org/eiderstair/core/Ledger.java
+++ b/src/main/java/org/eiderstair/core/StateWriter.java
@@ -18,7 +18,7 @@
  * and would bring back a machine long gone. So the barrier is written anew first; from then on all
  * earlier transactions of this term fail, and what is read is the truth.
  */
-final class Ledger {
+final class StateWriter {
   private static final long PROGRESS_EVERY_MICROS = 500_000;
 
   /**
@@ -54,7 +54,7 @@
   }
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
   private final Listener listener;
   private final long term;
@@ -73,7 +73,7 @@
 
   private final Map<String, Job> finished = new LinkedHashMap<>();
   private final Map<String, Job> progressed = new LinkedHashMap<>();
-  private final Map<String, Machine> enrol = new LinkedHashMap<>();
+  private final Map<String, Machine> register = new LinkedHashMap<>();
   private final Map<String, Boolean> strike = new LinkedHashMap<>();
 
   /** Single keys of the duties, written before what they announce is done. */
@@ -82,9 +82,9 @@
   /** A value to be written, null to drop the key, and who waits for that. */
   private record Note(Map<String, Object> value, List<Runnable> durable) {}
 
-  Ledger(Settings settings, Ports ports, Replica replica, long term, Listener listener) {
+  StateWriter(Settings settings, EffectSink sink, Replica replica, long term, Listener listener) {
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
     this.term = term;
     this.listener = listener;
@@ -106,13 +106,13 @@
     }
   }
 
-  void enrol(Machine machine) {
-    enrol.put(machine.id, machine);
+  void register(Machine machine) {
+    register.put(machine.id, machine);
     strike.remove(machine.id);
   }
 
   void strike(String machine) {
-    enrol.remove(machine);
+    register.remove(machine);
     if (replica.roster.containsKey(machine)) {
       strike.put(machine, true);
     }
@@ -162,7 +162,7 @@
   private void send(
       List<Request.Condition> conditions, List<Request.Write> changes, Consumer<Reply> then) {
     long sentMicros = now;
-    ports.call(
+    sink.call(
         new Request.StoreTxn(conditions, changes),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
@@ -273,7 +273,7 @@
       List<Request.Condition> conditions,
       List<Request.Write> changes,
       List<Runnable> after) {
-    for (Machine m : new ArrayList<>(enrol.values())) {
+    for (Machine m : new ArrayList<>(register.values())) {
       if (room < 1) {
         return 0;
       }
@@ -286,7 +286,7 @@
       room--;
       after.add(
           () -> {
-            enrol.remove(m.id);
+            register.remove(m.id);
             listener.rosterWritten(m.id);
           });
     }
@@ -358,7 +358,7 @@
       }
       after.forEach(Runnable::run);
     } else if (reply instanceof Reply.Conflict conflict) {
-      ports.debug("ledger conflict on " + conflict.failed() + " term=" + term);
+      sink.debug("ledger conflict on " + conflict.failed() + " term=" + term);
       refresh(conflict.failed());
     } else if (reply instanceof Reply.Lost) {
       doubted = conditions.stream().map(Request.Condition::key).toList();
@@ -373,7 +373,7 @@
     reading = keys.size();
     readFailed = false;
     for (String key : keys) {
-      ports.call(
+      sink.call(
           new Request.StoreGet(key),
           reply -> {
             if (closed) {
--- a/src/main/java/org/eiderstair/core/Teams.java
+++ b/src/main/java/org/eiderstair/core/Teams.java
@@ -25,7 +25,7 @@
   private final Map<String, Use> uses = new HashMap<>();
 
   /** What machines that this term has not heard could be running, by team. */
-  private final Map<String, Use> unheard = new HashMap<>();
+  private final Map<String, Use> unconfirmed = new HashMap<>();
 
   Teams(Settings settings) {
     this.settings = settings;
@@ -39,19 +39,19 @@
   }
 
   void forgetUnheard() {
-    unheard.clear();
+    unconfirmed.clear();
   }
 
   /** So many tasks may be on machines that have not been heard. */
-  void unheard(JobSpec spec, int tasks) {
-    Use use = unheard.computeIfAbsent(spec.team(), t -> new Use());
+  void unconfirmed(JobSpec spec, int tasks) {
+    Use use = unconfirmed.computeIfAbsent(spec.team(), t -> new Use());
     use.cpus += spec.cpus() * tasks;
     use.accelerators += spec.accelerators() * tasks;
   }
 
   /** No team can have more there than those machines hold. */
   void capUnheard(double cpus, double accelerators) {
-    for (Use use : unheard.values()) {
+    for (Use use : unconfirmed.values()) {
       use.cpus = Math.min(use.cpus, cpus);
       use.accelerators = Math.min(use.accelerators, accelerators);
     }
@@ -66,20 +66,20 @@
     return cpus;
   }
 
-  /** What a team uses, without what unheard machines may hold. */
+  /** What a team uses, without what unconfirmed machines may hold. */
   double cpus(String team) {
     Use use = uses.get(team);
     return use == null ? 0 : use.cpus;
   }
 
-  /** Whether one more task keeps the team's limit, whatever unheard machines may hold. */
+  /** Whether one more task keeps the team's limit, whatever unconfirmed machines may hold. */
   boolean allowsOneMore(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     if (team == null) {
       return false;
     }
     Use use = uses.getOrDefault(spec.team(), NONE);
-    Use hidden = unheard.getOrDefault(spec.team(), NONE);
+    Use hidden = unconfirmed.getOrDefault(spec.team(), NONE);
     double cpus = use.cpus + hidden.cpus + spec.cpus();
     double accelerators = use.accelerators + hidden.accelerators + spec.accelerators();
     return (team.cpusMax() <= 0 || cpus <= team.cpusMax() + ROUNDING)
--- a/src/main/java/org/eiderstair/core/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/WorkerManager.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -18,9 +18,9 @@
   private static final long LEASE_MARGIN_MICROS = 1_500_000;
 
   private final Settings settings;
-  private final Ports ports;
+  private final EffectSink sink;
   private final Replica replica;
-  private final Ledger ledger;
+  private final StateWriter stateWriter;
   private final TokenList tokens;
   private final Standby standby;
   private final long term;
@@ -34,34 +34,34 @@
 
   WorkerManager(
       Settings settings,
-      Ports ports,
+      EffectSink sink,
       Replica replica,
       Leadership leadership,
-      Ledger ledger,
+      StateWriter stateWriter,
       TokenList tokens,
       Teams teams,
       Standby standby,
       long term) {
     this.standby = standby;
     this.settings = settings;
-    this.ports = ports;
+    this.sink = sink;
     this.replica = replica;
-    this.ledger = ledger;
+    this.stateWriter = stateWriter;
     this.tokens = tokens;
     this.term = term;
     registry = new WorkerRegistry(replica, time, term);
-    tracker = new AttemptTracker(ports, time, tokens, teams, standby, term);
+    tracker = new AttemptTracker(sink, time, tokens, teams, standby, term);
     dispatcher =
         new CommandDispatcher(
-            settings, ports, time, leadership, standby, tokens, registry, tracker, term);
+            settings, sink, time, leadership, standby, tokens, registry, tracker, term);
     reach = new ReachMonitor(settings, time, registry);
     reports =
         new ReportHandler(
-            ports,
+            sink,
             time,
             replica,
             leadership,
-            ledger,
+            stateWriter,
             tokens,
             standby,
             registry,
@@ -82,8 +82,8 @@
   }
 
   /** Machines that may hold work of earlier terms, since they have not been heard. */
-  Set<Machine> unheard() {
-    return registry.unheard();
+  Set<Machine> unconfirmed() {
+    return registry.unconfirmed();
   }
 
   /** Machines that may be given waiting attempts. */
@@ -188,9 +188,9 @@
     time.at(nowMicros);
     takenOverMicros = nowMicros;
     reach.begin();
-    FailoverTimeline failover = new FailoverTimeline(ports, term, electedMicros);
+    FailoverTimeline failover = new FailoverTimeline(sink, term, electedMicros);
     for (Replica.RosterEntry entry : replica.roster.values()) {
-      Machine.Phase phase = picture == null ? Machine.Phase.UNHEARD : Machine.Phase.PICTURED;
+      Machine.Phase phase = picture == null ? Machine.Phase.UNCONFIRMED : Machine.Phase.RECOVERED;
       Machine m = new Machine(entry.machine(), term, phase, nowMicros);
       registry.describe(m, entry.address(), entry.type(), entry.zone(), entry.spot());
       m.rostered = true;
@@ -230,14 +230,15 @@
   }
 
   /** All that a standby must know of this leader's picture. */
-  void snapshot(Consumer<Batch.Change> each) {
+  void snapshot(Consumer<ReplicationBatch.Change> each) {
     for (Machine m : registry.machines().values()) {
       if (m.session > 0) {
-        each.accept(new Batch.Change(true, m.id, m.session, "", 0, 0));
+        each.accept(new ReplicationBatch.Change(true, m.id, m.session, "", 0, 0));
       }
       for (Attempt a : m.attempts.values()) {
         if (a.mayBeThere()) {
-          each.accept(new Batch.Change(true, m.id, m.session, a.job.id, a.index, a.number));
+          each.accept(
+              new ReplicationBatch.Change(true, m.id, m.session, a.job.id, a.index, a.number));
         }
       }
     }
@@ -262,7 +263,7 @@
       m.plan = Machine.Plan.USE;
       m.condemned = false;
       if (!m.rostered && m.phase != Machine.Phase.BOOTING) {
-        ledger.enrol(m);
+        stateWriter.register(m);
       }
       registry.updateQueueable(m);
       m.measureRoom();
@@ -274,12 +275,12 @@
   /** The cloud confirmed that the machine is gone, with everything on it. */
   void deleted(String id) {
     Machine m = registry.remove(id);
-    ledger.strike(id);
+    stateWriter.strike(id);
     if (m != null) {
       tokens.remove(m);
       tracker.freeAll(m, "machine deleted");
       dispatcher.forget(m);
-      standby.change(new Batch.Change(false, id, 0, "", 0, 0));
+      standby.change(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
     }
     tracker.noteChange();
   }
@@ -314,7 +315,7 @@
       if (time.nowMicros() <= m.answeredMicros + lease) {
         break;
       }
-      ports.info("machine " + m.id + " has lost its lease, term=" + term);
+      sink.info("machine " + m.id + " has lost its lease, term=" + term);
       registry.become(m, Machine.Phase.LOST);
       tokens.remove(m);
       tracker.freeAll(m, "lease over");
--- a/src/main/java/org/eiderstair/core/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/WorkerRegistry.java
@@ -22,10 +22,10 @@
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
   /** May hold work of earlier terms, since they have not been heard. */
-  private final Set<Machine> unheard = new LinkedHashSet<>();
+  private final Set<Machine> unconfirmed = new LinkedHashSet<>();
 
   /** Not heard in this term, but known from the standby's picture. */
-  private final Set<Machine> pictured = new LinkedHashSet<>();
+  private final Set<Machine> recovered = new LinkedHashSet<>();
 
   private final Set<Machine> fencing = new LinkedHashSet<>();
 
@@ -63,8 +63,8 @@
     return fencing;
   }
 
-  Set<Machine> pictured() {
-    return pictured;
+  Set<Machine> recovered() {
+    return recovered;
   }
 
   Set<Machine> leased() {
@@ -81,7 +81,7 @@
 
   /** How many machines hold something that only they, or the standby's picture, can tell. */
   int notHeard() {
-    return unheard.size() + pictured.size();
+    return unconfirmed.size() + recovered.size();
   }
 
   /** A machine comes into the picture. */
@@ -92,21 +92,21 @@
 
   /** The one function for a change of a machine's phase: the sets above follow it. */
   void become(Machine m, Machine.Phase next) {
-    unheard.remove(m);
-    pictured.remove(m);
+    unconfirmed.remove(m);
+    recovered.remove(m);
     fencing.remove(m);
     leased.remove(m);
     m.phase = next;
     enter(m);
     if (failover != null) {
-      failover.unheard(notHeard(), time.nowMicros());
+      failover.unconfirmed(notHeard(), time.nowMicros());
     }
   }
 
   private void enter(Machine m) {
     switch (m.phase) {
-      case UNHEARD -> unheard.add(m);
-      case PICTURED -> pictured.add(m);
+      case UNCONFIRMED -> unconfirmed.add(m);
+      case RECOVERED -> recovered.add(m);
       case FENCING -> {
         fencing.add(m);
         leased.add(m);
@@ -174,8 +174,8 @@
   }
 
   /** Machines that may hold work of earlier terms, since they have not been heard. */
-  Set<Machine> unheard() {
-    return unheard;
+  Set<Machine> unconfirmed() {
+    return unconfirmed;
   }
 
   /** The machine is gone; whatever still comes of it is late. */
--- a/src/main/java/org/eiderstair/core/member/package-info.java
+++ /dev/null
@@ -1,5 +0,0 @@
-/**
- * Which machines report to any controller, and what the silence of a machine means. {@link
- * org.eiderstair.core.member.Membership} is the type to enter by.
- */
-package org.eiderstair.core.member;
--- a/src/main/java/org/eiderstair/core/member/Hearing.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatDigest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
 
 import java.util.List;
 
@@ -10,7 +10,8 @@
  * @param last the number of the last change told
  * @param more there are changes after that
  */
-public record Hearing(String run, boolean whole, long last, boolean more, List<Change> changes) {
+public record HeartbeatDigest(
+    String run, boolean whole, long last, boolean more, List<Change> changes) {
 
   /** A machine is heard, or not any more, for so long. */
   public record Change(String machine, boolean heard, long forMicros) {}
--- a/src/main/java/org/eiderstair/core/member/Ear.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -11,7 +11,7 @@
  * told what changed since. A machine that goes on reporting here is no change and costs nothing to
  * tell.
  */
-final class Ear {
+final class HeartbeatTracker {
   /**
    * Far more than the machines of a deployment; the oldest changes go first, and who knew less is
    * told all.
@@ -49,7 +49,7 @@
   /** Changes up to this number may be missing above. */
   private long forgotten;
 
-  Ear(long keepMicros) {
+  HeartbeatTracker(long keepMicros) {
     this.keepMicros = keepMicros;
   }
 
@@ -95,10 +95,10 @@
    * What changed after a number, at most so much; from the beginning when that is not known any
    * more.
    */
-  Hearing tell(String run, long after, int most, long nowMicros) {
+  HeartbeatDigest tell(String run, long after, int most, long nowMicros) {
     sweep(nowMicros);
     boolean whole = after < forgotten || after > last;
-    List<Hearing.Change> changes = new ArrayList<>();
+    List<HeartbeatDigest.Change> changes = new ArrayList<>();
     long told = whole ? 0 : after;
     boolean more = false;
     for (Sight s : byChange.values()) {
@@ -110,10 +110,10 @@
         break;
       }
       changes.add(
-          new Hearing.Change(
+          new HeartbeatDigest.Change(
               s.machine, s.state == State.HEARD, Math.max(0, nowMicros - s.sinceMicros)));
       told = s.number;
     }
-    return new Hearing(run, whole, more ? told : last, more, changes);
+    return new HeartbeatDigest(run, whole, more ? told : last, more, changes);
   }
 }
--- a/src/main/java/org/eiderstair/core/member/Membership.java
+++ b/src/main/java/org/eiderstair/core/membership/Membership.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -39,7 +39,7 @@
   }
 
   /** A peer's answer; {@code hearing} is null when it does not understand the question. */
-  public record Answer(Hearing hearing) {}
+  public record Answer(HeartbeatDigest hearing) {}
 
   /**
    * What is known of a peer's hearing. UNKNOWN has told nothing yet, or lately; TOLD has; UNABLE is
@@ -76,7 +76,7 @@
   private final Map<String, String> nodeZones;
   private final Asker asker;
   private final String run;
-  private final Ear ear;
+  private final HeartbeatTracker ear;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
 
   /** How many peers hear a machine. */
@@ -108,7 +108,7 @@
     this.nodeZones = nodeZones;
     this.run = run;
     this.asker = asker;
-    this.ear = new Ear(reportMicros * 3 / 2 + SOON_MICROS);
+    this.ear = new HeartbeatTracker(reportMicros * 3 / 2 + SOON_MICROS);
     peers.forEach(p -> this.peers.put(p, new Peer()));
   }
 
@@ -150,7 +150,7 @@
   }
 
   /** What a peer that knows changes of a run up to a number is told. */
-  public Hearing tell(String ofRun, long after, long nowMicros) {
+  public HeartbeatDigest tell(String ofRun, long after, long nowMicros) {
     return ear.tell(run, run.equals(ofRun) ? after : -1, MOST_TOLD, nowMicros);
   }
 
@@ -209,13 +209,13 @@
         });
   }
 
-  private void take(Peer p, Hearing told) {
+  private void take(Peer p, HeartbeatDigest told) {
     if (told.whole() || !told.run().equals(p.run)) {
       forget(p);
     }
     p.run = told.run();
     p.after = told.last();
-    for (Hearing.Change c : told.changes()) {
+    for (HeartbeatDigest.Change c : told.changes()) {
       if (c.heard() && p.hears.add(c.machine())) {
         heardBy.merge(c.machine(), 1, Integer::sum);
       } else if (!c.heard() && p.hears.remove(c.machine())) {
@@ -249,14 +249,16 @@
    * @param patienceMicros how long a machine alone may be silent
    * @param darkMicros how long one of a zone that nobody sees may be
    */
-  public Survey survey(
-      Iterable<? extends Survey.Member> machines,
+  public ReachabilityClassifier survey(
+      Iterable<? extends ReachabilityClassifier.Member> machines,
       boolean unreached,
       long patienceMicros,
       long darkMicros,
       long nowMicros) {
     now = nowMicros;
-    Survey survey = new Survey(this, machines, unreached, patienceMicros, darkMicros, nowMicros);
+    ReachabilityClassifier survey =
+        new ReachabilityClassifier(
+            this, machines, unreached, patienceMicros, darkMicros, nowMicros);
     survey.zones(
         (zone, dark, latestMicros) -> {
           if (dark && !reached(zone) && !darkZones.containsKey(zone)) {
--- a/src/main/java/org/eiderstair/core/member/Survey.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * Why machines are silent, judged over all of them at one moment. A leader that lost its workers
  * destroyed a healthy fleet within ten seconds: each machine by itself looked dead.
  */
-public final class Survey {
+public final class ReachabilityClassifier {
   /** Fewer silent machines than that are no zone's fault and none of this node's. */
   private static final int MANY = 3;
 
@@ -70,7 +70,7 @@
   private int elsewhere;
   private int holding;
 
-  Survey(
+  ReachabilityClassifier(
       Membership peers,
       Iterable<? extends Member> machines,
       boolean unreached,
@@ -141,7 +141,8 @@
       return Verdict.ELSEWHERE;
     }
     boolean dark = peers.isDark(String.valueOf(m.zone()));
-    // Where all work waits for what is unheard, a whole zone that nobody sees has said enough in
+    // Where all work waits for what is unconfirmed, a whole zone that nobody sees has said enough
+    // in
     // half the time; so have a few
     // machines that do not answer when they are asked, while all others have.
     boolean few = holding * FEW_PART <= all;
--- a/src/main/java/org/eiderstair/core/duty/Duties.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.duty;
+package org.eiderstair.core.provisioning;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
  * written under the leader key before the cloud is asked: a rental's name, which is never used for
  * another, and a mark on each machine that is to go. docs/duties.md weighs the other ways.
  */
-public final class Duties {
+public final class ProvisioningController {
   /** Keys of open rentals and returns; what follows is their name. */
   public static final String RENTALS = "e/duty/rent/";
 
@@ -68,16 +68,16 @@
     boolean mayCall();
 
     /** Asks the cloud for machines under a request name. */
-    void rent(String charter, Offer offer, int count, Consumer<Rental> then);
+    void rent(String charter, RentalOption offer, int count, Consumer<Rental> then);
 
     /** Asks the cloud to delete machines. */
     void delete(List<String> machines, Consumer<Deletion> then);
 
     /** Machines are on their way, decided so long ago. */
-    void booting(String charter, Offer offer, List<String> machines, long ageMicros);
+    void booting(String charter, RentalOption offer, List<String> machines, long ageMicros);
 
     /** A rental brought fewer than it asked for, or nothing. */
-    void shortOf(Offer offer, String why);
+    void shortOf(RentalOption offer, String why);
 
     /** The cloud has confirmed that the machine is gone. */
     void gone(String machine);
@@ -125,7 +125,7 @@
    *     still show it
    * @param dayOffsetMicros the time of day less the steady time
    */
-  public Duties(Host host, long epoch, long tombstoneMicros, long dayOffsetMicros) {
+  public ProvisioningController(Host host, long epoch, long tombstoneMicros, long dayOffsetMicros) {
     this.host = host;
     this.epoch = epoch;
     this.tombstoneMicros = tombstoneMicros;
@@ -227,7 +227,7 @@
   // Rentals.
 
   /** Decides a rental. It is written first, and asked for as soon as that is durable. */
-  public void rent(Offer offer, int count) {
+  public void rent(RentalOption offer, int count) {
     String charter = "r-" + epoch + "-" + ++numbers;
     RentalIntent r =
         new RentalIntent(
@@ -246,7 +246,7 @@
   }
 
   /** A rental whose machines are not known yet. */
-  public record Awaited(String charter, Offer offer, int count) {}
+  public record Awaited(String charter, RentalOption offer, int count) {}
 
   /** How many machines are rented or being rented and not yet there. */
   public int awaited() {
--- a/src/main/java/org/eiderstair/core/duty/DutyFields.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningFields.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.duty;
+package org.eiderstair.core.provisioning;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,8 +8,8 @@
  * Reads fields of the duties' records; what cannot be read is an IllegalArgumentException that
  * names the field.
  */
-final class DutyFields {
-  private DutyFields() {}
+final class ProvisioningFields {
+  private ProvisioningFields() {}
 
   static String text(Map<String, Object> m, String field) {
     if (m.get(field) instanceof String s && !s.isEmpty()) {
--- a/src/main/java/org/eiderstair/core/duty/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.duty;
+package org.eiderstair.core.provisioning;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
 
 /**
  * One rental. It is durable before the cloud is asked, so that a successor asks again under the
- * same name and learns what was rented, instead of renting it twice. The cloud checks no term: the
+ * same name and learns what was rented, instead of capacity it twice. The cloud checks no term: the
  * name is what fences.
  */
 final class RentalIntent {
@@ -33,7 +33,7 @@
   /** The epoch that decided it; the one that settles it may be a later one. */
   final long epoch;
 
-  final Offer offer;
+  final RentalOption offer;
   final int count;
   final long decidedDayMicros;
   private State state;
@@ -48,7 +48,12 @@
   long notBeforeMicros;
 
   RentalIntent(
-      String charter, long epoch, Offer offer, int count, long decidedDayMicros, State state) {
+      String charter,
+      long epoch,
+      RentalOption offer,
+      int count,
+      long decidedDayMicros,
+      State state) {
     this.charter = charter;
     this.epoch = epoch;
     this.offer = offer;
@@ -112,25 +117,25 @@
 
   /** Reads what an earlier epoch wrote; unknown fields are ignored, a missing one is refused. */
   static RentalIntent read(String charter, Map<String, Object> m) {
-    Offer offer =
-        new Offer(
-            DutyFields.text(m, "type"),
-            DutyFields.text(m, "zone"),
+    RentalOption offer =
+        new RentalOption(
+            ProvisioningFields.text(m, "type"),
+            ProvisioningFields.text(m, "zone"),
             Boolean.TRUE.equals(m.get("spot")));
-    int count = (int) DutyFields.whole(m, "n");
+    int count = (int) ProvisioningFields.whole(m, "n");
     if (count < 1) {
       throw new IllegalArgumentException("n: " + count);
     }
     RentalIntent intent =
         new RentalIntent(
             charter,
-            DutyFields.whole(m, "epoch"),
+            ProvisioningFields.whole(m, "epoch"),
             offer,
             count,
-            DutyFields.whole(m, "at"),
+            ProvisioningFields.whole(m, "at"),
             m.containsKey("ids") ? State.ANSWERED : State.WRITTEN);
     if (m.containsKey("ids")) {
-      intent.named(DutyFields.texts(m, "ids"));
+      intent.named(ProvisioningFields.texts(m, "ids"));
     }
     return intent;
   }
--- a/src/main/java/org/eiderstair/core/duty/Return.java
+++ b/src/main/java/org/eiderstair/core/provisioning/Return.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.duty;
+package org.eiderstair.core.provisioning;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -105,7 +105,11 @@
    */
   static Return read(String name, Map<String, Object> m) {
     Return r =
-        new Return(name, DutyFields.whole(m, "epoch"), DutyFields.texts(m, "ids"), State.MARKED);
+        new Return(
+            name,
+            ProvisioningFields.whole(m, "epoch"),
+            ProvisioningFields.texts(m, "ids"),
+            State.MARKED);
     r.untouched = false;
     return r;
   }
--- a/src/main/java/org/eiderstair/core/standby/Batch.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationBatch.java
@@ -11,7 +11,8 @@
  * @param first the number of the first change here, from 1
  * @param more the filling's beginning is not whole yet
  */
-public record Batch(long term, long filling, long first, boolean more, List<Change> changes) {
+public record ReplicationBatch(
+    long term, long filling, long first, boolean more, List<Change> changes) {
 
   /**
    * Something may be on a machine, or is certainly not any more. With an empty job: the machine is
--- a/src/main/java/org/eiderstair/core/standby/Primary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -10,7 +10,7 @@
  * The leader's side: sends changes to one peer at a time, names it in the record once it has all,
  * and from before that lets a launch go only after it has been acknowledged.
  */
-final class Primary {
+final class ReplicationPrimary {
   /** Fits well into what a peer takes at once. */
   private static final int MOST_CHANGES = 400;
 
@@ -48,7 +48,7 @@
   private int peer;
   private String run = "";
   private long fillings;
-  private final ArrayDeque<Batch.Change> queue = new ArrayDeque<>();
+  private final ArrayDeque<ReplicationBatch.Change> queue = new ArrayDeque<>();
 
   /** Numbers of the last change made, and of the last that was acknowledged. */
   private long made;
@@ -73,7 +73,7 @@
    */
   private record Held(long number, Runnable launch, Runnable withhold) {}
 
-  Primary(Standby.Host host, long term, List<String> peers, long recordVersion) {
+  ReplicationPrimary(Standby.Host host, long term, List<String> peers, long recordVersion) {
     this.host = host;
     this.term = term;
     this.peers = peers;
@@ -138,7 +138,7 @@
     return state == State.ENLISTING || state == State.IN_SYNC;
   }
 
-  void change(Batch.Change change) {
+  void change(ReplicationBatch.Change change) {
     if (state == State.FILLING || awaitsAcknowledgements()) {
       queue.add(change);
       made++;
@@ -228,19 +228,20 @@
     if (queue.isEmpty() && now < sentMicros + HEARTBEAT_MICROS) {
       return;
     }
-    List<Batch.Change> changes = new ArrayList<>(Math.min(queue.size(), MOST_CHANGES));
+    List<ReplicationBatch.Change> changes = new ArrayList<>(Math.min(queue.size(), MOST_CHANGES));
     while (changes.size() < MOST_CHANGES && !queue.isEmpty()) {
       changes.add(queue.poll());
     }
-    Batch batch =
-        new Batch(term, fillings, acked + 1, acked + changes.size() < snapshotEnd, changes);
+    ReplicationBatch batch =
+        new ReplicationBatch(
+            term, fillings, acked + 1, acked + changes.size() < snapshotEnd, changes);
     sending = true;
     sentMicros = now;
     long filling = fillings;
     host.send(peers.get(peer), batch, ack -> answered(filling, batch, ack));
   }
 
-  private void answered(long filling, Batch batch, Batch.Ack ack) {
+  private void answered(long filling, ReplicationBatch batch, ReplicationBatch.Ack ack) {
     if (filling != fillings || !(state == State.FILLING || awaitsAcknowledgements())) {
       return;
     }
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -25,10 +25,10 @@
     boolean whole();
 
     /** All that may be on any machine, and the machines whose session is known. */
-    void snapshot(Consumer<Batch.Change> each);
+    void snapshot(Consumer<ReplicationBatch.Change> each);
 
     /** Sends a batch; null when no answer came. */
-    void send(String peer, Batch batch, Consumer<Batch.Ack> then);
+    void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then);
 
     /**
      * Writes the record if it has that version and this leader's key is there. Told the new
@@ -65,8 +65,8 @@
   private final String node;
   private final String run;
   private final Consumer<String> log;
-  private final Copy copy = new Copy();
-  private Primary primary;
+  private final StandbyReplica copy = new StandbyReplica();
+  private ReplicationPrimary primary;
   private long heardMicros = Long.MIN_VALUE / 2;
 
   public Standby(String node, String run, Consumer<String> log) {
@@ -78,12 +78,12 @@
   // The standby's side.
 
   /** A batch of the leader's; {@code mayFollow} while this node neither stands nor leads. */
-  public Batch.Ack take(Batch batch, boolean mayFollow, long nowMicros) {
+  public ReplicationBatch.Ack take(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
     boolean accepted = mayFollow && copy.take(batch);
     if (accepted) {
       heardMicros = nowMicros;
     }
-    return new Batch.Ack(run, accepted, accepted ? batch.last() : 0);
+    return new ReplicationBatch.Ack(run, accepted, accepted ? batch.last() : 0);
   }
 
   /** This node stands: nothing of older terms is acknowledged from now on. */
@@ -98,7 +98,8 @@
         && run.equals(record.get("run"))
         && record.get("epoch") instanceof Number epoch
         && epoch.longValue() == copy.term()
-        && (copy.state() == Copy.State.FOLLOWING || copy.state() == Copy.State.FROZEN);
+        && (copy.state() == StandbyReplica.State.FOLLOWING
+            || copy.state() == StandbyReplica.State.FROZEN);
   }
 
   /** Whether the record names any standby. */
@@ -108,7 +109,8 @@
 
   /** Whether the leader has not been heard for so long that its standby looks for it. */
   public boolean misses(long nowMicros) {
-    return copy.state() == Copy.State.FOLLOWING && nowMicros > heardMicros + MISSED_MICROS;
+    return copy.state() == StandbyReplica.State.FOLLOWING
+        && nowMicros > heardMicros + MISSED_MICROS;
   }
 
   /** The record with the claim, which its leader can neither drop nor launch beside. */
@@ -170,7 +172,7 @@
    * @param recordVersion of the record as it was when the term began; 0 when there was none
    */
   public void leads(Host host, long term, List<String> peers, long recordVersion) {
-    primary = new Primary(host, term, peers, recordVersion);
+    primary = new ReplicationPrimary(host, term, peers, recordVersion);
   }
 
   /** This node leads no longer; launches that wait are withheld. */
@@ -182,7 +184,7 @@
   }
 
   /** Something changed in the leader's picture. */
-  public void change(Batch.Change change) {
+  public void change(ReplicationBatch.Change change) {
     if (primary != null) {
       primary.change(change);
     }
--- a/src/main/java/org/eiderstair/core/standby/Copy.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** The standby's side: a leader's picture, as far as it was acknowledged. */
-final class Copy {
+final class StandbyReplica {
 
   /**
    * EMPTY has nothing of use. FILLING has the beginning of a picture. FOLLOWING has a whole one,
@@ -52,7 +52,7 @@
   }
 
   /** Takes a batch; true when all up to its end is here now. */
-  boolean take(Batch batch) {
+  boolean take(ReplicationBatch batch) {
     boolean newer = batch.term() > term || batch.term() == term && batch.filling() > filling;
     if (!newer
         && (batch.term() < term
@@ -77,7 +77,7 @@
       return false;
     }
     long number = batch.first();
-    for (Batch.Change change : batch.changes()) {
+    for (ReplicationBatch.Change change : batch.changes()) {
       if (number++ > last) {
         apply(change);
       }
@@ -90,7 +90,7 @@
     return true;
   }
 
-  private void apply(Batch.Change c) {
+  private void apply(ReplicationBatch.Change c) {
     Held held = machines.computeIfAbsent(c.machine(), m -> new Held());
     if (c.job().isEmpty()) {
       if (c.there()) {
--- a/src/main/java/org/eiderstair/http/AskedConnection.java
+++ b/src/main/java/org/eiderstair/http/ClientConnection.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /** One connection to the state service, the cloud, a worker or a peer: one exchange at a time. */
-final class AskedConnection extends AbstractConnection implements HttpParser.ResponseHandler {
+final class ClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
   /** FREE may take an exchange; ASKING waits for its response; CLOSED is over. */
   private enum State {
     FREE,
@@ -28,16 +28,16 @@
 
   /** Told what became of a connection; the exchange is null when there was none. */
   interface Owner {
-    void opened(AskedConnection connection);
+    void opened(ClientConnection connection);
 
     void completed(
-        AskedConnection connection,
+        ClientConnection connection,
         Exchange exchange,
         int status,
         byte[] content,
         boolean reusable);
 
-    void closed(AskedConnection connection, Exchange exchange, String why);
+    void closed(ClientConnection connection, Exchange exchange, String why);
   }
 
   private final Owner owner;
@@ -54,7 +54,7 @@
   private boolean whole;
   private boolean interim;
 
-  AskedConnection(EndPoint endPoint, Executor executor, Destination destination, Owner owner) {
+  ClientConnection(EndPoint endPoint, Executor executor, Destination destination, Owner owner) {
     super(endPoint, executor);
     this.destination = destination;
     this.owner = owner;
@@ -80,7 +80,7 @@
     }
     ByteBuffer head = Buffers.out();
     byte[] content = next.body() == null ? NO_BODY : next.body();
-    Heads.request(
+    HttpHeads.request(
         head, next.method(), next.path(), destination.address, content.length, next.body() != null);
     Buffers.write(
         getEndPoint(),
--- a/src/main/java/org/eiderstair/http/Destination.java
+++ b/src/main/java/org/eiderstair/http/Destination.java
@@ -11,7 +11,7 @@
   final InetSocketAddress socket;
 
   /** Connections that may take an exchange, the one used last in front. */
-  final ArrayDeque<AskedConnection> free = new ArrayDeque<>();
+  final ArrayDeque<ClientConnection> free = new ArrayDeque<>();
 
   final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
 
--- a/src/main/java/org/eiderstair/http/Exchange.java
+++ b/src/main/java/org/eiderstair/http/Exchange.java
@@ -19,7 +19,7 @@
   final long deadlineMicros;
 
   /** Guarded by the owner of all connections. */
-  AskedConnection connection;
+  ClientConnection connection;
 
   boolean over;
 
--- a/src/main/java/org/eiderstair/http/Outbound.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -28,7 +28,7 @@
  * that runs out is looked for by the thread that owns the core, which ticks anyhow, and costs no
  * timers.
  */
-public final class Outbound implements AskedConnection.Owner {
+public final class HttpClientPool implements ClientConnection.Owner {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
   private static final byte[] NO_BODY = new byte[0];
   private static final String GET = "GET";
@@ -73,14 +73,14 @@
    * worker holds one to report on besides: with two a machine, 1,600 machines took all sockets on a
    * calm day, and users found none.
    */
-  private final Set<AskedConnection> idle = new LinkedHashSet<>();
+  private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   private final int mostIdle;
 
   /**
    * @param mostIdle so many connections to workers may be kept without use
    */
-  public Outbound(
+  public HttpClientPool(
       Sockets sockets,
       String stateAddress,
       String cloudAddress,
@@ -352,7 +352,7 @@
       byte[] body,
       long timeoutMicros,
       Exchange.Outcome outcome) {
-    AskedConnection use;
+    ClientConnection use;
     Exchange exchange;
     Destination connect = null;
     synchronized (this) {
@@ -393,7 +393,7 @@
   private void connect(Destination to) {
     sockets.connect(
         to.socket,
-        (endPoint, context) -> new AskedConnection(endPoint, sockets.getExecutor(), to, this),
+        (endPoint, context) -> new ClientConnection(endPoint, sockets.getExecutor(), to, this),
         why -> notConnected(to, String.valueOf(why)));
   }
 
@@ -410,7 +410,7 @@
     lost.forEach(e -> e.outcome().failed(why));
   }
 
-  private void ask(AskedConnection connection, Exchange exchange) {
+  private void ask(ClientConnection connection, Exchange exchange) {
     if (!connection.ask(exchange)) {
       // It was closed between two requests, before this one was sent.
       boolean ended;
@@ -438,7 +438,7 @@
   }
 
   @Override
-  public void opened(AskedConnection connection) {
+  public void opened(ClientConnection connection) {
     takeNext(connection);
   }
 
@@ -446,9 +446,9 @@
     return !address.equals(state) && !address.equals(cloud) && !peers.containsValue(address);
   }
 
-  private void takeNext(AskedConnection connection) {
+  private void takeNext(ClientConnection connection) {
     Exchange next;
-    AskedConnection tooMany = null;
+    ClientConnection tooMany = null;
     synchronized (this) {
       next = connection.destination.waiting.poll();
       if (next == null) {
@@ -475,7 +475,11 @@
 
   @Override
   public void completed(
-      AskedConnection connection, Exchange exchange, int status, byte[] content, boolean reusable) {
+      ClientConnection connection,
+      Exchange exchange,
+      int status,
+      byte[] content,
+      boolean reusable) {
     boolean ended;
     synchronized (this) {
       ended = exchange != null && end(exchange);
@@ -489,7 +493,7 @@
   }
 
   @Override
-  public void closed(AskedConnection connection, Exchange exchange, String why) {
+  public void closed(ClientConnection connection, Exchange exchange, String why) {
     boolean ended;
     Destination connect;
     synchronized (this) {
--- a/src/main/java/org/eiderstair/http/Heads.java
+++ b/src/main/java/org/eiderstair/http/HttpHeads.java
@@ -8,7 +8,7 @@
  * Writes the heads of messages, of which there are only a few kinds. Jetty's generator writes any,
  * and brings dates, locales and URIs for it: 60 ms of processor time of a start.
  */
-final class Heads {
+final class HttpHeads {
   private static final byte[] VERSION = ascii("HTTP/1.1 ");
   private static final byte[] TYPE = ascii("\r\nContent-Type: application/msgpack");
   private static final byte[] LENGTH = ascii("\r\nContent-Length: ");
@@ -20,7 +20,7 @@
   private static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
   private static final byte[][] STATUSES = new byte[600][];
 
-  private Heads() {}
+  private HttpHeads() {}
 
   /** A request's head, for a target as it goes into the request line. */
   static void request(
--- a/src/main/java/org/eiderstair/http/Inbound.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -19,7 +19,7 @@
  * Serves users, workers and health checks: turns requests into events, and the core's answers into
  * responses.
  */
-public final class Inbound {
+public final class HttpRequestRouter {
   /** For what is refused before the core has seen it. */
   private static final int RETRY_AFTER_S = 1;
 
@@ -27,7 +27,7 @@
   private static final String CANCEL = "/cancel";
   private static final byte[] NOTHING = UserMessages.error("");
 
-  private record Open(ServedConnection connection, boolean ofPeer) {}
+  private record Open(ServerConnection connection, boolean ofPeer) {}
 
   /** What to do with a body once it has been read. */
   private interface BodyUse {
@@ -44,7 +44,7 @@
    * @param mostHeld how many bytes of requests may be here at once: more are refused, rather than
    *     that the memory of a small machine runs out when many large ones come together
    */
-  public Inbound(Consumer<Event> events, int mostHeld) {
+  public HttpRequestRouter(Consumer<Event> events, int mostHeld) {
     this.events = events;
     this.mostHeld = mostHeld;
   }
@@ -61,9 +61,9 @@
   }
 
   /** What all connections have in common. */
-  private abstract class Served implements ServedConnection.Requests {
+  private abstract class Served implements ServerConnection.Requests {
     @Override
-    public void refuse(ServedConnection from, String method, String path, int status, String why) {
+    public void refuse(ServerConnection from, String method, String path, int status, String why) {
       from.answer(status, status == 503 ? RETRY_AFTER_S : 0, null, UserMessages.error(why), true);
     }
 
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void request(ServedConnection from, String method, String path, byte[] body) {
+    public void request(ServerConnection from, String method, String path, byte[] body) {
       Open exchange = new Open(from, false);
       switch (path) {
         case "/ready" ->
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void request(ServedConnection from, String method, String path, byte[] body) {
+    public void request(ServerConnection from, String method, String path, byte[] body) {
       Open exchange = new Open(from, true);
       if (path.equals(PeerMessages.STANDING_PATH)) {
         with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.PeerAsked(id)));
@@ -204,7 +204,7 @@
     if (exchange == null) {
       return;
     }
-    ServedConnection to = exchange.connection();
+    ServerConnection to = exchange.connection();
     if (answer instanceof Answer.Standing standing) {
       write(to, 200, PeerMessages.standing(standing));
     } else if (answer instanceof Answer.Heard heard) {
@@ -233,11 +233,11 @@
     }
   }
 
-  private static void fail(ServedConnection to, int status, String reason) {
+  private static void fail(ServerConnection to, int status, String reason) {
     write(to, status, UserMessages.error(reason));
   }
 
-  private static void write(ServedConnection to, int status, byte[] body) {
+  private static void write(ServerConnection to, int status, byte[] body) {
     to.answer(status, 0, null, body, false);
   }
 }
--- a/src/main/java/org/eiderstair/http/ServedConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -20,7 +20,7 @@
  * more for each request, which a cold controller on a small machine cannot pay (figures in
  * docs/operating.md).
  */
-final class ServedConnection extends AbstractConnection implements HttpParser.RequestHandler {
+final class ServerConnection extends AbstractConnection implements HttpParser.RequestHandler {
   /**
    * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has
    * refused it, and reads a little more of it so that the other side gets to read why; CLOSED is
@@ -39,10 +39,10 @@
 
   /** Where whole requests go, and what bounds them. */
   interface Requests {
-    void request(ServedConnection from, String method, String path, byte[] body);
+    void request(ServerConnection from, String method, String path, byte[] body);
 
     /** Answers at once, and closes the connection; the rest of the request is not read. */
-    void refuse(ServedConnection from, String method, String path, int status, String why);
+    void refuse(ServerConnection from, String method, String path, int status, String why);
 
     int mostBytes(String path);
 
@@ -76,7 +76,7 @@
   private int held;
   private int drained;
 
-  ServedConnection(EndPoint endPoint, Executor executor, Requests requests, Runnable over) {
+  ServerConnection(EndPoint endPoint, Executor executor, Requests requests, Runnable over) {
     super(endPoint, executor);
     this.requests = requests;
     this.over = over;
@@ -178,7 +178,7 @@
     }
     ByteBuffer head = Buffers.out();
     boolean close = last || !keep;
-    Heads.response(head, status, retryAfterS, allow, content.length, close);
+    HttpHeads.response(head, status, retryAfterS, allow, content.length, close);
     Buffers.write(getEndPoint(), head, content, new Written(close));
   }
 
@@ -294,7 +294,7 @@
 
   private void goOn() {
     ByteBuffer head = Buffers.out();
-    Heads.goOn(head);
+    HttpHeads.goOn(head);
     try {
       getEndPoint().flush(head);
     } catch (IOException e) {
--- a/src/main/java/org/eiderstair/http/Sockets.java
+++ b/src/main/java/org/eiderstair/http/Sockets.java
@@ -51,7 +51,7 @@
   /** A port that others connect to. */
   private record Port(
       ServerSocketChannel channel,
-      ServedConnection.Requests requests,
+      ServerConnection.Requests requests,
       int most,
       AtomicInteger connections) {
 
@@ -104,7 +104,7 @@
    * Listens on an address, for at most so many connections at once; says on which port, if the
    * system chose it.
    */
-  int listen(String host, int number, int most, ServedConnection.Requests requests)
+  int listen(String host, int number, int most, ServerConnection.Requests requests)
       throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -161,7 +161,7 @@
           channel,
           context(
               (endPoint, c) ->
-                  new ServedConnection(endPoint, getExecutor(), port.requests, port::closed),
+                  new ServerConnection(endPoint, getExecutor(), port.requests, port::closed),
               why -> port.closed()));
     }
   }
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -7,8 +7,8 @@
 import org.eiderstair.core.Core;
 import org.eiderstair.core.Effect;
 import org.eiderstair.core.Event;
-import org.eiderstair.http.Inbound;
-import org.eiderstair.http.Outbound;
+import org.eiderstair.http.HttpClientPool;
+import org.eiderstair.http.HttpRequestRouter;
 import org.eiderstair.http.Sockets;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -41,12 +41,12 @@
     CoreLoop loop = new CoreLoop();
     LOG.info("node {} starts", config.settings().node());
     sockets = new Sockets(threads);
-    Inbound inbound =
-        new Inbound(loop::offer, (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
+    HttpRequestRouter inbound =
+        new HttpRequestRouter(loop::offer, (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
     int mostIdle =
         config.maxConnections() > 0 ? config.maxConnections() / IDLE_PART : Integer.MAX_VALUE;
-    Outbound outbound =
-        new Outbound(
+    HttpClientPool outbound =
+        new HttpClientPool(
             sockets,
             config.stateAddress(),
             config.cloudAddress(),
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -12,8 +12,8 @@
 import org.eiderstair.core.Order;
 import org.eiderstair.core.Reply;
 import org.eiderstair.core.TaskId;
-import org.eiderstair.core.member.Hearing;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.membership.HeartbeatDigest;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.peer.wire.CancellationsTold;
 import org.eiderstair.peer.wire.CancelledJob;
 import org.eiderstair.peer.wire.HeardAsk;
@@ -201,9 +201,9 @@
   }
 
   /** Encodes the machines that report to this node. */
-  public static byte[] heard(Hearing hearing) {
+  public static byte[] heard(HeartbeatDigest hearing) {
     List<HeardChange> changes = new ArrayList<>(hearing.changes().size());
-    for (Hearing.Change c : hearing.changes()) {
+    for (HeartbeatDigest.Change c : hearing.changes()) {
       changes.add(new HeardChange(c.machine(), c.heard(), c.forMicros()));
     }
     try {
@@ -221,21 +221,22 @@
   public static Reply.PeerHeard heard(byte[] bytes) throws Malformed {
     try {
       HeardTold told = HeardTold.getDecoder().decode(bytes);
-      List<Hearing.Change> changes = new ArrayList<>(told.getChanges().size());
+      List<HeartbeatDigest.Change> changes = new ArrayList<>(told.getChanges().size());
       for (HeardChange c : told.getChanges()) {
-        changes.add(new Hearing.Change(c.getMachine(), c.getHeard(), c.getForMicros()));
+        changes.add(new HeartbeatDigest.Change(c.getMachine(), c.getHeard(), c.getForMicros()));
       }
       return new Reply.PeerHeard(
-          new Hearing(told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
+          new HeartbeatDigest(
+              told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not machines heard: " + e.getMessage());
     }
   }
 
   /** Encodes changes of the leader's picture for its standby. */
-  public static byte[] standby(Batch batch) {
+  public static byte[] standby(ReplicationBatch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
-    for (Batch.Change c : batch.changes()) {
+    for (ReplicationBatch.Change c : batch.changes()) {
       changes.add(
           new StandbyChange(c.there(), c.machine(), c.session(), c.job(), c.index(), c.attempt()));
     }
@@ -251,13 +252,13 @@
   }
 
   /** Decodes changes of the leader's picture. */
-  public static Batch standby(byte[] bytes) throws Malformed {
+  public static ReplicationBatch standby(byte[] bytes) throws Malformed {
     try {
       StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
-      List<Batch.Change> changes = new ArrayList<>(b.getChanges().size());
+      List<ReplicationBatch.Change> changes = new ArrayList<>(b.getChanges().size());
       for (StandbyChange c : b.getChanges()) {
         changes.add(
-            new Batch.Change(
+            new ReplicationBatch.Change(
                 c.getThere(),
                 c.getMachine(),
                 c.getSession(),
@@ -265,14 +266,14 @@
                 c.getIndex(),
                 c.getAttempt()));
       }
-      return new Batch(b.getTerm(), b.getFilling(), b.getFirst(), b.getMore(), changes);
+      return new ReplicationBatch(b.getTerm(), b.getFilling(), b.getFirst(), b.getMore(), changes);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not changes for a standby: " + e.getMessage());
     }
   }
 
   /** Encodes the standby's acknowledgement. */
-  public static byte[] standbyAck(Batch.Ack ack) {
+  public static byte[] standbyAck(ReplicationBatch.Ack ack) {
     try {
       return bytes(
           StandbyAck.getEncoder().encode(new StandbyAck(ack.run(), ack.accepted(), ack.upTo())));
@@ -285,7 +286,8 @@
   public static Reply.StandbyAck standbyAck(byte[] bytes) throws Malformed {
     try {
       StandbyAck a = StandbyAck.getDecoder().decode(bytes);
-      return new Reply.StandbyAck(new Batch.Ack(a.getRun(), a.getAccepted(), a.getUpTo()));
+      return new Reply.StandbyAck(
+          new ReplicationBatch.Ack(a.getRun(), a.getAccepted(), a.getUpTo()));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
       throw new Malformed("not a standby's answer: " + e.getMessage());
     }
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -220,7 +220,7 @@
     bench.replica.apply(
         new Reply.Item(Records.CATALOG, Records.catalog(List.of(LeaderBench.TYPE)), 2));
     bench.load();
-    Desk desk = new Desk(bench.settings, bench.ports, bench.replica, told -> {});
+    JobService jobService = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
       Map<String, Object> m =
@@ -270,10 +270,10 @@
         bytes(
             i -> {
               Map<String, Object> message = Pack.readMap(bodies.get(i));
-              desk.submit(1, UserMessages.id(message), UserMessages.spec(message), null);
+              jobService.submit(1, UserMessages.id(message), UserMessages.spec(message), null);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.txn((Request.StoreTxn) call.request());
-              bench.ports.replied(call.call(), new Reply.Applied(1000 + i));
+              bench.sink.replied(call.call(), new Reply.Applied(1000 + i));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.view((Answer.JobView) answer.answer());
               bench.effects.clear();
@@ -285,12 +285,12 @@
         machines,
         bytes(
             i -> {
-              desk.tick(now[0] += 1_000_000);
-              desk.poll(1, "job-" + (500_000 + i));
-              desk.tick(now[0] += 1_000_000);
+              jobService.tick(now[0] += 1_000_000);
+              jobService.poll(1, "job-" + (500_000 + i));
+              jobService.tick(now[0] += 1_000_000);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.txn((Request.StoreTxn) call.request());
-              bench.ports.replied(call.call(), new Reply.Applied(0));
+              bench.sink.replied(call.call(), new Reply.Applied(0));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.view((Answer.JobView) answer.answer());
               bench.effects.clear();
--- a/src/test/java/org/eiderstair/core/RentingTest.java
+++ b/src/test/java/org/eiderstair/core/CapacityManagerTest.java
@@ -6,35 +6,36 @@
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
-import org.eiderstair.core.duty.Duties;
-import org.eiderstair.core.member.Membership;
+import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.provisioning.ProvisioningController;
 
 /** What the leader makes of rentals, its own and those it finds. */
-class RentingTest {
+class CapacityManagerTest {
   private final LeaderBench bench = new LeaderBench();
   private final Membership membership =
       new Membership(
           "n0", List.of(), Map.of(), "run", 3_000_000, (peer, run, after, then) -> {}, text -> {});
-  private Ledger ledger;
-  private Renting renting;
+  private StateWriter stateWriter;
+  private CapacityManager capacity;
 
   private void begin() {
     bench.lead();
     bench.replica.apply(
         new Reply.Item(Records.CATALOG, Records.catalog(List.of(LeaderBench.TYPE)), 50));
-    ledger = new Ledger(bench.settings, bench.ports, bench.replica, LeaderBench.TERM, null);
-    renting =
-        new Renting(
+    stateWriter =
+        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, null);
+    capacity =
+        new CapacityManager(
             bench.settings,
-            bench.ports,
+            bench.sink,
             bench.replica,
             bench.workers,
             bench.leadership,
-            ledger,
+            stateWriter,
             new Demand(bench.settings, bench.replica),
             membership,
             LeaderBench.TERM);
-    renting.takeOver(bench.now);
+    capacity.takeOver(bench.now);
     membership.begin(bench.now);
     membership.tick(false, bench.now);
   }
@@ -43,7 +44,7 @@
     for (Effect e : List.copyOf(bench.effects)) {
       if (e instanceof Effect.Call call && kind.isInstance(call.request())) {
         bench.effects.remove(e);
-        bench.ports.replied(call.call(), reply);
+        bench.sink.replied(call.call(), reply);
         return;
       }
     }
@@ -58,21 +59,21 @@
   void whatStoodForARefusedRentalIsForgotten() {
     begin();
     bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
-    renting.tick(bench.now += 1_000_000);
+    capacity.tick(bench.now += 1_000_000);
     bench.replica.open.clear();
-    renting.tick(bench.now += 1_000_000);
-    assertEquals(1, renting.awaited.size());
-    ledger.tick(bench.now);
+    capacity.tick(bench.now += 1_000_000);
+    assertEquals(1, capacity.awaited.size());
+    stateWriter.tick(bench.now);
     reply(Request.StoreTxn.class, new Reply.Applied(60));
-    renting.tick(bench.now);
+    capacity.tick(bench.now);
     reply(Request.CloudRent.class, new Reply.Refused(503));
-    assertTrue(renting.awaited.isEmpty());
+    assertTrue(capacity.awaited.isEmpty());
   }
 
   /** A record that throws in each leader's hands would end one after another. */
   @Example
   void aRentalOfATypeThatIsNoMoreStopsNothing() {
-    String key = Duties.RENTALS + "r-0-1";
+    String key = ProvisioningController.RENTALS + "r-0-1";
     bench.replica.apply(
         new Reply.Item(
             key,
@@ -80,7 +81,7 @@
             40));
     begin();
     bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
-    renting.tick(bench.now += 1_000_000);
+    capacity.tick(bench.now += 1_000_000);
     assertEquals(
         1,
         bench.effects.stream()
@@ -88,6 +89,7 @@
             .count(),
         "it is settled");
     assertTrue(
-        renting.summary().startsWith("2 rentals"), "and others are decided: " + renting.summary());
+        capacity.summary().startsWith("2 rentals"),
+        "and others are decided: " + capacity.summary());
   }
 }
--- a/src/test/java/org/eiderstair/core/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/CommandWorld.java
@@ -155,7 +155,7 @@
           "reply " + number + " arrives",
           () -> {
             commands.remove(c);
-            leaders.get(c.leader).ports.replied(c.call, c.reply);
+            leaders.get(c.leader).sink.replied(c.call, c.reply);
           });
     }
     if (!c.givenUp) {
@@ -166,7 +166,7 @@
             if (c.reply != null) {
               commands.remove(c);
             }
-            leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
+            leaders.get(c.leader).sink.replied(c.call, new Reply.Lost("timeout"));
           });
     } else {
       all.put("command " + number + " is lost", () -> commands.remove(c));
@@ -331,7 +331,7 @@
       return;
     }
     Job job = leader.replica.jobs.get(JOB);
-    boolean whole = leader.workers.unheard().isEmpty();
+    boolean whole = leader.workers.unconfirmed().isEmpty();
     double used = 0;
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
@@ -377,7 +377,7 @@
   void settle() {
     for (InFlightCommand c : new ArrayList<>(commands)) {
       if (!c.givenUp) {
-        leaders.get(c.leader).ports.replied(c.call, new Reply.Lost("timeout"));
+        leaders.get(c.leader).sink.replied(c.call, new Reply.Lost("timeout"));
       }
     }
     commands.clear();
@@ -396,7 +396,7 @@
       for (InFlightCommand c : new ArrayList<>(commands)) {
         act(() -> arrives(c));
         commands.remove(c);
-        act(() -> leaders.get(c.leader).ports.replied(c.call, c.reply));
+        act(() -> leaders.get(c.leader).sink.replied(c.call, c.reply));
       }
     }
     Job job = newestLeader().replica.jobs.get(JOB);
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -62,7 +62,7 @@
             new Reply.Item(Records.rosterKey("m-" + i), Records.roster("x", "t", "a", false), 1));
       }
       bench.workers.takeOver(bench.now, null, bench.now);
-      assertEquals(machines, bench.workers.unheard().size());
+      assertEquals(machines, bench.workers.unconfirmed().size());
       assertTrue(bench.effects.isEmpty(), "nothing is sent in a burst");
     }
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -8,8 +8,8 @@
 import java.util.function.LongConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
-import org.eiderstair.core.standby.Batch;
 import org.eiderstair.core.standby.InstantHost;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.core.standby.Standby;
 
 /** A leader's core with nothing round it: machines are made up, and commands stay unanswered. */
@@ -20,7 +20,7 @@
 
   final Settings settings;
   final List<Effect> effects = new ArrayList<>();
-  final Ports ports = new Ports(effects::add);
+  final EffectSink sink = new EffectSink(effects::add);
   final Replica replica;
   final Teams teams;
   final TokenList tokens;
@@ -62,7 +62,7 @@
     replica =
         new Replica(
             settings,
-            ports,
+            sink,
             new Replica.Listener() {
               @Override
               public void leaderChanged() {}
@@ -76,11 +76,11 @@
             0);
     teams = new Teams(settings);
     tokens = new TokenList(settings.tuning().tokenListSize());
-    Ledger ledger = new Ledger(settings, ports, replica, term, null);
+    StateWriter stateWriter = new StateWriter(settings, sink, replica, term, null);
     leadership =
         new Leadership(
             settings,
-            ports,
+            sink,
             replica,
             "run",
             random::nextInt,
@@ -101,11 +101,11 @@
             });
     workers =
         new WorkerManager(
-            settings, ports, replica, leadership, ledger, tokens, teams, standby, term);
+            settings, sink, replica, leadership, stateWriter, tokens, teams, standby, term);
     Demand demand = new Demand(settings, replica);
     placement =
         new Placement(
-            settings, ports, replica, workers, tokens, teams, term, demand, random::nextInt);
+            settings, sink, replica, workers, tokens, teams, term, demand, random::nextInt);
   }
 
   /** The leadership believes that it leads. */
@@ -123,13 +123,13 @@
                     e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
                 .findFirst()
                 .orElseThrow();
-    ports.replied(watch.call(), new Reply.Changed(List.of(), versions));
+    sink.replied(watch.call(), new Reply.Changed(List.of(), versions));
     leadership.tick(now);
     effects.clear();
   }
 
   private void reply(Reply reply) {
-    ports.replied(
+    sink.replied(
         ((Effect.Call)
                 effects.stream().filter(e -> e instanceof Effect.Call).reduce((a, b) -> b).get())
             .call(),
@@ -153,13 +153,14 @@
         new InstantHost() {
 
           @Override
-          public void snapshot(Consumer<Batch.Change> each) {
+          public void snapshot(Consumer<ReplicationBatch.Change> each) {
             workers.snapshot(each);
           }
 
           @Override
-          public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {
-            Batch.Ack ack = other.take(batch, true, now);
+          public void send(
+              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {
+            ReplicationBatch.Ack ack = other.take(batch, true, now);
             if (defersAcknowledgements) {
               acknowledgements.add(() -> then.accept(ack));
             } else {
@@ -191,10 +192,11 @@
     standby.leads(
         new InstantHost() {
           @Override
-          public void snapshot(Consumer<Batch.Change> each) {}
+          public void snapshot(Consumer<ReplicationBatch.Change> each) {}
 
           @Override
-          public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {}
+          public void send(
+              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {}
 
           @Override
           public void write(long version, Map<String, Object> record, LongConsumer then) {
@@ -216,7 +218,7 @@
   void load() {
     replica.tick(now);
     Effect.Call list = (Effect.Call) effects.get(effects.size() - 1);
-    ports.replied(list.call(), new Reply.Listed(List.of(), false, versions));
+    sink.replied(list.call(), new Reply.Listed(List.of(), false, versions));
   }
 
   void machines(int count) {
--- a/src/test/java/org/eiderstair/core/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/PlacementTest.java
@@ -35,11 +35,11 @@
           16,
           5,
           Settings.Tuning.defaults());
-  private final Ports ports = new Ports(e -> {});
+  private final EffectSink sink = new EffectSink(e -> {});
   private final Replica replica =
       new Replica(
           settings,
-          ports,
+          sink,
           new Replica.Listener() {
             @Override
             public void leaderChanged() {}
@@ -56,7 +56,7 @@
   private final WorkerManager workers =
       new WorkerManager(
           settings,
-          ports,
+          sink,
           replica,
           null,
           null,
@@ -66,7 +66,7 @@
           1);
   private final Demand demand = new Demand(settings, replica);
   private final Placement placement =
-      new Placement(settings, ports, replica, workers, tokens, teams, TERM, demand, n -> 0);
+      new Placement(settings, sink, replica, workers, tokens, teams, TERM, demand, n -> 0);
   private long versions = 1;
 
   private Job job(int number, String team, Priority priority, int tasks, double cpus) {
@@ -141,8 +141,8 @@
   }
 
   /**
-   * A whole unheard zone held up every team, although a team can have no more there than its own
-   * unseen tasks.
+   * A whole unconfirmed zone held up every team, although a team can have no more there than its
+   * own unseen tasks.
    */
   @Example
   void unheardMachinesCountAgainstATeamWithItsUnseenTasksOnly() {
@@ -150,9 +150,9 @@
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
-    Machine unheard = new Machine("u", 1, Machine.Phase.UNHEARD, 0);
-    unheard.type = TYPE;
-    workers.add(unheard);
+    Machine unconfirmed = new Machine("u", 1, Machine.Phase.UNCONFIRMED, 0);
+    unconfirmed.type = TYPE;
+    workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(0, older.active.size(), "may be on the unheard machine");
     assertEquals(5, newer.active.size());
@@ -169,9 +169,9 @@
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
-    Machine unheard = new Machine("u", 1, Machine.Phase.UNHEARD, 0);
-    unheard.type = TYPE;
-    workers.add(unheard);
+    Machine unconfirmed = new Machine("u", 1, Machine.Phase.UNCONFIRMED, 0);
+    unconfirmed.type = TYPE;
+    workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(
         2, newer.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
--- a/src/test/java/org/eiderstair/core/RelayTest.java
+++ b/src/test/java/org/eiderstair/core/RelayTest.java
@@ -10,7 +10,7 @@
 class RelayTest {
   private static final long SECOND = 1_000_000;
   private final List<Effect> effects = new ArrayList<>();
-  private final Relay relay = new Relay(new Ports(effects::add));
+  private final Relay relay = new Relay(new EffectSink(effects::add));
   private long exchange;
 
   /** What becomes of a report: the name of the effect. */
--- a/src/test/java/org/eiderstair/core/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/ReplicaTest.java
@@ -35,7 +35,7 @@
 
   private Effect.Call watching(long revision) {
     at(now);
-    bench.ports.replied(call().call(), new Reply.Listed(List.of(), false, revision));
+    bench.sink.replied(call().call(), new Reply.Listed(List.of(), false, revision));
     Effect.Call watch = call();
     assertTrue(watch.request() instanceof Request.StoreWatch);
     return watch;
@@ -53,7 +53,7 @@
   @Example
   void whatIsMissingIsMissingAsOfARevision() {
     Effect.Call watch = watching(10);
-    bench.ports.replied(
+    bench.sink.replied(
         watch.call(),
         new Reply.Changed(
             List.of(
@@ -90,17 +90,17 @@
     at(106 * SECOND);
     replica.proves(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.currentMicros());
-    bench.ports.replied(watch.call(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
+    bench.sink.replied(watch.call(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The watch itself is as new as its sending, not its answer.
     at(107 * SECOND);
     Effect.Call next = call();
     at(110 * SECOND);
-    bench.ports.replied(next.call(), new Reply.Changed(List.of(), 11));
+    bench.sink.replied(next.call(), new Reply.Changed(List.of(), 11));
     assertEquals(107 * SECOND, replica.currentMicros());
     // One without an answer shows nothing.
     at(111 * SECOND);
-    bench.ports.replied(call().call(), new Reply.Lost("timeout"));
+    bench.sink.replied(call().call(), new Reply.Lost("timeout"));
     at(113 * SECOND);
     assertEquals(107 * SECOND, replica.currentMicros());
   }
@@ -114,10 +114,10 @@
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
-    bench.ports.replied(second.call(), new Reply.Changed(List.of(rosterItem("i-2", 12)), 12));
+    bench.sink.replied(second.call(), new Reply.Changed(List.of(rosterItem("i-2", 12)), 12));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The one given up changes nothing when it answers at last, and opens no third.
-    bench.ports.replied(silent.call(), new Reply.Changed(List.of(), 10));
+    bench.sink.replied(silent.call(), new Reply.Changed(List.of(), 10));
     assertEquals(105 * SECOND, replica.currentMicros());
     at(106 * SECOND);
     assertTrue(call().request() instanceof Request.StoreWatch);
--- a/src/test/java/org/eiderstair/core/LeftBehindTest.java
+++ b/src/test/java/org/eiderstair/core/StarvationGuardTest.java
@@ -9,10 +9,10 @@
 import net.jqwik.api.Example;
 
 /** Who goes ahead, when, and how much of it. */
-class LeftBehindTest {
+class StarvationGuardTest {
   private static final long SECOND = 1_000_000;
   private final List<String> logs = new ArrayList<>();
-  private final LeftBehind leftBehind = new LeftBehind(logs::add);
+  private final StarvationGuard leftBehind = new StarvationGuard(logs::add);
   private final List<Job> open = new ArrayList<>();
   private int numbers;
 
--- a/src/test/java/org/eiderstair/core/StateKey.java
+++ b/src/test/java/org/eiderstair/core/StateKey.java
@@ -79,7 +79,7 @@
         .append(m.commandInFlight)
         .append(m.killInFlight)
         .append(m.killsPending);
-    key.append(m.reaps.size()).append(m.strays.size()).append(world.now >= m.holdUntilMicros);
+    key.append(m.reaps.size()).append(m.orphans.size()).append(world.now >= m.holdUntilMicros);
     key.append((world.now - m.answeredMicros) / ALIKE_MICROS);
     for (Attempt a : m.attempts.values()) {
       key.append(a.index).append(a.phase).append(attempts.of(a.number));
--- a/src/test/java/org/eiderstair/core/StateReachTest.java
+++ b/src/test/java/org/eiderstair/core/StateReachTest.java
@@ -29,25 +29,25 @@
           Settings.Tuning.defaults());
   private long now;
   private final List<Effect.Call> calls = new ArrayList<>();
-  private final Ports ports =
-      new Ports(
+  private final EffectSink sink =
+      new EffectSink(
           e -> {
             if (e instanceof Effect.Call call) {
               calls.add(call);
             }
           });
   private final StateReach reach =
-      new StateReach(settings, ports, new Replica(settings, ports, null, 0));
+      new StateReach(settings, sink, new Replica(settings, sink, null, 0));
 
   private void pass(long seconds, Reply ofState, Reply ofPeers) {
-    ports.watch(reach::replied);
+    sink.watch(reach::replied);
     for (long end = now + seconds * SECOND; now < end; ) {
       now += SECOND;
       reach.tick(now);
       List<Effect.Call> made = List.copyOf(calls);
       calls.clear();
       made.forEach(
-          c -> ports.replied(c.call(), c.request() instanceof Request.PeerAsk ? ofPeers : ofState));
+          c -> sink.replied(c.call(), c.request() instanceof Request.PeerAsk ? ofPeers : ofState));
     }
   }
 
--- a/src/test/java/org/eiderstair/core/LedgerTest.java
+++ b/src/test/java/org/eiderstair/core/StateWriterTest.java
@@ -10,16 +10,16 @@
 import net.jqwik.api.Example;
 
 /** In which order the leader's writes go, and what becomes of those that are written twice. */
-class LedgerTest {
+class StateWriterTest {
   private final LeaderBench bench = new LeaderBench();
   private final List<String> finished = new ArrayList<>();
-  private final Ledger ledger =
-      new Ledger(
+  private final StateWriter stateWriter =
+      new StateWriter(
           bench.settings,
-          bench.ports,
+          bench.sink,
           bench.replica,
           LeaderBench.TERM,
-          new Ledger.Listener() {
+          new StateWriter.Listener() {
             @Override
             public void jobFinished(Job job) {
               finished.add(job.id);
@@ -34,11 +34,11 @@
   private List<Request.Write> next() {
     bench.effects.clear();
     now += 1_000_000;
-    ledger.tick(now);
+    stateWriter.tick(now);
     Effect.Call call = (Effect.Call) bench.effects.get(0);
     Request.StoreTxn txn = (Request.StoreTxn) call.request();
     assertEquals(new Request.Condition(Records.LEADER, LeaderBench.TERM), txn.conditions().get(0));
-    bench.ports.replied(call.call(), new Reply.Applied(++bench.versions));
+    bench.sink.replied(call.call(), new Reply.Applied(++bench.versions));
     return txn.writes();
   }
 
@@ -46,10 +46,10 @@
   void hundredsOfNotesHoldUpNoCompletionAndWaitForNone() {
     int[] durable = new int[1];
     for (int i = 0; i < 300; i++) {
-      ledger.note(Records.DUTY + "rent/r-1-" + i, Map.of("n", 1L), () -> durable[0]++);
+      stateWriter.note(Records.DUTY + "rent/r-1-" + i, Map.of("n", 1L), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
-      ledger.finished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
+      stateWriter.finished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
     }
     List<Request.Write> first = next();
     assertEquals(3, finished.size());
@@ -64,10 +64,10 @@
   private Request answered(Function<Request, Reply> reply) {
     if (bench.effects.isEmpty()) {
       now += 1_000_000;
-      ledger.tick(now);
+      stateWriter.tick(now);
     }
     Effect.Call call = (Effect.Call) bench.effects.remove(0);
-    bench.ports.replied(call.call(), reply.apply(call.request()));
+    bench.sink.replied(call.call(), reply.apply(call.request()));
     return call.request();
   }
 
@@ -78,7 +78,7 @@
   @Example
   void aCreationWithoutAnAnswerIsDeadOnceTheBarrierIsWritten() {
     Machine machine = new Machine("i-1", LeaderBench.TERM, Machine.Phase.HEARD, now);
-    ledger.enrol(machine);
+    stateWriter.register(machine);
     Request.StoreTxn lost = (Request.StoreTxn) answered(r -> new Reply.Lost("timeout"));
     assertTrue(lost.conditions().contains(new Request.Condition(Records.rosterKey("i-1"), 0)));
     long before =
@@ -115,17 +115,17 @@
   void theLatestValueCountsAndEveryoneIsTold() {
     List<String> told = new ArrayList<>();
     String key = Records.DUTY + "leave/1-1";
-    ledger.note(key, Map.of("v", 1L), () -> told.add("first"));
-    ledger.note(key, Map.of("v", 2L), () -> told.add("second"));
+    stateWriter.note(key, Map.of("v", 1L), () -> told.add("first"));
+    stateWriter.note(key, Map.of("v", 2L), () -> told.add("second"));
     assertEquals(Map.of("v", 2L), next().get(0).value());
     assertEquals(List.of("first", "second"), told);
     // One that comes while another value is on its way waits for its own.
-    ledger.note(key, Map.of("v", 3L), () -> told.add("third"));
+    stateWriter.note(key, Map.of("v", 3L), () -> told.add("third"));
     bench.effects.clear();
     now += 1_000_000;
-    ledger.tick(now);
-    ledger.note(key, null, () -> told.add("dropped"));
-    bench.ports.replied(
+    stateWriter.tick(now);
+    stateWriter.note(key, null, () -> told.add("dropped"));
+    bench.sink.replied(
         ((Effect.Call) bench.effects.get(0)).call(), new Reply.Applied(++bench.versions));
     assertEquals(List.of("first", "second", "third"), told);
     assertEquals(null, next().get(0).value());
--- a/src/test/java/org/eiderstair/core/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/WorkerManagerTest.java
@@ -33,8 +33,8 @@
           Settings.Tuning.defaults());
   private final List<Answer.Command> answers = new ArrayList<>();
   private final List<Effect.Respond> responds = new ArrayList<>();
-  private final Ports ports =
-      new Ports(
+  private final EffectSink sink =
+      new EffectSink(
           e -> {
             if (e instanceof Effect.Respond r) {
               responds.add(r);
@@ -46,7 +46,7 @@
   private final Replica replica =
       new Replica(
           settings,
-          ports,
+          sink,
           new Replica.Listener() {
             @Override
             public void leaderChanged() {}
@@ -61,7 +61,7 @@
   private final WorkerManager workers =
       new WorkerManager(
           settings,
-          ports,
+          sink,
           replica,
           leadership(),
           null,
@@ -112,7 +112,7 @@
   }
 
   private Leadership leadership() {
-    return new Leadership(settings, ports, replica, "run", n -> 0, null);
+    return new Leadership(settings, sink, replica, "run", n -> 0, null);
   }
 
   private void reported(MachineReport report, long nowMicros) {
@@ -191,7 +191,7 @@
     assertTrue(call.tooLate(5_000_001) instanceof Reply.Lost);
     // And every answer and command of the leader bears such a time.
     List<Effect> sent = new ArrayList<>();
-    Ports sending = new Ports(sent::add);
+    EffectSink sending = new EffectSink(sent::add);
     WorkerManager other =
         new WorkerManager(
             settings,
--- a/src/test/java/org/eiderstair/core/duty/package-info.java
+++ /dev/null
@@ -1,2 +0,0 @@
-/** Tests of renting and giving back. */
-package org.eiderstair.core.duty;
--- a/src/test/java/org/eiderstair/core/member/MembershipTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipTest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,7 +28,7 @@
   private record Asked(String peer, String run, long after, Consumer<Membership.Answer> then) {}
 
   private record Known(String machine, String zone, long lastHeardMicros, boolean holdsBack)
-      implements Survey.Member {}
+      implements ReachabilityClassifier.Member {}
 
   private final List<Asked> asked = new ArrayList<>();
   private final List<String> logs = new ArrayList<>();
@@ -98,11 +98,13 @@
       leader.tick(true, now);
       answer(peer, "n1", now);
     }
-    Hearing all = peer.tell("", 0, now);
+    HeartbeatDigest all = peer.tell("", 0, now);
     assertTrue(all.whole());
     heard.clear();
-    for (Hearing h = all; ; h = peer.tell(h.run(), h.last(), now)) {
-      h.changes().stream().filter(Hearing.Change::heard).forEach(c -> heard.add(c.machine()));
+    for (HeartbeatDigest h = all; ; h = peer.tell(h.run(), h.last(), now)) {
+      h.changes().stream()
+          .filter(HeartbeatDigest.Change::heard)
+          .forEach(c -> heard.add(c.machine()));
       if (!h.more()) {
         break;
       }
@@ -121,7 +123,7 @@
       peer.heard("m" + i, SECOND);
     }
     long told = 0;
-    Hearing h = peer.tell("", 0, SECOND);
+    HeartbeatDigest h = peer.tell("", 0, SECOND);
     for (; h.more(); h = peer.tell(h.run(), h.last(), SECOND)) {
       told += h.changes().size();
       assertTrue(h.changes().size() <= 400);
@@ -145,13 +147,13 @@
     answer(peer, "n1", 20 * SECOND);
     List<Known> all = machines(2, "b", 9 * SECOND);
     all.addAll(machines(20, "a", 20 * SECOND));
-    Survey survey = leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND);
-    assertEquals(Survey.Verdict.ELSEWHERE, survey.of(all.get(1)));
-    assertEquals(Survey.Verdict.SILENT, survey.of(all.get(0)));
+    ReachabilityClassifier survey = leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND);
+    assertEquals(ReachabilityClassifier.Verdict.ELSEWHERE, survey.of(all.get(1)));
+    assertEquals(ReachabilityClassifier.Verdict.SILENT, survey.of(all.get(0)));
     // What it told is believed no longer than it goes on telling.
     leader.tick(false, 40 * SECOND);
     assertEquals(
-        Survey.Verdict.SILENT,
+        ReachabilityClassifier.Verdict.SILENT,
         leader.survey(all, false, PATIENCE, PATIENCE, 40 * SECOND).of(all.get(1)));
   }
 
@@ -202,17 +204,19 @@
     leader.tick(true, 18 * SECOND);
     Known one = all.get(0);
     assertEquals(
-        Survey.Verdict.CUT_OFF, leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.CUT_OFF,
+        leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND).of(one));
     assertEquals(
-        Survey.Verdict.SILENT, leader.survey(all, false, PATIENCE, PATIENCE, 40 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.SILENT,
+        leader.survey(all, false, PATIENCE, PATIENCE, 40 * SECOND).of(one));
     // None reaches this node any more: these are merely the first to run out of patience.
     List<Known> first = machines(8, "a", 9 * SECOND);
     first.addAll(machines(50, "b", 20 * SECOND));
     assertEquals(
-        Survey.Verdict.SILENT,
+        ReachabilityClassifier.Verdict.SILENT,
         leader.survey(first, false, PATIENCE, PATIENCE, 21 * SECOND).of(first.get(0)));
     assertEquals(
-        Survey.Verdict.CUT_OFF,
+        ReachabilityClassifier.Verdict.CUT_OFF,
         leader.survey(first, true, PATIENCE, PATIENCE, 21 * SECOND).of(first.get(0)));
   }
 
@@ -223,14 +227,15 @@
     leader.tick(true, 18 * SECOND);
     Known one = all.get(0);
     assertEquals(
-        Survey.Verdict.DARK, leader.survey(all, false, PATIENCE, 60 * SECOND, 21 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.DARK,
+        leader.survey(all, false, PATIENCE, 60 * SECOND, 21 * SECOND).of(one));
     assertTrue(leader.isDark("b"));
     assertEquals(1, logs.size());
     // Its controller answers: the zone is not cut off, so its machines are dead.
     answer(node("n1", "p"), "n1", 22 * SECOND);
     assertFalse(leader.isDark("b"));
     assertEquals(
-        Survey.Verdict.SILENT,
+        ReachabilityClassifier.Verdict.SILENT,
         leader.survey(all, false, PATIENCE, 60 * SECOND, 22 * SECOND).of(one));
   }
 
@@ -239,11 +244,12 @@
     List<Known> all = machines(1, "b", 9 * SECOND);
     all.addAll(machines(20, "a", 20 * SECOND));
     leader.tick(true, 19 * SECOND);
-    Survey asking = leader.survey(all, false, PATIENCE, PATIENCE, 19 * SECOND + 100_000);
-    assertEquals(Survey.Verdict.DOUBTED, asking.of(all.get(0)));
+    ReachabilityClassifier asking =
+        leader.survey(all, false, PATIENCE, PATIENCE, 19 * SECOND + 100_000);
+    assertEquals(ReachabilityClassifier.Verdict.DOUBTED, asking.of(all.get(0)));
     asked.forEach(a -> a.then().accept(new Membership.Answer(null)));
     assertEquals(
-        Survey.Verdict.SILENT,
+        ReachabilityClassifier.Verdict.SILENT,
         leader.survey(all, false, PATIENCE, PATIENCE, 19 * SECOND + 200_000).of(all.get(0)));
   }
 }
--- a/src/test/java/org/eiderstair/core/member/package-info.java
+++ b/src/test/java/org/eiderstair/core/membership/package-info.java
@@ -1,2 +1,2 @@
 /** Tests of which machines are taken for silent. */
-package org.eiderstair.core.member;
+package org.eiderstair.core.membership;
--- a/src/test/java/org/eiderstair/core/duty/DutiesTest.java
+++ b/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.duty;
+package org.eiderstair.core.provisioning;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -24,8 +24,8 @@
  * Holders replaced in the middle of everything, requests and answers that come minutes late:
  * nothing twice, nothing lost.
  */
-class DutiesTest {
-  private static final Offer OFFER = new Offer("t", "a", true);
+class ProvisioningControllerTest {
+  private static final RentalOption OFFER = new RentalOption("t", "a", true);
   private static final long SECOND = 1_000_000;
 
   /**
@@ -75,10 +75,10 @@
   }
 
   /** One holder; it may go on after it was replaced, which it then does not know. */
-  private static final class Holder implements Duties.Host {
+  private static final class Holder implements ProvisioningController.Host {
     final World world;
     final long epoch;
-    final Duties duties;
+    final ProvisioningController duties;
     final Set<String> booting = new HashSet<>();
     final Set<String> gone = new HashSet<>();
     final List<String> errors = new ArrayList<>();
@@ -88,11 +88,11 @@
     Holder(World world) {
       this.world = world;
       this.epoch = world.epoch += 10;
-      this.duties = new Duties(this, epoch, 30 * SECOND, 0);
+      this.duties = new ProvisioningController(this, epoch, 30 * SECOND, 0);
       duties.resume(new TreeMap<>(world.store), world.now);
     }
 
-    /** Writes of one holder are carried out in their order, as the ledger does. */
+    /** Writes of one holder are carried out in their order, as the stateWriter does. */
     private void write(String key, Map<String, Object> value, Runnable durable) {
       writes.add(
           () -> {
@@ -102,7 +102,7 @@
                 world.store.remove(key);
               } else {
                 world.store.put(key, value);
-                if (key.startsWith(Duties.RETURNS)) {
+                if (key.startsWith(ProvisioningController.RETURNS)) {
                   ((List<?>) value.get("ids")).forEach(id -> world.everMarked.add((String) id));
                 }
               }
@@ -128,11 +128,15 @@
     }
 
     @Override
-    public void rent(String charter, Offer offer, int count, Consumer<Duties.Rental> then) {
+    public void rent(
+        String charter,
+        RentalOption offer,
+        int count,
+        Consumer<ProvisioningController.Rental> then) {
       List<String> names = new ArrayList<>();
       world.toCloud(
           () -> {
-            if (!world.store.containsKey(Duties.RENTALS + charter)
+            if (!world.store.containsKey(ProvisioningController.RENTALS + charter)
                 && !world.charters.containsKey(charter)) {
               world.broken.add("asked for " + charter + " before it was durable");
             }
@@ -151,13 +155,14 @@
           },
           () ->
               then.accept(
-                  new Duties.Rental(Duties.Rental.Outcome.GRANTED, List.copyOf(names), "")));
+                  new ProvisioningController.Rental(
+                      ProvisioningController.Rental.Outcome.GRANTED, List.copyOf(names), "")));
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<Duties.Deletion> then) {
+    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> then) {
       if (refusedByCloud) {
-        world.onTheWay.add(() -> then.accept(Duties.Deletion.REFUSED));
+        world.onTheWay.add(() -> then.accept(ProvisioningController.Deletion.REFUSED));
         return;
       }
       world.toCloud(
@@ -172,16 +177,16 @@
               }
             }
           },
-          () -> then.accept(Duties.Deletion.DONE));
+          () -> then.accept(ProvisioningController.Deletion.DONE));
     }
 
     @Override
-    public void booting(String charter, Offer offer, List<String> machines, long ageMicros) {
+    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
       booting.addAll(machines);
     }
 
     @Override
-    public void shortOf(Offer offer, String why) {}
+    public void shortOf(RentalOption offer, String why) {}
 
     @Override
     public void gone(String machine) {
@@ -366,17 +371,19 @@
   void whatCannotBeReadIsNamedAndStopsNothing() {
     World world = new World();
     world.store.put(
-        Duties.RENTALS + "r-1-1", Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
+        ProvisioningController.RENTALS + "r-1-1",
+        Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
     world.store.put(
-        Duties.RENTALS + "r-1-2", Map.of("type", "t", "zone", "a", "n", 0L, "epoch", 1L, "at", 0L));
-    world.store.put(Duties.RETURNS + "1-3", Map.of("epoch", 1L, "ids", "m"));
+        ProvisioningController.RENTALS + "r-1-2",
+        Map.of("type", "t", "zone", "a", "n", 0L, "epoch", 1L, "at", 0L));
+    world.store.put(ProvisioningController.RETURNS + "1-3", Map.of("epoch", 1L, "ids", "m"));
     world.store.put(
-        Duties.RENTALS + "r-1-4",
+        ProvisioningController.RENTALS + "r-1-4",
         Map.of("type", "t", "zone", "a", "n", 2L, "epoch", 1L, "at", 0L, "later", true));
     Holder holder = new Holder(world);
     assertEquals(3, holder.errors.size());
     assertTrue(
-        holder.errors.get(0).contains(Duties.RETURNS + "1-3")
+        holder.errors.get(0).contains(ProvisioningController.RETURNS + "1-3")
             && holder.errors.get(0).contains("ids"));
     assertTrue(holder.errors.get(1).contains("r-1-1") && holder.errors.get(1).contains("zone"));
     holder.duties.tick(SECOND);
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/provisioning/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of capacity and giving back. */
+package org.eiderstair.core.provisioning;
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -230,7 +230,7 @@
       long ofTerm = term;
       String ofRun = run;
       known.add(task);
-      standby.change(new Batch.Change(true, "m", 1, task, 0, ofTerm));
+      standby.change(new ReplicationBatch.Change(true, "m", 1, task, 0, ofTerm));
       standby.launch(
           () -> {
             if (run.equals(ofRun) && authority) {
@@ -262,12 +262,12 @@
     }
 
     @Override
-    public void snapshot(Consumer<Batch.Change> each) {
-      known.forEach(t -> each.accept(new Batch.Change(true, "m", 1, t, 0, 1)));
+    public void snapshot(Consumer<ReplicationBatch.Change> each) {
+      known.forEach(t -> each.accept(new ReplicationBatch.Change(true, "m", 1, t, 0, 1)));
     }
 
     @Override
-    public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {
+    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {
       String ofRun = run;
       if (!batch.changes().isEmpty() && world.copied < 2) {
         world.copied++;
@@ -290,7 +290,7 @@
               + batch.changes().size(),
           () -> {
             Node to = world.node(peer);
-            Batch.Ack ack = to.standby.take(batch, to.term == 0, 0);
+            ReplicationBatch.Ack ack = to.standby.take(batch, to.term == 0, 0);
             world.send(
                 "ack "
                     + name
@@ -429,31 +429,31 @@
 
   private static final int MOST_STATES = Integer.getInteger("standby.states", 40_000);
 
-  private final Copy copy = new Copy();
+  private final StandbyReplica copy = new StandbyReplica();
 
-  private static Batch batch(
-      long term, long filling, long first, boolean more, Batch.Change... changes) {
-    return new Batch(term, filling, first, more, List.of(changes));
+  private static ReplicationBatch batch(
+      long term, long filling, long first, boolean more, ReplicationBatch.Change... changes) {
+    return new ReplicationBatch(term, filling, first, more, List.of(changes));
   }
 
-  private static Batch.Change there(String job) {
-    return new Batch.Change(true, "m", 1, job, 0, 5);
+  private static ReplicationBatch.Change there(String job) {
+    return new ReplicationBatch.Change(true, "m", 1, job, 0, 5);
   }
 
   @Example
   void aGapIsNotFollowedAndARepeatChangesNothing() {
     assertTrue(copy.take(batch(3, 1, 1, true, there("a"), there("b"))));
-    assertEquals(Copy.State.FILLING, copy.state());
+    assertEquals(StandbyReplica.State.FILLING, copy.state());
     assertTrue(copy.take(batch(3, 1, 3, false, there("c"))));
-    assertEquals(Copy.State.FOLLOWING, copy.state());
+    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
     assertTrue(copy.take(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
     assertEquals(3, copy.machines().get("m").attempts.size());
-    assertEquals(Copy.State.FOLLOWING, copy.state());
+    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
     assertFalse(copy.take(batch(3, 1, 5, false, there("e"))));
-    assertEquals(Copy.State.EMPTY, copy.state());
+    assertEquals(StandbyReplica.State.EMPTY, copy.state());
     assertFalse(copy.take(batch(3, 1, 1, false, there("a"))), "an earlier filling");
     assertTrue(copy.take(batch(3, 2, 1, false)));
-    assertEquals(Copy.State.FOLLOWING, copy.state());
+    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
     assertFalse(copy.take(batch(2, 9, 1, false)), "an earlier term");
   }
 
@@ -471,8 +471,8 @@
   void aLargePictureInPagesWithChangesBetween() {
     Standby standby = new Standby("b", "b1", text -> {});
     Map<String, Map<String, Long>> truth = new HashMap<>();
-    List<Batch> batches = new ArrayList<>();
-    List<Consumer<Batch.Ack>> acks = new ArrayList<>();
+    List<ReplicationBatch> batches = new ArrayList<>();
+    List<Consumer<ReplicationBatch.Ack>> acks = new ArrayList<>();
     Standby leader = new Standby("a", "a1", text -> {});
     for (int i = 0; i < 100_000; i++) {
       truth.computeIfAbsent("m" + i % 1600, m -> new HashMap<>()).put("job-" + i, (long) i);
@@ -481,14 +481,16 @@
         new InstantHost() {
 
           @Override
-          public void snapshot(Consumer<Batch.Change> each) {
+          public void snapshot(Consumer<ReplicationBatch.Change> each) {
             truth.forEach(
                 (m, jobs) ->
-                    jobs.forEach((j, a) -> each.accept(new Batch.Change(true, m, 1, j, 0, a))));
+                    jobs.forEach(
+                        (j, a) -> each.accept(new ReplicationBatch.Change(true, m, 1, j, 0, a))));
           }
 
           @Override
-          public void send(String peer, Batch batch, Consumer<Batch.Ack> then) {
+          public void send(
+              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {
             batches.add(batch);
             acks.add(then);
           }
@@ -501,19 +503,19 @@
     for (int i = 0; !leader.summary().endsWith("in sync"); i++) {
       assertTrue(i < 1000, leader.summary());
       assertTrue(batches.get(0).changes().size() <= 400);
-      Batch.Ack ack = standby.take(batches.remove(0), true, now);
+      ReplicationBatch.Ack ack = standby.take(batches.remove(0), true, now);
       String machine = "m" + i % 1600;
       truth.get(machine).put("new-" + i, 9L);
-      leader.change(new Batch.Change(true, machine, 1, "new-" + i, 0, 9));
+      leader.change(new ReplicationBatch.Change(true, machine, 1, "new-" + i, 0, 9));
       Long gone = truth.get(machine).remove("job-" + i % 1600);
       if (gone != null) {
-        leader.change(new Batch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
+        leader.change(new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
       }
       acks.remove(0).accept(ack);
       leader.tick(++now);
     }
     while (!batches.isEmpty()) {
-      Batch.Ack ack = standby.take(batches.remove(0), true, now);
+      ReplicationBatch.Ack ack = standby.take(batches.remove(0), true, now);
       acks.remove(0).accept(ack);
       leader.tick(++now);
     }
--- a/src/test/java/org/eiderstair/http/OutboundTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -20,7 +20,7 @@
 import org.eiderstair.core.Request;
 
 /** Connections to workers between two commands are bounded, however many machines there are. */
-class OutboundTest {
+class HttpClientPoolTest {
   private static final int WORKERS = 60;
   private static final int MOST_IDLE = 10;
 
@@ -33,8 +33,8 @@
       threads.execute(() -> serve(server, threads, open));
       Sockets sockets = new Sockets(threads);
       CountDownLatch[] round = {new CountDownLatch(WORKERS)};
-      Outbound outbound =
-          new Outbound(
+      HttpClientPool outbound =
+          new HttpClientPool(
               sockets,
               "127.0.0.1:1",
               "127.0.0.1:2",
--- a/src/test/java/org/eiderstair/http/ServedConnectionTest.java
+++ b/src/test/java/org/eiderstair/http/ServerConnectionTest.java
@@ -24,18 +24,18 @@
 import org.eiderstair.protocol.Pack;
 
 /** Requests over real sockets, however they are cut, and whatever is wrong with them. */
-class ServedConnectionTest {
+class ServerConnectionTest {
   private static final int HELD = 1_000_000;
   private static ExecutorService threads;
   private static Sockets sockets;
-  private static Inbound inbound;
+  private static HttpRequestRouter inbound;
   private static int port;
 
   @BeforeContainer
   static void start() throws Exception {
     threads = Executors.newFixedThreadPool(2);
     sockets = new Sockets(threads);
-    inbound = new Inbound(ServedConnectionTest::event, HELD);
+    inbound = new HttpRequestRouter(ServerConnectionTest::event, HELD);
     port = inbound.listen(sockets, "127.0.0.1", 0, 1000);
   }
 
@@ -148,7 +148,7 @@
    */
   @Example
   void bodiesTogetherStayWithinTheirBound() throws Exception {
-    Inbound tight = new Inbound(ServedConnectionTest::event, 20_000);
+    HttpRequestRouter tight = new HttpRequestRouter(ServerConnectionTest::event, 20_000);
     int tightPort = tight.listen(sockets, "127.0.0.1", 0, 8);
     String head = "POST /work HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n";
     for (int round = 0; round < 3; round++) {
--- a/src/test/java/org/eiderstair/node/BadInputTest.java
+++ b/src/test/java/org/eiderstair/node/BadInputTest.java
@@ -116,7 +116,7 @@
   void whatIsWrongIsNamedAndHarmsNothingElse() throws Exception {
     http = new HttpClient();
     http.start();
-    try (StandIn standIn = new StandIn(0, 0);
+    try (FakePlatform standIn = new FakePlatform(0, 0);
         Node node =
             new Node(
                 PlatformFile.read(
--- a/src/test/java/org/eiderstair/node/Rehearsal.java
+++ b/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
@@ -26,7 +26,7 @@
  * with more machines and a longer life it tells what each part of that life costs in processor time
  * (docs/operating.md).
  */
-public final class Rehearsal {
+public final class ClassArchiveWorkload {
   private static final String SETTINGS =
       """
       node = "rehearsal"
@@ -72,20 +72,21 @@
 
   private static final int LONGEST_S = 60;
 
-  private final StandIn region;
+  private final FakePlatform region;
   private final Process process;
   private final String base;
   private final HttpClient http = new HttpClient();
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
   private final long reportMillis;
-  private final Map<String, StandIn.Machine> reporting = new HashMap<>();
+  private final Map<String, FakePlatform.Machine> reporting = new HashMap<>();
   private final List<String> polled = new ArrayList<>();
   private long answered;
   private long jobs;
   private long cpuMillis;
   private long answeredBefore;
 
-  private Rehearsal(StandIn region, Process process, int port, long reportMillis) throws Exception {
+  private ClassArchiveWorkload(FakePlatform region, Process process, int port, long reportMillis)
+      throws Exception {
     this.region = region;
     this.process = process;
     this.base = "http://127.0.0.1:" + port;
@@ -118,7 +119,7 @@
     int jobsPerMinute = Integer.parseInt(args[2]);
     int port = freePort();
     Path file = Files.createTempFile("eiderstair", ".toml");
-    try (StandIn region = new StandIn(machines, 2000)) {
+    try (FakePlatform region = new FakePlatform(machines, 2000)) {
       Files.writeString(file, String.format(SETTINGS, port, freePort(), region.port()));
       region.put("e/leader", Map.of("node", "other", "lease", 1L, "run", "other-1"));
       region.rentedEarlier(machines / 2);
@@ -132,7 +133,8 @@
       }
       Process process = start.start();
       watch(process, seconds);
-      Rehearsal life = new Rehearsal(region, process, port, machines > 20 ? 3000 : 300);
+      ClassArchiveWorkload life =
+          new ClassArchiveWorkload(region, process, port, machines > 20 ? 3000 : 300);
       try {
         life.live(seconds, jobsPerMinute);
       } finally {
@@ -177,7 +179,7 @@
     }
     phase("start until ready");
     // A worker that is soon back cannot reach the leader: its reports are passed on.
-    StandIn.Machine first = region.machines().get(0);
+    FakePlatform.Machine first = region.machines().get(0);
     for (int i = 0; i < 3; i++) {
       status(HttpMethod.POST, "/agent/beat", Pack.write(first.report()));
     }
@@ -198,7 +200,7 @@
   }
 
   private synchronized void reports() {
-    for (StandIn.Machine m : region.machines()) {
+    for (FakePlatform.Machine m : region.machines()) {
       if (reporting.putIfAbsent(m.id, m) == null) {
         timer.schedule(
             () -> report(m), (long) (Math.random() * reportMillis), TimeUnit.MILLISECONDS);
@@ -206,7 +208,7 @@
     }
   }
 
-  private void report(StandIn.Machine m) {
+  private void report(FakePlatform.Machine m) {
     http.newRequest(base + "/agent/beat")
         .method(HttpMethod.POST)
         .tag(m.id)
--- a/src/test/java/org/eiderstair/node/StandIn.java
+++ b/src/test/java/org/eiderstair/node/FakePlatform.java
@@ -27,7 +27,7 @@
  * them. Each machine has a loopback address of its own, by which its commands are told from those
  * of others.
  */
-final class StandIn extends Handler.Abstract implements AutoCloseable {
+final class FakePlatform extends Handler.Abstract implements AutoCloseable {
   private record Item(Map<String, Object> value, long version) {}
 
   /**
@@ -51,7 +51,7 @@
 
     /** The worker's report; a task that has run for long enough is shown as done. */
     Map<String, Object> report() {
-      synchronized (StandIn.this) {
+      synchronized (FakePlatform.this) {
         List<Object> pieces = new ArrayList<>();
         tasks.forEach(
             (piece, task) -> {
@@ -89,7 +89,7 @@
      * something to do.
      */
     boolean obey(Map<String, Object> message) {
-      synchronized (StandIn.this) {
+      synchronized (FakePlatform.this) {
         boolean changed = baton < (Long) message.get("Baton");
         baton = Math.max(baton, (Long) message.get("Baton"));
         for (Object order : (List<?>) message.get("Orders")) {
@@ -118,7 +118,7 @@
   private long revision;
   private int relayed;
 
-  StandIn(int mostMachines, long taskMillis) throws Exception {
+  FakePlatform(int mostMachines, long taskMillis) throws Exception {
     this.mostMachines = mostMachines;
     this.taskMillis = taskMillis;
     server.addConnector(connector);
--- a/src/test/java/org/eiderstair/node/NodeTest.java
+++ b/src/test/java/org/eiderstair/node/NodeTest.java
@@ -110,7 +110,7 @@
   void aJobsLifeAndWhatIsRefused() throws Exception {
     HttpClient http = new HttpClient();
     http.start();
-    try (StandIn standIn = new StandIn(1, 0);
+    try (FakePlatform standIn = new FakePlatform(1, 0);
         Node node =
             new Node(
                 PlatformFile.read(
@@ -128,7 +128,7 @@
 
       Object tide = null;
       for (int i = 0; i < TRIES && !"done".equals(tide); i++) {
-        for (StandIn.Machine machine : standIn.machines()) {
+        for (FakePlatform.Machine machine : standIn.machines()) {
           ContentResponse answer =
               send(http, HttpMethod.POST, base + "/agent/beat", Pack.write(machine.report()));
           assertEquals(200, answer.getStatus());
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -11,8 +11,8 @@
 import org.eiderstair.core.MachineReport;
 import org.eiderstair.core.Order;
 import org.eiderstair.core.TaskId;
-import org.eiderstair.core.member.Hearing;
-import org.eiderstair.core.standby.Batch;
+import org.eiderstair.core.membership.HeartbeatDigest;
+import org.eiderstair.core.standby.ReplicationBatch;
 import org.eiderstair.peer.PeerMessages;
 
 class PeerMessagesTest {
@@ -64,14 +64,15 @@
   @Property(tries = 100, seed = "6")
   void whatIsHeardReadsBackAsWritten(@ForAll String run, @ForAll long after, @ForAll boolean whole)
       throws Malformed {
-    Hearing hearing =
-        new Hearing(
+    HeartbeatDigest hearing =
+        new HeartbeatDigest(
             run,
             whole,
             after,
             !whole,
             List.of(
-                new Hearing.Change("i-000001", whole, after), new Hearing.Change("", !whole, 0)));
+                new HeartbeatDigest.Change("i-000001", whole, after),
+                new HeartbeatDigest.Change("", !whole, 0)));
     assertEquals(hearing, PeerMessages.heard(PeerMessages.heard(hearing)).hearing());
     assertEquals(
         new Event.PeerHeardAsked(9, run, after),
@@ -86,17 +87,17 @@
       @ForAll String job,
       @ForAll int index)
       throws Malformed {
-    Batch batch =
-        new Batch(
+    ReplicationBatch batch =
+        new ReplicationBatch(
             term,
             2,
             first,
             more,
             List.of(
-                new Batch.Change(more, "i-000001", term, job, index, first),
-                new Batch.Change(true, "i-000002", 1, "", 0, 0)));
+                new ReplicationBatch.Change(more, "i-000001", term, job, index, first),
+                new ReplicationBatch.Change(true, "i-000002", 1, "", 0, 0)));
     assertEquals(batch, PeerMessages.standby(PeerMessages.standby(batch)));
-    Batch.Ack ack = new Batch.Ack(job, more, first);
+    ReplicationBatch.Ack ack = new ReplicationBatch.Ack(job, more, first);
     assertEquals(ack, PeerMessages.standbyAck(PeerMessages.standbyAck(ack)).ack());
   }
 
--- a/src/test/java/org/eiderstair/sim/TogetherTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -13,24 +13,26 @@
  * How controllers act together when some of them are blind: days with one fault each, the dearest
  * at the fleet size.
  */
-class TogetherTest {
+class ControllerFaultScenariosTest {
   private static final long SECOND = 1_000_000;
   private static final long FAULT = 80 * SECOND;
 
   /** More room than the work of the day ever asks for. */
-  private static final Day.Size ROOMY = new Day.Size(5, 900, 240, 900, 160, 60);
+  private static final SimulatedCluster.Size ROOMY =
+      new SimulatedCluster.Size(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
 
   /**
    * @param fault happens while all machines are busy
    */
-  private Day play(Day.Size size, Consumer<Day> fault) {
+  private SimulatedCluster play(SimulatedCluster.Size size, Consumer<SimulatedCluster> fault) {
     return play(5, size, fault);
   }
 
-  private Day play(long seed, Day.Size size, Consumer<Day> fault) {
-    Day day = WholeDayTest.loaded(seed, size, s -> {});
+  private SimulatedCluster play(
+      long seed, SimulatedCluster.Size size, Consumer<SimulatedCluster> fault) {
+    SimulatedCluster day = WholeDayTest.loaded(seed, size, s -> {});
     day.logs = logs::add;
     day.clock.after(FAULT, () -> fault.accept(day));
     day.clock.runUntil(320 * SECOND);
@@ -60,9 +62,9 @@
   @Example
   void aLeaderCutFromItsWorkersHandsOverAndGivesBackNone() {
     int[] machines = new int[1];
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.fleet(3),
+            SimulatedCluster.Size.fleet(3),
             d -> {
               machines[0] = d.machines();
               d.cutNodeFromWorkers(d.leader(), 40 * SECOND);
@@ -74,16 +76,17 @@
 
   @Example
   void aLeaderCutFromItsPeersGoesOn() {
-    Day day = play(Day.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 40 * SECOND));
+    SimulatedCluster day =
+        play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 40 * SECOND));
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
     assertEquals(0, leftOffice(), "a leader gives way for its machines, not for its peers");
   }
 
   @Example
   void aLeaderCutFromWorkersAndPeersGivesBackNone() {
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.GROWN,
+            SimulatedCluster.Size.GROWN,
             d -> {
               int leader = d.leader();
               d.cutNodeFromWorkers(leader, 40 * SECOND);
@@ -97,9 +100,9 @@
    */
   @Example
   void whatALeaderCutFromTheCloudLeftOpenIsSettledByTheNext() {
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.GROWN,
+            SimulatedCluster.Size.GROWN,
             d -> {
               int leader = d.leader();
               d.cutNodeFromCloud(leader, 60 * SECOND);
@@ -141,10 +144,10 @@
     int after = 0;
     for (long seed = 5; seed <= 8; seed++) {
       int[] machines = new int[3];
-      Day day =
+      SimulatedCluster day =
           play(
               seed,
-              Day.Size.GROWN,
+              SimulatedCluster.Size.GROWN,
               d -> {
                 machines[0] = d.machines();
                 d.killMachines(50);
@@ -174,7 +177,7 @@
   void aNewLeaderDoesNotFindWhatTheLastOneGaveBack() {
     int[] given = new int[1];
     play(
-        Day.Size.GROWN,
+        SimulatedCluster.Size.GROWN,
         d -> {
           d.killMachines(30);
           d.clock.after(
@@ -197,9 +200,9 @@
 
   @Example
   void allControllersRestartedWithinASecondLoseNothing() {
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.fleet(5),
+            SimulatedCluster.Size.fleet(5),
             d -> {
               for (int i = 0; i < 5; i++) {
                 d.crash(i, 300_000 + i * 150_000);
@@ -216,9 +219,9 @@
   void aLeaderThatStandsStillIsReplacedByItsStandbyAndDoesNoHarm() {
     long[] claims = new long[2];
     long[] inherited = new long[2];
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.GROWN,
+            SimulatedCluster.Size.GROWN,
             d -> {
               claims[0] = logged("claim of term");
               inherited[0] = logged("inherits: WHOLE");
@@ -242,16 +245,16 @@
    */
   @Example
   void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
-    play(Day.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
+    play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
     assertTrue(logged("IN_SYNC -> STRIKING") > 0);
     assertEquals(0, leftOffice());
   }
 
   @Example
   void threeTakeOversInTenSeconds() {
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.GROWN,
+            SimulatedCluster.Size.GROWN,
             d -> {
               for (int i = 0; i < 3; i++) {
                 d.clock.after(i * 3_300_000L, () -> d.crash(d.leader(), SECOND));
@@ -264,9 +267,9 @@
   /** Nobody can claim or be elected then; and nobody launches. */
   @Example
   void theStateServiceIsOutDuringATakeOver() {
-    Day day =
+    SimulatedCluster day =
         play(
-            Day.Size.GROWN,
+            SimulatedCluster.Size.GROWN,
             d -> {
               d.crash(d.leader(), 3 * SECOND);
               d.stateOutage(12 * SECOND);
