--- a/src/test/java/org/eiderstair/sim/MeetingsTest.java
+++ b/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
@@ -14,40 +14,40 @@
 import org.eiderstair.core.Request;
 
 /**
- * Days on which the troubles of the users' page on meetings come in pairs and threes, drawn from
- * fixed seeds. Another range: {@code mvn -B test -Dtest=MeetingsTest -Dmeet.first=1000
- * -Dmeet.days=500}.
+ * Days on which faults come in pairs and threes, drawn from fixed seeds. Another range: {@code mvn
+ * -B test -Dtest=DrawnFaultScenariosTest -Ddrawn.first=1000 -Ddrawn.days=500}.
  */
-class MeetingsTest {
+class DrawnFaultScenariosTest {
   private static final long SECOND = 1_000_000;
-  private static final long FIRST = Long.getLong("meet.first", 1);
-  private static final int DAYS = Integer.getInteger("meet.days", 80);
-  private static final int LATE_COMMAND_DAYS = Integer.getInteger("meet.late", 1);
-  private static final Troubles.Kind[] KINDS = Troubles.Kind.values();
+  private static final long FIRST = Long.getLong("drawn.first", 1);
+  private static final int DAYS = Integer.getInteger("drawn.days", 80);
+  private static final int LATE_COMMAND_DAYS = Integer.getInteger("drawn.late", 1);
+  private static final FaultInjector.Kind[] KINDS = FaultInjector.Kind.values();
   private static final long LAST_TROUBLE = 240 * SECOND;
   private static final long OVER = 320 * SECOND;
 
-  /** Two or three troubles within seconds, three times a day. */
-  private static Day play(long seed, Consumer<Day.Sabotage> sabotage, Consumer<Day> planted) {
-    Day day = WholeDayTest.loaded(seed, Day.Size.SMALL, sabotage);
+  /** Two or three faults within seconds, three times a day. */
+  private static SimulatedCluster play(
+      long seed, Consumer<SimulatedCluster.Sabotage> sabotage, Consumer<SimulatedCluster> planted) {
+    SimulatedCluster day = WholeDayTest.loaded(seed, SimulatedCluster.Size.SMALL, sabotage);
     planted.accept(day);
     for (int meeting = 0; meeting < 3; meeting++) {
       long at = (25 + meeting * 70 + day.random.nextInt(30)) * SECOND;
       int count = 2 + day.random.nextInt(2);
       for (int i = 0; i < count; i++) {
-        Troubles.Kind kind = KINDS[day.random.nextInt(KINDS.length)];
+        FaultInjector.Kind kind = KINDS[day.random.nextInt(KINDS.length)];
         long span = (4 + day.random.nextInt(38)) * SECOND;
         day.clock.after(
             at + day.random.nextInt(4_000_000),
             () ->
-                day.troubles.begin(
+                day.faults.begin(
                     kind, Math.min(span, LAST_TROUBLE + 50 * SECOND - day.clock.now())));
       }
     }
     return playToTheEnd(day);
   }
 
-  private static Day playToTheEnd(Day day) {
+  private static SimulatedCluster playToTheEnd(SimulatedCluster day) {
     day.clock.after(OVER, day::calm);
     day.clock.runUntil(OVER + 10 * SECOND);
     day.servedInTime = day.leastServed(200 * SECOND);
@@ -55,7 +55,7 @@
     return day;
   }
 
-  private static String verdict(Day day) {
+  private static String verdict(SimulatedCluster day) {
     if (day.broken.isEmpty()
         && day.unfinished().isEmpty()
         && day.started > 0
@@ -70,7 +70,7 @@
   }
 
   @Example
-  void noRuleBreaksWhereTroublesMeet() {
+  void noRuleBreaksWhereFaultsMeet() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
       String verdict = verdict(play(seed, s -> {}, d -> {}));
@@ -80,22 +80,22 @@
                 + seed
                 + ": "
                 + verdict
-                + "; again: mvn -B test -Dtest=MeetingsTest#noRule* -Dmeet.first="
+                + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRule* -Ddrawn.first="
                 + seed
-                + " -Dmeet.days=1 -DargLine=-Dsim.log=true");
+                + " -Ddrawn.days=1 -DargLine=-Dsim.log=true");
       }
     }
     assertEquals(List.of(), failures);
   }
 
   /**
-   * Commands that come late, with each other trouble, three times on a day and with a third one
+   * Commands that come late, with each other fault, three times on a day and with a third one
    * drawn.
    */
   @Example
-  void noRuleBreaksWhereLateCommandsMeetEachOtherTrouble() {
+  void noRuleBreaksWhereLateCommandsMeetEachOtherFault() {
     List<String> failures = new ArrayList<>();
-    for (Troubles.Kind other : KINDS) {
+    for (FaultInjector.Kind other : KINDS) {
       for (long seed = FIRST; seed < FIRST + LATE_COMMAND_DAYS; seed++) {
         String verdict = verdict(playWithLateCommands(seed, other));
         if (verdict != null) {
@@ -105,25 +105,26 @@
                   + seed
                   + ": "
                   + verdict
-                  + "; again: mvn -B test -Dtest=MeetingsTest#noRuleBreaksWhereLate*"
-                  + " -Dmeet.first="
+                  + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksWhereLate*"
+                  + " -Ddrawn.first="
                   + seed
-                  + " -Dmeet.late=1 -DargLine=-Dsim.log=true");
+                  + " -Ddrawn.late=1 -DargLine=-Dsim.log=true");
         }
       }
     }
     assertEquals(List.of(), failures);
   }
 
-  private static Day playWithLateCommands(long seed, Troubles.Kind other) {
-    Day day = WholeDayTest.loaded(seed * 1000 + other.ordinal(), Day.Size.SMALL, s -> {});
+  private static SimulatedCluster playWithLateCommands(long seed, FaultInjector.Kind other) {
+    SimulatedCluster day =
+        WholeDayTest.loaded(seed * 1000 + other.ordinal(), SimulatedCluster.Size.SMALL, s -> {});
     for (int meeting = 0; meeting < 3; meeting++) {
       long at = (25 + meeting * 70 + day.random.nextInt(30)) * SECOND;
-      Troubles.Kind third = KINDS[day.random.nextInt(KINDS.length)];
-      day.clock.after(at, () -> day.troubles.begin(Troubles.Kind.LATE_COMMANDS, 45 * SECOND));
-      for (Troubles.Kind kind : List.of(other, third)) {
+      FaultInjector.Kind third = KINDS[day.random.nextInt(KINDS.length)];
+      day.clock.after(at, () -> day.faults.begin(FaultInjector.Kind.LATE_COMMANDS, 45 * SECOND));
+      for (FaultInjector.Kind kind : List.of(other, third)) {
         long span = (4 + day.random.nextInt(30)) * SECOND;
-        day.clock.after(at + day.random.nextInt(12_000_000), () -> day.troubles.begin(kind, span));
+        day.clock.after(at + day.random.nextInt(12_000_000), () -> day.faults.begin(kind, span));
       }
     }
     return playToTheEnd(day);
@@ -131,10 +132,12 @@
 
   /** What a planted fault breaks on some day. */
   private static void assertFound(
-      String what, Consumer<Day.Sabotage> sabotage, Consumer<Day> planted) {
+      String what,
+      Consumer<SimulatedCluster.Sabotage> sabotage,
+      Consumer<SimulatedCluster> planted) {
     List<String> found = new ArrayList<>();
     for (long seed = 1; seed <= 12 && found.stream().noneMatch(f -> f.contains(what)); seed++) {
-      Day day = play(seed, sabotage, planted);
+      SimulatedCluster day = play(seed, sabotage, planted);
       found.addAll(day.broken);
       if (day.servedInTime < 0.5) {
         found.add("served " + day.servedInTime);
@@ -145,18 +148,21 @@
         what + " not found in " + found.stream().limit(5).toList());
   }
 
-  private static void assertFound(String what, Consumer<Day> planted) {
+  private static void assertFound(String what, Consumer<SimulatedCluster> planted) {
     assertFound(what, s -> {}, planted);
   }
 
   /** Takes some orders out of all that is sent to machines. */
   private static void assertFoundWithout(
-      String what, Predicate<Order> lost, Consumer<Day> planted) {
+      String what, Predicate<Order> lost, Consumer<SimulatedCluster> planted) {
     assertFoundWithout(what, lost, s -> {}, planted);
   }
 
   private static void assertFoundWithout(
-      String what, Predicate<Order> lost, Consumer<Day.Sabotage> more, Consumer<Day> planted) {
+      String what,
+      Predicate<Order> lost,
+      Consumer<SimulatedCluster.Sabotage> more,
+      Consumer<SimulatedCluster> planted) {
     assertFound(
         what,
         more.andThen(s -> losing(lost, s)),
@@ -170,7 +176,7 @@
     return orders.stream().filter(lost.negate()).toList();
   }
 
-  private static void losing(Predicate<Order> lost, Day.Sabotage s) {
+  private static void losing(Predicate<Order> lost, SimulatedCluster.Sabotage s) {
     if (s.request instanceof Request.WorkerCommands c) {
       s.request =
           new Request.WorkerCommands(
@@ -178,7 +184,7 @@
     }
   }
 
-  private static void losing(Predicate<Order> lost, Day day) {
+  private static void losing(Predicate<Order> lost, SimulatedCluster day) {
     day.plantedAnswer =
         a ->
             a instanceof Answer.Command c
@@ -191,7 +197,8 @@
   void whatIsNotEndedIsGivenBackInTime() {
     Predicate<Order> kills = o -> o instanceof Order.Kill;
     for (long seed = 1; seed <= 6; seed++) {
-      Day day = WholeDayTest.loaded(seed, Day.Size.SMALL, s -> losing(kills, s));
+      SimulatedCluster day =
+          WholeDayTest.loaded(seed, SimulatedCluster.Size.SMALL, s -> losing(kills, s));
       losing(kills, day);
       day.clock.after(90 * SECOND, () -> day.crash(day.leader(), 3 * SECOND));
       day.clock.runUntil(600 * SECOND);
@@ -243,7 +250,7 @@
         "can never run",
         day -> {
           day.clock.after(
-              20 * SECOND, () -> day.troubles.begin(Troubles.Kind.ODD_REQUESTS, 20 * SECOND));
+              20 * SECOND, () -> day.faults.begin(FaultInjector.Kind.ODD_REQUESTS, 20 * SECOND));
           day.plantedAnswer =
               a ->
                   a instanceof Answer.Failure f && f.status() == 422
@@ -296,7 +303,7 @@
   void whoIsLeftBehindIsFound() {
     assertFoundWithout(
         "waits", o -> o instanceof Order.Launch && o.task().job().endsWith("1"), day -> {});
-    Day[] today = new Day[1];
+    SimulatedCluster[] today = new SimulatedCluster[1];
     assertFoundWithout(
         "largest",
         o -> o instanceof Order.Launch && today[0].spec(o.task().job()).tasks() > 9,
--- a/src/test/java/org/eiderstair/sim/Troubles.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -7,17 +7,14 @@
 import org.eiderstair.core.JobSpec;
 import org.eiderstair.core.MachineReport;
 
-/**
- * The troubles of the users' page on meetings, each for a while, so that they can be drawn
- * together.
- */
-final class Troubles {
+/** The faults of docs/fault-scenarios.md, each for a while, so that they can be drawn together. */
+final class FaultInjector {
   private static final long SECOND = 1_000_000;
   private static final int MOST_HANGING = 8;
   private static final long LATE_COMMAND_MIN_MICROS = 2 * SECOND;
   private static final int LATE_COMMAND_SPREAD_MICROS = 14_000_000;
 
-  /** One trouble; it lasts for a while. */
+  /** One fault; it lasts for a while. */
   enum Kind {
     LATE_WRITES,
     LOST_ANSWERS,
@@ -58,7 +55,7 @@
   /** A report kept for whoever leads next. */
   private record Kept(String worker, MachineReport report) {}
 
-  private final Day day;
+  private final SimulatedCluster day;
   private int latePercent;
   private boolean forNext;
   private int cancelAtEndPercent;
@@ -69,13 +66,13 @@
   private final List<Kept> kept = new ArrayList<>();
   private int numbers;
 
-  Troubles(Day day) {
+  FaultInjector(SimulatedCluster day) {
     this.day = day;
   }
 
   /** Begins one, for about that long. */
   void begin(Kind kind, long micros) {
-    day.note("trouble " + kind + " for " + micros / SECOND + " s, leader n" + day.leader());
+    day.note("fault " + kind + " for " + micros / SECOND + " s, leader n" + day.leader());
     int leader = day.leader();
     switch (kind) {
       case LATE_WRITES -> writes(StateService.Fate.LATE, 30, micros);
@@ -288,7 +285,7 @@
             JobSpec.Shape.ARRAY,
             JobSpec.Priority.NORMAL,
             1,
-            Day.TYPE.cpus() + 1,
+            SimulatedCluster.TYPE.cpus() + 1,
             0,
             1,
             "img",
--- a/src/test/java/org/eiderstair/sim/PageTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -1,34 +1,34 @@
 package org.eiderstair.sim;
 
-import static org.eiderstair.sim.Troubles.Kind.ALL_AWAY;
-import static org.eiderstair.sim.Troubles.Kind.ALL_END;
-import static org.eiderstair.sim.Troubles.Kind.ALL_MUTE;
-import static org.eiderstair.sim.Troubles.Kind.CANCEL_AT_END;
-import static org.eiderstair.sim.Troubles.Kind.CANCEL_NOW;
-import static org.eiderstair.sim.Troubles.Kind.CANCEL_NOW_WITH_HANG;
-import static org.eiderstair.sim.Troubles.Kind.CLOSE_LOOKS;
-import static org.eiderstair.sim.Troubles.Kind.DEAF;
-import static org.eiderstair.sim.Troubles.Kind.FLOOD;
-import static org.eiderstair.sim.Troubles.Kind.LATE_COMMANDS;
-import static org.eiderstair.sim.Troubles.Kind.LATE_REPORTS;
-import static org.eiderstair.sim.Troubles.Kind.LATE_WRITES;
-import static org.eiderstair.sim.Troubles.Kind.LEADER_CHANGES;
-import static org.eiderstair.sim.Troubles.Kind.LEADER_CUT_FROM_STATE_AND_PEERS;
-import static org.eiderstair.sim.Troubles.Kind.LEADER_ENDS;
-import static org.eiderstair.sim.Troubles.Kind.LEADER_REFUSED_ALONE;
-import static org.eiderstair.sim.Troubles.Kind.LOST_ANSWERS;
-import static org.eiderstair.sim.Troubles.Kind.MACHINES_CUT;
-import static org.eiderstair.sim.Troubles.Kind.MACHINES_DIE;
-import static org.eiderstair.sim.Troubles.Kind.MACHINES_HANG;
-import static org.eiderstair.sim.Troubles.Kind.ODD_REQUESTS;
-import static org.eiderstair.sim.Troubles.Kind.ONE_TASK_JOBS;
-import static org.eiderstair.sim.Troubles.Kind.QUICK_BOOTS;
-import static org.eiderstair.sim.Troubles.Kind.REPORTS_FOR_THE_NEXT;
-import static org.eiderstair.sim.Troubles.Kind.SLOW_STATE;
-import static org.eiderstair.sim.Troubles.Kind.STANDING_STILL;
-import static org.eiderstair.sim.Troubles.Kind.STATE_OUTAGE;
-import static org.eiderstair.sim.Troubles.Kind.TASKS_FAR_APART;
-import static org.eiderstair.sim.Troubles.Kind.ZONE_CUT;
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_AWAY;
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_END;
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_MUTE;
+import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_AT_END;
+import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW;
+import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW_WITH_HANG;
+import static org.eiderstair.sim.FaultInjector.Kind.CLOSE_LOOKS;
+import static org.eiderstair.sim.FaultInjector.Kind.DEAF;
+import static org.eiderstair.sim.FaultInjector.Kind.FLOOD;
+import static org.eiderstair.sim.FaultInjector.Kind.LATE_COMMANDS;
+import static org.eiderstair.sim.FaultInjector.Kind.LATE_REPORTS;
+import static org.eiderstair.sim.FaultInjector.Kind.LATE_WRITES;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CHANGES;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CUT_FROM_STATE_AND_PEERS;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_ENDS;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_REFUSED_ALONE;
+import static org.eiderstair.sim.FaultInjector.Kind.LOST_ANSWERS;
+import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_CUT;
+import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_DIE;
+import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_HANG;
+import static org.eiderstair.sim.FaultInjector.Kind.ODD_REQUESTS;
+import static org.eiderstair.sim.FaultInjector.Kind.ONE_TASK_JOBS;
+import static org.eiderstair.sim.FaultInjector.Kind.QUICK_BOOTS;
+import static org.eiderstair.sim.FaultInjector.Kind.REPORTS_FOR_THE_NEXT;
+import static org.eiderstair.sim.FaultInjector.Kind.SLOW_STATE;
+import static org.eiderstair.sim.FaultInjector.Kind.STANDING_STILL;
+import static org.eiderstair.sim.FaultInjector.Kind.STATE_OUTAGE;
+import static org.eiderstair.sim.FaultInjector.Kind.TASKS_FAR_APART;
+import static org.eiderstair.sim.FaultInjector.Kind.ZONE_CUT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -41,15 +41,15 @@
 import org.eiderstair.core.JobSpec;
 
 /**
- * Each meeting of the users' page and letter by itself, on a few small days; docs/meetings.md has a
- * line for each. Other seeds: {@code mvn -B test -Dtest=PageTest -Dpage.first=100 -Dpage.days=50}.
+ * Each scenario of docs/fault-scenarios.md by itself, on a few small days. Other seeds: {@code mvn
+ * -B test -Dtest=FaultScenariosTest -Dscenario.first=100 -Dscenario.days=50}.
  */
-class PageTest {
+class FaultScenariosTest {
   private static final long SECOND = 1_000_000;
-  private static final long FIRST = Long.getLong("page.first", 1);
-  private static final int DAYS = Integer.getInteger("page.days", 4);
-  private static final int GROWN = Integer.getInteger("page.grown", 12);
-  private static final int FLEET = Integer.getInteger("page.fleet", 1);
+  private static final long FIRST = Long.getLong("scenario.first", 1);
+  private static final int DAYS = Integer.getInteger("scenario.days", 4);
+  private static final int GROWN = Integer.getInteger("scenario.grown", 12);
+  private static final int FLEET = Integer.getInteger("scenario.fleet", 1);
 
   /**
    * In this order at the larger sizes: late commands at the limits, then the seven of the users'
@@ -60,14 +60,14 @@
 
   private static final long AT = 80;
 
-  /** A trouble so many seconds after the meeting, for so many. */
-  private record Begin(double after, Troubles.Kind kind, double span) {}
+  /** A fault so many seconds after the scenario begins, for so many. */
+  private record Begin(double after, FaultInjector.Kind kind, double span) {}
 
-  private static Begin at(double after, Troubles.Kind kind, double span) {
+  private static Begin at(double after, FaultInjector.Kind kind, double span) {
     return new Begin(after, kind, span);
   }
 
-  private static final Map<String, List<Begin>> MEETINGS =
+  private static final Map<String, List<Begin>> SCENARIOS =
       new TreeMap<>(
           Map.ofEntries(
               Map.entry(
@@ -246,12 +246,13 @@
                       at(4, STATE_OUTAGE, 20),
                       at(12, CANCEL_NOW, 0)))));
 
-  private static Day play(long seed, Day.Size size, List<Begin> meeting) {
-    Day day = WholeDayTest.loaded(seed, size, s -> {});
-    for (Begin b : meeting) {
+  private static SimulatedCluster play(
+      long seed, SimulatedCluster.Size size, List<Begin> scenario) {
+    SimulatedCluster day = WholeDayTest.loaded(seed, size, s -> {});
+    for (Begin b : scenario) {
       day.clock.after(
           (long) ((AT + b.after()) * SECOND),
-          () -> day.troubles.begin(b.kind(), (long) (b.span() * SECOND)));
+          () -> day.faults.begin(b.kind(), (long) (b.span() * SECOND)));
     }
     day.clock.after(280 * SECOND, day::calm);
     day.clock.runUntil(360 * SECOND);
@@ -267,7 +268,7 @@
   @Example
   void aFloodThatNeverEndsLeavesNobodyBehind() {
     for (long seed = 1; seed <= 3; seed++) {
-      Day day = new Day(seed, Day.Size.SMALL, s -> {});
+      SimulatedCluster day = new SimulatedCluster(seed, SimulatedCluster.Size.SMALL, s -> {});
       for (int i = 0; i < 75; i++) {
         int number = i;
         day.clock.after(
@@ -311,12 +312,13 @@
         JobSpec.NO_DEADLINE);
   }
 
-  private static List<String> failures(Day.Size size, long days, Predicate<String> chosen) {
+  private static List<String> failures(
+      SimulatedCluster.Size size, long days, Predicate<String> chosen) {
     List<String> failures = new ArrayList<>();
-    MEETINGS.forEach(
-        (name, meeting) -> {
+    SCENARIOS.forEach(
+        (name, scenario) -> {
           for (long seed = FIRST; chosen.test(name) && seed < FIRST + days; seed++) {
-            Day day = play(seed, size, meeting);
+            SimulatedCluster day = play(seed, size, scenario);
             if (!day.broken.isEmpty()
                 || !day.unfinished().isEmpty()
                 || day.started == 0
@@ -331,9 +333,9 @@
                       + day.unfinished()
                       + " served "
                       + day.servedInTime
-                      + "; again: mvn -B test -Dtest=PageTest -Dpage.first="
+                      + "; again: mvn -B test -Dtest=FaultScenariosTest -Dscenario.first="
                       + seed
-                      + " -Dpage.days=1 -DargLine=-Dsim.log=true");
+                      + " -Dscenario.days=1 -DargLine=-Dsim.log=true");
             }
           }
         });
@@ -341,28 +343,28 @@
   }
 
   @Example
-  void everyMeetingOfThePageKeepsEveryRule() {
-    assertEquals(List.of(), failures(Day.Size.SMALL, DAYS, name -> true));
+  void everyScenarioKeepsEveryRule() {
+    assertEquals(List.of(), failures(SimulatedCluster.Size.SMALL, DAYS, name -> true));
   }
 
   /**
-   * Others by hand: {@code -Dpage.grown=30}, one day for each of so many scenarios, and {@code
-   * -Dpage.fleet=30}.
+   * Others by hand: {@code -Dscenario.grown=30}, one day for each of so many scenarios, and {@code
+   * -Dscenario.fleet=30}.
    */
   @Example
-  void someMeetingsAtTheGrownSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(Day.Size.GROWN, 1, firstOf(LARGE, GROWN)));
+  void someScenariosAtTheGrownSizeKeepEveryRule() {
+    assertEquals(List.of(), failures(SimulatedCluster.Size.GROWN, 1, firstOf(LARGE, GROWN)));
   }
 
   @Example
-  void someMeetingsAtTheFleetSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(Day.Size.fleet(3), 1, firstOf(LARGE, FLEET)));
+  void someScenariosAtTheFleetSizeKeepEveryRule() {
+    assertEquals(List.of(), failures(SimulatedCluster.Size.fleet(3), 1, firstOf(LARGE, FLEET)));
   }
 
   /** By their numbers, the first of these and then the rest. */
   private static Predicate<String> firstOf(List<String> preferred, int count) {
     List<String> order = new ArrayList<>(preferred);
-    MEETINGS.keySet().stream()
+    SCENARIOS.keySet().stream()
         .map(name -> name.substring(0, 2))
         .filter(n -> !preferred.contains(n))
         .forEach(order::add);
--- a/src/test/java/org/eiderstair/sim/Clock.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedClock.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Simulated time: runs what is due in order of time, and of arrival where times are equal. */
-final class Clock {
+final class SimulatedClock {
   private record Due(long atMicros, long order, Runnable action) {}
 
   private final PriorityQueue<Due> queue =
--- a/src/test/java/org/eiderstair/sim/Day.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -29,7 +29,7 @@
  * A whole day on simulated time: three cores, a state service, a cloud, workers and users, with
  * faults. Every rule is checked where it would be broken; what broke is in {@link #broken}.
  */
-final class Day {
+final class SimulatedCluster {
   private static final List<String> ZONES = List.of("a", "b", "c");
 
   /** Jobs of at least this part of their class's largest count among its largest. */
@@ -54,13 +54,13 @@
   /** Prints what the controllers decide, to follow one seed: -Dsim.log=true. */
   private static final boolean LOGGED = Boolean.getBoolean("sim.log");
 
-  final Clock clock = new Clock();
+  final SimulatedClock clock = new SimulatedClock();
   final Random random;
   final List<String> broken = new ArrayList<>();
-  private final Net net;
+  private final SimulatedNetwork net;
   final StateService state;
-  final Troubles troubles = new Troubles(this);
-  private final Waiting waiting = new Waiting(this);
+  final FaultInjector faults = new FaultInjector(this);
+  private final WaitingJobsCheck waiting = new WaitingJobsCheck(this);
 
   /** Starts of tasks whose job's cancelling had been confirmed, and how long before at the most. */
   int startedCancelled;
@@ -206,7 +206,7 @@
         }
         logs.accept(log.text());
         if (log.text().contains("-> CATCHING_UP") && log.text().endsWith(": elected")) {
-          troubles.newLeader();
+          faults.newLeader();
         }
       }
       if (clock.now() < stalledUntilMicros) {
@@ -254,13 +254,13 @@
     }
   }
 
-  Day(long seed, Size size, Consumer<Sabotage> sabotage) {
+  SimulatedCluster(long seed, Size size, Consumer<Sabotage> sabotage) {
     this.size = size;
     this.checkedLimit = size.limit();
     this.nodes = new Node[size.nodes()];
     this.random = new Random(seed);
     this.state = new StateService(clock, random);
-    this.net = new Net(clock, random, this::zoneOf);
+    this.net = new SimulatedNetwork(clock, random, this::zoneOf);
     this.sabotage = sabotage;
     for (int i = 0; i < nodes.length; i++) {
       nodes[i] = new Node(i);
@@ -330,7 +330,7 @@
           request instanceof Request.WorkerCommands c
               ? c.address()
               : ((Request.WorkerStatus) request).address();
-      long delayMicros = troubles.commandDelayMicros();
+      long delayMicros = faults.commandDelayMicros();
       Consumer<Reply> answered =
           delayMicros > 0
               ? unanswered -> {}
@@ -443,7 +443,7 @@
           "state",
           () ->
               clock.after(
-                  troubles.stateMicros(),
+                  faults.stateMicros(),
                   () ->
                       state.serve(
                           from.name(),
@@ -507,8 +507,8 @@
   }
 
   /**
-   * Renting and returning must be durable before the cloud is asked, by whoever asks and however
-   * late. Says in which term each machine that is to be deleted was marked last.
+   * CapacityManager and returning must be durable before the cloud is asked, by whoever asks and
+   * however late. Says in which term each machine that is to be deleted was marked last.
    */
   private Map<String, Long> marksOf(Request request) {
     Map<String, Long> marks = new HashMap<>();
@@ -542,7 +542,7 @@
       kinds.put(id, rent);
       rented++;
       clock.after(
-          troubles.bootMicros(),
+          faults.bootMicros(),
           () -> {
             if (rentedAt.containsKey(id)) {
               workers.put(id, new Worker(this, id, rent.type(), rent.zone(), rent.spot()));
@@ -554,7 +554,7 @@
 
   /** A worker's report to a node. */
   void toNode(String worker, int index, MachineReport report, Consumer<Answer> answered) {
-    troubles.reported(worker, index, report);
+    faults.reported(worker, index, report);
     deliver(worker, index, report, answered);
   }
 
@@ -613,7 +613,7 @@
             heard(view, before);
             if (first) {
               poll(spec.id());
-              troubles.told(spec.id());
+              faults.told(spec.id());
             }
           } else if (a instanceof Answer.Failure f && (f.status() == 400 || f.status() == 422)) {
             breaks("forgotten: " + spec.id() + " refused " + f);
@@ -770,7 +770,7 @@
     if (last != Answer.Phase.DONE && last != Answer.Phase.CANCELLED) {
       told.put(view.id(), view.phase());
       if (over(view.id())) {
-        troubles.told(view.id());
+        faults.told(view.id());
       }
     }
   }
@@ -832,7 +832,7 @@
   void completed(TaskId task) {
     completed.add(task);
     if (completed(task.job())) {
-      troubles.ended(task.job());
+      faults.ended(task.job());
     }
   }
 
@@ -843,7 +843,7 @@
       return 1;
     }
     int estimate = (int) spec.estimateMicros();
-    if (spec.jobClass().equals(Troubles.FAR_APART)) {
+    if (spec.jobClass().equals(FaultInjector.FAR_APART)) {
       return task.index() == 0 ? estimate / 8 : estimate * 2L;
     }
     return spec.shape() == JobSpec.Shape.SERVICE ? 0 : estimate / 2 + random.nextInt(1 + estimate);
--- a/src/test/java/org/eiderstair/sim/Net.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedNetwork.java
@@ -9,8 +9,8 @@
 import java.util.function.UnaryOperator;
 
 /** A network whose cuts hold packets and deliver them, possibly much later, when they heal. */
-final class Net {
-  private final Clock clock;
+final class SimulatedNetwork {
+  private final SimulatedClock clock;
   private final Random random;
   private final Map<String, List<Runnable>> cuts = new HashMap<>();
   private final UnaryOperator<String> zoneOf;
@@ -19,7 +19,7 @@
   /**
    * @param zoneOf the zone of a host, null for one that is in none
    */
-  Net(Clock clock, Random random, UnaryOperator<String> zoneOf) {
+  SimulatedNetwork(SimulatedClock clock, Random random, UnaryOperator<String> zoneOf) {
     this.zoneOf = zoneOf;
     this.clock = clock;
     this.random = random;
--- a/src/test/java/org/eiderstair/sim/GapTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -14,7 +14,7 @@
  * out for all for longer than the cancelled tasks may go on, while workers report to the old
  * leader. And what is like it.
  */
-class GapTest {
+class StaleLeaderFaultScenariosTest {
   private static final long SECOND = 1_000_000;
   private static final long CANCEL = 32 * SECOND;
   private static final long LEASE = 15 * SECOND;
@@ -33,8 +33,8 @@
   }
 
   /** Eight jobs of two long tasks each, all running, half of them never cancelled. */
-  private Day running(long seed) {
-    Day day = new Day(seed, Day.Size.SMALL, s -> {});
+  private SimulatedCluster running(long seed) {
+    SimulatedCluster day = new SimulatedCluster(seed, SimulatedCluster.Size.SMALL, s -> {});
     day.logs = logs::add;
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec =
@@ -68,23 +68,23 @@
     return day;
   }
 
-  private static void cancelHalf(Day day, int otherThan) {
+  private static void cancelHalf(SimulatedCluster day, int otherThan) {
     for (int i = 0; i < JOBS; i += 2) {
       day.cancelThrough((otherThan + 1) % 3, id(i));
     }
   }
 
-  private static void after(Day day, long micros) {
+  private static void after(SimulatedCluster day, long micros) {
     day.clock.runUntil(day.clock.now() + micros);
   }
 
-  private static void assertHalfCancelled(Day day) {
+  private static void assertHalfCancelled(SimulatedCluster day) {
     for (int i = 0; i < JOBS; i += 2) {
       assertEquals(Answer.Phase.CANCELLED, day.told(id(i)), "confirmed " + id(i));
     }
   }
 
-  private static void assertCancelledGoneAndTheRestDone(Day day) {
+  private static void assertCancelledGoneAndTheRestDone(SimulatedCluster day) {
     assertEquals(List.of(), day.broken);
     for (String id : day.running()) {
       assertTrue(day.told(id) != Answer.Phase.CANCELLED, id + " still runs");
@@ -103,7 +103,7 @@
           // The shorter ones end while the old leader may still answer, so that it renews its lease
           // again.
           long refusal = outage < 30 ? 4 + seed % 7 : 14;
-          Day day = running(seed);
+          SimulatedCluster day = running(seed);
           int leader = day.leader();
           day.newsLost = !newsArrives;
           day.refuseOne(leader, refusal * SECOND);
@@ -112,7 +112,7 @@
           after(day, 3 * SECOND / 2);
           assertHalfCancelled(day);
           day.stateOutage(outage * SECOND);
-          day.troubles.watchHangs(leader, outage * SECOND + 40 * SECOND);
+          day.faults.watchHangs(leader, outage * SECOND + 40 * SECOND);
           int before = day.startedCancelled;
           after(day, CANCEL + 2 * SECOND);
           assertCancelledGoneAndTheRestDone(day);
@@ -138,10 +138,10 @@
   void aLeaderWhoseWatchHangsEndsItsAnswersInTime() {
     for (long seed = 1; seed <= 8; seed++) {
       logs.clear();
-      Day day = running(seed);
+      SimulatedCluster day = running(seed);
       int leader = day.leader();
       day.newsLost = true;
-      day.troubles.watchHangs(leader, 120 * SECOND);
+      day.faults.watchHangs(leader, 120 * SECOND);
       after(day, SECOND);
       cancelHalf(day, leader);
       after(day, SECOND);
@@ -161,7 +161,7 @@
   /** What a peer tells beside the state service is taken at once: long before any lease is over. */
   @Example
   void aPeersWordEndsTasksWhileTheStateServiceIsOut() {
-    Day day = running(3);
+    SimulatedCluster day = running(3);
     int leader = day.leader();
     day.refuseOne(leader, 14 * SECOND);
     after(day, SECOND / 2);
--- a/src/test/java/org/eiderstair/sim/StateService.java
+++ b/src/test/java/org/eiderstair/sim/StateService.java
@@ -29,7 +29,7 @@
     LATE
   }
 
-  private final Clock clock;
+  private final SimulatedClock clock;
   private final TreeMap<String, Reply.Item> items = new TreeMap<>();
   private final Map<String, Long> attached = new HashMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
@@ -52,7 +52,7 @@
   /** Every key that was ever there: what must be durable before it is acted on. */
   final Map<String, Map<String, Object>> ever = new HashMap<>();
 
-  StateService(Clock clock, Random random) {
+  StateService(SimulatedClock clock, Random random) {
     this.clock = clock;
     this.random = random;
     tick();
--- a/src/test/java/org/eiderstair/sim/Waiting.java
+++ b/src/test/java/org/eiderstair/sim/WaitingJobsCheck.java
@@ -10,13 +10,13 @@
  * Looks for jobs that wait beside room or that nobody tells of once all faults are over, and for
  * large ones that do not begin at all.
  */
-final class Waiting {
+final class WaitingJobsCheck {
   private static final long SECOND = 1_000_000;
   private static final long LONGEST = 90 * SECOND;
   private static final long LONGEST_SILENCE = 75 * SECOND;
   private static final long LARGE_BEGIN = 240 * SECOND;
 
-  private final Day day;
+  private final SimulatedCluster day;
 
   /** Since when a job has waited while something of its size would have found room. */
   private final Map<String, Long> since = new HashMap<>();
@@ -28,7 +28,7 @@
 
   private long calmSinceMicros;
 
-  Waiting(Day day) {
+  WaitingJobsCheck(SimulatedCluster day) {
     this.day = day;
   }
 
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -20,7 +20,7 @@
   private static final int FLEET_DAYS = Integer.getInteger("sim.fleet", 2);
   private static final long FIRST = Long.getLong("sim.first", 1);
 
-  private static JobSpec job(Day day, int number) {
+  private static JobSpec job(SimulatedCluster day, int number) {
     boolean red = day.random.nextBoolean();
     int kind = day.random.nextInt(12);
     JobSpec.Priority priority = JobSpec.Priority.values()[day.random.nextInt(4)];
@@ -47,7 +47,7 @@
         JobSpec.NO_DEADLINE);
   }
 
-  private static void fault(Day day) {
+  private static void fault(SimulatedCluster day) {
     long span = (2 + day.random.nextInt(35)) * SECOND;
     Worker worker = day.anyWorker();
     int node = day.random.nextInt(day.size.nodes());
@@ -127,12 +127,13 @@
     }
   }
 
-  static Day play(long seed, Consumer<Day.Sabotage> sabotage) {
-    return play(seed, Day.Size.SMALL, sabotage);
+  static SimulatedCluster play(long seed, Consumer<SimulatedCluster.Sabotage> sabotage) {
+    return play(seed, SimulatedCluster.Size.SMALL, sabotage);
   }
 
-  static Day play(long seed, Day.Size size, Consumer<Day.Sabotage> sabotage) {
-    Day day = loaded(seed, size, sabotage);
+  static SimulatedCluster play(
+      long seed, SimulatedCluster.Size size, Consumer<SimulatedCluster.Sabotage> sabotage) {
+    SimulatedCluster day = loaded(seed, size, sabotage);
     int faults = 4 + day.random.nextInt(8);
     for (int i = 0; i < faults; i++) {
       day.clock.after((15 + day.random.nextInt(230)) * SECOND, () -> fault(day));
@@ -145,8 +146,9 @@
   }
 
   /** A day with its users, on which nothing fails by itself. */
-  static Day loaded(long seed, Day.Size size, Consumer<Day.Sabotage> sabotage) {
-    Day day = new Day(seed, size, sabotage);
+  static SimulatedCluster loaded(
+      long seed, SimulatedCluster.Size size, Consumer<SimulatedCluster.Sabotage> sabotage) {
+    SimulatedCluster day = new SimulatedCluster(seed, size, sabotage);
     for (int i = 0; i < size.jobs(); i++) {
       int number = i;
       day.clock.after(
@@ -169,7 +171,7 @@
   void everyRuleHoldsOnDrawnDaysAndAllWorkIsDone() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
-      Day day = play(seed, s -> {});
+      SimulatedCluster day = play(seed, s -> {});
       if (!day.broken.isEmpty() || !day.unfinished().isEmpty() || day.started == 0) {
         failures.add(
             "seed "
@@ -187,7 +189,7 @@
   @Example
   void everyRuleHoldsAtTheGrownSize() {
     for (long seed = FIRST; seed < FIRST + GROWN_DAYS; seed++) {
-      Day day = play(seed, Day.Size.GROWN, s -> {});
+      SimulatedCluster day = play(seed, SimulatedCluster.Size.GROWN, s -> {});
       assertEquals(List.of(), day.broken, "seed " + seed);
       assertEquals(List.of(), day.unfinished(), "seed " + seed);
       assertTrue(day.started > 1000, "seed " + seed + " started " + day.started);
@@ -200,7 +202,8 @@
   @Example
   void everyRuleHoldsAtTheFleetSizeAndNobodyIsLeftBehind() {
     for (long seed = FIRST; seed < FIRST + FLEET_DAYS; seed++) {
-      Day day = play(seed, Day.Size.fleet(seed % 2 == 0 ? 3 : 5), s -> {});
+      SimulatedCluster day =
+          play(seed, SimulatedCluster.Size.fleet(seed % 2 == 0 ? 3 : 5), s -> {});
       assertEquals(List.of(), day.broken, "seed " + seed);
       assertEquals(List.of(), day.unfinished(), "seed " + seed);
       assertTrue(day.started > 5000, "seed " + seed + " started " + day.started);
@@ -223,7 +226,7 @@
     boolean caught = false;
     for (long seed = 1; seed < 20 && !caught; seed++) {
       earlier.clear();
-      Day day =
+      SimulatedCluster day =
           play(
               seed,
               s -> {
--- a/src/test/java/org/eiderstair/sim/Worker.java
+++ b/src/test/java/org/eiderstair/sim/Worker.java
@@ -36,7 +36,7 @@
   final String zone;
   final boolean spot;
   final String type;
-  private final Day day;
+  private final SimulatedCluster day;
   private final Map<TaskId, Running> tasks = new LinkedHashMap<>();
   private long session = 1;
   private long tally;
@@ -61,7 +61,7 @@
   /** Until then it reaches no controller, while commands reach it. */
   long muteUntilMicros;
 
-  Worker(Day day, String id, String type, String zone, boolean spot) {
+  Worker(SimulatedCluster day, String id, String type, String zone, boolean spot) {
     this.day = day;
     this.id = id;
     this.type = type;
@@ -116,7 +116,7 @@
     for (Running r : tasks.values()) {
       used += r.state == TaskState.ENDED ? 0 : day.spec(r.task.job()).cpus();
     }
-    return !dead && used + cpus <= Day.TYPE.cpus() + 1e-6;
+    return !dead && used + cpus <= SimulatedCluster.TYPE.cpus() + 1e-6;
   }
 
   /** Whether something is here that a leader of a later term than that has placed. */
