--- a/src/test/java/org/eiderstair/sim/FaultInjector.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -46,7 +46,8 @@
     SLOW_STATE,
     ALL_MUTE,
     ALL_AWAY,
-    LATE_COMMANDS
+    LATE_COMMANDS,
+    CLOUD_OUTAGE
   }
 
   /** The class of jobs whose first task is soon over and whose others take long. */
@@ -148,6 +149,7 @@
         day.clock.after(micros, () -> slowState = false);
       }
       case ALL_MUTE -> day.workers().forEach(w -> w.muteUntilMicros = day.clock.now() + micros);
+      case CLOUD_OUTAGE -> day.cloudOutage(micros);
       case LATE_COMMANDS -> {
         lateCommandsPercent = 20 + day.random.nextInt(81);
         day.clock.after(micros, () -> lateCommandsPercent = 0);
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -7,6 +7,7 @@
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW;
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW_WITH_HANG;
 import static org.eiderstair.sim.FaultInjector.Kind.CLOSE_LOOKS;
+import static org.eiderstair.sim.FaultInjector.Kind.CLOUD_OUTAGE;
 import static org.eiderstair.sim.FaultInjector.Kind.DEAF;
 import static org.eiderstair.sim.FaultInjector.Kind.FLOOD;
 import static org.eiderstair.sim.FaultInjector.Kind.LATE_COMMANDS;
@@ -244,7 +245,25 @@
                       at(0, LEADER_REFUSED_ALONE, 12),
                       at(1, CANCEL_NOW, 0),
                       at(4, STATE_OUTAGE, 20),
-                      at(12, CANCEL_NOW, 0)))));
+                      at(12, CANCEL_NOW, 0))),
+              Map.entry(
+                  "31 cancelled jobs' machines hang while the cloud is out, commands come late and the leader ends",
+                  List.of(
+                      at(-2, LATE_COMMANDS, 60),
+                      at(0, CLOUD_OUTAGE, 70),
+                      at(1, CANCEL_NOW_WITH_HANG, 15),
+                      at(2, LEADER_ENDS, 0),
+                      at(6, CANCEL_NOW_WITH_HANG, 5),
+                      at(8, MACHINES_CUT, 30),
+                      at(9, CANCEL_NOW, 0))),
+              Map.entry(
+                  "32 one-task jobs, four a second, while commands and writes come late and the leader ends",
+                  List.of(
+                      at(-30, ONE_TASK_JOBS, 120),
+                      at(-2, LATE_COMMANDS, 60),
+                      at(0, LATE_WRITES, 30),
+                      at(5, CANCEL_AT_END, 40),
+                      at(10, LEADER_ENDS, 0)))));
 
   private static SimulatedCluster play(
       long seed, SimulatedCluster.Size size, List<Begin> scenario) {
