--- a/src/main/java/org/eiderstair/core/ReportHandler.java
+++ b/src/main/java/org/eiderstair/core/ReportHandler.java
@@ -176,6 +176,7 @@
     sink.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
     registry.become(m, Machine.Phase.FENCING);
     registry.answered(m);
+    m.idleSinceMicros = time.nowMicros();
   }
 
   private void readEntries(
--- a/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
@@ -320,6 +320,7 @@
         bench.now);
     Machine m = bench.workers.machines().get("m-0");
     assertEquals(Machine.Phase.FENCING, m.phase);
+    assertEquals(bench.now, m.idleSinceMicros, "idle from now, not since it was expected");
     bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
     bench.sequences.put("m-0", 9L);
