--- a/src/main/java/org/eiderstair/core/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/CapacityManager.java
@@ -11,7 +11,6 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.eiderstair.core.membership.Membership;
-import org.eiderstair.core.membership.ReachabilityClassifier;
 import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.provisioning.RentalOption;
 
@@ -23,16 +22,10 @@
   private static final long DECIDE_EVERY_MICROS = 1_000_000;
   private static final long LIST_EVERY_MICROS = 5_000_000;
   private static final long LIST_UNHEARD_MICROS = 1_500_000;
-  private static final long CATALOG_EVERY_MICROS = 120_000_000;
   private static final long REFUSED_PAUSE_MICROS = 15_000_000;
-  private static final long RETRY_MICROS = 1_500_000;
   private static final long CHEAPEST_LIFE_MICROS = 60_000_000;
-  private static final int BOOT_PATIENCE = 4;
   private static final int MOST_RENTALS = 4;
 
-  /** A mark, a request to the cloud that may be slow, and one more. */
-  private static final long RETURN_MICROS = 12_000_000;
-
   /** Above every price. */
   private static final double UNSEEN_PRICE = 1e9;
 
@@ -56,19 +49,17 @@
   private long now;
   private long nextDecideMicros;
   private long nextListMicros;
-  private int lastSpared;
-  private long nextCatalogMicros;
   private boolean listing;
-  private boolean readingCatalog;
 
   /** Machines asked for, by name of the rental. */
   final Map<String, List<Machine>> awaited = new HashMap<>();
 
   private final Map<RentalOption, Long> refusedUntil = new HashMap<>();
   private final ProvisioningController duties;
+  private final MachineRetirement retirement;
+  private final CatalogRefresh catalog;
   private final Membership membership;
   private final StateWriter stateWriter;
-  private ReachabilityClassifier survey;
 
   CapacityManager(
       Settings settings,
@@ -92,10 +83,14 @@
     this.membership = membership;
     this.duties =
         new ProvisioningController(new Host(), term, TOMBSTONE_MICROS, replica.dayMicros(0));
+    this.catalog = new CatalogRefresh(sink, replica, workers, term);
+    this.retirement =
+        new MachineRetirement(settings, sink, replica, workers, membership, duties, term);
   }
 
   void close() {
     duties.close();
+    catalog.close();
     closed = true;
   }
 
@@ -111,7 +106,7 @@
     duties.resume(records, now);
     for (Machine m : workers.machines().values()) {
       if (duties.leaving(m.id)) {
-        leave(m);
+        retirement.leave(m);
       }
     }
   }
@@ -123,7 +118,7 @@
 
   /** Whether some machine has been silent for so long that peers are to be asked for it. */
   boolean missesMachines() {
-    return survey != null && survey.misses();
+    return retirement.missesMachines();
   }
 
   String summary() {
@@ -132,15 +127,17 @@
 
   void tick(long nowMicros) {
     now = nowMicros;
+    catalog.at(now);
     if (!leadership.mayLaunch(now)) {
       return;
     }
-    if (!readingCatalog && now >= nextCatalogMicros && mayCall()) {
-      readCatalog();
+    if (catalog.due() && mayCall()) {
+      calls.take(1);
+      catalog.read();
     }
     if (now >= nextDecideMicros) {
       nextDecideMicros = now + DECIDE_EVERY_MICROS;
-      retire();
+      retirement.retire(now);
       if (!replica.catalog().isEmpty() && membership.begun(now)) {
         balance();
       }
@@ -159,117 +156,6 @@
     return calls.available(now) >= 1;
   }
 
-  private void readCatalog() {
-    readingCatalog = true;
-    calls.take(1);
-    sink.call(
-        new Request.CloudCatalog(),
-        reply -> {
-          readingCatalog = false;
-          if (closed || !(reply instanceof Reply.Catalog catalog)) {
-            nextCatalogMicros = now + RETRY_MICROS;
-            return;
-          }
-          nextCatalogMicros = now + CATALOG_EVERY_MICROS;
-          if (catalog.types().equals(replica.catalog())) {
-            return;
-          }
-          // Kept in the state service so that every node can judge jobs, also while the cloud does
-          // not answer.
-          Map<String, Object> value = Records.catalog(catalog.types());
-          sink.call(
-              new Request.StoreTxn(
-                  List.of(
-                      new Request.Condition(Records.LEADER, term),
-                      new Request.Condition(Records.CATALOG, replica.catalogVersion())),
-                  List.of(new Request.Write(Records.CATALOG, value, 0))),
-              written -> {
-                if (written instanceof Reply.Applied applied) {
-                  replica.apply(new Reply.Item(Records.CATALOG, value, applied.revision()));
-                  workers.typesChanged();
-                } else {
-                  nextCatalogMicros = now + RETRY_MICROS;
-                }
-              });
-        });
-  }
-
-  /**
-   * Machines that are of no more use: silent, failed to boot, drained, or idle for longer than they
-   * are worth.
-   */
-  private void retire() {
-    survey =
-        membership.survey(
-            workers.machines().values(),
-            workers.reach().unreached(),
-            settings.tuning().unheardDeleteMicros(),
-            settings.tuning().darkDeleteMicros(),
-            now);
-    returnOverdue();
-    int spared = 0;
-    for (Machine m : workers.machines().values()) {
-      if (m.plan == Machine.Plan.DELETE) {
-        if (m.condemned && m.heardMicros > now - DECIDE_EVERY_MICROS) {
-          // It was taken for dead, and is heard again.
-          m.condemned = false;
-          duties.takeBack(m.id);
-        }
-        continue;
-      }
-      ReachabilityClassifier.Verdict verdict = survey.of(m);
-      m.dark = verdict == ReachabilityClassifier.Verdict.DARK;
-      String why = null;
-      if (m.phase == Machine.Phase.BOOTING) {
-        long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
-        why =
-            now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.heardElsewhere(m.id)
-                ? "never came up"
-                : null;
-      } else if (verdict == ReachabilityClassifier.Verdict.SILENT) {
-        why = survey.evidence(m);
-      } else if (m.plan == Machine.Plan.DRAIN
-          && m.attempts.isEmpty()
-          && m.phase == Machine.Phase.HEARD) {
-        why = "drained";
-      }
-      if (why != null) {
-        m.condemned = verdict == ReachabilityClassifier.Verdict.SILENT;
-        returnNow(m, m.condemned ? "silent: " + why : why);
-      } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.ELSEWHERE.ordinal()) {
-        spared++;
-      }
-    }
-    if (spared != lastSpared) {
-      lastSpared = spared;
-      sink.info("silent machines spared: " + spared + ", " + survey.evidence() + ", term=" + term);
-    }
-  }
-
-  /**
-   * A task of a cancelled job that is not shown to be gone goes with its machine, while that can
-   * still be in time: a machine that hangs, or does not obey, must have nothing to go on with.
-   * Leases mostly end sooner; this asks nobody's clock but ours.
-   */
-  private void returnOverdue() {
-    long since = now - settings.cancelMicros() + RETURN_MICROS;
-    for (Job job : replica.cancelledLately(now)) {
-      if (job.cancelledMicros < since) {
-        for (Attempt a : new ArrayList<>(job.active.values())) {
-          if (a.mayBeThere() && a.machine.plan != Machine.Plan.DELETE) {
-            returnNow(
-                a.machine,
-                "not shown to have ended "
-                    + a.task()
-                    + ", cancelled "
-                    + (now - job.cancelledMicros) / 1000
-                    + " ms ago");
-          }
-        }
-      }
-    }
-  }
-
   private boolean isIdle(Machine m) {
     return m.phase == Machine.Phase.HEARD
         && m.attempts.isEmpty()
@@ -277,57 +163,24 @@
         && now > m.sinceMicros + CHEAPEST_LIFE_MICROS;
   }
 
-  /** The part of a machine, there or on its way, that the demand has not yet taken on paper. */
-  private static final class Room {
-    final Machine machine;
-    double left = 1;
-
-    Room(Machine m) {
-      machine = m;
-    }
-
-    /**
-     * Takes room for that many tasks, not necessarily whole, and says for how many there was some.
-     */
-    double take(JobSpec spec, double tasks) {
-      if (!machine.allows(spec)) {
-        return 0;
-      }
-      double each = share(spec, machine.type);
-      double taken = Math.min(tasks, left / each);
-      left -= taken * each;
-      return taken;
-    }
-  }
-
-  /** What part of a machine one task takes. */
-  private static double share(JobSpec spec, MachineType type) {
-    double share = Math.max(spec.cpus() / type.cpus(), spec.memoryGb() / type.memoryGb());
-    share =
-        type.accelerators() > 0
-            ? Math.max(share, spec.accelerators() / type.accelerators())
-            : share;
-    return Math.max(share, 1e-3);
-  }
-
   /**
    * Compares the demand with the machines that are there or on their way, and rents or returns the
    * difference.
    */
   private void balance() {
-    List<Room> rooms = new ArrayList<>();
+    List<PlannedRoom> rooms = new ArrayList<>();
     for (Machine m : workers.machines().values()) {
       // What nobody sees is asked for elsewhere; it is not given back for it.
       m.surplus = false;
       if (m.plan == Machine.Plan.USE && m.type != null && !m.dark) {
-        rooms.add(new Room(m));
+        rooms.add(new PlannedRoom(m));
       }
     }
-    duties.awaited(rental -> awaited(rental).forEach(m -> rooms.add(new Room(m))));
+    duties.awaited(rental -> awaited(rental).forEach(m -> rooms.add(new PlannedRoom(m))));
     // Cheap machines serve first, and among equals the busy ones: what is left over is best
     // returned.
     rooms.sort(
-        Comparator.comparing((Room r) -> !r.machine.spot)
+        Comparator.comparing((PlannedRoom r) -> !r.machine.spot)
             .thenComparing(r -> r.machine.attempts.isEmpty()));
     Map<RentalOption, Double> wanted = new LinkedHashMap<>();
     List<Demand.Wish> wishes = demand.measure(now);
@@ -337,7 +190,7 @@
     for (Demand.Wish wish : wishes) {
       JobSpec spec = wish.spec();
       double got = 0;
-      for (Room room : rooms) {
+      for (PlannedRoom room : rooms) {
         // Work that may use cheap machines gets dear ones only for what is at hand.
         double most = sparing && !room.machine.spot ? wish.pressing() : wish.tasks();
         got += room.take(spec, Math.max(0, most - got));
@@ -346,18 +199,18 @@
       double most = sparing && offer != null && !offer.spot() ? wish.pressing() : wish.tasks();
       if (offer != null && most - got > 1e-3) {
         boolean nowhere = rooms.stream().noneMatch(r -> r.machine.allows(spec));
-        double machines = (most - got) * share(spec, type(offer.type()));
+        double machines = (most - got) * PlannedRoom.share(spec, type(offer.type()));
         wanted.merge(offer, nowhere ? Math.max(1, machines) : machines, Double::sum);
       }
     }
     wanted.forEach(
         (offer, machines) ->
             rent(offer, Math.min(settings.tuning().rentBatch(), (int) Math.ceil(machines - 0.1))));
-    for (Room room : rooms) {
+    for (PlannedRoom room : rooms) {
       room.machine.surplus = room.left > 0.999;
       room.machine.closing = sparing && room.machine.surplus && !room.machine.spot;
       if (room.machine.surplus && isIdle(room.machine)) {
-        returnNow(room.machine, "idle");
+        retirement.returnNow(room.machine, "idle");
       }
     }
   }
@@ -617,23 +470,11 @@
           && m.plan != Machine.Plan.DELETE
           && !listed.contains(m.id)
           && now > m.sinceMicros + 2_000_000) {
-        returnNow(m, "neither heard nor listed");
+        retirement.returnNow(m, "neither heard nor listed");
       }
     }
   }
 
-  private void returnNow(Machine m, String why) {
-    sink.info("returning machine " + m.id + ": " + why + ", term=" + term);
-    leave(m);
-    duties.giveBack(m.id);
-  }
-
-  /** Nothing is placed on it any more; what it runs goes on until it is gone. */
-  private void leave(Machine m) {
-    workers.drain(m);
-    m.plan = Machine.Plan.DELETE;
-  }
-
   private void seen(Reply.CloudMachine listed) {
     // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines
     // that the one before
@@ -652,7 +493,7 @@
             workers.expect(
                 listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       }
-      leave(m);
+      retirement.leave(m);
       m.condemned = false;
       duties.giveBack(m.id);
       return;
--- a/src/test/java/org/eiderstair/core/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/WorkerManagerTest.java
@@ -233,6 +233,23 @@
     assertEquals(2, responds.size());
   }
 
+  /**
+   * A copy of a report of the session before is answered to nobody, and the one that waits goes on
+   * waiting.
+   */
+  @Example
+  void aLateCopyOfAnEarlierSessionIsNotAnswered() {
+    launched(Attempt.Phase.SEEN);
+    reported(report(1, 500, machine.token(), -1), 1_000_000);
+    workers.flush(1_001_000);
+    reported(report(2, 1, machine.token(), -1), 2_000_000);
+    reported(report(1, 499, machine.token(), -1), 2_001_000);
+    workers.flush(2_002_000);
+    assertEquals(List.of(1L, 2L), answeredExchanges());
+    assertEquals(2, machine.session);
+    assertEquals(503, ((Answer.Failure) responds.get(1).answer()).status());
+  }
+
   /** A copy renews nothing, moves no clock and takes no launch with it. */
   @Example
   void aLateCopyOfAReportIsNotAnswered() {
