--- a/src/test/java/org/eiderstair/core/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/WorkerManagerTest.java
@@ -250,6 +250,56 @@
     assertEquals(503, ((Answer.Failure) responds.get(1).answer()).status());
   }
 
+  /**
+   * Until its end is durable, the machine's own record of a task that is done is the only one that
+   * a next leader would find.
+   */
+  @Example
+  void whatIsDoneIsReapedOnlyOnceThatIsDurable() {
+    LeaderBench bench = new LeaderBench();
+    bench.lead();
+    bench.machines(1);
+    Machine m = bench.workers.machines().get("m-0");
+    Job one = bench.job("red", JobSpec.Priority.NORMAL, 2, 1);
+    bench.report(m, 0);
+    bench.placement.place(bench.now);
+    bench.workers.flush(bench.now);
+    List<Entry> shown = new ArrayList<>();
+    one.active
+        .values()
+        .forEach(a -> shown.add(new Entry(a.task(), a.number, TaskState.ENDED, Exit.DONE, false)));
+    assertEquals(List.of(), reapsAfter(bench, m, shown.get(0)));
+    assertTrue(one.done.get(shown.get(0).task().index()));
+    one.durable.set(shown.get(0).task().index());
+    assertEquals(
+        List.of(new Order.Reap(shown.get(0).task(), shown.get(0).attempt())),
+        reapsAfter(bench, m, shown.get(0)));
+  }
+
+  private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
+    bench.effects.clear();
+    long sequence = bench.sequences.merge(m.id, 1L, Long::sum);
+    MachineReport report =
+        new MachineReport(
+            m.id,
+            "x",
+            "t",
+            m.zone,
+            false,
+            1,
+            sequence,
+            m.token(),
+            MachineReport.NO_NOTICE,
+            List.of(entry));
+    bench.workers.reported(++bench.exchange, report, false, bench.now);
+    bench.workers.flush(bench.now);
+    return bench.effects.stream()
+        .filter(e -> e instanceof Effect.Respond)
+        .flatMap(e -> ((Answer.Command) ((Effect.Respond) e).answer()).orders().stream())
+        .filter(o -> o instanceof Order.Reap)
+        .toList();
+  }
+
   /** A copy renews nothing, moves no clock and takes no launch with it. */
   @Example
   void aLateCopyOfAReportIsNotAnswered() {
