--- /dev/null
+++ b/src/test/java/org/eiderstair/core/SchedulerTest.java
@@ -0,0 +1,73 @@
+package org.eiderstair.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import net.jqwik.api.Example;
+import org.eiderstair.core.membership.Membership;
+
+/** How a term of office begins. */
+class SchedulerTest {
+  private final LeaderBench bench = new LeaderBench();
+
+  private Effect.Call watch() {
+    return (Effect.Call)
+        bench.effects.stream()
+            .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
+            .reduce((first, last) -> last)
+            .orElseThrow();
+  }
+
+  /**
+   * A leader between the last one that this node saw and itself may have used machines that its
+   * picture does not show yet: it must have read up to its own election before it decides what is
+   * where.
+   */
+  @Example
+  void nothingIsTakenOverBeforeThePictureReachesTheElection() {
+    bench.load();
+    bench.replica.tick(bench.now);
+    long term = bench.replica.revision() + 50;
+    Membership membership =
+        new Membership(
+            "n0",
+            List.of(),
+            Map.of(),
+            "run",
+            3_000_000,
+            (peer, run, after, then) -> {},
+            text -> {});
+    Scheduler scheduler =
+        new Scheduler(
+            bench.settings,
+            bench.sink,
+            bench.replica,
+            bench.leadership,
+            membership,
+            bench.standby,
+            term,
+            n -> 0);
+    scheduler.tick(bench.now);
+    MachineReport report =
+        new MachineReport("m", "x", "t", "a", false, 1, 1, 0, MachineReport.NO_NOTICE, List.of());
+    scheduler.reported(7, report, false, bench.now);
+    assertTrue(
+        bench.effects.stream()
+            .anyMatch(
+                e ->
+                    e instanceof Effect.Respond r
+                        && r.answer() instanceof Answer.Failure f
+                        && f.status() == 503));
+    bench.effects.removeIf(e -> e instanceof Effect.Respond);
+
+    bench.sink.replied(watch().call(), new Reply.Changed(List.of(), term));
+    assertEquals(term, bench.replica.revision());
+    scheduler.tick(bench.now);
+    scheduler.reported(8, report, false, bench.now);
+    assertTrue(
+        bench.effects.stream().noneMatch(e -> e instanceof Effect.Respond),
+        "answered in the next pass");
+  }
+}
