--- a/src/main/java/org/eiderstair/core/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/CapacityManager.java
@@ -396,9 +396,8 @@
       Machine m = workers.machines().get(machine);
       if (m != null && m.condemned) {
         // What was refused for want of room there may be had now. Seen after a zone's cut: 350
-        // machines were given back,
-        // and none rented for them until the last refusal was 15 s old. One that was idle is not
-        // missed.
+        // machines were given back, and none rented for them until the last refusal was 15 s old.
+        // One that was idle is not missed.
         refusedUntil.remove(new RentalOption(m.typeName, m.zone, m.spot));
         nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
       }
@@ -477,8 +476,8 @@
 
   private void seen(Reply.CloudMachine listed) {
     // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines
-    // that the one before
-    // had just returned, took each for one that never came up, and returned it again.
+    // that the one before had just returned, took each for one that never came up, and returned it
+    // again.
     if (workers.isGone(listed.id())
         || duties.leaving(listed.id()) && !workers.machines().containsKey(listed.id())) {
       return;
--- a/src/main/java/org/eiderstair/core/JobService.java
+++ b/src/main/java/org/eiderstair/core/JobService.java
@@ -79,8 +79,7 @@
     String refusal = spec == null ? fault : refusal(spec);
     if (refusal != null) {
       // Another node may know the job, and an accepted one must never be refused, whatever a repeat
-      // holds: so confirm that
-      // it is new.
+      // holds: so confirm that it is new.
       confirm(
           id,
           job ->
--- a/src/main/java/org/eiderstair/core/Leadership.java
+++ b/src/main/java/org/eiderstair/core/Leadership.java
@@ -340,11 +340,9 @@
         && loadedMicros != Long.MAX_VALUE
         && (now < loadedMicros + COLD_MICROS || listener.anotherInSync())) {
       // A cold leader needs many times the processor time for the same reports. This changes who
-      // asks first, never who
-      // may lead; and a key that is not there at the start was left by all the warm ones, so then
-      // nothing waits.
-      // One that holds the last leader's picture goes before both. Twice the time for which a warm
-      // one may gather changes before it learns of this one.
+      // asks first, never who may lead; and a key that is not there at the start was left by all
+      // the warm ones, so then nothing waits. One that holds the last leader's picture goes before
+      // both. Twice the time for which a warm one may gather changes before it learns of this one.
       boolean cold = now < loadedMicros + COLD_MICROS;
       int pause = (int) ((cold && listener.anotherInSync() ? 4 : 2) * settings.gatherMicros());
       standAfterMicros = Math.max(standAfterMicros, now + pause + random.applyAsInt(pause));
--- a/src/main/java/org/eiderstair/core/ReportHandler.java
+++ b/src/main/java/org/eiderstair/core/ReportHandler.java
@@ -126,8 +126,7 @@
       tracker.freeAll(m, "new session");
       dispatcher.newSession(m);
       // Found by the simulator (a leader cut from its workers): a new session has its full lease
-      // from its own
-      // beginning, whenever we last answered the session before.
+      // from its own beginning, whenever we last answered the session before.
       registry.answered(m);
     }
     if (report.session() != m.session) {
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -142,9 +142,8 @@
     }
     boolean dark = peers.isDark(String.valueOf(m.zone()));
     // Where all work waits for what is unconfirmed, a whole zone that nobody sees has said enough
-    // in
-    // half the time; so have a few
-    // machines that do not answer when they are asked, while all others have.
+    // in half the time; so have a few machines that do not answer when they are asked, while all
+    // others have.
     boolean few = holding * FEW_PART <= all;
     long patience =
         m.holdsBack() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
--- a/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -186,8 +186,8 @@
       }
       case FILLING -> {
         // An answer first, even where there is nothing to tell: it says which run of the peer the
-        // record is to name. Seen on the
-        // bench: a record written before it named none, and nobody could inherit.
+        // record is to name. Seen on the bench: a record written before it named none, and nobody
+        // could inherit.
         if (!run.isEmpty() && acked >= snapshotEnd && made - acked <= MOST_CHANGES) {
           snapshotEnd = made;
           become(State.ENLISTING, "has all but " + (made - acked));
