--- a/src/main/java/org/eiderstair/core/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/AttemptTracker.java
@@ -47,13 +47,12 @@
     return toServe;
   }
 
-  /** Whether something changed since this was last asked that may let a task be placed. */
-  boolean takeChanged() {
-    boolean was = changed;
+  /** From now on only what changes later counts. */
+  void clearChange() {
     changed = false;
-    return was;
   }
 
+  /** Whether something changed that may let a task be placed. */
   boolean changed() {
     return changed;
   }
--- a/src/main/java/org/eiderstair/core/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/CommandDispatcher.java
@@ -413,9 +413,6 @@
           if (closed || m.phase == Machine.Phase.GONE) {
             return;
           }
-          if (!m.toLaunch.isEmpty() || m.killsPending) {
-            toSend.add(m);
-          }
           if (launches.stream().anyMatch(a -> !a.job.open())) {
             // A kill that was sent meanwhile may have come before the launch.
             killSoon(m);
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -264,7 +264,7 @@
     boolean due = workers.changed() || now >= lastPassMicros + QUIET_PASS_MICROS;
     lastPassMicros = now;
     if (due && leadership.mayLaunch(now)) {
-      workers.takeChanged();
+      workers.clearChange();
       placement.place(now);
     }
     workers.flush(now);
--- a/src/main/java/org/eiderstair/core/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/WorkerManager.java
@@ -110,9 +110,9 @@
     tracker.noteChange();
   }
 
-  /** The same, and from now on only what changes later counts. */
-  boolean takeChanged() {
-    return tracker.takeChanged();
+  /** From now on only what changes later counts. */
+  void clearChange() {
+    tracker.clearChange();
   }
 
   /** Who is to be told when the first task of a job is placed. */
--- a/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/DelayedCommandsTest.java
@@ -74,20 +74,7 @@
   }
 
   private Reply.Report reply(Machine m, boolean executed, Entry... entries) {
-    long sequence = bench.sequences.merge(m.id, 1L, Long::sum);
-    return new Reply.Report(
-        new MachineReport(
-            m.id,
-            "x",
-            "t",
-            m.zone,
-            m.spot,
-            m.session,
-            sequence,
-            m.token(),
-            MachineReport.NO_NOTICE,
-            List.of(entries)),
-        executed);
+    return new Reply.Report(bench.account(m, List.of(entries)), executed);
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -265,6 +265,22 @@
     return job;
   }
 
+  /** A machine's next account of itself, with the token of this term. */
+  MachineReport account(Machine m, List<MachineReport.Entry> entries) {
+    long sequence = sequences.merge(m.id, 1L, Long::sum);
+    return new MachineReport(
+        m.id,
+        "x",
+        "t",
+        m.zone,
+        m.spot,
+        m.session,
+        sequence,
+        m.token(),
+        MachineReport.NO_NOTICE,
+        entries);
+  }
+
   /**
    * The machine tells what is on it as if all orders had reached it; {@code ended} of its tasks are
    * over.
@@ -284,23 +300,9 @@
                 false));
       }
     }
-    long sequence = sequences.merge(m.id, 1L, Long::sum);
+    MachineReport account = account(m, entries);
     now += 1_000;
-    workers.reported(
-        ++exchange,
-        new MachineReport(
-            m.id,
-            "x",
-            "t",
-            m.zone,
-            m.spot,
-            m.session,
-            sequence,
-            m.token(),
-            MachineReport.NO_NOTICE,
-            entries),
-        false,
-        now);
+    workers.reported(++exchange, account, false, now);
   }
 
   /** Stands for the commands and answers that bring what was planned to the machines. */
--- a/src/test/java/org/eiderstair/core/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/WorkerManagerTest.java
@@ -278,19 +278,7 @@
 
   private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
     bench.effects.clear();
-    long sequence = bench.sequences.merge(m.id, 1L, Long::sum);
-    MachineReport report =
-        new MachineReport(
-            m.id,
-            "x",
-            "t",
-            m.zone,
-            false,
-            1,
-            sequence,
-            m.token(),
-            MachineReport.NO_NOTICE,
-            List.of(entry));
+    MachineReport report = bench.account(m, List.of(entry));
     bench.workers.reported(++bench.exchange, report, false, bench.now);
     bench.workers.flush(bench.now);
     return bench.effects.stream()
