--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -14,7 +14,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.eiderstair.config.BadConfig;
+import org.eiderstair.config.InvalidConfigException;
 import org.eiderstair.config.NodeConfig;
 import org.eiderstair.config.OperatorFile;
 import org.eiderstair.config.PlatformFile;
@@ -45,7 +45,7 @@
     int code;
     try {
       code = run(args);
-    } catch (BadConfig | ParseException | Usage e) {
+    } catch (InvalidConfigException | ParseException | Usage e) {
       System.err.println("eiderstair: " + e.getMessage());
       code = 2;
     } catch (Exception e) {
--- a/src/main/java/org/eiderstair/cli/UserClient.java
+++ b/src/main/java/org/eiderstair/cli/UserClient.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.http.HttpMethod;
-import org.eiderstair.protocol.Pack;
+import org.eiderstair.protocol.MessagePackCodec;
 
 /** The commands for users: one request each, its answer printed as JSON. */
 final class UserClient implements AutoCloseable {
@@ -31,7 +31,7 @@
     return send(
         http.newRequest(base + "/work")
             .method(HttpMethod.POST)
-            .body(new BytesRequestContent("application/msgpack", Pack.write(job))));
+            .body(new BytesRequestContent("application/msgpack", MessagePackCodec.write(job))));
   }
 
   int show(String id) throws Exception {
@@ -47,7 +47,8 @@
     System.out.println(
         response.getStatus()
             + " "
-            + new ObjectMapper().writeValueAsString(Pack.readMap(response.getContent())));
+            + new ObjectMapper()
+                .writeValueAsString(MessagePackCodec.readMap(response.getContent())));
     return response.getStatus() < 300 ? 0 : 1;
   }
 
--- a/src/main/java/org/eiderstair/config/BadConfig.java
+++ b/src/main/java/org/eiderstair/config/InvalidConfigException.java
@@ -1,10 +1,10 @@
 package org.eiderstair.config;
 
 /** Settings that cannot be used; the message names the field and the reason. */
-public final class BadConfig extends Exception {
+public final class InvalidConfigException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public BadConfig(String message) {
+  public InvalidConfigException(String message) {
     super(message);
   }
 }
--- a/src/main/java/org/eiderstair/config/NodeConfig.java
+++ b/src/main/java/org/eiderstair/config/NodeConfig.java
@@ -1,7 +1,7 @@
 package org.eiderstair.config;
 
 import java.util.Map;
-import org.eiderstair.core.Settings;
+import org.eiderstair.core.settings.Settings;
 
 /** Everything that a node is told when it starts. */
 public record NodeConfig(
--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.eiderstair.core.Settings;
+import org.eiderstair.core.settings.Settings;
 
 /** Reads the operators' own settings: one flat HCL file, all of it optional. */
 public final class OperatorFile {
@@ -35,20 +35,20 @@
   }
 
   /** Reads and checks the file; settings that it does not have keep their defaults. */
-  public static Settings.Tuning read(Path file) throws BadConfig {
+  public static Settings.Tuning read(Path file) throws InvalidConfigException {
     Map<String, Object> values = new HashMap<>();
     try {
       new HCLParser()
           .parse(Files.readString(file))
           .forEach((name, value) -> values.put(name.toString(), value));
     } catch (HCLParserException | RuntimeException e) {
-      throw new BadConfig(file + ": not HCL: " + e.getMessage());
+      throw new InvalidConfigException(file + ": not HCL: " + e.getMessage());
     } catch (IOException e) {
-      throw new BadConfig(file + ": cannot be read: " + e.getMessage());
+      throw new InvalidConfigException(file + ": cannot be read: " + e.getMessage());
     }
     for (String name : values.keySet()) {
       if (!KNOWN.contains(name)) {
-        throw new BadConfig(file + ": " + name + ": unknown setting");
+        throw new InvalidConfigException(file + ": " + name + ": unknown setting");
       }
     }
     OperatorFile f = new OperatorFile(file, values);
@@ -65,12 +65,14 @@
             (int) f.number("rent_batch", 1, 50, d.rentBatch()),
             (int) f.number("standbys", 0, 1, d.standbys()));
     if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
-      throw new BadConfig(file + ": leader_renew_s: must be at most half of leader_ttl_s");
+      throw new InvalidConfigException(
+          file + ": leader_renew_s: must be at most half of leader_ttl_s");
     }
     return tuning;
   }
 
-  private double number(String name, double least, double most, double otherwise) throws BadConfig {
+  private double number(String name, double least, double most, double otherwise)
+      throws InvalidConfigException {
     Object value = values.get(name);
     if (value == null) {
       return otherwise;
@@ -80,10 +82,12 @@
         && number.doubleValue() <= most) {
       return number.doubleValue();
     }
-    throw new BadConfig(file + ": " + name + ": not a number from " + least + " to " + most);
+    throw new InvalidConfigException(
+        file + ": " + name + ": not a number from " + least + " to " + most);
   }
 
-  private long micros(String name, double least, double most, long otherwise) throws BadConfig {
+  private long micros(String name, double least, double most, long otherwise)
+      throws InvalidConfigException {
     return Math.round(number(name, least, most, otherwise / 1e6) * 1e6);
   }
 }
--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -15,21 +15,22 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.Settings;
+import org.eiderstair.core.leadership.LeadershipBounds;
+import org.eiderstair.core.settings.Settings;
 
 /** Reads the settings file that the platform hands over. Fields it does not know are ignored. */
 public final class PlatformFile {
   private PlatformFile() {}
 
   /** Reads and checks the file; the exception's message names the field that is wrong. */
-  public static NodeConfig read(Path file, Settings.Tuning tuning) throws BadConfig {
+  public static NodeConfig read(Path file, Settings.Tuning tuning) throws InvalidConfigException {
     JsonNode root;
     try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
       root = tree(parser);
     } catch (JsonProcessingException e) {
-      throw new BadConfig(file + ": not TOML: " + e.getOriginalMessage());
+      throw new InvalidConfigException(file + ": not TOML: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadConfig(file + ": cannot be read: " + e.getMessage());
+      throw new InvalidConfigException(file + ": cannot be read: " + e.getMessage());
     }
     JsonNode settings = table(root, "settings");
     JsonNode workers = table(settings, "settings.workers", "workers");
@@ -50,7 +51,7 @@
     List<String> zones = new ArrayList<>();
     settings.path("zones").forEach(z -> zones.add(z.asText()));
     if (zones.isEmpty()) {
-      throw new BadConfig("settings.zones: missing or empty");
+      throw new InvalidConfigException("settings.zones: missing or empty");
     }
     long lease = micros(workers, "settings.workers.lease_s", "lease_s");
     long cancel = micros(workers, "settings.workers.cancel_s", "cancel_s");
@@ -71,8 +72,8 @@
             tuning,
             nodeZones,
             resources.path("cpu").asDouble(0));
-    if (!core.cancellationBoundsHold()) {
-      throw new BadConfig(
+    if (!LeadershipBounds.boundsHold(core)) {
+      throw new InvalidConfigException(
           "settings.workers.cancel_s: must be longer than lease_s by leader_ttl_s (now "
               + tuning.leaderTtlMicros() / 1e6
               + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
@@ -127,7 +128,7 @@
     }
   }
 
-  private static Map<String, Settings.Team> teams(JsonNode settings) throws BadConfig {
+  private static Map<String, Settings.Team> teams(JsonNode settings) throws InvalidConfigException {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     for (JsonNode t : settings.path("teams")) {
       String name = text(t, "settings.teams.name", "name");
@@ -141,7 +142,7 @@
               amount(t, "settings.teams.gpus_max", "gpus_max")));
     }
     if (teams.isEmpty()) {
-      throw new BadConfig("settings.teams: missing or empty");
+      throw new InvalidConfigException("settings.teams: missing or empty");
     }
     return teams;
   }
@@ -159,50 +160,56 @@
     return objectives;
   }
 
-  private static JsonNode table(JsonNode parent, String name) throws BadConfig {
+  private static JsonNode table(JsonNode parent, String name) throws InvalidConfigException {
     return table(parent, name, name);
   }
 
-  private static JsonNode table(JsonNode parent, String where, String name) throws BadConfig {
+  private static JsonNode table(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     JsonNode node = parent.path(name);
     if (!node.isObject()) {
-      throw new BadConfig(where + ": missing or not a table");
+      throw new InvalidConfigException(where + ": missing or not a table");
     }
     return node;
   }
 
-  private static String text(JsonNode parent, String where, String name) throws BadConfig {
+  private static String text(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     JsonNode node = parent.path(name);
     if (!node.isTextual() || node.asText().isEmpty()) {
-      throw new BadConfig(where + ": missing or not text");
+      throw new InvalidConfigException(where + ": missing or not text");
     }
     return node.asText();
   }
 
-  private static double amount(JsonNode parent, String where, String name) throws BadConfig {
+  private static double amount(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     JsonNode node = parent.path(name);
     if (node.isMissingNode()) {
       return 0;
     }
     if (!node.isNumber() || !(node.asDouble() >= 0) || node.asDouble() > 1e9) {
-      throw new BadConfig(where + ": not an amount");
+      throw new InvalidConfigException(where + ": not an amount");
     }
     return node.asDouble();
   }
 
-  private static double positive(JsonNode parent, String where, String name) throws BadConfig {
+  private static double positive(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     double amount = amount(parent, where, name);
     if (amount <= 0) {
-      throw new BadConfig(where + ": missing or not above 0");
+      throw new InvalidConfigException(where + ": missing or not above 0");
     }
     return amount;
   }
 
-  private static long micros(JsonNode parent, String where, String name) throws BadConfig {
+  private static long micros(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     return Math.round(positive(parent, where, name) * 1e6);
   }
 
-  private static String address(JsonNode parent, String where, String name) throws BadConfig {
+  private static String address(JsonNode parent, String where, String name)
+      throws InvalidConfigException {
     String address = text(parent, where, name);
     int colon = address.lastIndexOf(':');
     try {
@@ -212,7 +219,7 @@
     } catch (NumberFormatException e) {
       // Told below, with the field's name.
     }
-    throw new BadConfig(where + ": not an address of the form host:port");
+    throw new InvalidConfigException(where + ": not an address of the form host:port");
   }
 
   private static String host(String address) {
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -4,15 +4,30 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
+import org.eiderstair.core.jobs.CancellationBroadcast;
+import org.eiderstair.core.jobs.JobService;
+import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateServiceHealth;
+import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.core.workers.HeartbeatRelay;
 
 /**
  * One controller without input, output, clock or thread: events come in with the time, effects go
  * out. Given the same events, times and random numbers it does the same again.
  */
 public final class Core implements Replica.Listener, Leadership.Listener {
-  private static final long LONGEST_TICK_MICROS = 50_000;
+  private static final long MAX_TICK_MICROS = 50_000;
   private static final long CLAIM_AGAIN_MICROS = 2_000_000;
 
   private final Settings settings;
@@ -22,8 +37,8 @@
   private final JobService jobService;
   private final CancellationBroadcast news;
   private final Leadership leadership;
-  private final Relay relay;
-  private final StateReach reach;
+  private final HeartbeatRelay relay;
+  private final StateServiceHealth reach;
   private final Membership membership;
   private final Standby standby;
   private boolean claiming;
@@ -39,7 +54,7 @@
    */
   public Core(
       Settings settings,
-      String incarnation,
+      String runId,
       long dayOffsetMicros,
       IntUnaryOperator random,
       Consumer<Effect> effects) {
@@ -49,20 +64,20 @@
     this.replica = new Replica(settings, sink, this, dayOffsetMicros);
     this.news = new CancellationBroadcast(settings.node(), sink);
     this.jobService = new JobService(settings, sink, replica, news::committed);
-    this.relay = new Relay(sink);
-    this.reach = new StateReach(settings, sink, replica);
+    this.relay = new HeartbeatRelay(sink);
+    this.reach = new StateServiceHealth(settings, sink, replica);
     sink.watch(reach::replied);
     this.membership =
         new Membership(
             settings.node(),
             settings.peers(),
             settings.nodeZones(),
-            incarnation,
+            runId,
             settings.reportMicros(),
             this::askHeard,
             sink::info);
-    this.standby = new Standby(settings.node(), incarnation, sink::info);
-    this.leadership = new Leadership(settings, sink, replica, incarnation, random, this);
+    this.standby = new Standby(settings.node(), runId, sink::info);
+    this.leadership = new Leadership(settings, sink, replica, runId, random, this);
   }
 
   /** One event, and what time has made due. */
@@ -99,9 +114,9 @@
     now = nowMicros;
     replica.at(now);
     leadership.at(now);
-    if (event instanceof Event.Replied replied) {
+    if (event instanceof Event.ReplyReceived replied) {
       sink.replied(replied.call(), replied.reply());
-    } else if (event instanceof Event.Reported reported) {
+    } else if (event instanceof Event.HeartbeatReceived reported) {
       reported(reported);
     } else if (event instanceof Event.Poll poll) {
       jobService.poll(poll.exchange(), poll.id());
@@ -109,21 +124,22 @@
       jobService.submit(submit.exchange(), submit.id(), submit.spec(), submit.fault());
     } else if (event instanceof Event.Cancel cancel) {
       jobService.cancel(cancel.exchange(), cancel.id());
-    } else if (event instanceof Event.PeerAsked asked) {
+    } else if (event instanceof Event.StateServiceStatusRequested asked) {
       sink.respond(asked.exchange(), reach.standing());
-    } else if (event instanceof Event.PeerHeardAsked asked) {
+    } else if (event instanceof Event.MembershipRequested asked) {
       sink.respond(
-          asked.exchange(), new Answer.Heard(membership.tell(asked.run(), asked.after(), now)));
-    } else if (event instanceof Event.StandbyTold told) {
+          asked.exchange(),
+          new Answer.ReachableWorkers(membership.tell(asked.run(), asked.after(), now)));
+    } else if (event instanceof Event.ReplicationReceived told) {
       // A leader that is known to have been replaced is not followed.
       boolean mayFollow =
           leadership.follows()
               && (replica.leader() == null || told.batch().term() >= replica.leader().term());
       sink.respond(
-          told.exchange(), new Answer.StandbyAck(standby.take(told.batch(), mayFollow, now)));
-    } else if (event instanceof Event.PeerCancelled told) {
+          told.exchange(), new Answer.ReplicationAck(standby.take(told.batch(), mayFollow, now)));
+    } else if (event instanceof Event.CancellationsReceived told) {
       told.cancellations().forEach(replica::cancelledElsewhere);
-      sink.respond(told.exchange(), new Answer.Noted());
+      sink.respond(told.exchange(), new Answer.Acknowledged());
     } else if (event instanceof Event.ReadyProbe probe) {
       sink.respond(probe.exchange(), new Answer.Ready(replica.loaded() && !reach.alone()));
     }
@@ -131,7 +147,7 @@
 
   /** When the next tick is needed at the latest, if nothing happens before. */
   public long dueMicros() {
-    long due = now + LONGEST_TICK_MICROS;
+    long due = now + MAX_TICK_MICROS;
     if (scheduler != null) {
       due = Math.min(due, scheduler.passDueMicros());
     }
@@ -161,7 +177,7 @@
     }
   }
 
-  private void reported(Event.Reported event) {
+  private void reported(Event.HeartbeatReceived event) {
     if (scheduler != null && leadership.inOffice()) {
       scheduler.reported(event.exchange(), event.report(), event.relayed(), now);
       return;
@@ -181,12 +197,12 @@
     }
   }
 
-  private void askHeard(String peer, String run, long after, Consumer<Membership.Answer> then) {
+  private void askHeard(String peer, String run, long after, Consumer<Membership.Answer> callback) {
     sink.call(
-        new Request.PeerHeard(peer, run, after),
+        new Request.PeerMembership(peer, run, after),
         reply ->
-            then.accept(
-                reply instanceof Reply.PeerHeard told
+            callback.accept(
+                reply instanceof Reply.PeerMembership told
                     ? new Membership.Answer(told.hearing())
                     : reply instanceof Reply.Refused refused && refused.status() == 404
                         ? new Membership.Answer(null)
@@ -209,7 +225,7 @@
         || !leadership.follows()
         || !standby.misses(now)
         || !standby.named(record.value())
-        || Records.whole(record.value(), "epoch", 0) != leader.term()) {
+        || StoredRecords.whole(record.value(), "epoch", 0) != leader.term()) {
       return;
     }
     Map<String, Object> claimed = Standby.claim(record.value());
@@ -220,7 +236,7 @@
     sink.call(
         new Request.StoreTxn(
             List.of(
-                new Request.Condition(Records.LEADER, leader.term()),
+                new Request.Condition(StoredRecords.LEADER, leader.term()),
                 new Request.Condition(Standby.RECORD, record.version())),
             List.of(new Request.Write(Standby.RECORD, claimed, 0))),
         reply -> {
@@ -229,7 +245,7 @@
           sink.info("claim of term " + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(Standby.RECORD, claimed, applied.revision()));
-            sink.call(new Request.LeaseDrop(leader.lease()), dropped -> {});
+            sink.call(new Request.LeaseRevoke(leader.lease()), dropped -> {});
           }
         });
   }
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -7,9 +7,26 @@
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
 import java.util.function.LongConsumer;
+import org.eiderstair.core.capacity.CapacityManager;
+import org.eiderstair.core.capacity.Demand;
+import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.placement.Placement;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
+import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.WorkerManager;
 
 /**
  * Everything that a leader does in one term. A new term starts with a new one: nothing is carried
@@ -32,7 +49,7 @@
   private final Leadership leadership;
   private final Replica replica;
   private final StateWriter stateWriter;
-  private final TokenList tokens;
+  private final AvailableMachines availableMachines;
   private final WorkerManager workers;
   private final Placement placement;
   private final CapacityManager capacity;
@@ -61,14 +78,23 @@
     this.replica = replica;
     this.term = term;
     this.stateWriter = new StateWriter(settings, sink, replica, term, this);
-    this.tokens = new TokenList(settings.tuning().tokenListSize());
-    Teams teams = new Teams(settings);
+    this.availableMachines = new AvailableMachines(settings.tuning().tokenListSize());
+    TeamQuotas teams = new TeamQuotas(settings);
     this.workers =
         new WorkerManager(
-            settings, sink, replica, leadership, stateWriter, tokens, teams, standby, term);
+            settings,
+            sink,
+            replica,
+            leadership,
+            stateWriter,
+            availableMachines,
+            teams,
+            standby,
+            term);
     Demand demand = new Demand(settings, replica);
     this.placement =
-        new Placement(settings, sink, replica, workers, tokens, teams, term, demand, random);
+        new Placement(
+            settings, sink, replica, workers, availableMachines, teams, term, demand, random);
     this.capacity =
         new CapacityManager(
             settings, sink, replica, workers, leadership, stateWriter, demand, membership, term);
@@ -82,7 +108,7 @@
     capacity.close();
   }
 
-  void reported(long exchange, MachineReport report, boolean relayed, long nowMicros) {
+  void reported(long exchange, Heartbeat report, boolean relayed, long nowMicros) {
     if (started) {
       workers.reported(exchange, report, relayed, nowMicros);
     } else {
@@ -201,40 +227,42 @@
     }
 
     @Override
-    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then) {
+    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
       sink.call(
-          new Request.PeerStandby(peer, batch),
-          reply -> then.accept(reply instanceof Reply.StandbyAck acked ? acked.ack() : null));
+          new Request.PeerReplicate(peer, batch),
+          reply ->
+              callback.accept(reply instanceof Reply.ReplicationAck acked ? acked.ack() : null));
     }
 
     @Override
-    public void write(long version, Map<String, Object> record, LongConsumer then) {
+    public void write(long version, Map<String, Object> record, LongConsumer callback) {
       sink.call(
           new Request.StoreTxn(
               List.of(
-                  new Request.Condition(Records.LEADER, term),
+                  new Request.Condition(StoredRecords.LEADER, term),
                   new Request.Condition(Standby.RECORD, version)),
               List.of(new Request.Write(Standby.RECORD, record, 0))),
           reply -> {
             if (reply instanceof Reply.Applied applied) {
               replica.apply(new Reply.Item(Standby.RECORD, record, applied.revision()));
-              then.accept(applied.revision());
+              callback.accept(applied.revision());
             } else {
-              then.accept(reply instanceof Reply.Refused ? 0 : -1);
+              callback.accept(reply instanceof Reply.Refused ? 0 : -1);
             }
           });
     }
 
     @Override
-    public void read(BiConsumer<Long, Map<String, Object>> then) {
+    public void read(BiConsumer<Long, Map<String, Object>> callback) {
       sink.call(
           new Request.StoreGet(Standby.RECORD),
           reply -> {
             if (reply instanceof Reply.Found found) {
               Reply.Item item = found.item();
-              then.accept(item == null ? 0L : item.version(), item == null ? null : item.value());
+              callback.accept(
+                  item == null ? 0L : item.version(), item == null ? null : item.value());
             } else {
-              then.accept(-1L, null);
+              callback.accept(-1L, null);
             }
           });
     }
@@ -277,8 +305,8 @@
   }
 
   @Override
-  public void rosterWritten(String machine) {
-    workers.rostered(machine);
-    capacity.rostered(machine);
+  public void workerRegistered(String machine) {
+    workers.registered(machine);
+    capacity.registered(machine);
   }
 }
--- a/src/main/java/org/eiderstair/core/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.capacity;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -10,21 +10,33 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.provisioning.RentalOption;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.RateBudget;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
+import org.eiderstair.core.workers.WorkerManager;
 
 /**
  * Decides which machines to rent and to return, and watches the cloud's list for what went wrong
  * there.
  */
-final class CapacityManager {
+public final class CapacityManager {
   private static final long DECIDE_EVERY_MICROS = 1_000_000;
   private static final long LIST_EVERY_MICROS = 5_000_000;
   private static final long LIST_UNHEARD_MICROS = 1_500_000;
   private static final long REFUSED_PAUSE_MICROS = 15_000_000;
   private static final long CHEAPEST_LIFE_MICROS = 60_000_000;
-  private static final int MOST_RENTALS = 4;
+  private static final int MAX_RENTALS = 4;
 
   /** Above every price. */
   private static final double UNSEEN_PRICE = 1e9;
@@ -61,7 +73,7 @@
   private final Membership membership;
   private final StateWriter stateWriter;
 
-  CapacityManager(
+  public CapacityManager(
       Settings settings,
       EffectSink sink,
       Replica replica,
@@ -88,7 +100,8 @@
         new MachineRetirement(settings, sink, replica, workers, membership, duties, term);
   }
 
-  void close() {
+  /** The term is over. */
+  public void close() {
     duties.close();
     catalog.close();
     closed = true;
@@ -98,7 +111,7 @@
    * Takes over what earlier terms left open: their rentals are on their way, and nothing is placed
    * on what leaves.
    */
-  void takeOver(long nowMicros) {
+  public void takeOver(long nowMicros) {
     now = nowMicros;
     workers.leaving(duties::leaving);
     Map<String, Map<String, Object>> records = new TreeMap<>();
@@ -112,20 +125,22 @@
   }
 
   /** The machine is in the roster now, so that a successor knows of it without its rental. */
-  void rostered(String machine) {
+  public void registered(String machine) {
     duties.accounted(machine);
   }
 
   /** Whether some machine has been silent for so long that peers are to be asked for it. */
-  boolean missesMachines() {
+  public boolean missesMachines() {
     return retirement.missesMachines();
   }
 
-  String summary() {
+  /** A line for the log. */
+  public String summary() {
     return duties.summary();
   }
 
-  void tick(long nowMicros) {
+  /** Rents and releases what is due. */
+  public void tick(long nowMicros) {
     now = nowMicros;
     catalog.at(now);
     if (!leadership.mayLaunch(now)) {
@@ -157,7 +172,7 @@
   }
 
   private boolean isIdle(Machine m) {
-    return m.phase == Machine.Phase.HEARD
+    return m.phase == Machine.Phase.CONFIRMED
         && m.attempts.isEmpty()
         && now > m.idleSinceMicros + settings.tuning().idleReturnMicros()
         && now > m.sinceMicros + CHEAPEST_LIFE_MICROS;
@@ -172,7 +187,7 @@
     for (Machine m : workers.machines().values()) {
       // What nobody sees is asked for elsewhere; it is not given back for it.
       m.surplus = false;
-      if (m.plan == Machine.Plan.USE && m.type != null && !m.dark) {
+      if (m.plan == Machine.Plan.ACTIVE && m.type != null && !m.dark) {
         rooms.add(new PlannedRoom(m));
       }
     }
@@ -264,7 +279,7 @@
   }
 
   private void rent(RentalOption offer, int count) {
-    if (count < 1 || duties.awaited() >= MOST_RENTALS || !mayCall()) {
+    if (count < 1 || duties.awaited() >= MAX_RENTALS || !mayCall()) {
       return;
     }
     duties.rent(offer, count);
@@ -322,19 +337,19 @@
         String charter,
         RentalOption offer,
         int count,
-        Consumer<ProvisioningController.Rental> then) {
+        Consumer<ProvisioningController.Rental> callback) {
       call(
           new Request.CloudRent(charter, offer.type(), offer.zone(), offer.spot(), count),
           reply -> {
-            if (!(reply instanceof Reply.Lost)) {
+            if (!(reply instanceof Reply.NoResponse)) {
               awaited.remove(charter);
             }
             if (reply instanceof Reply.Rented rented) {
-              then.accept(
+              callback.accept(
                   new ProvisioningController.Rental(
                       ProvisioningController.Rental.Outcome.GRANTED, rented.machines(), ""));
             } else {
-              then.accept(
+              callback.accept(
                   new ProvisioningController.Rental(
                       reply instanceof Reply.Refused
                           ? ProvisioningController.Rental.Outcome.REFUSED
@@ -347,11 +362,11 @@
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> then) {
+    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> callback) {
       call(
           new Request.CloudDelete(machines),
           reply ->
-              then.accept(
+              callback.accept(
                   reply instanceof Reply.Applied
                       ? ProvisioningController.Deletion.DONE
                       : reply instanceof Reply.Refused
@@ -363,14 +378,14 @@
      * A holder that stood still must not send what its lease allowed before; its mark or name holds
      * even so.
      */
-    private void call(Request request, Consumer<Reply> then) {
+    private void call(Request request, Consumer<Reply> callback) {
       calls.take(1);
       sink.call(
           request,
           leadership.bounds().authorityEnd(),
           reply -> {
             if (!closed) {
-              then.accept(reply);
+              callback.accept(reply);
             }
           });
     }
@@ -379,7 +394,7 @@
     public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
       awaited.remove(charter);
       for (String id : machines) {
-        if (!workers.machines().containsKey(id) && !workers.isGone(id)) {
+        if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
           workers.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros =
               now - ageMicros;
         }
@@ -410,13 +425,13 @@
     }
 
     @Override
-    public boolean isGone(String machine) {
-      return workers.isGone(machine);
+    public boolean isTerminated(String machine) {
+      return workers.isTerminated(machine);
     }
 
     @Override
     public boolean onRoster(String machine) {
-      return replica.roster.containsKey(machine);
+      return replica.registeredWorkers.containsKey(machine);
     }
 
     @Override
@@ -466,7 +481,7 @@
   private void returnUnlisted() {
     for (Machine m : workers.machines().values()) {
       if (m.phase == Machine.Phase.UNCONFIRMED
-          && m.plan != Machine.Plan.DELETE
+          && m.plan != Machine.Plan.TERMINATE
           && !listed.contains(m.id)
           && now > m.sinceMicros + 2_000_000) {
         retirement.returnNow(m, "neither heard nor listed");
@@ -478,13 +493,13 @@
     // The cloud's lists are old. Seen on the fleet's day of cuts: a new leader found 542 machines
     // that the one before had just returned, took each for one that never came up, and returned it
     // again.
-    if (workers.isGone(listed.id())
+    if (workers.isTerminated(listed.id())
         || duties.leaving(listed.id()) && !workers.machines().containsKey(listed.id())) {
       return;
     }
     Machine m = workers.machines().get(listed.id());
     if (listed.state().equals("failed")) {
-      if (m == null || m.plan != Machine.Plan.DELETE) {
+      if (m == null || m.plan != Machine.Plan.TERMINATE) {
         sink.info("machine " + listed.id() + " failed, term=" + term);
       }
       if (m == null) {
--- a/src/main/java/org/eiderstair/core/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -1,10 +1,17 @@
-package org.eiderstair.core;
+package org.eiderstair.core.capacity;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
 
 /**
  * How many tasks of each class should run at once for its jobs to be in time. A job's remaining
@@ -12,7 +19,7 @@
  * there rather than for new ones; the highest recent demand is held for a while, since a new
  * machine takes a while to come.
  */
-final class Demand {
+public final class Demand {
   private static final double HOLD_MICROS = 90e6;
   private static final double EARLY = 0.7;
   private static final double NO_AIM_FACTOR = 4;
@@ -35,13 +42,13 @@
   private final Map<String, Held> classes = new LinkedHashMap<>();
   private long measuredMicros;
 
-  Demand(Settings settings, Replica replica) {
+  public Demand(Settings settings, Replica replica) {
     this.settings = settings;
     this.replica = replica;
   }
 
   /** Work that may use fewer kinds of machines comes first, so that it gets those. */
-  List<Wish> measure(long nowMicros) {
+  public List<Wish> measure(long nowMicros) {
     double fade = Math.exp(-(nowMicros - measuredMicros) / HOLD_MICROS);
     measuredMicros = nowMicros;
     classes.values().forEach(h -> h.now = 0);
@@ -82,7 +89,7 @@
    * tasks of low priority stood still beside 950 free processors, since ordinary work that found no
    * fitting machine kept half of the team's limit.
    */
-  void reserve(Teams teams) {
+  public void reserve(TeamQuotas teams) {
     for (Held held : classes.values()) {
       if (!startIsWaitedFor(held.spec)) {
         continue;
@@ -101,7 +108,7 @@
     double estimate = Math.max(job.spec().estimateMicros(), 1e6);
     double work = job.waiting() * estimate;
     for (Attempt a : job.active.values()) {
-      boolean runs = a.shown == MachineReport.TaskState.RUNNING;
+      boolean runs = a.shown == Heartbeat.TaskState.RUNNING;
       double left = runs ? estimate - (nowMicros - a.runningSinceMicros) : estimate;
       work += Math.max(left, estimate / 5);
     }
--- a/src/main/java/org/eiderstair/core/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -1,9 +1,16 @@
-package org.eiderstair.core;
+package org.eiderstair.core.capacity;
 
 import java.util.ArrayList;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.membership.ReachabilityClassifier;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.workers.WorkerManager;
 
 /** Which machines are given back because something is wrong with them, and why. */
 final class MachineRetirement {
@@ -64,8 +71,8 @@
     returnOverdue();
     int spared = 0;
     for (Machine m : workers.machines().values()) {
-      if (m.plan == Machine.Plan.DELETE) {
-        if (m.condemned && m.heardMicros > now - HEARD_AGAIN_MICROS) {
+      if (m.plan == Machine.Plan.TERMINATE) {
+        if (m.condemned && m.lastHeartbeatMicros > now - HEARD_AGAIN_MICROS) {
           // It was taken for dead, and is heard again.
           m.condemned = false;
           duties.takeBack(m.id);
@@ -85,7 +92,7 @@
         why = survey.evidence(m);
       } else if (m.plan == Machine.Plan.DRAIN
           && m.attempts.isEmpty()
-          && m.phase == Machine.Phase.HEARD) {
+          && m.phase == Machine.Phase.CONFIRMED) {
         why = "drained";
       }
       if (why != null) {
@@ -111,7 +118,7 @@
     for (Job job : replica.cancelledLately(now)) {
       if (job.cancelledMicros < since) {
         for (Attempt a : new ArrayList<>(job.active.values())) {
-          if (a.mayBeThere() && a.machine.plan != Machine.Plan.DELETE) {
+          if (a.mayBeThere() && a.machine.plan != Machine.Plan.TERMINATE) {
             returnNow(
                 a.machine,
                 "not shown to have ended "
@@ -134,6 +141,6 @@
   /** Nothing is placed on it any more; what it runs goes on until it is gone. */
   void leave(Machine m) {
     workers.drain(m);
-    m.plan = Machine.Plan.DELETE;
+    m.plan = Machine.Plan.TERMINATE;
   }
 }
--- a/src/main/java/org/eiderstair/core/PlannedRoom.java
+++ b/src/main/java/org/eiderstair/core/capacity/PlannedRoom.java
@@ -1,4 +1,8 @@
-package org.eiderstair.core;
+package org.eiderstair.core.capacity;
+
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.MachineType;
 
 /** The part of a machine, there or on its way, that the demand has not yet taken on paper. */
 final class PlannedRoom {
--- a/src/main/java/org/eiderstair/core/CancellationBroadcast.java
+++ b/src/main/java/org/eiderstair/core/jobs/CancellationBroadcast.java
@@ -1,7 +1,11 @@
-package org.eiderstair.core;
+package org.eiderstair.core.jobs;
 
 import java.util.ArrayList;
 import java.util.List;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.state.Replica;
 
 /**
  * Tells the leader of cancellations that this node has committed, beside the state service, which
@@ -9,13 +13,13 @@
  * that nothing was told means nothing, so it moves no bound of {@link LeadershipBounds}; and to
  * stop a task for a job key's newer version is right, whoever tells of it.
  */
-final class CancellationBroadcast {
+public final class CancellationBroadcast {
   /**
    * More than any leader can miss for as long as it may answer; what is beyond waits for the watch.
    */
-  private static final int MOST_WAITING = 1_000;
+  private static final int MAX_WAITING = 1_000;
 
-  private static final int MOST_AT_ONCE = 200;
+  private static final int MAX_AT_ONCE = 200;
 
   /** One message at a time: cancellations come in bursts. */
   private enum State {
@@ -34,20 +38,22 @@
    */
   private String leader;
 
-  CancellationBroadcast(String node, EffectSink sink) {
+  public CancellationBroadcast(String node, EffectSink sink) {
     this.node = node;
     this.sink = sink;
   }
 
-  void leader(Replica.Leader known) {
+  /** The leader has changed, or is not known. */
+  public void leader(Replica.Leader known) {
     if (known != null && !known.node().equals(leader)) {
       leader = known.node();
       waiting.clear();
     }
   }
 
-  void committed(Cancellation cancellation) {
-    if (leader != null && !leader.equals(node) && waiting.size() < MOST_WAITING) {
+  /** This node committed a cancellation. */
+  public void committed(Cancellation cancellation) {
+    if (leader != null && !leader.equals(node) && waiting.size() < MAX_WAITING) {
       waiting.add(cancellation);
       tell();
     }
@@ -58,11 +64,11 @@
       return;
     }
     List<Cancellation> some =
-        List.copyOf(waiting.subList(0, Math.min(MOST_AT_ONCE, waiting.size())));
+        List.copyOf(waiting.subList(0, Math.min(MAX_AT_ONCE, waiting.size())));
     waiting.subList(0, some.size()).clear();
     state = State.TELLING;
     sink.call(
-        new Request.PeerCancelled(leader, some),
+        new Request.PeerCancellations(leader, some),
         reply -> {
           state = State.IDLE;
           tell();
--- a/src/main/java/org/eiderstair/core/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -1,10 +1,22 @@
-package org.eiderstair.core;
+package org.eiderstair.core.jobs;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StoredRecords;
 
 /**
  * Serves users on every node. Final states never change and are told from the replica; anything
@@ -12,7 +24,7 @@
  * waits for an outage to end: what cannot be stored or confirmed is answered 503 at once, with when
  * to come back.
  */
-final class JobService {
+public final class JobService {
   private static final int RETRY_AFTER_S = 1;
 
   private record Waiting(String id, Consumer<Job> current, Runnable unavailable) {}
@@ -20,7 +32,7 @@
   private final Settings settings;
   private final EffectSink sink;
   private final Replica replica;
-  private final Teams limits;
+  private final TeamQuotas limits;
   private final Consumer<Cancellation> committed;
   private List<Waiting> waiting = new ArrayList<>();
   private boolean confirming;
@@ -30,34 +42,38 @@
   /**
    * @param committed is told of each cancellation that this node has committed
    */
-  JobService(
+  public JobService(
       Settings settings, EffectSink sink, Replica replica, Consumer<Cancellation> committed) {
     this.committed = committed;
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
-    this.limits = new Teams(settings);
+    this.limits = new TeamQuotas(settings);
   }
 
-  void poll(long exchange, String id) {
+  /** A user asks for the state of a job. */
+  public void poll(long exchange, String id) {
     if (!replica.loaded()) {
       unavailable(exchange, "starting");
       return;
     }
     Job known = replica.jobs.get(id);
     if (known != null && !known.open()) {
-      sink.respond(exchange, known.view(200));
+      sink.respond(exchange, view(known, 200));
       return;
     }
     confirm(
         id,
         job ->
             sink.respond(
-                exchange, job == null ? new Answer.Failure(404, "no such job", 0) : job.view(200)),
+                exchange, job == null ? new Answer.Failure(404, "no such job", 0) : view(job, 200)),
         () -> unavailable(exchange, "cannot confirm"));
   }
 
-  void submit(long exchange, String id, JobSpec spec, String fault) {
+  /**
+   * A user submits a job; {@code spec} is null and {@code fault} set when its body is malformed.
+   */
+  public void submit(long exchange, String id, JobSpec spec, String fault) {
     if (!replica.loaded()) {
       // Also where the rest cannot be read: the id may be that of an accepted job.
       unavailable(exchange, "starting");
@@ -66,11 +82,11 @@
     Job known = replica.jobs.get(id);
     if (known != null) {
       if (!known.open()) {
-        sink.respond(exchange, known.view(200));
+        sink.respond(exchange, view(known, 200));
       } else {
         confirm(
             id,
-            job -> sink.respond(exchange, job.view(200)),
+            job -> sink.respond(exchange, view(job, 200)),
             () -> unavailable(exchange, "cannot confirm"));
       }
       return;
@@ -84,7 +100,7 @@
           id,
           job ->
               sink.respond(
-                  exchange, job == null ? new Answer.Failure(status, refusal, 0) : job.view(200)),
+                  exchange, job == null ? new Answer.Failure(status, refusal, 0) : view(job, 200)),
           () -> unavailable(exchange, "cannot confirm"));
       return;
     }
@@ -120,9 +136,9 @@
   }
 
   private void create(long exchange, JobSpec spec) {
-    Map<String, Object> value = Records.openJob(spec);
+    Map<String, Object> value = StoredRecords.openJob(spec);
     value.put("at", replica.dayMicros(now));
-    String key = Records.jobKey(spec.id());
+    String key = StoredRecords.jobKey(spec.id());
     sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, value, 0))),
@@ -144,7 +160,7 @@
                     + spec.jobClass()
                     + " of "
                     + spec.team());
-            sink.respond(exchange, replica.jobs.get(spec.id()).view(201));
+            sink.respond(exchange, view(replica.jobs.get(spec.id()), 201));
           } else if (reply instanceof Reply.Conflict) {
             read(
                 spec.id(),
@@ -152,7 +168,7 @@
                   if (job == null) {
                     unavailable(exchange, "conflict");
                   } else {
-                    sink.respond(exchange, job.view(200));
+                    sink.respond(exchange, view(job, 200));
                   }
                 },
                 () -> unavailable(exchange, "cannot confirm"));
@@ -162,7 +178,8 @@
         });
   }
 
-  void cancel(long exchange, String id) {
+  /** A user cancels a job. */
+  public void cancel(long exchange, String id) {
     if (!replica.loaded()) {
       unavailable(exchange, "starting");
       return;
@@ -186,12 +203,12 @@
       return;
     }
     if (!job.open()) {
-      sink.respond(exchange, job.view(200));
+      sink.respond(exchange, view(job, 200));
       return;
     }
-    String key = Records.jobKey(id);
+    String key = StoredRecords.jobKey(id);
     Map<String, Object> value =
-        Records.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
+        StoredRecords.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
     sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, job.version())),
@@ -200,8 +217,8 @@
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, value, applied.revision()));
             sink.info("job " + id + " cancelled");
-            sink.respond(exchange, job.view(200));
-            committed.accept(new Cancellation(id, applied.revision(), job.view(200).done()));
+            sink.respond(exchange, view(job, 200));
+            committed.accept(new Cancellation(id, applied.revision(), view(job, 200).done()));
           } else if (reply instanceof Reply.Conflict && tries > 0) {
             read(
                 id,
@@ -223,11 +240,12 @@
   }
 
   /** When the next gathered question may be put; far away when there is none. */
-  long dueMicros() {
+  public long dueMicros() {
     return confirming || waiting.isEmpty() ? Long.MAX_VALUE : nextConfirmMicros;
   }
 
-  void tick(long nowMicros) {
+  /** Asks the state service for what was gathered, once that is due. */
+  public void tick(long nowMicros) {
     now = nowMicros;
     if (confirming || waiting.isEmpty() || now < nextConfirmMicros) {
       return;
@@ -250,7 +268,7 @@
     nextConfirmMicros = now + settings.gatherMicros();
     List<Request.Condition> conditions = new ArrayList<>();
     versions.forEach(
-        (id, version) -> conditions.add(new Request.Condition(Records.jobKey(id), version)));
+        (id, version) -> conditions.add(new Request.Condition(StoredRecords.jobKey(id), version)));
     sink.call(
         new Request.StoreTxn(conditions, List.of()),
         reply -> {
@@ -261,7 +279,7 @@
             // Reads answer for the old ones. The others are asked again: a failed list need not be
             // complete.
             for (Waiting w : batch) {
-              if (conflict.failed().contains(Records.jobKey(w.id()))) {
+              if (conflict.failed().contains(StoredRecords.jobKey(w.id()))) {
                 read(w.id(), w.current(), w.unavailable());
               } else {
                 waiting.add(w);
@@ -275,7 +293,7 @@
 
   /** Reads the job's key itself; what it shows is current. */
   private void read(String id, Consumer<Job> current, Runnable unavailable) {
-    String key = Records.jobKey(id);
+    String key = StoredRecords.jobKey(id);
     sink.call(
         new Request.StoreGet(key),
         reply -> {
@@ -289,4 +307,20 @@
           }
         });
   }
+
+  /** A job as its user sees it. */
+  private static Answer.JobView view(Job job, int status) {
+    return switch (job.state()) {
+      case DONE -> new Answer.JobView(status, job.id, Answer.Phase.DONE, job.tasks(), 0);
+      case CANCELLED ->
+          new Answer.JobView(status, job.id, Answer.Phase.CANCELLED, job.finalDone(), 0);
+      case OPEN ->
+          new Answer.JobView(
+              status,
+              job.id,
+              job.shownRunning > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
+              job.durable.cardinality(),
+              job.shownRunning);
+    };
+  }
 }
--- a/src/main/java/org/eiderstair/core/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
@@ -1,10 +1,12 @@
-package org.eiderstair.core;
+package org.eiderstair.core.leadership;
+
+import org.eiderstair.core.message.EffectSink;
 
 /**
  * How a term began, for one line in the log: where the time between the election and ordinary work
  * went.
  */
-final class FailoverTimeline {
+public final class FailoverTimeline {
 
   /**
    * CATCHING_UP reads what the term before wrote last. HEARING hears the machines that were in the
@@ -27,10 +29,10 @@
   private boolean recovered;
   private long caughtUpMicros = NEVER;
   private long halfMicros = NEVER;
-  private long mostMicros = NEVER;
+  private long maxMicros = NEVER;
   private long launchedMicros = NEVER;
 
-  FailoverTimeline(EffectSink sink, long term, long electedMicros) {
+  public FailoverTimeline(EffectSink sink, long term, long electedMicros) {
     this.sink = sink;
     this.term = term;
     this.electedMicros = electedMicros;
@@ -58,7 +60,7 @@
               + ", half heard "
               + since(halfMicros)
               + ", 95% heard "
-              + since(mostMicros)
+              + since(maxMicros)
               + ", all heard or gone "
               + since(nowMicros));
     }
@@ -68,7 +70,8 @@
     return micros == NEVER ? "not yet" : String.valueOf((micros - electedMicros) / 1000);
   }
 
-  void caughtUp(int unconfirmed, boolean withPicture, long nowMicros) {
+  /** The replica holds everything up to the election. */
+  public void caughtUp(int unconfirmed, boolean withPicture, long nowMicros) {
     machines = unconfirmed;
     recovered = withPicture;
     caughtUpMicros = nowMicros;
@@ -77,22 +80,23 @@
   }
 
   /** So many machines have not been heard yet. */
-  void unconfirmed(int left, long nowMicros) {
+  public void unconfirmed(int left, long nowMicros) {
     if (phase != Phase.HEARING) {
       return;
     }
     if (halfMicros == NEVER && left * 2 <= machines) {
       halfMicros = nowMicros;
     }
-    if (mostMicros == NEVER && left * 20L <= machines) {
-      mostMicros = nowMicros;
+    if (maxMicros == NEVER && left * 20L <= machines) {
+      maxMicros = nowMicros;
     }
     if (left == 0) {
       become(Phase.WHOLE, nowMicros);
     }
   }
 
-  void launched(long nowMicros) {
+  /** A first task was launched. */
+  public void launched(long nowMicros) {
     if (launchedMicros == NEVER) {
       launchedMicros = nowMicros;
     }
--- a/src/main/java/org/eiderstair/core/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -1,13 +1,19 @@
-package org.eiderstair.core;
+package org.eiderstair.core.leadership;
 
 import java.util.List;
 import java.util.function.IntUnaryOperator;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StoredRecords;
 
 /**
  * Who may command. The leader key hangs on a lease; the revision that created it is the term. Until
  * when what may be done is for {@link LeadershipBounds} to say.
  */
-final class Leadership {
+public final class Leadership {
 
   /**
    * LEADING may launch. FADING cannot renew its lease, or its picture is too old to launch by: it
@@ -24,7 +30,8 @@
     CATCHING_UP
   }
 
-  interface Listener {
+  /** What the node does when its part in leadership changes. */
+  public interface Listener {
     /** This node asks to lead; nothing that it was told as a follower may change any more. */
     void stands();
 
@@ -34,8 +41,10 @@
      */
     boolean anotherInSync();
 
+    /** This node leads, in this term. */
     void tookOffice(long term);
 
+    /** This node does not lead any more. */
     void leftOffice(String why);
   }
 
@@ -49,7 +58,7 @@
   private final EffectSink sink;
   private final Replica replica;
   private final Listener listener;
-  private final String incarnation;
+  private final String runId;
 
   private State state = State.FOLLOWING;
   private long now;
@@ -70,29 +79,29 @@
   private final IntUnaryOperator random;
   private long loadedMicros = Long.MAX_VALUE;
 
-  Leadership(
+  public Leadership(
       Settings settings,
       EffectSink sink,
       Replica replica,
-      String incarnation,
+      String runId,
       IntUnaryOperator random,
       Listener listener) {
     this.random = random;
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
-    this.incarnation = incarnation;
+    this.runId = runId;
     this.listener = listener;
     this.bounds = new LeadershipBounds(settings, replica);
   }
 
   /** Whether this node neither leads nor asks to. */
-  boolean follows() {
+  public boolean follows() {
     return state == State.FOLLOWING;
   }
 
   /** Whether launches may be sent at this moment. */
-  boolean mayLaunch(long nowMicros) {
+  public boolean mayLaunch(long nowMicros) {
     return state == State.LEADING && nowMicros < bounds.launchEnd();
   }
 
@@ -100,30 +109,32 @@
    * Whether what ends work may be sent to machines: a kill or a question harms nobody, whoever
    * leads by now.
    */
-  boolean mayEndWork(long nowMicros) {
+  public boolean mayEndWork(long nowMicros) {
     return inOffice() && nowMicros < bounds.answersEnd();
   }
 
   /** Whether workers' reports may be answered. */
-  boolean inOffice() {
+  public boolean inOffice() {
     return state == State.LEADING || state == State.FADING || state == State.CATCHING_UP;
   }
 
-  long term() {
+  /** The term of the leader key that this node holds, or held last. */
+  public long term() {
     return term;
   }
 
   /** Until when it may do what. */
-  LeadershipBounds bounds() {
+  public LeadershipBounds bounds() {
     return bounds;
   }
 
   /** The time at which what is told next happened. */
-  void at(long nowMicros) {
+  public void at(long nowMicros) {
     now = nowMicros;
   }
 
-  void tick(long nowMicros) {
+  /** Does what time has made due. */
+  public void tick(long nowMicros) {
     now = nowMicros;
     if (replica.loaded() && loadedMicros == Long.MAX_VALUE) {
       loadedMicros = now;
@@ -207,7 +218,7 @@
         droppedOwnLease = leader.lease();
         sink.info("giving up the lease of an earlier run, term=" + leader.term());
         sink.call(
-            new Request.LeaseDrop(leader.lease()),
+            new Request.LeaseRevoke(leader.lease()),
             reply -> {
               if (!(reply instanceof Reply.Applied)) {
                 droppedOwnLease = 0;
@@ -236,18 +247,18 @@
   }
 
   private void create() {
-    var value = Records.leader(settings.node(), lease, incarnation);
+    var value = StoredRecords.leader(settings.node(), lease, runId);
     long sentMicros = now;
     sink.call(
         new Request.StoreTxn(
-            List.of(new Request.Condition(Records.LEADER, 0)),
-            List.of(new Request.Write(Records.LEADER, value, lease))),
+            List.of(new Request.Condition(StoredRecords.LEADER, 0)),
+            List.of(new Request.Write(StoredRecords.LEADER, value, lease))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             term = applied.revision();
             replica.proves(sentMicros, term);
             nextTouchMicros = bounds.renewedMicros() + settings.tuning().leaderRenewMicros();
-            replica.apply(new Reply.Item(Records.LEADER, value, term));
+            replica.apply(new Reply.Item(StoredRecords.LEADER, value, term));
             if (replica.leader() != null && replica.leader().term() == term) {
               heldSinceMicros = sentMicros;
               become(State.CATCHING_UP, "elected");
@@ -256,7 +267,7 @@
           }
           // With no answer the key may yet appear: ending the lease removes it and makes a late
           // write fail.
-          sink.call(new Request.LeaseDrop(lease), ignored -> {});
+          sink.call(new Request.LeaseRevoke(lease), ignored -> {});
           standAfterMicros = now + RETRY_MICROS;
           become(State.FOLLOWING, "not elected: " + reply);
         });
@@ -270,7 +281,7 @@
     long sentMicros = now;
     long touchedTerm = term;
     sink.call(
-        new Request.LeaseTouch(lease),
+        new Request.LeaseRenew(lease),
         reply -> {
           touching = false;
           if (!inOffice() || touchedTerm != term) {
@@ -303,7 +314,7 @@
     }
     long sentMicros = now;
     sink.call(
-        new Request.StoreTxn(List.of(new Request.Condition(Records.LEADER, term)), List.of()),
+        new Request.StoreTxn(List.of(new Request.Condition(StoredRecords.LEADER, term)), List.of()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.proves(sentMicros, applied.revision());
@@ -312,9 +323,9 @@
   }
 
   /** The leader key was seen to belong to another, or a worker showed a newer token. */
-  void deposed(String why) {
+  public void deposed(String why) {
     if (inOffice()) {
-      sink.call(new Request.LeaseDrop(lease), ignored -> {});
+      sink.call(new Request.LeaseRevoke(lease), ignored -> {});
       become(State.FOLLOWING, why);
     }
   }
@@ -323,13 +334,13 @@
    * This node can renew its lease but is of no use, since it cannot reach the machines: another
    * may. It stands again only after a pause, so that the others get their turn.
    */
-  void giveUp(String why) {
+  public void giveUp(String why) {
     deposed(why);
     standAfterMicros = now + GIVEN_UP_PAUSE_MICROS;
   }
 
   /** The replica's leader key changed. */
-  void leaderChanged() {
+  public void leaderChanged() {
     Replica.Leader leader = replica.leader();
     if (inOffice() && (leader == null || leader.term() != term)) {
       become(
--- a/src/main/java/org/eiderstair/core/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -1,4 +1,7 @@
-package org.eiderstair.core;
+package org.eiderstair.core.leadership;
+
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
 
 /**
  * Until when a leader may launch and until when it may answer reports: the one place for both
@@ -16,7 +19,7 @@
  * currency. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
  * leader may do with an old picture", has the argument.
  */
-final class LeadershipBounds {
+public final class LeadershipBounds {
   /** For what lies between deciding and sending, beside the drift of clocks. */
   private static final long MARGIN_MICROS = 250_000;
 
@@ -47,12 +50,12 @@
    * Whether the bounds can hold at all: a leader must be able to answer reports for at least as
    * long as its own lease lasts, else it would stop its workers between two renewals.
    */
-  static boolean boundsHold(Settings settings) {
+  public static boolean boundsHold(Settings settings) {
     return answersMicros(settings) >= settings.tuning().leaderTtlMicros();
   }
 
   /** The lease was granted or renewed by a request sent then. */
-  void renewed(long sentMicros) {
+  public void renewed(long sentMicros) {
     renewedMicros = sentMicros;
   }
 
@@ -69,7 +72,7 @@
    * Until when nobody else can lead: backs what is durable or fenced, such as requests to the
    * cloud.
    */
-  long authorityEnd() {
+  public long authorityEnd() {
     return renewedMicros + leaseMicros;
   }
 
@@ -78,7 +81,7 @@
    * lease may be. What was cancelled elsewhere longer ago is never started. A launch may ride in an
    * answer, so no longer than it may answer.
    */
-  long launchEnd() {
+  public long launchEnd() {
     return Math.min(Math.min(renewedMicros, currentMicros()) + leaseMicros, answersEnd());
   }
 
@@ -87,7 +90,7 @@
    * without a kill lose them, and with them the tasks of every job cancelled unknown to this node,
    * within {@code cancel_s} of the cancellation.
    */
-  long answersEnd() {
+  public long answersEnd() {
     return currentMicros() + answersMicros;
   }
 }
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.eiderstair.core.message.HeartbeatDigest;
 
 /**
  * Whom this node hears by itself, as numbered changes: a peer that knows them up to a number is
--- a/src/main/java/org/eiderstair/core/membership/Membership.java
+++ b/src/main/java/org/eiderstair/core/membership/Membership.java
@@ -9,6 +9,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.HeartbeatDigest;
+import org.eiderstair.core.model.MonitoredMachine;
 
 /**
  * Which machines any live controller hears. Each node keeps whom it hears itself, and tells a peer
@@ -17,7 +20,7 @@
  */
 public final class Membership {
   /** So many changes fit well into what a peer takes at once. */
-  private static final int MOST_TOLD = 400;
+  private static final int MAX_TOLD = 400;
 
   private static final long ASK_EVERY_MICROS = 500_000;
 
@@ -35,7 +38,7 @@
   /** How a peer is asked; it is told what came of it, null without an answer. */
   public interface Asker {
     /** Asks a peer for the changes after those that one of its runs has told. */
-    void ask(String peer, String run, long after, Consumer<Answer> then);
+    void ask(String peer, String run, long after, Consumer<Answer> callback);
   }
 
   /** A peer's answer; {@code hearing} is null when it does not understand the question. */
@@ -151,7 +154,7 @@
 
   /** What a peer that knows changes of a run up to a number is told. */
   public HeartbeatDigest tell(String ofRun, long after, long nowMicros) {
-    return ear.tell(run, run.equals(ofRun) ? after : -1, MOST_TOLD, nowMicros);
+    return ear.tell(run, run.equals(ofRun) ? after : -1, MAX_TOLD, nowMicros);
   }
 
   /**
@@ -250,7 +253,7 @@
    * @param darkMicros how long one of a zone that nobody sees may be
    */
   public ReachabilityClassifier survey(
-      Iterable<? extends ReachabilityClassifier.Member> machines,
+      Iterable<? extends MonitoredMachine> machines,
       boolean unreached,
       long patienceMicros,
       long darkMicros,
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import org.eiderstair.core.model.MonitoredMachine;
 
 /**
  * Why machines are silent, judged over all of them at one moment. A leader that lost its workers
@@ -17,24 +18,6 @@
   /** So many times the patience with one machine when most of all are silent. */
   private static final int CUT_OFF_FACTOR = 3;
 
-  /** A machine as its leader knows it. */
-  public interface Member {
-    /** The machine's name. */
-    String machine();
-
-    /** The zone that it is in. */
-    String zone();
-
-    /**
-     * When the leader heard it last, by itself or through a peer; Long.MAX_VALUE for one that has
-     * yet to come up.
-     */
-    long lastHeardMicros();
-
-    /** Work of earlier terms may be on it, and waits until it is heard or gone. */
-    boolean holdsBack();
-  }
-
   /**
    * HEARD is not silent. DOUBTED is, but not for long, or peers have yet to say whether they hear
    * it. ELSEWHERE is heard by a peer. CUT_OFF: most machines are silent, so the fault is likely
@@ -72,7 +55,7 @@
 
   ReachabilityClassifier(
       Membership peers,
-      Iterable<? extends Member> machines,
+      Iterable<? extends MonitoredMachine> machines,
       boolean unreached,
       long patienceMicros,
       long darkMicros,
@@ -82,15 +65,15 @@
     this.patienceMicros = patienceMicros;
     this.darkMicros = darkMicros;
     this.now = now;
-    for (Member m : machines) {
-      if (m.lastHeardMicros() == Long.MAX_VALUE) {
+    for (MonitoredMachine m : machines) {
+      if (m.lastHeartbeatMicros() == Long.MAX_VALUE) {
         continue;
       }
       Zone zone = zones.computeIfAbsent(String.valueOf(m.zone()), z -> new Zone());
       all++;
       holding += m.holdsBack() ? 1 : 0;
       zone.all++;
-      zone.latestMicros = Math.max(zone.latestMicros, m.lastHeardMicros());
+      zone.latestMicros = Math.max(zone.latestMicros, m.lastHeartbeatMicros());
       if (isMissed(m)) {
         boolean there = peers.heardElsewhere(m.machine());
         elsewhere += there ? 1 : 0;
@@ -103,9 +86,10 @@
   /**
    * Silent for long enough to ask peers for it, so that they have answered when patience is over.
    */
-  private boolean isMissed(Member m) {
+  private boolean isMissed(MonitoredMachine m) {
     long patience = m.holdsBack() ? patienceMicros * 2 / 5 : patienceMicros;
-    return m.lastHeardMicros() != Long.MAX_VALUE && now > m.lastHeardMicros() + patience * 4 / 5;
+    return m.lastHeartbeatMicros() != Long.MAX_VALUE
+        && now > m.lastHeartbeatMicros() + patience * 4 / 5;
   }
 
   /** Whether peers are to be asked. */
@@ -132,8 +116,8 @@
   }
 
   /** What was found for a machine. */
-  public Verdict of(Member m) {
-    long last = m.lastHeardMicros();
+  public Verdict of(MonitoredMachine m) {
+    long last = m.lastHeartbeatMicros();
     if (!isMissed(m)) {
       return Verdict.HEARD;
     }
@@ -180,10 +164,10 @@
   }
 
   /** What a verdict rests on, for the log. */
-  public String evidence(Member m) {
+  public String evidence(MonitoredMachine m) {
     Zone z = zones.getOrDefault(String.valueOf(m.zone()), new Zone());
     return "silent for "
-        + (now - m.lastHeardMicros()) / 1000
+        + (now - m.lastHeartbeatMicros()) / 1000
         + " ms, as "
         + silent
         + " of "
--- a/src/main/java/org/eiderstair/core/Answer.java
+++ b/src/main/java/org/eiderstair/core/message/Answer.java
@@ -1,8 +1,7 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 import java.util.List;
-import org.eiderstair.core.membership.HeartbeatDigest;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.model.Order;
 
 /** What a node says to a user, a worker or a health check. */
 public sealed interface Answer {
@@ -22,7 +21,7 @@
   record Failure(int status, String reason, int retryAfterS) implements Answer {}
 
   /** To a worker: stay here, and do this. */
-  record Command(long token, List<Order> orders) implements Answer {}
+  record Command(long fencingToken, List<Order> orders) implements Answer {}
 
   /** To a worker: report elsewhere; null when this node knows no better place. */
   record Redirect(String node) implements Answer {}
@@ -31,16 +30,16 @@
    * To a peer: whether the state service serves this node, and whom it follows (null: nobody it
    * knows of).
    */
-  record Standing(boolean served, String leader, long term) implements Answer {}
+  record StateServiceStatus(boolean served, String leader, long term) implements Answer {}
 
   /** To a peer: which machines this node hears by itself. */
-  record Heard(HeartbeatDigest hearing) implements Answer {}
+  record ReachableWorkers(HeartbeatDigest hearing) implements Answer {}
 
   /** To a leader: how far its picture is here. */
-  record StandbyAck(ReplicationBatch.Ack ack) implements Answer {}
+  record ReplicationAck(ReplicationBatch.Ack ack) implements Answer {}
 
   /** To a peer: what it told is known here now. */
-  record Noted() implements Answer {}
+  record Acknowledged() implements Answer {}
 
   /** To the load balancer: whether this node takes requests. */
   record Ready(boolean ready) implements Answer {}
--- a/src/main/java/org/eiderstair/core/Effect.java
+++ b/src/main/java/org/eiderstair/core/message/Effect.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 /** What the core wants done. */
 public sealed interface Effect {
@@ -12,7 +12,7 @@
    * now.
    */
   record Call(long call, Request request, long notAfterMicros) implements Effect {
-    static final Reply TOO_LATE = new Reply.Lost("not sent: what allowed it had run out");
+    static final Reply TOO_LATE = new Reply.NoResponse("not sent: what allowed it had run out");
 
     /** What stands for the outcome when it is too late; null while it is not. */
     public Reply tooLate(long nowMicros) {
--- a/src/main/java/org/eiderstair/core/EffectSink.java
+++ b/src/main/java/org/eiderstair/core/message/EffectSink.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,58 +9,66 @@
  * Collects effects and remembers what to do with the reply of each call. Continuations run inside
  * the core's one thread, so a reply is handled like any other event.
  */
-final class EffectSink {
-  private record Pending(Request request, Consumer<Reply> then) {}
+public final class EffectSink {
+  private record Pending(Request request, Consumer<Reply> callback) {}
 
   private final Consumer<Effect> out;
   private final Map<Long, Pending> pending = new HashMap<>();
   private BiConsumer<Request, Reply> watcher = (request, reply) -> {};
   private long lastCall;
 
-  EffectSink(Consumer<Effect> out) {
+  public EffectSink(Consumer<Effect> out) {
     this.out = out;
   }
 
   /** Told of every reply before it is handled. */
-  void watch(BiConsumer<Request, Reply> each) {
+  public void watch(BiConsumer<Request, Reply> each) {
     watcher = each;
   }
 
-  void call(Request request, Consumer<Reply> then) {
-    call(request, Effect.WHENEVER, then);
+  /** Sends a request; {@code callback} gets its reply. */
+  public void call(Request request, Consumer<Reply> callback) {
+    call(request, Effect.WHENEVER, callback);
   }
 
-  void call(Request request, long notAfterMicros, Consumer<Reply> then) {
+  /** The same, not later than a time. */
+  public void call(Request request, long notAfterMicros, Consumer<Reply> callback) {
     long call = ++lastCall;
-    pending.put(call, new Pending(request, then));
+    pending.put(call, new Pending(request, callback));
     out.accept(new Effect.Call(call, request, notAfterMicros));
   }
 
-  void replied(long call, Reply reply) {
+  /** A reply came for an earlier call. */
+  public void replied(long call, Reply reply) {
     Pending done = pending.remove(call);
     if (done != null) {
       watcher.accept(done.request(), reply);
-      done.then().accept(reply);
+      done.callback().accept(reply);
     }
   }
 
-  void respond(long exchange, Answer answer) {
+  /** Answers an exchange. */
+  public void respond(long exchange, Answer answer) {
     respond(exchange, answer, Effect.WHENEVER);
   }
 
-  void respond(long exchange, Answer answer, long notAfterMicros) {
+  /** The same, not later than a time. */
+  public void respond(long exchange, Answer answer, long notAfterMicros) {
     out.accept(new Effect.Respond(exchange, answer, notAfterMicros));
   }
 
-  void info(String text) {
+  /** Logs at level info. */
+  public void info(String text) {
     out.accept(new Effect.Log(Effect.Level.INFO, text));
   }
 
-  void debug(String text) {
+  /** Logs at level debug. */
+  public void debug(String text) {
     out.accept(new Effect.Log(Effect.Level.DEBUG, text));
   }
 
-  void error(String text) {
+  /** Logs at level error. */
+  public void error(String text) {
     out.accept(new Effect.Log(Effect.Level.ERROR, text));
   }
 }
--- a/src/main/java/org/eiderstair/core/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -1,7 +1,9 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 import java.util.List;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.JobSpec;
 
 /** What happens to the core. */
 public sealed interface Event {
@@ -10,7 +12,7 @@
   record Tick() implements Event {}
 
   /** The outcome of an earlier request. */
-  record Replied(long call, Reply reply) implements Event {}
+  record ReplyReceived(long call, Reply reply) implements Event {}
 
   /**
    * A user submits; {@code spec} is null and {@code fault} set when the body is malformed but its
@@ -25,23 +27,23 @@
   record Cancel(long exchange, String id) implements Event {}
 
   /** A peer asks whether the state service serves this node. */
-  record PeerAsked(long exchange) implements Event {}
+  record StateServiceStatusRequested(long exchange) implements Event {}
 
   /**
    * A peer asks which machines this node hears, as changes after what a run of this node has told
    * it already.
    */
-  record PeerHeardAsked(long exchange, String run, long after) implements Event {}
+  record MembershipRequested(long exchange, String run, long after) implements Event {}
 
   /** A leader tells what changed in its picture. */
-  record StandbyTold(long exchange, ReplicationBatch batch) implements Event {}
+  record ReplicationReceived(long exchange, ReplicationBatch batch) implements Event {}
 
   /** A peer tells of cancellations that it has committed. */
-  record PeerCancelled(long exchange, List<Cancellation> cancellations) implements Event {}
+  record CancellationsReceived(long exchange, List<Cancellation> cancellations) implements Event {}
 
   /** The load balancer asks whether this node takes requests. */
   record ReadyProbe(long exchange) implements Event {}
 
   /** A worker reports; {@code relayed} when it came through another node. */
-  record Reported(long exchange, MachineReport report, boolean relayed) implements Event {}
+  record HeartbeatReceived(long exchange, Heartbeat report, boolean relayed) implements Event {}
 }
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatDigest.java
+++ b/src/main/java/org/eiderstair/core/message/HeartbeatDigest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.membership;
+package org.eiderstair.core.message;
 
 import java.util.List;
 
--- a/src/main/java/org/eiderstair/core/standby/ReplicationBatch.java
+++ b/src/main/java/org/eiderstair/core/message/ReplicationBatch.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core.standby;
+package org.eiderstair.core.message;
 
 import java.util.List;
 
@@ -19,12 +19,13 @@
    * known, in that session.
    */
   public record Change(
-      boolean there, String machine, long session, String job, int index, long attempt) {}
+      boolean there, String machine, long incarnation, String job, int index, long attempt) {}
 
   /** What the standby answers. Not accepted: it needs another filling, or follows nobody now. */
   public record Ack(String run, boolean accepted, long upTo) {}
 
-  long last() {
+  /** The sequence of its last change. */
+  public long last() {
     return first + changes.size() - 1;
   }
 }
--- a/src/main/java/org/eiderstair/core/Reply.java
+++ b/src/main/java/org/eiderstair/core/message/Reply.java
@@ -1,9 +1,9 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.membership.HeartbeatDigest;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.MachineType;
 
 /** What came of a {@link Request}. */
 public sealed interface Reply {
@@ -49,16 +49,16 @@
   record CloudMachines(List<CloudMachine> machines, boolean more) implements Reply {}
 
   /** A machine's report, and whether it executed the command that asked for it. */
-  record Report(MachineReport report, boolean executed) implements Reply {}
+  record Report(Heartbeat report, boolean executed) implements Reply {}
 
   /** A peer's word on whether the state service serves it, and whom it follows. */
-  record PeerStanding(boolean served, String leader, long term) implements Reply {}
+  record PeerStateServiceStatus(boolean served, String leader, long term) implements Reply {}
 
   /** Which machines a peer hears by itself. */
-  record PeerHeard(HeartbeatDigest hearing) implements Reply {}
+  record PeerMembership(HeartbeatDigest hearing) implements Reply {}
 
   /** What a peer says to changes of the leader's picture. */
-  record StandbyAck(ReplicationBatch.Ack ack) implements Reply {}
+  record ReplicationAck(ReplicationBatch.Ack ack) implements Reply {}
 
   /** The leader's answer to a report that was passed on. */
   record Relayed(Answer answer) implements Reply {}
@@ -67,5 +67,5 @@
   record Refused(int status) implements Reply {}
 
   /** No usable answer: it may have been executed, or may still be. */
-  record Lost(String why) implements Reply {}
+  record NoResponse(String why) implements Reply {}
 }
--- a/src/main/java/org/eiderstair/core/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -1,8 +1,10 @@
-package org.eiderstair.core;
+package org.eiderstair.core.message;
 
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Order;
 
 /** What the core asks of the world. Each gets exactly one {@link Reply}. */
 public sealed interface Request {
@@ -29,10 +31,10 @@
   record LeaseGrant(long ttlMicros) implements Request {}
 
   /** Renews a lease. */
-  record LeaseTouch(long lease) implements Request {}
+  record LeaseRenew(long lease) implements Request {}
 
   /** Ends a lease, and removes the keys attached to it. */
-  record LeaseDrop(long lease) implements Request {}
+  record LeaseRevoke(long lease) implements Request {}
 
   /** Asks for the types of machines that can be rented. */
   record CloudCatalog() implements Request {}
@@ -51,23 +53,23 @@
   record WorkerStatus(String address) implements Request {}
 
   /** Commands for a machine, executed if token and session match. */
-  record WorkerCommands(String address, long token, long session, List<Order> orders)
+  record WorkerCommands(String address, long fencingToken, long incarnation, List<Order> orders)
       implements Request {}
 
   /** Asks a peer whether the state service serves it. */
-  record PeerAsk(String peer) implements Request {}
+  record PeerStateServiceStatus(String peer) implements Request {}
 
   /**
    * Asks a peer which machines it hears, as changes after what one of its runs has told already.
    */
-  record PeerHeard(String peer, String run, long after) implements Request {}
+  record PeerMembership(String peer, String run, long after) implements Request {}
 
   /** Tells a peer what changed in the leader's picture. */
-  record PeerStandby(String peer, ReplicationBatch batch) implements Request {}
+  record PeerReplicate(String peer, ReplicationBatch batch) implements Request {}
 
   /** Tells a peer of cancellations that this node has committed. */
-  record PeerCancelled(String peer, List<Cancellation> cancellations) implements Request {}
+  record PeerCancellations(String peer, List<Cancellation> cancellations) implements Request {}
 
   /** A worker's report, passed to the leader by a node that the worker can reach. */
-  record PeerRelay(String peer, MachineReport report) implements Request {}
+  record PeerRelay(String peer, Heartbeat report) implements Request {}
 }
--- a/src/main/java/org/eiderstair/core/Attempt.java
+++ b/src/main/java/org/eiderstair/core/model/Attempt.java
@@ -1,45 +1,45 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 /** One try at running a task on one machine. Its number is never used again, in any term. */
-final class Attempt {
+public final class Attempt {
 
   /**
    * QUEUED waits at the leader for room on its machine; PLANNED goes with the next command or
    * answer to it; SENT may or may not be on the machine; SEEN was shown by the machine.
    */
-  enum Phase {
+  public enum Phase {
     QUEUED,
     PLANNED,
     SENT,
     SEEN
   }
 
-  final Job job;
-  final int index;
-  final long number;
-  final Machine machine;
+  public final Job job;
+  public final int index;
+  public final long number;
+  public final Machine machine;
 
   /** Kept here since the job's own description goes when the job is over, before its tasks are. */
-  final JobSpec spec;
+  public final JobSpec spec;
 
   private final TaskId task;
-  Phase phase;
-  MachineReport.TaskState shown;
+  public Phase phase;
+  public Heartbeat.TaskState shown;
 
   /**
    * The sequence of the report whose answer carried the launch, or -1 when it went by /commands.
    * The worker drops an answer that comes late and has one report in flight, so a newer report of
    * the session shows what became of it.
    */
-  long sentSequence = -1;
+  public long sentSequence = -1;
 
-  long sinceMicros;
-  long runningSinceMicros;
+  public long sinceMicros;
+  public long runningSinceMicros;
 
   /** Asked to make room for other work. */
-  boolean stop;
+  public boolean stop;
 
-  Attempt(Job job, int index, long number, Machine machine, Phase phase, long nowMicros) {
+  public Attempt(Job job, int index, long number, Machine machine, Phase phase, long nowMicros) {
     this.job = job;
     this.index = index;
     this.number = number;
@@ -50,12 +50,13 @@
     this.sinceMicros = nowMicros;
   }
 
-  TaskId task() {
+  /** The task that is tried. */
+  public TaskId task() {
     return task;
   }
 
   /** Whether it may be on its machine: one that waits here is not, until its launch has left. */
-  boolean mayBeThere() {
+  public boolean mayBeThere() {
     return phase == Phase.SENT || phase == Phase.SEEN;
   }
 }
--- a/src/main/java/org/eiderstair/core/Cancellation.java
+++ b/src/main/java/org/eiderstair/core/model/Cancellation.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 /**
  * A cancellation that the state service has.
--- a/src/main/java/org/eiderstair/core/MachineReport.java
+++ b/src/main/java/org/eiderstair/core/model/Heartbeat.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.List;
 
@@ -6,15 +6,15 @@
  * A worker's account of itself. {@code (session, sequence)} orders accounts of one machine; {@code
  * token} is the highest fencing token that the worker had seen when it wrote this one.
  */
-public record MachineReport(
+public record Heartbeat(
     String machine,
     String address,
     String type,
     String zone,
     boolean spot,
-    long session,
+    long incarnation,
     long sequence,
-    long token,
+    long fencingToken,
     long noticeMicros,
     List<Entry> tasks) {
 
@@ -45,6 +45,6 @@
 
   /** True when this account was written after the other one. */
   public boolean newerThan(long otherSession, long otherSequence) {
-    return session > otherSession || session == otherSession && sequence > otherSequence;
+    return incarnation > otherSession || incarnation == otherSession && sequence > otherSequence;
   }
 }
--- a/src/main/java/org/eiderstair/core/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.BitSet;
 import java.util.HashMap;
@@ -11,16 +11,16 @@
  * A job as this node knows it, and, at the leader, where its tasks are. A task has at most one
  * attempt that may be alive; only when that attempt is proven gone does the task become free again.
  */
-final class Job {
+public final class Job {
 
   /** OPEN until its tasks are done or its user cancels it; the other two are final. */
-  enum State {
+  public enum State {
     OPEN,
     DONE,
     CANCELLED
   }
 
-  final String id;
+  public final String id;
   private State state = State.OPEN;
   private long version;
   private int tasks;
@@ -33,77 +33,82 @@
   private JobSpec spec;
 
   /** Durable progress: what the state service has. */
-  BitSet durable = new BitSet();
+  public BitSet durable = new BitSet();
 
-  long progressVersion;
-  int shownRunning;
+  public long progressVersion;
+  public int shownRunning;
 
   // What follows is the leader's picture.
   /** Tasks seen done, whether durable or not. */
-  BitSet done = new BitSet();
+  public BitSet done = new BitSet();
 
-  final Map<Integer, Attempt> active = new HashMap<>();
+  public final Map<Integer, Attempt> active = new HashMap<>();
 
   /** The order of service as of the last pass, the smallest first. */
-  int rank;
+  public int rank;
 
   /** Whether any of its tasks has ever been placed, as far as this leader knows. */
-  boolean begun;
+  public boolean begun;
 
   /**
    * Those of them that wait at the leader for a machine's room, the one that has waited longest in
    * front.
    */
-  final Set<Attempt> queued = new LinkedHashSet<>();
+  public final Set<Attempt> queued = new LinkedHashSet<>();
 
-  long seenMicros;
-  long cancelSeenMicros;
+  public long seenMicros;
+  public long cancelSeenMicros;
 
   /** When it was cancelled, as far as that is known; never later than when this node saw it. */
-  long cancelledMicros;
+  public long cancelledMicros;
 
   /**
    * Machines on which a task failed since the last success; each one more makes the next pause
    * longer.
    */
-  final Set<String> failedOn = new HashSet<>();
+  public final Set<String> failedOn = new HashSet<>();
 
   /**
    * When work of others was last stopped for this job: what that frees must first have had time to
    * arrive.
    */
-  long preemptedMicros;
+  public long preemptedMicros;
 
-  int failedRounds;
-  long notBeforeMicros;
+  public int failedRounds;
+  public long notBeforeMicros;
   private int firstFree;
 
-  Job(String id) {
+  public Job(String id) {
     this.id = id;
   }
 
-  State state() {
+  /** Whether it is open or final. */
+  public State state() {
     return state;
   }
 
-  long version() {
+  /** The version of its key in the state service. */
+  public long version() {
     return version;
   }
 
-  int tasks() {
+  /** How many tasks it has. */
+  public int tasks() {
     return tasks;
   }
 
-  JobSpec spec() {
+  /** Its description; null once it is done. */
+  public JobSpec spec() {
     return spec;
   }
 
-  boolean open() {
+  /** Whether it is neither done nor cancelled. */
+  public boolean open() {
     return state == State.OPEN;
   }
 
   /** The one place where a job changes state. A final state never changes: users have been told. */
-  void become(State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
+  public void become(State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
     if (atVersion <= version || state != State.OPEN && next != state) {
       return;
     }
@@ -121,7 +126,7 @@
   }
 
   /** Drops what only an open job needs, once nothing of it is on a machine any more. */
-  void shrink() {
+  public void shrink() {
     if (state == State.DONE && active.isEmpty()) {
       spec = null;
       done = new BitSet();
@@ -132,7 +137,7 @@
    * The lowest-numbered task that is neither done nor possibly somewhere, from {@code from} on; -1
    * if none.
    */
-  int nextFree(int from) {
+  public int nextFree(int from) {
     for (int i = Math.max(from, firstFree); i < tasks; i++) {
       i = done.nextClearBit(i);
       if (i >= tasks) {
@@ -149,12 +154,13 @@
     return -1;
   }
 
-  void freed(int index) {
+  /** A task is no longer possibly on a machine. */
+  public void freed(int index) {
     firstFree = Math.min(firstFree, index);
   }
 
   /** A new leader starts from what is durable, and knows of no attempts. */
-  void forgetPlaces() {
+  public void forgetPlaces() {
     active.clear();
     done = (BitSet) durable.clone();
     firstFree = 0;
@@ -165,39 +171,34 @@
     notBeforeMicros = 0;
   }
 
-  int runningCount() {
+  /** How many tasks machines show as running. */
+  public int runningCount() {
     int running = 0;
     for (Attempt a : active.values()) {
-      if (a.shown == MachineReport.TaskState.RUNNING || a.shown == MachineReport.TaskState.SAVING) {
+      if (a.shown == Heartbeat.TaskState.RUNNING || a.shown == Heartbeat.TaskState.SAVING) {
         running++;
       }
     }
     return running;
   }
 
-  int unfinished() {
+  /** How many tasks are not done. */
+  public int unfinished() {
     return tasks - done.cardinality();
   }
 
-  boolean hasQueued() {
+  /** Whether attempts wait at the leader for room on a machine. */
+  public boolean hasQueued() {
     return !queued.isEmpty();
   }
 
-  int waiting() {
+  /** How many tasks are neither done nor on their way to a machine. */
+  public int waiting() {
     return tasks - done.cardinality() - active.size();
   }
 
-  Answer.JobView view(int status) {
-    return switch (state) {
-      case DONE -> new Answer.JobView(status, id, Answer.Phase.DONE, tasks, 0);
-      case CANCELLED -> new Answer.JobView(status, id, Answer.Phase.CANCELLED, finalDone, 0);
-      case OPEN ->
-          new Answer.JobView(
-              status,
-              id,
-              shownRunning > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
-              durable.cardinality(),
-              shownRunning);
-    };
+  /** How many tasks were done when the job became final; kept for display. */
+  public int finalDone() {
+    return finalDone;
   }
 }
--- a/src/main/java/org/eiderstair/core/JobSpec.java
+++ b/src/main/java/org/eiderstair/core/model/JobSpec.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.List;
 
@@ -52,7 +52,7 @@
   }
 
   /** With {@code spread}, the most tasks that one zone may hold: half, rounded up. */
-  public int mostPerZone() {
+  public int maxPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/eiderstair/core/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,62 +7,62 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.eiderstair.core.membership.ReachabilityClassifier;
 
 /** A machine as the leader of one term knows it: what may be on it, and how sure that is. */
-final class Machine implements ReachabilityClassifier.Member {
+public final class Machine implements MonitoredMachine {
 
   /**
    * BOOTING was rented and has not reported. UNCONFIRMED may hold work of earlier terms. RECOVERED
    * has not been heard in this term, but holds no more than what this node was told as the standby
-   * of the last. HEARD has shown our token. FENCING got a command whose fate is unknown. LOST has
-   * had no answer for so long that its lease is over, so nothing is on it. GONE is deleted.
+   * of the last. CONFIRMED has shown our token. FENCING got a command whose fate is unknown.
+   * LEASE_EXPIRED has had no answer for so long that its lease is over, so nothing is on it.
+   * TERMINATED is deleted.
    */
-  enum Phase {
+  public enum Phase {
     BOOTING,
     UNCONFIRMED,
     RECOVERED,
-    HEARD,
+    CONFIRMED,
     FENCING,
-    LOST,
-    GONE
+    LEASE_EXPIRED,
+    TERMINATED
   }
 
   /** What the leader wants of it. */
-  enum Plan {
-    USE,
+  public enum Plan {
+    ACTIVE,
     DRAIN,
-    DELETE
+    TERMINATE
   }
 
-  final String id;
-  String address;
-  MachineType type;
-  String typeName;
-  String zone;
-  boolean spot;
-  Phase phase;
-  Plan plan = Plan.USE;
-
-  long session;
-  long sequence;
+  public final String id;
+  public String address;
+  public MachineType type;
+  public String typeName;
+  public String zone;
+  public boolean spot;
+  public Phase phase;
+  public Plan plan = Plan.ACTIVE;
+
+  public long incarnation;
+  public long sequence;
   private final long baseToken;
   private long fence = 1;
 
   /** Everything that may be on the machine, or is meant for it, by task. */
-  final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
+  public final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
 
   /** Room is taken for these; they go with the next command. */
-  final List<Attempt> toLaunch = new ArrayList<>();
+  public final List<Attempt> toLaunch = new ArrayList<>();
 
   /** Waiting at the leader for room on this machine, the most urgent first. */
-  final List<Attempt> queue = new ArrayList<>();
+  public final List<Attempt> queue = new ArrayList<>();
 
   /** Entries to be killed or forgotten that no attempt stands for. */
-  final Map<TaskId, Order> orphans = new HashMap<>();
+  public final Map<TaskId, Order> orphans = new HashMap<>();
 
   /** Ended entries that may be forgotten: their outcome is durable, or needs no record. */
-  final Map<TaskId, Order.Reap> reaps = new HashMap<>();
+  public final Map<TaskId, Order.Reap> reaps = new HashMap<>();
 
   /**
    * The images it should have, with their size, the one used longest ago first: it keeps only the
@@ -72,63 +72,63 @@
 
   private double imagesGb;
 
-  boolean commandInFlight;
-  boolean killsPending;
+  public boolean commandInFlight;
+  public boolean killsPending;
 
   /** A command that only kills is on its way, beside whatever else is. */
-  boolean killInFlight;
+  public boolean killInFlight;
 
-  long nextKillMicros;
-  long nextAskMicros;
-  long sinceMicros;
-  long heardMicros;
+  public long nextKillMicros;
+  public long nextAskMicros;
+  public long sinceMicros;
+  public long lastHeartbeatMicros;
 
   /** When our last 200 to a report of this machine left; its lease may run from then. */
-  long answeredMicros;
+  public long answeredMicros;
 
-  long holdUntilMicros;
-  long idleSinceMicros;
-  boolean rostered;
+  public long holdUntilMicros;
+  public long idleSinceMicros;
+  public boolean registered;
 
   /** To be given back for its silence alone. */
-  boolean condemned;
+  public boolean condemned;
 
   /** Silent, in a zone that nobody sees. */
-  boolean dark;
+  public boolean dark;
 
   /** Its last report came through a peer: this node may not reach it. */
-  boolean relayed;
+  public boolean relayed;
 
   /** More than the demand asks for: used last, so that it falls idle and can be returned. */
-  boolean surplus;
+  public boolean surplus;
 
   /**
    * Dear and beyond what is at hand: it takes no more work that could go elsewhere, so it can be
    * returned.
    */
-  boolean closing;
+  public boolean closing;
 
-  final PendingReport pendingReport = new PendingReport();
+  public final PendingHeartbeat pendingReport = new PendingHeartbeat();
 
   /** Where its token stands in the list; -1 when it has none. */
-  int tokenIndex = -1;
+  public int availableIndex = -1;
 
   /**
    * Where it stands among the machines that may be given waiting attempts; -1 when it is not among
    * them.
    */
-  int queueableIndex = -1;
+  public int queueableIndex = -1;
 
-  int errorsInRow;
-  final Set<String> failedJobs = new HashSet<>();
+  public int errorsInRow;
+  public final Set<String> failedJobs = new HashSet<>();
 
-  Machine(String id, long term, Phase phase, long nowMicros) {
+  public Machine(String id, long term, Phase phase, long nowMicros) {
     this.id = id;
     this.baseToken = Math.multiplyExact(term, 1L << 20);
     this.phase = phase;
     this.sinceMicros = nowMicros;
     this.idleSinceMicros = nowMicros;
-    this.heardMicros = nowMicros;
+    this.lastHeartbeatMicros = nowMicros;
   }
 
   @Override
@@ -142,8 +142,8 @@
   }
 
   @Override
-  public long lastHeardMicros() {
-    return phase == Phase.BOOTING ? Long.MAX_VALUE : heardMicros;
+  public long lastHeartbeatMicros() {
+    return phase == Phase.BOOTING ? Long.MAX_VALUE : lastHeartbeatMicros;
   }
 
   @Override
@@ -151,22 +151,28 @@
     return phase == Phase.UNCONFIRMED;
   }
 
-  long token() {
+  /** The fencing token of commands to this machine. */
+  public long fencingToken() {
     return baseToken + fence;
   }
 
   /** Older commands die at the machine as soon as it has seen the new token. */
-  void raiseFence() {
+  public void raiseFence() {
     fence++;
   }
 
-  boolean usable(long nowMicros) {
-    return known() && plan == Plan.USE && rostered && type != null && nowMicros >= holdUntilMicros;
+  /** Whether it may be given work now. */
+  public boolean usable(long nowMicros) {
+    return known()
+        && plan == Plan.ACTIVE
+        && registered
+        && type != null
+        && nowMicros >= holdUntilMicros;
   }
 
   /** Whether all that may be on it and its session are known, so that it can be given work. */
-  boolean known() {
-    return phase == Phase.HEARD || phase == Phase.RECOVERED && session > 0;
+  public boolean known() {
+    return phase == Phase.CONFIRMED || phase == Phase.RECOVERED && incarnation > 0;
   }
 
   private double freeCpus;
@@ -174,7 +180,7 @@
   private double freeMemory;
 
   /** Works out the room that is left beside everything that may be here. */
-  void measureRoom() {
+  public void measureRoom() {
     freeCpus = type == null ? 0 : type.cpus();
     freeAccelerators = type == null ? 0 : type.accelerators();
     freeMemory = type == null ? 0 : type.memoryGb();
@@ -185,27 +191,30 @@
     }
   }
 
-  void take(JobSpec spec) {
+  /** Takes room for a task. */
+  public void take(JobSpec spec) {
     freeCpus -= spec.cpus();
     freeAccelerators -= spec.accelerators();
     freeMemory -= spec.memoryGb();
   }
 
-  void give(JobSpec spec) {
+  /** Gives back the room of a task. */
+  public void give(JobSpec spec) {
     freeCpus += spec.cpus();
     freeAccelerators += spec.accelerators();
     freeMemory += spec.memoryGb();
   }
 
   /** None does while something unknown is here, since nobody knows what room that takes. */
-  boolean fits(JobSpec spec) {
+  public boolean fits(JobSpec spec) {
     return orphans.isEmpty()
         && spec.cpus() <= freeCpus + 1e-6
         && spec.accelerators() <= freeAccelerators + 1e-6
         && spec.memoryGb() <= freeMemory + 1e-6;
   }
 
-  boolean hasImage(JobSpec spec) {
+  /** Whether it is expected to have the image cached. */
+  public boolean hasImage(JobSpec spec) {
     return images.containsKey(spec.image());
   }
 
@@ -213,7 +222,7 @@
    * A task that uses an image is here or comes here: the machine drops what it has not used for
    * longest.
    */
-  void useImage(JobSpec spec) {
+  public void useImage(JobSpec spec) {
     Double known = images.remove(spec.image());
     imagesGb += spec.imageGb() - (known == null ? 0 : known);
     images.put(spec.image(), spec.imageGb());
@@ -222,12 +231,14 @@
     }
   }
 
-  void forgetImages() {
+  /** Its images are not known any more. */
+  public void forgetImages() {
     images.clear();
     imagesGb = 0;
   }
 
-  double freeCpus() {
+  /** Free processors; never negative. */
+  public double freeCpus() {
     return Math.max(0, freeCpus);
   }
 
@@ -239,11 +250,13 @@
     return Math.max(0, freeMemory);
   }
 
-  boolean hasRoom() {
+  /** Whether anything at all fits. */
+  public boolean hasRoom() {
     return orphans.isEmpty() && freeCpus > 1e-6 && freeMemory > 1e-6;
   }
 
-  boolean allows(JobSpec spec) {
+  /** Whether a job's constraints and size allow this machine. */
+  public boolean allows(JobSpec spec) {
     return spec.allows(typeName, zone, spot) && type.fits(spec);
   }
 }
--- a/src/main/java/org/eiderstair/core/MachineType.java
+++ b/src/main/java/org/eiderstair/core/model/MachineType.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.List;
 
--- a/src/main/java/org/eiderstair/core/Order.java
+++ b/src/main/java/org/eiderstair/core/model/Order.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 /** A command to a worker. */
 public sealed interface Order {
--- a/src/main/java/org/eiderstair/core/PendingReport.java
+++ b/src/main/java/org/eiderstair/core/model/PendingHeartbeat.java
@@ -1,13 +1,13 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 /**
  * The report of one machine that waits for its answer, and what tells it from reports that no
  * worker waits for any more: a worker has one report in flight, gives it up for the next, and drops
  * the answers to those of an earlier session.
  */
-final class PendingReport {
+public final class PendingHeartbeat {
   /** What becomes of a report that has come. */
-  enum Standing {
+  public enum Standing {
     OPEN,
     OLD_SESSION,
     OLD_REPORT
@@ -19,11 +19,11 @@
   private long exchange;
 
   /** What a report is, by its session, the machine's latest, and its number, before it is taken. */
-  Standing standing(long ofSession, long session, long sequence) {
-    if (ofSession < session) {
+  public Standing standing(long ofSession, long incarnation, long sequence) {
+    if (ofSession < incarnation) {
       return Standing.OLD_SESSION;
     }
-    return ofSession == session && sequence <= newest ? Standing.OLD_REPORT : Standing.OPEN;
+    return ofSession == incarnation && sequence <= newest ? Standing.OLD_REPORT : Standing.OPEN;
   }
 
   /**
@@ -35,7 +35,7 @@
    * nobody read, and were to be settled by a report with a larger number, which in the new session
    * took five minutes to come: the tasks stood still beside room.
    */
-  long become(long sequence, long nextExchange) {
+  public long become(long sequence, long nextExchange) {
     long before = exchange;
     newest = sequence;
     exchange = nextExchange;
@@ -43,19 +43,19 @@
   }
 
   /** It is answered now. */
-  long answered() {
+  public long answered() {
     return become(newest, NOBODY);
   }
 
   /**
    * The machine has begun another session: nobody reads an answer to a report of the one before.
    */
-  long newSession() {
+  public long newIncarnation() {
     return become(0, NOBODY);
   }
 
   /** Its number; what its answer launches is settled by a later report only. */
-  long sequence() {
+  public long sequence() {
     return newest;
   }
 }
--- a/src/main/java/org/eiderstair/core/TaskId.java
+++ b/src/main/java/org/eiderstair/core/model/TaskId.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 /** A task of a job, by its number. */
 public record TaskId(String job, int index) {
--- a/src/main/java/org/eiderstair/core/TaskSet.java
+++ b/src/main/java/org/eiderstair/core/model/TaskSet.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import java.util.Base64;
 import java.util.BitSet;
@@ -8,10 +8,11 @@
  * ({@code r:0-5,9}) or, when that would be longer, as a base64 bitmap ({@code b:...}). The bitmap
  * bounds the length at 16.7 KB for the largest job of 100,000 tasks.
  */
-final class TaskSet {
+public final class TaskSet {
   private TaskSet() {}
 
-  static String write(BitSet set) {
+  /** A set of task numbers as text: ranges or a bitmap, whichever is shorter. */
+  public static String write(BitSet set) {
     int bitmapLength = (set.length() + 23) / 24 * 4;
     StringBuilder ranges = new StringBuilder("r:");
     for (int from = set.nextSetBit(0); from >= 0; ) {
@@ -31,7 +32,8 @@
     return ranges.toString();
   }
 
-  static BitSet read(String text) {
+  /** Reads what {@link #write} wrote. */
+  public static BitSet read(String text) {
     if (text.startsWith("b:")) {
       return BitSet.valueOf(Base64.getDecoder().decode(text.substring(2)));
     }
--- a/src/main/java/org/eiderstair/core/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.placement;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -11,14 +11,25 @@
 import java.util.TreeMap;
 import java.util.function.IntUnaryOperator;
 import java.util.function.Predicate;
+import org.eiderstair.core.capacity.Demand;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.WorkerManager;
 
 /**
  * The ordinary path: a task takes a uniformly random token whose machine fits it, else a random
  * fitting machine with a short queue, else it waits here. Jobs go by priority; a team inside its
  * guarantee goes first among equals, then the older job.
  */
-final class Placement {
-  private static final int MOST_KILLS = 8;
+public final class Placement {
+  private static final int MAX_KILLS = 8;
   private static final int QUEUE_PROBES = 8;
   private static final int LIKINGS = 16;
   private static final long GUARANTEED_EVERY_MICROS = 500_000;
@@ -29,8 +40,8 @@
   private final EffectSink sink;
   private final Replica replica;
   private final WorkerManager workers;
-  private final TokenList tokens;
-  private final Teams teams;
+  private final AvailableMachines availableMachines;
+  private final TeamQuotas teams;
   private final long term;
   private final Demand demand;
   private final IntUnaryOperator random;
@@ -46,13 +57,13 @@
   private long steps;
   private final StarvationGuard leftBehind;
 
-  Placement(
+  public Placement(
       Settings settings,
       EffectSink sink,
       Replica replica,
       WorkerManager workers,
-      TokenList tokens,
-      Teams teams,
+      AvailableMachines availableMachines,
+      TeamQuotas teams,
       long term,
       Demand demand,
       IntUnaryOperator random) {
@@ -61,7 +72,7 @@
     this.sink = sink;
     this.replica = replica;
     this.workers = workers;
-    this.tokens = tokens;
+    this.availableMachines = availableMachines;
     this.teams = teams;
     this.term = term;
     this.random = random;
@@ -70,7 +81,7 @@
   }
 
   /** Tokens, machines and jobs looked at so far: what a test of growing cost counts. */
-  long steps() {
+  public long steps() {
     return steps;
   }
 
@@ -81,7 +92,7 @@
    * has nothing left to run.
    */
   private void measureUnheard(long nowMicros) {
-    teams.forgetUnheard();
+    teams.clearUnconfirmed();
     if (workers.unconfirmed().isEmpty()) {
       return;
     }
@@ -99,7 +110,7 @@
     for (Job job : replica.cancelledLately(nowMicros)) {
       teams.unconfirmed(job.spec(), job.tasks());
     }
-    teams.capUnheard(cpus, accelerators);
+    teams.capUnconfirmed(cpus, accelerators);
   }
 
   /** Jobs with something to place now, in the order of service. */
@@ -134,7 +145,8 @@
     return Math.min(priority.ordinal(), JobSpec.Priority.NORMAL.ordinal()) * 2;
   }
 
-  void place(long nowMicros) {
+  /** Makes one pass: places what can be placed now. */
+  public void place(long nowMicros) {
     measureUnheard(nowMicros);
     teams.forgetReserves();
     demand.reserve(teams);
@@ -149,8 +161,8 @@
     int kills = 0;
     for (Job job : jobs) {
       place(job, nowMicros);
-      if (kills < MOST_KILLS && (job.waiting() > 0 || job.hasQueued())) {
-        kills += preempt(job, guaranteed, nowMicros, MOST_KILLS - kills);
+      if (kills < MAX_KILLS && (job.waiting() > 0 || job.hasQueued())) {
+        kills += preempt(job, guaranteed, nowMicros, MAX_KILLS - kills);
       }
     }
     // What gave way to more urgent work takes the room that is left.
@@ -170,7 +182,7 @@
    * One line for operators: what waits, by class and team, what each team uses, and how much room
    * is left.
    */
-  String summary(long nowMicros) {
+  public String summary(long nowMicros) {
     Map<String, Integer> waiting = new TreeMap<>();
     for (Job job : replica.open.values()) {
       if (job.waiting() + job.queued.size() > 0) {
@@ -186,7 +198,7 @@
       }
     }
     double free = 0;
-    for (Machine m : tokens.all()) {
+    for (Machine m : availableMachines.all()) {
       free += m.usable(nowMicros) ? m.freeCpus() : 0;
     }
     return "machines "
@@ -194,7 +206,7 @@
         + ", unheard "
         + workers.unconfirmed().size()
         + ", tokens "
-        + tokens.all().size()
+        + availableMachines.all().size()
         + ", free cpus "
         + Math.round(free)
         + ", used by teams "
@@ -379,7 +391,7 @@
     return m ->
         isOpenTo(m, spec, nowMicros)
             && (only == null || only.equals(m.zone))
-            && (!spec.spread() || perZone.getOrDefault(m.zone, 0) < spec.mostPerZone());
+            && (!spec.spread() || perZone.getOrDefault(m.zone, 0) < spec.maxPerZone());
   }
 
   private static boolean isOpenTo(Machine m, JobSpec spec, long nowMicros) {
@@ -464,9 +476,9 @@
         return found;
       }
     }
-    steps += tokens.all().size();
+    steps += availableMachines.all().size();
     boolean avoiding = false;
-    for (Machine m : tokens.all()) {
+    for (Machine m : availableMachines.all()) {
       if (m.fits(spec) && allowed.test(m) && !isKept(m, job)) {
         if (job.failedOn.contains(m.id)) {
           avoiding = true;
@@ -477,7 +489,9 @@
     }
     if (avoiding && found.best < 0) {
       // Every machine that is left has failed this job: rather one of those than never.
-      tokens.all().stream().filter(m -> m.fits(spec) && allowed.test(m)).forEach(found::add);
+      availableMachines.all().stream()
+          .filter(m -> m.fits(spec) && allowed.test(m))
+          .forEach(found::add);
     }
     return found;
   }
--- a/src/main/java/org/eiderstair/core/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.placement;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,6 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
+import org.eiderstair.core.model.Job;
 
 /**
  * Which jobs go ahead of their turn, since their class or team would be left behind for ever. The
@@ -29,7 +30,7 @@
    * Every job is to begin within four minutes: so long before, it goes ahead whatever the rest of
    * its class does.
    */
-  private static final long LONGEST_MICROS = 150_000_000;
+  private static final long MAX_MICROS = 150_000_000;
 
   private static final double REMEMBERED_MICROS = 300e6;
 
@@ -40,7 +41,7 @@
   private static final double LEAST_BEGUN = 0.6;
 
   /** Of all processors, for work that goes ahead: who is urgent keeps at least the other half. */
-  private static final double MOST_PART = 0.5;
+  private static final double MAX_PART = 0.5;
 
   /** What a class or a team has begun lately, and what of it waits for long. */
   private static final class Tally {
@@ -114,7 +115,7 @@
       }
     }
     noteBehind();
-    choose(waiting, waiting.isEmpty() ? 0 : cpus.getAsDouble() * MOST_PART, nowMicros);
+    choose(waiting, waiting.isEmpty() ? 0 : cpus.getAsDouble() * MAX_PART, nowMicros);
   }
 
   private void noteBehind() {
@@ -169,7 +170,7 @@
   }
 
   private static boolean isLate(Job job, long nowMicros) {
-    return nowMicros >= job.seenMicros + LONGEST_MICROS;
+    return nowMicros >= job.seenMicros + MAX_MICROS;
   }
 
   /** For the leader's line of figures. */
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/placement/package-info.java
@@ -0,0 +1,2 @@
+/** Where tasks go, and in which order they are served. */
+package org.eiderstair.core.placement;
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -22,7 +22,7 @@
   public static final String RETURNS = "e/duty/leave/";
 
   /** What one request to the cloud takes at most. */
-  private static final int MOST_RETURNED = 100;
+  private static final int MAX_RETURNED = 100;
 
   private static final int RENTALS_AT_ONCE = 4;
   private static final int RETURNS_AT_ONCE = 2;
@@ -68,10 +68,10 @@
     boolean mayCall();
 
     /** Asks the cloud for machines under a request name. */
-    void rent(String charter, RentalOption offer, int count, Consumer<Rental> then);
+    void rent(String charter, RentalOption offer, int count, Consumer<Rental> callback);
 
     /** Asks the cloud to delete machines. */
-    void delete(List<String> machines, Consumer<Deletion> then);
+    void delete(List<String> machines, Consumer<Deletion> callback);
 
     /** Machines are on their way, decided so long ago. */
     void booting(String charter, RentalOption offer, List<String> machines, long ageMicros);
@@ -89,7 +89,7 @@
     boolean onRoster(String machine);
 
     /** Whether this epoch has had it confirmed that the machine is gone. */
-    boolean isGone(String machine);
+    boolean isTerminated(String machine);
 
     /** Logs a line. */
     void info(String text);
@@ -192,7 +192,7 @@
     }
     host.booting(r.charter, r.offer, booting, age);
     r.machines().stream()
-        .filter(m -> host.onRoster(m) || host.isGone(m))
+        .filter(m -> host.onRoster(m) || host.isTerminated(m))
         .toList()
         .forEach(this::accounted);
   }
@@ -385,7 +385,7 @@
 
   private void mark() {
     while (!toMark.isEmpty()) {
-      List<String> machines = toMark.stream().limit(MOST_RETURNED).toList();
+      List<String> machines = toMark.stream().limit(MAX_RETURNED).toList();
       toMark.removeAll(machines);
       String name = epoch + "-" + ++numbers;
       Return r = new Return(name, epoch, machines, Return.State.DECIDED);
@@ -461,7 +461,7 @@
     if (holding == Holding.ENDED) {
       return;
     }
-    if (!marking || toMark.size() >= MOST_RETURNED) {
+    if (!marking || toMark.size() >= MAX_RETURNED) {
       mark();
     }
     List<Return> over = null;
--- a/src/main/java/org/eiderstair/core/Teams.java
+++ b/src/main/java/org/eiderstair/core/quota/TeamQuotas.java
@@ -1,16 +1,18 @@
-package org.eiderstair.core;
+package org.eiderstair.core.quota;
 
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.Map;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.settings.Settings;
 
 /**
  * What each team uses, counting everything that may run, against its limit and its guarantee. Kept
  * by increments as attempts come and go; a test compares it with a full count.
  */
-final class Teams {
+public final class TeamQuotas {
   private static final double ROUNDING = 1e-6;
-  private static final double MOST_RESERVED = 0.5;
+  private static final double MAX_RESERVED = 0.5;
 
   private static final class Use {
     double cpus;
@@ -27,30 +29,32 @@
   /** What machines that this term has not heard could be running, by team. */
   private final Map<String, Use> unconfirmed = new HashMap<>();
 
-  Teams(Settings settings) {
+  public TeamQuotas(Settings settings) {
     this.settings = settings;
   }
 
-  void add(JobSpec spec, int tasks) {
+  /** Adds tasks to, or with a negative number takes them from, what a team uses. */
+  public void add(JobSpec spec, int tasks) {
     Use use = uses.computeIfAbsent(spec.team(), t -> new Use());
     use.cpus += spec.cpus() * tasks;
     use.accelerators += spec.accelerators() * tasks;
     use.byPriority.merge(spec.priority(), spec.cpus() * tasks, Double::sum);
   }
 
-  void forgetUnheard() {
+  /** Nothing is assumed on unconfirmed machines any more. */
+  public void clearUnconfirmed() {
     unconfirmed.clear();
   }
 
   /** So many tasks may be on machines that have not been heard. */
-  void unconfirmed(JobSpec spec, int tasks) {
+  public void unconfirmed(JobSpec spec, int tasks) {
     Use use = unconfirmed.computeIfAbsent(spec.team(), t -> new Use());
     use.cpus += spec.cpus() * tasks;
     use.accelerators += spec.accelerators() * tasks;
   }
 
   /** No team can have more there than those machines hold. */
-  void capUnheard(double cpus, double accelerators) {
+  public void capUnconfirmed(double cpus, double accelerators) {
     for (Use use : unconfirmed.values()) {
       use.cpus = Math.min(use.cpus, cpus);
       use.accelerators = Math.min(use.accelerators, accelerators);
@@ -58,7 +62,7 @@
   }
 
   /** What all teams use together. */
-  double totalCpus() {
+  public double totalCpus() {
     double cpus = 0;
     for (Use use : uses.values()) {
       cpus += use.cpus;
@@ -67,13 +71,13 @@
   }
 
   /** What a team uses, without what unconfirmed machines may hold. */
-  double cpus(String team) {
+  public double cpus(String team) {
     Use use = uses.get(team);
     return use == null ? 0 : use.cpus;
   }
 
   /** Whether one more task keeps the team's limit, whatever unconfirmed machines may hold. */
-  boolean allowsOneMore(JobSpec spec) {
+  public boolean allowsOneMore(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     if (team == null) {
       return false;
@@ -86,7 +90,8 @@
         && (team.acceleratorsMax() <= 0 || accelerators <= team.acceleratorsMax() + ROUNDING);
   }
 
-  void forgetReserves() {
+  /** Drops all reserves. */
+  public void forgetReserves() {
     reserves.clear();
   }
 
@@ -95,14 +100,14 @@
    * once: else long tasks of lower priority fill the limit, and an urgent job waits for them
    * although machines are free.
    */
-  void reserve(String team, JobSpec.Priority priority, double cpus) {
+  public void reserve(String team, JobSpec.Priority priority, double cpus) {
     reserves
         .computeIfAbsent(team, t -> new EnumMap<>(JobSpec.Priority.class))
         .merge(priority, cpus, Double::sum);
   }
 
   /** Whether one more task leaves the team's more urgent work its share of the limit. */
-  boolean leavesReserve(JobSpec spec) {
+  public boolean leavesReserve(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     Map<JobSpec.Priority, Double> kept = reserves.get(spec.team());
     if (team == null || team.cpusMax() <= 0 || kept == null) {
@@ -116,19 +121,19 @@
         reserve += Math.max(0, e.getValue() - used);
       }
     }
-    reserve = Math.min(reserve, team.cpusMax() * MOST_RESERVED);
+    reserve = Math.min(reserve, team.cpusMax() * MAX_RESERVED);
     return (use == null ? 0 : use.cpus) + spec.cpus() <= team.cpusMax() - reserve + ROUNDING;
   }
 
   /** How far beyond its guarantee a team is, in processors; negative when inside. */
-  double beyondGuarantee(String name) {
+  public double beyondGuarantee(String name) {
     Settings.Team team = settings.teams().get(name);
     Use use = uses.get(name);
     return (use == null ? 0 : use.cpus) - (team == null ? 0 : team.cpus());
   }
 
   /** What the limits allow a job at all: one task of an array, every task of a service. */
-  boolean canEverHold(JobSpec spec) {
+  public boolean canEverHold(JobSpec spec) {
     Settings.Team team = settings.teams().get(spec.team());
     int tasks = spec.shape() == JobSpec.Shape.SERVICE ? spec.tasks() : 1;
     return team != null
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/quota/package-info.java
@@ -0,0 +1,2 @@
+/** Limits, guarantees and reserves of teams. */
+package org.eiderstair.core.quota;
--- a/src/main/java/org/eiderstair/core/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.settings;
 
 import java.util.List;
 import java.util.Map;
@@ -74,15 +74,6 @@
     return (long) (3e6 * (peers.size() + 1) / stateRps);
   }
 
-  /**
-   * Whether cancelled work can be gone within {@code cancelMicros} by the leases alone: whatever is
-   * unreachable, and however late commands are. docs/design.md, "What a leader may do with an old
-   * picture", has the sum.
-   */
-  public boolean cancellationBoundsHold() {
-    return LeadershipBounds.boundsHold(this);
-  }
-
   /**
    * Whether a leader keeps a standby in sync: where the machine is large enough, and operators did
    * not turn it off.
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/settings/package-info.java
@@ -0,0 +1,2 @@
+/** What the core needs to know of its deployment. */
+package org.eiderstair.core.settings;
--- a/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -5,6 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.eiderstair.core.message.ReplicationBatch;
 
 /**
  * The leader's side: sends changes to one peer at a time, names it in the record once it has all,
@@ -12,7 +13,7 @@
  */
 final class ReplicationPrimary {
   /** Fits well into what a peer takes at once. */
-  private static final int MOST_CHANGES = 400;
+  private static final int MAX_CHANGES = 400;
 
   private static final long HEARTBEAT_MICROS = 300_000;
 
@@ -21,7 +22,7 @@
 
   private static final long RETRY_MICROS = 2_000_000;
   private static final long TXN_RETRY_MICROS = 200_000;
-  private static final int MOST_QUEUED = 200_000;
+  private static final int MAX_QUEUED = 200_000;
 
   /**
    * CLEARING takes the name out of the record of an earlier term; nothing is launched until then,
@@ -142,7 +143,7 @@
     if (state == State.FILLING || awaitsAcknowledgements()) {
       queue.add(change);
       made++;
-      if (queue.size() > MOST_QUEUED) {
+      if (queue.size() > MAX_QUEUED) {
         fail("too far behind");
       }
     }
@@ -178,7 +179,7 @@
   void tick(long nowMicros) {
     now = nowMicros;
     switch (state) {
-      case CLEARING, STRIKING -> strike();
+      case CLEARING, STRIKING -> unregister();
       case ALONE -> {
         if (!peers.isEmpty() && now >= nextTryMicros && host.whole()) {
           fill();
@@ -188,7 +189,7 @@
         // An answer first, even where there is nothing to tell: it says which run of the peer the
         // record is to name. Seen on the bench: a record written before it named none, and nobody
         // could inherit.
-        if (!run.isEmpty() && acked >= snapshotEnd && made - acked <= MOST_CHANGES) {
+        if (!run.isEmpty() && acked >= snapshotEnd && made - acked <= MAX_CHANGES) {
           snapshotEnd = made;
           become(State.ENLISTING, "has all but " + (made - acked));
         }
@@ -228,8 +229,8 @@
     if (queue.isEmpty() && now < sentMicros + HEARTBEAT_MICROS) {
       return;
     }
-    List<ReplicationBatch.Change> changes = new ArrayList<>(Math.min(queue.size(), MOST_CHANGES));
-    while (changes.size() < MOST_CHANGES && !queue.isEmpty()) {
+    List<ReplicationBatch.Change> changes = new ArrayList<>(Math.min(queue.size(), MAX_CHANGES));
+    while (changes.size() < MAX_CHANGES && !queue.isEmpty()) {
       changes.add(queue.poll());
     }
     ReplicationBatch batch =
@@ -265,7 +266,7 @@
     } else {
       queue.clear();
       become(State.STRIKING, why);
-      strike();
+      unregister();
     }
   }
 
@@ -286,7 +287,7 @@
    * leader may have dropped it, or a write of this leader that names a standby may yet arrive. A
    * newer version, under this leader's key, makes both fail.
    */
-  private void strike() {
+  private void unregister() {
     write("", () -> become(State.ALONE, "the record names nobody"));
   }
 
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -6,6 +6,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
+import org.eiderstair.core.message.ReplicationBatch;
 
 /**
  * A warm standby: one controller that holds the leader's picture of what may be on every machine,
@@ -28,17 +29,17 @@
     void snapshot(Consumer<ReplicationBatch.Change> each);
 
     /** Sends a batch; null when no answer came. */
-    void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> then);
+    void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback);
 
     /**
      * Writes the record if it has that version and this leader's key is there. Told the new
      * version; 0 when it was certainly not written and may be tried again; -1 when the version
      * differs or its fate is not known.
      */
-    void write(long version, Map<String, Object> record, LongConsumer then);
+    void write(long version, Map<String, Object> record, LongConsumer callback);
 
     /** Reads the record: its version, 0 when there is none, -1 when that is not known. */
-    void read(BiConsumer<Long, Map<String, Object>> then);
+    void read(BiConsumer<Long, Map<String, Object>> callback);
 
     /** The standby has claimed the term: leave office. */
     void claimed();
@@ -60,14 +61,14 @@
   }
 
   /** What may be on a machine, by task, and its session; 0 when it is not known. */
-  public record Held(long session, Map<String, Map<Integer, Long>> attempts) {}
+  public record Held(long incarnation, Map<String, Map<Integer, Long>> attempts) {}
 
   private final String node;
   private final String run;
   private final Consumer<String> log;
   private final StandbyReplica copy = new StandbyReplica();
   private ReplicationPrimary primary;
-  private long heardMicros = Long.MIN_VALUE / 2;
+  private long lastHeartbeatMicros = Long.MIN_VALUE / 2;
 
   public Standby(String node, String run, Consumer<String> log) {
     this.node = node;
@@ -81,7 +82,7 @@
   public ReplicationBatch.Ack take(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
     boolean accepted = mayFollow && copy.take(batch);
     if (accepted) {
-      heardMicros = nowMicros;
+      lastHeartbeatMicros = nowMicros;
     }
     return new ReplicationBatch.Ack(run, accepted, accepted ? batch.last() : 0);
   }
@@ -110,7 +111,7 @@
   /** Whether the leader has not been heard for so long that its standby looks for it. */
   public boolean misses(long nowMicros) {
     return copy.state() == StandbyReplica.State.FOLLOWING
-        && nowMicros > heardMicros + MISSED_MICROS;
+        && nowMicros > lastHeartbeatMicros + MISSED_MICROS;
   }
 
   /** The record with the claim, which its leader can neither drop nor launch beside. */
@@ -160,7 +161,7 @@
                       attempts
                           .computeIfAbsent(task.job(), j -> new LinkedHashMap<>())
                           .put(task.index(), attempt));
-              all.put(machine, new Held(held.session, attempts));
+              all.put(machine, new Held(held.incarnation, attempts));
             });
     copy.forget();
     return all;
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.eiderstair.core.message.ReplicationBatch;
 
 /** The standby's side: a leader's picture, as far as it was acknowledged. */
 final class StandbyReplica {
@@ -24,7 +25,7 @@
 
   /** What may be on a machine in its latest session. */
   static final class Held {
-    long session;
+    long incarnation;
     final Map<Task, Long> attempts = new LinkedHashMap<>();
   }
 
@@ -94,12 +95,12 @@
     Held held = machines.computeIfAbsent(c.machine(), m -> new Held());
     if (c.job().isEmpty()) {
       if (c.there()) {
-        held.session = Math.max(held.session, c.session());
+        held.incarnation = Math.max(held.incarnation, c.incarnation());
       } else {
         machines.remove(c.machine());
       }
     } else if (c.there()) {
-      held.session = Math.max(held.session, c.session());
+      held.incarnation = Math.max(held.incarnation, c.incarnation());
       held.attempts.put(new Task(c.job(), c.index()), c.attempt());
     } else {
       held.attempts.remove(new Task(c.job(), c.index()), c.attempt());
--- a/src/main/java/org/eiderstair/core/RateBudget.java
+++ b/src/main/java/org/eiderstair/core/state/RateBudget.java
@@ -1,25 +1,27 @@
-package org.eiderstair.core;
+package org.eiderstair.core.state;
 
 /**
  * A token bucket worth one second, so that this node stays below a limit of the platform by itself.
  */
-final class RateBudget {
+public final class RateBudget {
   private final double perSecond;
   private double available;
   private long atMicros;
 
-  RateBudget(double perSecond) {
+  public RateBudget(double perSecond) {
     this.perSecond = perSecond;
     this.available = perSecond;
   }
 
-  double available(long nowMicros) {
+  /** What may be spent now. */
+  public double available(long nowMicros) {
     available = Math.min(perSecond, available + (nowMicros - atMicros) * perSecond / 1e6);
     atMicros = nowMicros;
     return available;
   }
 
-  void take(double amount) {
+  /** Spends from the budget. */
+  public void take(double amount) {
     available -= amount;
   }
 }
--- a/src/main/java/org/eiderstair/core/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.state;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,21 +9,30 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.model.TaskSet;
+import org.eiderstair.core.settings.Settings;
 
 /**
  * This node's copy of the state service's keys, loaded once and kept by one watch. It may be old,
  * so only final states are told to users from it without asking (see {@link JobService}).
  */
-final class Replica {
+public final class Replica {
   private static final int PAGE = 500;
 
   /** Far more than a late read can still be about. */
-  private static final int MOST_DROPPED = 10_000;
+  private static final int MAX_DROPPED = 10_000;
 
   private static final long HOLD_MICROS = 4_000_000;
   private static final long RETRY_MICROS = 500_000;
   private static final long CANCEL_MARGIN_MICROS = 5_000_000;
-  private static final int MOST_PROOFS = 64;
+  private static final int MAX_PROOFS = 64;
 
   /** Longer than a slow answer of the state service takes. */
   private static final long STUCK_MICROS = 1_500_000;
@@ -36,20 +45,25 @@
   }
 
   /** Told of what changed after the replica holds it. */
-  interface Listener {
+  public interface Listener {
+    /** The leader key has changed. */
     void leaderChanged();
 
+    /** A job was created or has changed. */
     void jobChanged(Job job, boolean isNew);
 
+    /** All keys have been read. */
     void loaded();
   }
 
-  record Leader(String node, String incarnation, long lease, long term) {}
+  /** The leader as the leader key names it. */
+  public record Leader(String node, String runId, long lease, long term) {}
 
   /** What was there when a request was sent is in the replica once it has reached that revision. */
   private record Proof(long sentMicros, long revision) {}
 
-  record RosterEntry(
+  /** A worker's registration. */
+  public record RegisteredWorker(
       String machine, String address, String type, String zone, boolean spot, long version) {}
 
   private final Settings settings;
@@ -76,18 +90,18 @@
 
   private long watchSentMicros;
 
-  final Map<String, Job> jobs = new HashMap<>();
+  public final Map<String, Job> jobs = new HashMap<>();
 
   /** Open jobs in the order in which this node learnt of them. */
-  final Map<String, Job> open = new LinkedHashMap<>();
+  public final Map<String, Job> open = new LinkedHashMap<>();
 
   /** Jobs cancelled lately, the one seen first in front: a worker may still run their tasks. */
   private final ArrayDeque<Job> cancelled = new ArrayDeque<>();
 
-  final Map<String, RosterEntry> roster = new HashMap<>();
+  public final Map<String, RegisteredWorker> registeredWorkers = new HashMap<>();
 
   /** Open rentals and returns by key, as they were written. */
-  final Map<String, Reply.Item> duties = new HashMap<>();
+  public final Map<String, Reply.Item> duties = new HashMap<>();
 
   private final Map<String, Long> dropped = new LinkedHashMap<>();
   private Leader leader;
@@ -95,18 +109,20 @@
   private List<MachineType> catalog = List.of();
   private long catalogVersion;
 
-  Replica(Settings settings, EffectSink sink, Listener listener, long dayOffsetMicros) {
+  public Replica(Settings settings, EffectSink sink, Listener listener, long dayOffsetMicros) {
     this.dayOffsetMicros = dayOffsetMicros;
     this.settings = settings;
     this.sink = sink;
     this.listener = listener;
   }
 
-  boolean loaded() {
+  /** Whether all keys have been read. */
+  public boolean loaded() {
     return everLoaded;
   }
 
-  Leader leader() {
+  /** The current leader, or null. */
+  public Leader leader() {
     return leader;
   }
 
@@ -114,16 +130,18 @@
     return leader == null ? 0 : leaderVersion;
   }
 
-  List<MachineType> catalog() {
+  /** The machine types that can be rented. */
+  public List<MachineType> catalog() {
     return catalog;
   }
 
-  long catalogVersion() {
+  /** The version of the catalogue's key. */
+  public long catalogVersion() {
     return catalogVersion;
   }
 
   /** Every change up to this revision is in the replica. */
-  long revision() {
+  public long revision() {
     return revision;
   }
 
@@ -131,7 +149,7 @@
    * When the latest request was sent whose answer shows that all changes up to then are in the
    * replica. Nothing but such an answer moves it; above all not the renewal of a lease.
    */
-  long currentMicros() {
+  public long currentMicros() {
     return currentMicros;
   }
 
@@ -139,10 +157,10 @@
    * A request sent then was answered with that revision: it is a proof once the replica has reached
    * it.
    */
-  void proves(long sentMicros, long atRevision) {
+  public void proves(long sentMicros, long atRevision) {
     if (atRevision <= revision) {
       currentMicros = Math.max(currentMicros, sentMicros);
-    } else if (proofs.size() < MOST_PROOFS
+    } else if (proofs.size() < MAX_PROOFS
         && (proofs.isEmpty() || sentMicros > proofs.peekLast().sentMicros())) {
       proofs.add(new Proof(sentMicros, atRevision));
     }
@@ -159,7 +177,8 @@
         });
   }
 
-  void tick(long nowMicros) {
+  /** Keeps the watch open and reads what is missing. */
+  public void tick(long nowMicros) {
     // A watch may hang or its answer be lost while others tell of changes: they are asked for anew,
     // not waited for.
     if (state == State.FOLLOWING
@@ -196,13 +215,14 @@
 
   private long now;
 
-  void at(long nowMicros) {
+  /** The time of the event at hand. */
+  public void at(long nowMicros) {
     now = nowMicros;
   }
 
   private void loadPage(String after) {
     sink.call(
-        new Request.StoreList(Records.ROOT, after, PAGE),
+        new Request.StoreList(StoredRecords.ROOT, after, PAGE),
         reply -> {
           if (!(reply instanceof Reply.Listed listed)) {
             become(State.IDLE, now);
@@ -244,11 +264,13 @@
 
   /** After a gap in the watch, keys that the list no longer holds were dropped meanwhile. */
   private void dropUnlisted() {
-    if (leader != null && !loading.contains(Records.LEADER) && leaderVersion <= loadRevision) {
-      apply(new Reply.Item(Records.LEADER, null, loadRevision));
+    if (leader != null
+        && !loading.contains(StoredRecords.LEADER)
+        && leaderVersion <= loadRevision) {
+      apply(new Reply.Item(StoredRecords.LEADER, null, loadRevision));
     }
-    for (RosterEntry entry : new ArrayList<>(roster.values())) {
-      String key = Records.rosterKey(entry.machine());
+    for (RegisteredWorker entry : new ArrayList<>(registeredWorkers.values())) {
+      String key = StoredRecords.registeredWorkerKey(entry.machine());
       if (!loading.contains(key) && entry.version() <= loadRevision) {
         apply(new Reply.Item(key, null, loadRevision));
       }
@@ -265,7 +287,7 @@
     long sentMicros = now;
     watchSentMicros = now;
     sink.call(
-        new Request.StoreWatch(Records.ROOT, revision, HOLD_MICROS),
+        new Request.StoreWatch(StoredRecords.ROOT, revision, HOLD_MICROS),
         reply -> {
           if (number != watchNumber) {
             return;
@@ -301,24 +323,24 @@
   /**
    * Takes one key's newer value, from the watch, a list, a read, or this node's own transaction.
    */
-  void apply(Reply.Item item) {
+  public void apply(Reply.Item item) {
     String key = item.key();
     try {
-      if (key.startsWith(Records.JOB)) {
-        applyJob(key.substring(Records.JOB.length()), item);
-      } else if (key.startsWith(Records.PROGRESS)) {
-        applyProgress(key.substring(Records.PROGRESS.length()), item);
-      } else if (key.startsWith(Records.ROSTER)) {
-        applyRoster(key.substring(Records.ROSTER.length()), item);
-      } else if (key.startsWith(Records.DUTY)) {
+      if (key.startsWith(StoredRecords.JOB)) {
+        applyJob(key.substring(StoredRecords.JOB.length()), item);
+      } else if (key.startsWith(StoredRecords.PROGRESS)) {
+        applyProgress(key.substring(StoredRecords.PROGRESS.length()), item);
+      } else if (key.startsWith(StoredRecords.REGISTERED_WORKERS)) {
+        applyRoster(key.substring(StoredRecords.REGISTERED_WORKERS.length()), item);
+      } else if (key.startsWith(StoredRecords.DUTY)) {
         applyDuty(item);
-      } else if (key.equals(Records.LEADER)) {
+      } else if (key.equals(StoredRecords.LEADER)) {
         applyLeader(item);
-      } else if (key.equals(Records.CATALOG)
+      } else if (key.equals(StoredRecords.CATALOG)
           && item.value() != null
           && item.version() > catalogVersion) {
         catalogVersion = item.version();
-        catalog = Records.catalog(item.value());
+        catalog = StoredRecords.catalog(item.value());
       }
     } catch (RuntimeException e) {
       // Guards against a value written by a broken or much newer version: one bad key must not stop
@@ -328,7 +350,7 @@
   }
 
   /** The time of day, as this node has it, for what other nodes read. */
-  long dayMicros(long nowMicros) {
+  public long dayMicros(long nowMicros) {
     return nowMicros + dayOffsetMicros;
   }
 
@@ -339,11 +361,11 @@
    * take-over would not have asked that machine.
    */
   void missing(String key, long atRevision) {
-    if (!key.startsWith(Records.PROGRESS)) {
+    if (!key.startsWith(StoredRecords.PROGRESS)) {
       apply(new Reply.Item(key, null, atRevision));
       return;
     }
-    Job job = jobs.get(key.substring(Records.PROGRESS.length()));
+    Job job = jobs.get(key.substring(StoredRecords.PROGRESS.length()));
     if (job != null && job.progressVersion <= atRevision) {
       job.progressVersion = 0;
     }
@@ -357,25 +379,25 @@
     if (job != null && item.version() <= job.version()) {
       return;
     }
-    Job.State next = Records.jobState(item.value());
-    JobSpec spec = next == Job.State.DONE ? null : Records.spec(id, item.value());
+    Job.State next = StoredRecords.jobState(item.value());
+    JobSpec spec = next == Job.State.DONE ? null : StoredRecords.spec(id, item.value());
     boolean isNew = job == null;
     if (isNew) {
       job = new Job(id);
       // A node that was not there when the job came must not take it for new. Days differ a little
       // between nodes.
-      long atDay = Records.whole(item.value(), "at", 0);
+      long atDay = StoredRecords.whole(item.value(), "at", 0);
       job.seenMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
       jobs.put(id, job);
     }
-    long cancelledDay = Records.whole(item.value(), "c", 0);
+    long cancelledDay = StoredRecords.whole(item.value(), "c", 0);
     job.cancelledMicros = cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros);
     job.become(
         next,
         item.version(),
-        (int) Records.whole(item.value(), "n", 0),
+        (int) StoredRecords.whole(item.value(), "n", 0),
         spec,
-        (int) Records.whole(item.value(), "d", 0));
+        (int) StoredRecords.whole(item.value(), "d", 0));
     changed(job, isNew);
   }
 
@@ -397,7 +419,7 @@
    * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
    * will bring.
    */
-  void cancelledElsewhere(Cancellation told) {
+  public void cancelledElsewhere(Cancellation told) {
     Job job = jobs.get(told.job());
     if (job != null && job.open() && told.version() > job.version()) {
       job.cancelledMicros = now;
@@ -411,7 +433,7 @@
    * ones are forgotten here, so there is one bound for all who ask: what one of them would drop
    * sooner, another would no longer count.
    */
-  Collection<Job> cancelledLately(long nowMicros) {
+  public Collection<Job> cancelledLately(long nowMicros) {
     long since = nowMicros - settings.cancelMicros() - CANCEL_MARGIN_MICROS;
     while (!cancelled.isEmpty() && cancelled.peek().cancelSeenMicros < since) {
       cancelled.poll();
@@ -432,8 +454,8 @@
       return;
     }
     job.progressVersion = item.version();
-    job.durable = TaskSet.read(Records.text(item.value(), "done"));
-    job.shownRunning = (int) Records.whole(item.value(), "run", 0);
+    job.durable = TaskSet.read(StoredRecords.text(item.value(), "done"));
+    job.shownRunning = (int) StoredRecords.whole(item.value(), "run", 0);
   }
 
   private void applyDuty(Reply.Item item) {
@@ -453,30 +475,30 @@
   /** A late read or list must not bring a dropped key back. */
   private void droppedAt(String key, long version) {
     dropped.put(key, version);
-    if (dropped.size() > MOST_DROPPED) {
+    if (dropped.size() > MAX_DROPPED) {
       dropped.remove(dropped.keySet().iterator().next());
     }
   }
 
   private void applyRoster(String machine, Reply.Item item) {
-    RosterEntry known = roster.get(machine);
+    RegisteredWorker known = registeredWorkers.get(machine);
     if (known != null && item.version() <= known.version()
         || item.version() <= dropped.getOrDefault(machine, 0L)) {
       return;
     }
     if (item.value() == null) {
-      roster.remove(machine);
+      registeredWorkers.remove(machine);
       droppedAt(machine, item.version());
       return;
     }
-    roster.put(
+    registeredWorkers.put(
         machine,
-        new RosterEntry(
+        new RegisteredWorker(
             machine,
-            Records.text(item.value(), "addr"),
-            Records.text(item.value(), "type"),
-            Records.text(item.value(), "zone"),
-            Records.flag(item.value(), "spot"),
+            StoredRecords.text(item.value(), "addr"),
+            StoredRecords.text(item.value(), "type"),
+            StoredRecords.text(item.value(), "zone"),
+            StoredRecords.flag(item.value(), "spot"),
             item.version()));
   }
 
@@ -489,9 +511,9 @@
         item.value() == null
             ? null
             : new Leader(
-                Records.text(item.value(), "node"),
-                Records.text(item.value(), "run"),
-                Records.whole(item.value(), "lease", 0),
+                StoredRecords.text(item.value(), "node"),
+                StoredRecords.text(item.value(), "run"),
+                StoredRecords.whole(item.value(), "lease", 0),
                 item.version());
     listener.leaderChanged();
   }
--- a/src/main/java/org/eiderstair/core/StateReach.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -1,11 +1,17 @@
-package org.eiderstair.core;
+package org.eiderstair.core.state;
+
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.settings.Settings;
 
 /**
  * Whether the state service serves this node. A single node cannot tell an outage from a refusal
  * that only it gets: its peers can. A node that alone is refused does not say that it is ready, and
  * gives way as leader; in an outage all stay as they are, since none could do better.
  */
-final class StateReach {
+public final class StateServiceHealth {
 
   /**
    * DOUBTED had no answer for a while and asks its peers; ALONE was told by one of them that it is
@@ -38,53 +44,56 @@
   private String leader;
   private long leaderTerm;
 
-  StateReach(Settings settings, EffectSink sink, Replica replica) {
+  public StateServiceHealth(Settings settings, EffectSink sink, Replica replica) {
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
   }
 
-  boolean alone() {
+  /** Whether the state service refuses this node but serves a peer. */
+  public boolean alone() {
     return state == State.ALONE;
   }
 
   /** The leader that a served peer follows, where this node's own picture is older; else null. */
-  String newerLeader(long thanTerm) {
+  public String newerLeader(long thanTerm) {
     return state == State.ALONE && leaderTerm > thanTerm ? leader : null;
   }
 
-  long newerTerm() {
+  /** The term of the newer leader, or 0. */
+  public long newerTerm() {
     return state == State.ALONE ? leaderTerm : 0;
   }
 
   /** What this node tells a peer that asks. */
-  Answer.Standing standing() {
+  public Answer.StateServiceStatus standing() {
     Replica.Leader known = replica.leader();
     // Seen at the start of an outage: a peer that had not noticed yet made the others believe they
     // were alone.
     boolean served = now < servedMicros + ATTEST_WITHIN_MICROS && replica.loaded();
-    return new Answer.Standing(
+    return new Answer.StateServiceStatus(
         served, known == null ? null : known.node(), known == null ? 0 : known.term());
   }
 
   /** An answer came from the state service, or none did. */
-  void replied(Request request, Reply reply) {
+  public void replied(Request request, Reply reply) {
     boolean ofState =
         request instanceof Request.StoreTxn
             || request instanceof Request.StoreGet
             || request instanceof Request.StoreList
             || request instanceof Request.StoreWatch
             || request instanceof Request.LeaseGrant
-            || request instanceof Request.LeaseTouch;
+            || request instanceof Request.LeaseRenew;
     boolean refused =
-        reply instanceof Reply.Lost || reply instanceof Reply.Refused r && r.status() == 503;
+        reply instanceof Reply.NoResponse || reply instanceof Reply.Refused r && r.status() == 503;
     if (ofState && !refused) {
       servedMicros = now;
       become(State.SERVED);
     }
   }
 
-  void tick(long nowMicros) {
+  /** Probes the state service, and asks peers when it is in doubt. */
+  public void tick(long nowMicros) {
     if (now == 0) {
       servedMicros = nowMicros;
     }
@@ -94,7 +103,7 @@
     }
     if (now >= nextProbeMicros) {
       nextProbeMicros = now + PROBE_AFTER_MICROS;
-      sink.call(new Request.StoreGet(Records.LEADER), reply -> {});
+      sink.call(new Request.StoreGet(StoredRecords.LEADER), reply -> {});
     }
     if (now < servedMicros + DOUBT_AFTER_MICROS) {
       return;
@@ -110,10 +119,10 @@
 
   private void ask(String peer) {
     sink.call(
-        new Request.PeerAsk(peer),
+        new Request.PeerStateServiceStatus(peer),
         reply -> {
           if (state != State.SERVED
-              && reply instanceof Reply.PeerStanding standing
+              && reply instanceof Reply.PeerStateServiceStatus standing
               && standing.served()) {
             attestedMicros = now;
             if (standing.term() >= leaderTerm) {
--- a/src/main/java/org/eiderstair/core/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.state;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -6,6 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.settings.Settings;
 
 /**
  * The leader's durable writes: finished jobs, progress, the roster. One transaction at a time; each
@@ -18,7 +24,7 @@
  * and would bring back a machine long gone. So the barrier is written anew first; from then on all
  * earlier transactions of this term fail, and what is read is the truth.
  */
-final class StateWriter {
+public final class StateWriter {
   private static final long PROGRESS_EVERY_MICROS = 500_000;
 
   /**
@@ -47,10 +53,13 @@
     READING
   }
 
-  interface Listener {
+  /** Who is told of completed writes. */
+  public interface Listener {
+    /** The job's final state is durable. */
     void jobFinished(Job job);
 
-    void rosterWritten(String machine);
+    /** The worker's registration is durable. */
+    void workerRegistered(String machine);
   }
 
   private final Settings settings;
@@ -74,7 +83,7 @@
   private final Map<String, Job> finished = new LinkedHashMap<>();
   private final Map<String, Job> progressed = new LinkedHashMap<>();
   private final Map<String, Machine> register = new LinkedHashMap<>();
-  private final Map<String, Boolean> strike = new LinkedHashMap<>();
+  private final Map<String, Boolean> unregister = new LinkedHashMap<>();
 
   /** Single keys of the duties, written before what they announce is done. */
   private final Map<String, Note> notes = new LinkedHashMap<>();
@@ -82,7 +91,8 @@
   /** A value to be written, null to drop the key, and who waits for that. */
   private record Note(Map<String, Object> value, List<Runnable> durable) {}
 
-  StateWriter(Settings settings, EffectSink sink, Replica replica, long term, Listener listener) {
+  public StateWriter(
+      Settings settings, EffectSink sink, Replica replica, long term, Listener listener) {
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
@@ -91,42 +101,48 @@
     this.writes = new RateBudget(settings.stateWriteRps() * 0.7);
   }
 
-  void close() {
+  /** Nothing is written any more in this term. */
+  public void close() {
     closed = true;
   }
 
-  void finished(Job job) {
+  /** All tasks of the job are done: writes its final state. */
+  public void finished(Job job) {
     finished.put(job.id, job);
     progressed.remove(job.id);
   }
 
-  void progressed(Job job) {
+  /** The job has progress that is to be written. */
+  public void progressed(Job job) {
     if (!finished.containsKey(job.id)) {
       progressed.put(job.id, job);
     }
   }
 
-  void register(Machine machine) {
+  /** Writes a worker's registration, before anything is launched on it. */
+  public void register(Machine machine) {
     register.put(machine.id, machine);
-    strike.remove(machine.id);
+    unregister.remove(machine.id);
   }
 
-  void strike(String machine) {
+  /** Removes a worker's registration: the machine is terminated. */
+  public void unregister(String machine) {
     register.remove(machine);
-    if (replica.roster.containsKey(machine)) {
-      strike.put(machine, true);
+    if (replica.registeredWorkers.containsKey(machine)) {
+      unregister.put(machine, true);
     }
   }
 
   /** Writes a key of the duties, or drops it when the value is null; the latest value counts. */
-  void note(String key, Map<String, Object> value, Runnable durable) {
+  public void note(String key, Map<String, Object> value, Runnable durable) {
     Note earlier = notes.remove(key);
     List<Runnable> waiting = earlier == null ? new ArrayList<>() : earlier.durable();
     waiting.add(durable);
     notes.put(key, new Note(value, waiting));
   }
 
-  void tick(long nowMicros) {
+  /** Writes what is due, within the budget. */
+  public void tick(long nowMicros) {
     now = nowMicros;
     if (closed || state != State.IDLE || now < notBeforeMicros) {
       return;
@@ -138,7 +154,7 @@
     List<Request.Condition> conditions = new ArrayList<>();
     List<Request.Write> changes = new ArrayList<>();
     List<Runnable> after = new ArrayList<>();
-    conditions.add(new Request.Condition(Records.LEADER, term));
+    conditions.add(new Request.Condition(StoredRecords.LEADER, term));
     conditions.add(barrier());
     notBeforeMicros = now + GATHER_MICROS;
     int room = (int) Math.min(settings.stateTxnOps(), writes.available(now));
@@ -160,7 +176,7 @@
   }
 
   private void send(
-      List<Request.Condition> conditions, List<Request.Write> changes, Consumer<Reply> then) {
+      List<Request.Condition> conditions, List<Request.Write> changes, Consumer<Reply> callback) {
     long sentMicros = now;
     sink.call(
         new Request.StoreTxn(conditions, changes),
@@ -168,13 +184,13 @@
           if (reply instanceof Reply.Applied applied) {
             replica.proves(sentMicros, applied.revision());
           }
-          then.accept(reply);
+          callback.accept(reply);
         });
   }
 
   private Request.Condition barrier() {
-    Reply.Item known = replica.duties.get(Records.BARRIER);
-    return new Request.Condition(Records.BARRIER, known == null ? 0 : known.version());
+    Reply.Item known = replica.duties.get(StoredRecords.BARRIER);
+    return new Request.Condition(StoredRecords.BARRIER, known == null ? 0 : known.version());
   }
 
   /**
@@ -185,21 +201,21 @@
     become(State.BARRING);
     Map<String, Object> value = Map.of("term", term);
     send(
-        List.of(new Request.Condition(Records.LEADER, term), barrier()),
-        List.of(new Request.Write(Records.BARRIER, value, 0)),
+        List.of(new Request.Condition(StoredRecords.LEADER, term), barrier()),
+        List.of(new Request.Write(StoredRecords.BARRIER, value, 0)),
         reply -> {
           if (closed) {
             return;
           }
           if (reply instanceof Reply.Applied applied) {
-            replica.apply(new Reply.Item(Records.BARRIER, value, applied.revision()));
+            replica.apply(new Reply.Item(StoredRecords.BARRIER, value, applied.revision()));
             List<String> keys = doubted;
             doubted = List.of();
             refresh(keys);
             return;
           }
           notBeforeMicros = now + RETRY_MICROS;
-          refresh(reply instanceof Reply.Refused ? List.of() : List.of(Records.BARRIER));
+          refresh(reply instanceof Reply.Refused ? List.of() : List.of(StoredRecords.BARRIER));
         });
   }
 
@@ -252,11 +268,13 @@
       if (room < 2) {
         return 0;
       }
-      conditions.add(new Request.Condition(Records.jobKey(job.id), job.version()));
-      changes.add(new Request.Write(Records.jobKey(job.id), Records.doneJob(job.tasks()), 0));
+      conditions.add(new Request.Condition(StoredRecords.jobKey(job.id), job.version()));
+      changes.add(
+          new Request.Write(StoredRecords.jobKey(job.id), StoredRecords.doneJob(job.tasks()), 0));
       if (job.progressVersion > 0) {
-        conditions.add(new Request.Condition(Records.progressKey(job.id), job.progressVersion));
-        changes.add(new Request.Write(Records.progressKey(job.id), null, 0));
+        conditions.add(
+            new Request.Condition(StoredRecords.progressKey(job.id), job.progressVersion));
+        changes.add(new Request.Write(StoredRecords.progressKey(job.id), null, 0));
       }
       room -= 2;
       after.add(
@@ -277,32 +295,35 @@
       if (room < 1) {
         return 0;
       }
-      var known = replica.roster.get(m.id);
+      var known = replica.registeredWorkers.get(m.id);
       conditions.add(
-          new Request.Condition(Records.rosterKey(m.id), known == null ? 0 : known.version()));
+          new Request.Condition(
+              StoredRecords.registeredWorkerKey(m.id), known == null ? 0 : known.version()));
       changes.add(
           new Request.Write(
-              Records.rosterKey(m.id), Records.roster(m.address, m.typeName, m.zone, m.spot), 0));
+              StoredRecords.registeredWorkerKey(m.id),
+              StoredRecords.registeredWorkers(m.address, m.typeName, m.zone, m.spot),
+              0));
       room--;
       after.add(
           () -> {
             register.remove(m.id);
-            listener.rosterWritten(m.id);
+            listener.workerRegistered(m.id);
           });
     }
-    for (String id : new ArrayList<>(strike.keySet())) {
-      var known = replica.roster.get(id);
+    for (String id : new ArrayList<>(unregister.keySet())) {
+      var known = replica.registeredWorkers.get(id);
       if (known == null) {
-        strike.remove(id);
+        unregister.remove(id);
         continue;
       }
       if (room < 1) {
         return 0;
       }
-      conditions.add(new Request.Condition(Records.rosterKey(id), known.version()));
-      changes.add(new Request.Write(Records.rosterKey(id), null, 0));
+      conditions.add(new Request.Condition(StoredRecords.registeredWorkerKey(id), known.version()));
+      changes.add(new Request.Write(StoredRecords.registeredWorkerKey(id), null, 0));
       room--;
-      after.add(() -> strike.remove(id));
+      after.add(() -> unregister.remove(id));
     }
     return room;
   }
@@ -328,11 +349,11 @@
       }
       BitSet done = (BitSet) job.done.clone();
       int running = job.runningCount();
-      Map<String, Object> value = Records.progress(done, running);
-      bytes += Records.text(value, "done").length() + 200;
-      conditions.add(new Request.Condition(Records.progressKey(job.id), job.progressVersion));
-      conditions.add(new Request.Condition(Records.jobKey(job.id), job.version()));
-      changes.add(new Request.Write(Records.progressKey(job.id), value, 0));
+      Map<String, Object> value = StoredRecords.progress(done, running);
+      bytes += StoredRecords.text(value, "done").length() + 200;
+      conditions.add(new Request.Condition(StoredRecords.progressKey(job.id), job.progressVersion));
+      conditions.add(new Request.Condition(StoredRecords.jobKey(job.id), job.version()));
+      changes.add(new Request.Write(StoredRecords.progressKey(job.id), value, 0));
       room--;
       after.add(
           () -> {
@@ -360,7 +381,7 @@
     } else if (reply instanceof Reply.Conflict conflict) {
       sink.debug("ledger conflict on " + conflict.failed() + " term=" + term);
       refresh(conflict.failed());
-    } else if (reply instanceof Reply.Lost) {
+    } else if (reply instanceof Reply.NoResponse) {
       doubted = conditions.stream().map(Request.Condition::key).toList();
     } else {
       notBeforeMicros = now + RETRY_MICROS;
--- a/src/main/java/org/eiderstair/core/Records.java
+++ b/src/main/java/org/eiderstair/core/state/StoredRecords.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.state;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -7,18 +7,22 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.model.TaskSet;
 
 /**
  * The values that eiderstair keeps in the state service. Readers ignore fields they do not know, so
  * a newer version may add some while an older one still runs.
  */
-final class Records {
+public final class StoredRecords {
   static final String ROOT = "e/";
-  static final String LEADER = "e/leader";
-  static final String CATALOG = "e/catalog";
+  public static final String LEADER = "e/leader";
+  public static final String CATALOG = "e/catalog";
   static final String JOB = "e/job/";
   static final String PROGRESS = "e/prog/";
-  static final String ROSTER = "e/roster/";
+  static final String REGISTERED_WORKERS = "e/roster/";
 
   /** Open rentals and returns; their form is the duties' own. */
   static final String DUTY = "e/duty/";
@@ -26,9 +30,10 @@
   /** Never dropped; its version is a condition of every transaction of the stateWriter. */
   static final String BARRIER = "e/duty/barrier";
 
-  private Records() {}
+  private StoredRecords() {}
 
-  static String jobKey(String id) {
+  /** The key of a job. */
+  public static String jobKey(String id) {
     return JOB + id;
   }
 
@@ -36,11 +41,13 @@
     return PROGRESS + id;
   }
 
-  static String rosterKey(String machine) {
-    return ROSTER + machine;
+  /** The key of a worker's registration. */
+  public static String registeredWorkerKey(String machine) {
+    return REGISTERED_WORKERS + machine;
   }
 
-  static Map<String, Object> openJob(JobSpec s) {
+  /** The value of an open job. */
+  public static Map<String, Object> openJob(JobSpec s) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("s", "open");
     m.put("class", s.jobClass());
@@ -73,12 +80,13 @@
     return m;
   }
 
-  /** A cancelled job keeps its description: a later leader may still find its tasks on machines. */
   /**
+   * A cancelled job keeps its description: a later leader may still find its tasks on machines.
+   *
    * @param dayMicros when it was cancelled, by the time of day: also a leader that learns of it
    *     late keeps its deadline
    */
-  static Map<String, Object> cancelledJob(JobSpec spec, int done, long dayMicros) {
+  public static Map<String, Object> cancelledJob(JobSpec spec, int done, long dayMicros) {
     Map<String, Object> m = openJob(spec);
     m.put("s", "cancelled");
     m.put("d", (long) done);
@@ -86,7 +94,8 @@
     return m;
   }
 
-  static Map<String, Object> progress(BitSet done, int running) {
+  /** The value of a job's progress. */
+  public static Map<String, Object> progress(BitSet done, int running) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("done", TaskSet.write(done));
     m.put("run", (long) running);
@@ -122,15 +131,18 @@
         whole(m, "due", JobSpec.NO_DEADLINE));
   }
 
-  static Map<String, Object> leader(String node, long lease, String incarnation) {
+  /** The value of the leader key. */
+  public static Map<String, Object> leader(String node, long lease, String runId) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("node", node);
     m.put("lease", lease);
-    m.put("run", incarnation);
+    m.put("run", runId);
     return m;
   }
 
-  static Map<String, Object> roster(String address, String type, String zone, boolean spot) {
+  /** The value of a worker's registration. */
+  public static Map<String, Object> registeredWorkers(
+      String address, String type, String zone, boolean spot) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("addr", address);
     m.put("type", type);
@@ -139,7 +151,8 @@
     return m;
   }
 
-  static Map<String, Object> catalog(List<MachineType> types) {
+  /** The value of the catalogue of machine types. */
+  public static Map<String, Object> catalog(List<MachineType> types) {
     List<Object> list = new ArrayList<>();
     for (MachineType t : types) {
       Map<String, Object> m = new LinkedHashMap<>();
@@ -160,8 +173,9 @@
     return m;
   }
 
+  /** Reads the description of a job. */
   @SuppressWarnings("unchecked")
-  static List<MachineType> catalog(Map<String, Object> value) {
+  public static List<MachineType> catalog(Map<String, Object> value) {
     List<MachineType> types = new ArrayList<>();
     for (Object o : (List<Object>) value.getOrDefault("types", List.of())) {
       Map<String, Object> m = (Map<String, Object>) o;
@@ -189,7 +203,8 @@
     return m.get(field) instanceof Number n ? n.doubleValue() : 0;
   }
 
-  static long whole(Map<String, Object> m, String field, long otherwise) {
+  /** Reads an integer. */
+  public static long whole(Map<String, Object> m, String field, long otherwise) {
     return m.get(field) instanceof Number n ? n.longValue() : otherwise;
   }
 
--- a/src/main/java/org/eiderstair/core/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -1,11 +1,16 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.quota.TeamQuotas;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -14,9 +19,9 @@
  */
 final class AttemptTracker {
   private final EffectSink sink;
-  private final LeaderTime time;
-  private final TokenList tokens;
-  private final Teams teams;
+  private final EventTime time;
+  private final AvailableMachines availableMachines;
+  private final TeamQuotas teams;
   private final Standby standby;
   private final long term;
   private final Set<Machine> toServe = new LinkedHashSet<>();
@@ -28,10 +33,15 @@
   private boolean changed = true;
 
   AttemptTracker(
-      EffectSink sink, LeaderTime time, TokenList tokens, Teams teams, Standby standby, long term) {
+      EffectSink sink,
+      EventTime time,
+      AvailableMachines availableMachines,
+      TeamQuotas teams,
+      Standby standby,
+      long term) {
     this.sink = sink;
     this.time = time;
-    this.tokens = tokens;
+    this.availableMachines = availableMachines;
     this.teams = teams;
     this.standby = standby;
     this.term = term;
@@ -108,7 +118,7 @@
       planned.accept(a.machine);
     }
     if (!a.machine.hasRoom()) {
-      tokens.remove(a.machine);
+      availableMachines.remove(a.machine);
     }
   }
 
@@ -167,7 +177,7 @@
   }
 
   void unplan(Machine m) {
-    tokens.remove(m);
+    availableMachines.remove(m);
     for (Attempt a : new ArrayList<>(m.attempts.values())) {
       if (a.phase == Attempt.Phase.QUEUED || a.phase == Attempt.Phase.PLANNED) {
         free(a, "machine not usable");
@@ -177,8 +187,8 @@
 
   /** The machine may have got room: it gets its token, and what waits for it its turn. */
   void roomChanged(Machine m) {
-    if (m.plan == Machine.Plan.USE && m.known() && m.hasRoom()) {
-      tokens.offer(m);
+    if (m.plan == Machine.Plan.ACTIVE && m.known() && m.hasRoom()) {
+      availableMachines.offer(m);
       if (!m.queue.isEmpty()) {
         toServe.add(m);
       }
@@ -189,6 +199,6 @@
   void tell(Attempt a, boolean there) {
     standby.change(
         new ReplicationBatch.Change(
-            there, a.machine.id, a.machine.session, a.job.id, a.index, a.number));
+            there, a.machine.id, a.machine.incarnation, a.job.id, a.index, a.number));
   }
 }
--- a/src/main/java/org/eiderstair/core/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,6 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.eiderstair.core.leadership.FailoverTimeline;
+import org.eiderstair.core.leadership.Leadership;
+import org.eiderstair.core.leadership.LeadershipBounds;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
 
 /**
@@ -18,17 +30,17 @@
     /**
      * @param settles whether no launch by command can still be on its way
      */
-    void replied(Machine machine, MachineReport report, boolean settles);
+    void replied(Machine machine, Heartbeat report, boolean settles);
   }
 
   private static final long ASK_AGAIN_MICROS = 1_500_000;
   private static final long ASKING_EVERY_MICROS = 20_000;
-  private static final int MOST_ASKS = 8;
+  private static final int MAX_ASKS = 8;
 
   /** A question that has waited for so long waits for a time limit, and costs nothing meanwhile. */
   private static final long SLOW_ASK_MICROS = 200_000;
 
-  private static final int MOST_SLOW_ASKS = 128;
+  private static final int MAX_SLOW_ASKS = 128;
   private static final long UNREACHED_MICROS = 6_000_000;
   private static final long KILL_AGAIN_MICROS = 300_000;
   private static final long ASK_AFTER_LAUNCH_MICROS = 500_000;
@@ -36,10 +48,10 @@
 
   private final Settings settings;
   private final EffectSink sink;
-  private final LeaderTime time;
+  private final EventTime time;
   private final Leadership leadership;
   private final Standby standby;
-  private final TokenList tokens;
+  private final AvailableMachines availableMachines;
   private final WorkerRegistry registry;
   private final AttemptTracker tracker;
   private final long term;
@@ -61,10 +73,10 @@
   CommandDispatcher(
       Settings settings,
       EffectSink sink,
-      LeaderTime time,
+      EventTime time,
       Leadership leadership,
       Standby standby,
-      TokenList tokens,
+      AvailableMachines availableMachines,
       WorkerRegistry registry,
       AttemptTracker tracker,
       long term) {
@@ -73,7 +85,7 @@
     this.time = time;
     this.leadership = leadership;
     this.standby = standby;
-    this.tokens = tokens;
+    this.availableMachines = availableMachines;
     this.registry = registry;
     this.tracker = tracker;
     this.term = term;
@@ -97,8 +109,8 @@
   }
 
   /** The machine has begun a new session: nobody reads an answer to a report of the one before. */
-  void newSession(Machine m) {
-    refuse(m.pendingReport.newSession(), "report of an earlier session");
+  void newIncarnation(Machine m) {
+    refuse(m.pendingReport.newIncarnation(), "report of an earlier session");
     toAnswer.remove(m);
   }
 
@@ -167,8 +179,8 @@
    * election instead of 1 s.
    */
   private void askIfDue(Machine m) {
-    if (youngAsks < MOST_ASKS
-        && asks.size() < MOST_SLOW_ASKS
+    if (youngAsks < MAX_ASKS
+        && asks.size() < MAX_SLOW_ASKS
         && !m.commandInFlight
         && time.nowMicros() >= m.nextAskMicros) {
       ask(m);
@@ -190,7 +202,8 @@
     m.commandInFlight = true;
     call(
         m,
-        new Request.WorkerCommands(m.address, m.token(), Math.max(1, m.session), List.of()),
+        new Request.WorkerCommands(
+            m.address, m.fencingToken(), Math.max(1, m.incarnation), List.of()),
         List.of(),
         () -> asks.remove(m));
   }
@@ -251,22 +264,22 @@
    * from work. Its next report is soon here.
    */
   private boolean comesThroughPeer(Machine m) {
-    return m.relayed && time.nowMicros() < m.heardMicros + settings.reportMicros() * 2;
+    return m.relayed && time.nowMicros() < m.lastHeartbeatMicros + settings.reportMicros() * 2;
   }
 
   private void answer(Machine m, boolean mayLaunch) {
     List<Order> orders = killsFor(m);
     orders.addAll(m.reaps.values());
     List<Attempt> launches =
-        mayLaunch && m.phase == Machine.Phase.HEARD
+        mayLaunch && m.phase == Machine.Phase.CONFIRMED
             ? launch(m, m.pendingReport.sequence())
             : List.of();
     registry.answered(m);
     m.killsPending = false;
     long exchange = m.pendingReport.answered();
-    long token = m.token();
+    long fencingToken = m.fencingToken();
     if (launches.isEmpty()) {
-      respond(exchange, token, orders);
+      respond(exchange, fencingToken, orders);
       return;
     }
     standby.launch(
@@ -274,36 +287,38 @@
           leaves();
           sink.respond(
               exchange,
-              new Answer.Command(token, withLaunches(orders, launches)),
+              new Answer.Command(fencingToken, withLaunches(orders, launches)),
               leadership.bounds().launchEnd());
         },
         () -> {
           unlaunch(launches);
-          respond(exchange, token, orders);
+          respond(exchange, fencingToken, orders);
         });
   }
 
   /** Answers a report with what launches nothing. */
-  private void respond(long exchange, long token, List<Order> orders) {
+  private void respond(long exchange, long fencingToken, List<Order> orders) {
     if (closed) {
       sink.respond(exchange, new Answer.Redirect(null));
     } else {
-      sink.respond(exchange, new Answer.Command(token, orders), leadership.bounds().answersEnd());
+      sink.respond(
+          exchange, new Answer.Command(fencingToken, orders), leadership.bounds().answersEnd());
     }
   }
 
   private void sendLaunches(Machine m) {
     List<Order> reaps = new ArrayList<>(m.reaps.values());
     List<Attempt> launches = launch(m, -1);
-    long token = m.token();
-    long session = m.session;
+    long fencingToken = m.fencingToken();
+    long incarnation = m.incarnation;
     m.commandInFlight = true;
     standby.launch(
         () -> {
           leaves();
           call(
               m,
-              new Request.WorkerCommands(m.address, token, session, withLaunches(reaps, launches)),
+              new Request.WorkerCommands(
+                  m.address, fencingToken, incarnation, withLaunches(reaps, launches)),
               launches,
               () -> {});
         },
@@ -321,11 +336,11 @@
     }
     m.killInFlight = true;
     sink.call(
-        new Request.WorkerCommands(m.address, m.token(), m.session, kills),
+        new Request.WorkerCommands(m.address, m.fencingToken(), m.incarnation, kills),
         leadership.bounds().answersEnd(),
         reply -> {
           m.killInFlight = false;
-          if (closed || m.phase == Machine.Phase.GONE) {
+          if (closed || m.phase == Machine.Phase.TERMINATED) {
             return;
           }
           // What it shows may have been written before a command that is still on its way arrives.
@@ -391,8 +406,8 @@
     if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(m.id)) {
       return false;
     }
-    if (answer.report().token() >> 20 > term) {
-      leadership.deposed("machine " + m.id + " has seen token " + answer.report().token());
+    if (answer.report().fencingToken() >> 20 > term) {
+      leadership.deposed("machine " + m.id + " has seen token " + answer.report().fencingToken());
       return true;
     }
     replies.replied(m, answer.report(), settles);
@@ -410,7 +425,7 @@
         reply -> {
           m.commandInFlight = false;
           over.run();
-          if (closed || m.phase == Machine.Phase.GONE) {
+          if (closed || m.phase == Machine.Phase.TERMINATED) {
             return;
           }
           if (launches.stream().anyMatch(a -> !a.job.open())) {
@@ -428,14 +443,14 @@
    * concluded.
    */
   private void unanswered(Machine m, boolean launched, Reply reply) {
-    if (launched && (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.RECOVERED)) {
+    if (launched && (m.phase == Machine.Phase.CONFIRMED || m.phase == Machine.Phase.RECOVERED)) {
       m.raiseFence();
-      tokens.remove(m);
+      availableMachines.remove(m);
       // It may be out of this node's reach while its reports still come, relayed: no more launches
       // for a while.
       m.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
     }
-    if (launched && m.phase == Machine.Phase.HEARD) {
+    if (launched && m.phase == Machine.Phase.CONFIRMED) {
       sink.info(
           "no answer from "
               + m.id
--- a/src/main/java/org/eiderstair/core/LeaderTime.java
+++ b/src/main/java/org/eiderstair/core/workers/EventTime.java
@@ -1,7 +1,7 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 /** The time at which the event at hand happened, for all parts of a leader's picture. */
-final class LeaderTime {
+final class EventTime {
   private long nowMicros;
 
   long nowMicros() {
--- a/src/main/java/org/eiderstair/core/ReportHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -1,52 +1,65 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Set;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.leadership.Leadership;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.model.PendingHeartbeat;
+import org.eiderstair.core.model.TaskId;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
 
 /**
  * Reads machines' accounts of themselves. A task comes free here only on proof: a newer report
  * without it once its launch is settled, or a new session.
  */
-final class ReportHandler {
+final class HeartbeatHandler {
   private static final long SAVE_MARGIN_MICROS = 1_500_000;
   private static final long FAILURE_PAUSE_MICROS = 1_000_000;
-  private static final long LONGEST_PAUSE_MICROS = 60_000_000;
+  private static final long MAX_PAUSE_MICROS = 60_000_000;
 
   private final EffectSink sink;
-  private final LeaderTime time;
+  private final EventTime time;
   private final Replica replica;
   private final Leadership leadership;
   private final StateWriter stateWriter;
-  private final TokenList tokens;
+  private final AvailableMachines availableMachines;
   private final Standby standby;
   private final WorkerRegistry registry;
   private final AttemptTracker tracker;
   private final CommandDispatcher dispatcher;
-  private final ReachMonitor reach;
+  private final WorkerReachability reach;
   private final long term;
 
-  ReportHandler(
+  HeartbeatHandler(
       EffectSink sink,
-      LeaderTime time,
+      EventTime time,
       Replica replica,
       Leadership leadership,
       StateWriter stateWriter,
-      TokenList tokens,
+      AvailableMachines availableMachines,
       Standby standby,
       WorkerRegistry registry,
       AttemptTracker tracker,
       CommandDispatcher dispatcher,
-      ReachMonitor reach,
+      WorkerReachability reach,
       long term) {
     this.sink = sink;
     this.time = time;
     this.replica = replica;
     this.leadership = leadership;
     this.stateWriter = stateWriter;
-    this.tokens = tokens;
+    this.availableMachines = availableMachines;
     this.standby = standby;
     this.registry = registry;
     this.tracker = tracker;
@@ -61,13 +74,14 @@
    * and, decided in the next pass, launch; so a machine whose task ended gets its next one without
    * another message.
    */
-  void reported(long exchange, MachineReport report, boolean relayed) {
-    if (report.token() >> 20 > term) {
+  void reported(long exchange, Heartbeat report, boolean relayed) {
+    if (report.fencingToken() >> 20 > term) {
       sink.respond(exchange, new Answer.Redirect(null));
-      leadership.deposed("machine " + report.machine() + " has seen token " + report.token());
+      leadership.deposed(
+          "machine " + report.machine() + " has seen token " + report.fencingToken());
       return;
     }
-    if (registry.isGone(report.machine())) {
+    if (registry.isTerminated(report.machine())) {
       sink.respond(exchange, new Answer.Failure(503, "machine was deleted", 0));
       return;
     }
@@ -78,9 +92,9 @@
           registry.expect(
               report.machine(), report.address(), report.type(), report.zone(), report.spot());
     }
-    PendingReport.Standing standing =
-        m.pendingReport.standing(report.session(), m.session, report.sequence());
-    if (standing != PendingReport.Standing.OPEN) {
+    PendingHeartbeat.Standing standing =
+        m.pendingReport.standing(report.incarnation(), m.incarnation, report.sequence());
+    if (standing != PendingHeartbeat.Standing.OPEN) {
       // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
       // nothing.
       dispatcher.refuse(exchange, standing.toString());
@@ -89,10 +103,10 @@
     if (!relayed) {
       reach.reportedDirectly();
     }
-    if (m.address == null || m.typeName == null || !m.rostered) {
+    if (m.address == null || m.typeName == null || !m.registered) {
       registry.describe(m, report.address(), report.type(), report.zone(), report.spot());
     }
-    if (!m.rostered && m.plan != Machine.Plan.DELETE) {
+    if (!m.registered && m.plan != Machine.Plan.TERMINATE) {
       stateWriter.register(m);
     }
     m.relayed = relayed;
@@ -110,39 +124,39 @@
    * went with an answer to an earlier report: the body of /commands or /status may be written while
    * that answer is still on its way.
    */
-  private void absorb(Machine m, MachineReport report, boolean isReport, boolean settles) {
-    if (!report.newerThan(m.session, m.sequence)) {
+  private void absorb(Machine m, Heartbeat report, boolean isReport, boolean settles) {
+    if (!report.newerThan(m.incarnation, m.sequence)) {
       return;
     }
-    m.heardMicros = time.nowMicros();
-    if (report.session() > m.session && m.session > 0) {
+    m.lastHeartbeatMicros = time.nowMicros();
+    if (report.incarnation() > m.incarnation && m.incarnation > 0) {
       sink.info(
           "machine "
               + m.id
               + " lost its lease and began session "
-              + report.session()
+              + report.incarnation()
               + ", term="
               + term);
       tracker.freeAll(m, "new session");
-      dispatcher.newSession(m);
+      dispatcher.newIncarnation(m);
       // Found by the simulator (a leader cut from its workers): a new session has its full lease
       // from its own beginning, whenever we last answered the session before.
       registry.answered(m);
     }
-    if (report.session() != m.session) {
-      standby.change(new ReplicationBatch.Change(true, m.id, report.session(), "", 0, 0));
+    if (report.incarnation() != m.incarnation) {
+      standby.change(new ReplicationBatch.Change(true, m.id, report.incarnation(), "", 0, 0));
     }
-    m.session = report.session();
+    m.incarnation = report.incarnation();
     m.sequence = report.sequence();
-    if (report.noticeMicros() != MachineReport.NO_NOTICE && m.plan == Machine.Plan.USE) {
+    if (report.noticeMicros() != Heartbeat.NO_NOTICE && m.plan == Machine.Plan.ACTIVE) {
       sink.info("machine " + m.id + " has notice, term=" + term);
       drain(m);
       saveProgress(m, report.noticeMicros());
     }
-    boolean truth = report.token() >= m.token();
-    if (truth && m.phase != Machine.Phase.HEARD) {
+    boolean truth = report.fencingToken() >= m.fencingToken();
+    if (truth && m.phase != Machine.Phase.CONFIRMED) {
       boolean fenced = m.phase == Machine.Phase.FENCING;
-      registry.become(m, Machine.Phase.HEARD);
+      registry.become(m, Machine.Phase.CONFIRMED);
       if (!fenced) {
         sink.info("machine " + m.id + " heard, term=" + term);
         registry.answered(m);
@@ -157,7 +171,7 @@
       return;
     }
     readEntries(m, report, isReport && truth, settles && truth);
-    if (!truth && m.phase == Machine.Phase.BOOTING && report.token() > 0) {
+    if (!truth && m.phase == Machine.Phase.BOOTING && report.fencingToken() > 0) {
       holdNoLongerThanItsLease(m);
     }
     tracker.noteChange();
@@ -179,13 +193,13 @@
   }
 
   private void readEntries(
-      Machine m, MachineReport report, boolean settlesAnswers, boolean settlesCommands) {
+      Machine m, Heartbeat report, boolean settlesAnswers, boolean settlesCommands) {
     m.orphans.clear();
     m.reaps.clear();
     Set<TaskId> shown = new HashSet<>();
-    for (MachineReport.Entry entry : report.tasks()) {
+    for (Heartbeat.Entry entry : report.tasks()) {
       shown.add(entry.task());
-      if (entry.state() == MachineReport.TaskState.ENDED) {
+      if (entry.state() == Heartbeat.TaskState.ENDED) {
         ended(m, entry);
       } else {
         alive(m, entry);
@@ -212,7 +226,7 @@
     tracker.roomChanged(m);
   }
 
-  private void alive(Machine m, MachineReport.Entry entry) {
+  private void alive(Machine m, Heartbeat.Entry entry) {
     Job job = replica.jobs.get(entry.task().job());
     Attempt known = m.attempts.get(entry.task());
     if (known != null && known.number == entry.attempt()) {
@@ -222,7 +236,7 @@
       if (known.shown != entry.state()) {
         known.shown = entry.state();
         m.useImage(known.spec);
-        if (entry.state() == MachineReport.TaskState.RUNNING) {
+        if (entry.state() == Heartbeat.TaskState.RUNNING) {
           known.runningSinceMicros = time.nowMicros();
           noteRunning(known.job);
         }
@@ -249,7 +263,7 @@
     noteRunning(job);
   }
 
-  private void adopt(Machine m, Job job, MachineReport.Entry entry) {
+  private void adopt(Machine m, Job job, Heartbeat.Entry entry) {
     Attempt a =
         new Attempt(
             job, entry.task().index(), entry.attempt(), m, Attempt.Phase.SEEN, time.nowMicros());
@@ -266,7 +280,7 @@
     }
   }
 
-  private void ended(Machine m, MachineReport.Entry entry) {
+  private void ended(Machine m, Heartbeat.Entry entry) {
     TaskId task = entry.task();
     Order.Reap reap = new Order.Reap(task, entry.attempt());
     Job job = replica.jobs.get(task.job());
@@ -275,7 +289,7 @@
     if (ours) {
       tracker.remove(known);
     }
-    if (entry.exit() == MachineReport.Exit.DONE
+    if (entry.exit() == Heartbeat.Exit.DONE
         && job != null
         && job.open()
         && task.index() < job.tasks()) {
@@ -308,7 +322,7 @@
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
         sink.debug("task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
         m.holdUntilMicros = time.nowMicros() + 1_000_000;
-        tokens.remove(m);
+        availableMachines.remove(m);
       }
       default -> {}
     }
@@ -321,7 +335,7 @@
     if ((again || job.failedOn.size() > 1) && time.nowMicros() >= job.notBeforeMicros) {
       job.failedRounds++;
       long pause = FAILURE_PAUSE_MICROS << Math.min(job.failedRounds, 6);
-      job.notBeforeMicros = time.nowMicros() + Math.min(LONGEST_PAUSE_MICROS, pause);
+      job.notBeforeMicros = time.nowMicros() + Math.min(MAX_PAUSE_MICROS, pause);
     }
     m.errorsInRow++;
     if (!job.done.isEmpty() || job.failedOn.size() == 1) {
@@ -332,7 +346,7 @@
     boolean faulty =
         m.failedJobs.size() >= 2 && m.errorsInRow >= 3
             || job.failedOn.size() == 1 && m.errorsInRow >= 6;
-    if (faulty && m.plan == Machine.Plan.USE) {
+    if (faulty && m.plan == Machine.Plan.ACTIVE) {
       sink.info(
           "machine "
               + m.id
--- a/src/main/java/org/eiderstair/core/Relay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -1,14 +1,19 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import java.util.HashMap;
 import java.util.Map;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Heartbeat;
 
 /**
  * A follower's dealings with workers. It sends them to the leader; one that is soon back could not
  * reach the leader, so for a while its reports are passed on, and what the leader answers is passed
  * back. A follower never makes an answer of its own: only the leader may renew a lease.
  */
-final class Relay {
+public final class HeartbeatRelay {
   private static final long BACK_SOON_MICROS = 12_000_000;
   private static final long RELAY_MICROS = 20_000_000;
   private static final long UNREACHED_MICROS = 2_000_000;
@@ -45,11 +50,12 @@
   private long countedSinceMicros;
   private long believedUntilMicros;
 
-  Relay(EffectSink sink) {
+  public HeartbeatRelay(EffectSink sink) {
     this.sink = sink;
   }
 
-  void reported(long exchange, MachineReport report, String leader, long nowMicros) {
+  /** A worker's heartbeat: redirects the worker to the leader, or relays it. */
+  public void reported(long exchange, Heartbeat report, String leader, long nowMicros) {
     if (leader == null) {
       sink.respond(exchange, new Answer.Redirect(null));
       return;
