--- a/src/test/java/org/eiderstair/sim/Worker.java
+++ b/src/test/java/org/eiderstair/sim/Worker.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.eiderstair.core.Answer;
-import org.eiderstair.core.MachineReport;
-import org.eiderstair.core.MachineReport.Exit;
-import org.eiderstair.core.MachineReport.TaskState;
-import org.eiderstair.core.Order;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.Request;
-import org.eiderstair.core.TaskId;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Heartbeat.Exit;
+import org.eiderstair.core.model.Heartbeat.TaskState;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.model.TaskId;
 
 /** A stand-in for one machine and its worker. */
 final class Worker {
@@ -38,7 +38,7 @@
   final String type;
   private final SimulatedCluster day;
   private final Map<TaskId, Running> tasks = new LinkedHashMap<>();
-  private long session = 1;
+  private long incarnation = 1;
   private long tally;
   private long baton;
   private long answeredSentMicros;
@@ -87,7 +87,7 @@
     day.clock.after(100_000, this::tick);
     // A hung machine may go on only within its lease.
     if (day.clock.now() > answeredSentMicros + day.leaseMicros()) {
-      newSession();
+      newIncarnation();
     }
     if (hung()) {
       return;
@@ -101,10 +101,10 @@
     }
   }
 
-  private void newSession() {
+  private void newIncarnation() {
     tasks.keySet().forEach(day::off);
     tasks.clear();
-    session++;
+    incarnation++;
     tally = 0;
     answeredSentMicros = day.clock.now();
     reportSoon = true;
@@ -131,17 +131,14 @@
     tasks.keySet().forEach(t -> day.offIf(t, id));
   }
 
-  private MachineReport view() {
-    List<MachineReport.Entry> entries = new ArrayList<>();
+  private Heartbeat view() {
+    List<Heartbeat.Entry> entries = new ArrayList<>();
     tasks
         .values()
-        .forEach(
-            r -> entries.add(new MachineReport.Entry(r.task, r.attempt, r.state, r.exit, false)));
+        .forEach(r -> entries.add(new Heartbeat.Entry(r.task, r.attempt, r.state, r.exit, false)));
     long notice =
-        noticeAtMicros < 0
-            ? MachineReport.NO_NOTICE
-            : Math.max(0, noticeAtMicros - day.clock.now());
-    return new MachineReport(id, id, type, zone, spot, session, ++tally, baton, notice, entries);
+        noticeAtMicros < 0 ? Heartbeat.NO_NOTICE : Math.max(0, noticeAtMicros - day.clock.now());
+    return new Heartbeat(id, id, type, zone, spot, incarnation, ++tally, baton, notice, entries);
   }
 
   private void report() {
@@ -150,7 +147,7 @@
     lastReportMicros = day.clock.now();
     nextReportMicros = lastReportMicros + 2_000_000 + day.random.nextInt(1_500_000);
     long thisReport = ++reportId;
-    long sentSession = session;
+    long sentSession = incarnation;
     long sentMicros = day.clock.now();
     Consumer<Answer> answered =
         answer -> {
@@ -162,8 +159,8 @@
           }
           inFlight = false;
           if (answer instanceof Answer.Command command) {
-            if (command.token() >= baton && sentSession == session) {
-              see(command.token());
+            if (command.fencingToken() >= baton && sentSession == incarnation) {
+              see(command.fencingToken());
               answeredSentMicros = sentMicros;
               command.orders().forEach(this::execute);
             }
@@ -189,9 +186,9 @@
         });
   }
 
-  private void see(long token) {
-    if (token > baton) {
-      baton = token;
+  private void see(long fencingToken) {
+    if (fencingToken > baton) {
+      baton = fencingToken;
       reportSoon = true;
     }
   }
@@ -207,9 +204,9 @@
     }
     boolean executed = false;
     if (request instanceof Request.WorkerCommands c
-        && c.token() >= baton
-        && c.session() == session) {
-      see(c.token());
+        && c.fencingToken() >= baton
+        && c.incarnation() == incarnation) {
+      see(c.fencingToken());
       c.orders().forEach(this::execute);
       executed = true;
     }
