--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -186,8 +186,8 @@
     List<PlannedRoom> rooms = new ArrayList<>();
     for (Machine m : workers.machines().values()) {
       // What nobody sees is asked for elsewhere; it is not given back for it.
-      m.surplus = false;
-      if (m.plan == Machine.Plan.ACTIVE && m.type != null && !m.dark) {
+      m.excess = false;
+      if (m.plan == Machine.Plan.ACTIVE && m.type != null && !m.partitioned) {
         rooms.add(new PlannedRoom(m));
       }
     }
@@ -222,9 +222,9 @@
         (offer, machines) ->
             rent(offer, Math.min(settings.tuning().rentBatch(), (int) Math.ceil(machines - 0.1))));
     for (PlannedRoom room : rooms) {
-      room.machine.surplus = room.left > 0.999;
-      room.machine.closing = sparing && room.machine.surplus && !room.machine.spot;
-      if (room.machine.surplus && isIdle(room.machine)) {
+      room.machine.excess = room.left > 0.999;
+      room.machine.reservedForOnDemand = sparing && room.machine.excess && !room.machine.spot;
+      if (room.machine.excess && isIdle(room.machine)) {
         retirement.returnNow(room.machine, "idle");
       }
     }
@@ -409,7 +409,7 @@
     @Override
     public void gone(String machine) {
       Machine m = workers.machines().get(machine);
-      if (m != null && m.condemned) {
+      if (m != null && m.presumedDead) {
         // What was refused for want of room there may be had now. Seen after a zone's cut: 350
         // machines were given back, and none rented for them until the last refusal was 15 s old.
         // One that was idle is not missed.
@@ -508,7 +508,7 @@
                 listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       }
       retirement.leave(m);
-      m.condemned = false;
+      m.presumedDead = false;
       duties.giveBack(m.id);
       return;
     }
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -72,15 +72,15 @@
     int spared = 0;
     for (Machine m : workers.machines().values()) {
       if (m.plan == Machine.Plan.TERMINATE) {
-        if (m.condemned && m.lastHeartbeatMicros > now - HEARD_AGAIN_MICROS) {
+        if (m.presumedDead && m.lastHeartbeatMicros > now - HEARD_AGAIN_MICROS) {
           // It was taken for dead, and is heard again.
-          m.condemned = false;
+          m.presumedDead = false;
           duties.takeBack(m.id);
         }
         continue;
       }
       ReachabilityClassifier.Verdict verdict = survey.of(m);
-      m.dark = verdict == ReachabilityClassifier.Verdict.DARK;
+      m.partitioned = verdict == ReachabilityClassifier.Verdict.DARK;
       String why = null;
       if (m.phase == Machine.Phase.BOOTING) {
         long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
@@ -96,8 +96,8 @@
         why = "drained";
       }
       if (why != null) {
-        m.condemned = verdict == ReachabilityClassifier.Verdict.SILENT;
-        returnNow(m, m.condemned ? "silent: " + why : why);
+        m.presumedDead = verdict == ReachabilityClassifier.Verdict.SILENT;
+        returnNow(m, m.presumedDead ? "silent: " + why : why);
       } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.ELSEWHERE.ordinal()) {
         spared++;
       }
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -90,23 +90,23 @@
   public long idleSinceMicros;
   public boolean registered;
 
-  /** To be given back for its silence alone. */
-  public boolean condemned;
+  /** Its release was decided only because it had been silent for too long. */
+  public boolean presumedDead;
 
-  /** Silent, in a zone that nobody sees. */
-  public boolean dark;
+  /** Silent, in a zone that is partitioned from all controllers. */
+  public boolean partitioned;
 
   /** Its last report came through a peer: this node may not reach it. */
   public boolean relayed;
 
-  /** More than the demand asks for: used last, so that it falls idle and can be returned. */
-  public boolean surplus;
+  /** Beyond the demand: placed on last, so that it becomes idle and can be scaled in. */
+  public boolean excess;
 
   /**
-   * Dear and beyond what is at hand: it takes no more work that could go elsewhere, so it can be
-   * returned.
+   * An on-demand machine beyond the demand at hand: work that may run on spot machines is not
+   * placed on it, so that it can be scaled in.
    */
-  public boolean closing;
+  public boolean reservedForOnDemand;
 
   public final PendingHeartbeat pendingReport = new PendingHeartbeat();
 
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -395,7 +395,7 @@
   }
 
   private static boolean isOpenTo(Machine m, JobSpec spec, long nowMicros) {
-    return m.usable(nowMicros) && m.allows(spec) && !(m.closing && spec.spotAllowed());
+    return m.usable(nowMicros) && m.allows(spec) && !(m.reservedForOnDemand && spec.spotAllowed());
   }
 
   /**
@@ -418,7 +418,7 @@
 
     void add(Machine m) {
       int liking =
-          (m.surplus ? 0 : 8)
+          (m.excess ? 0 : 8)
               + (m.spot ? 4 : 0)
               + (m.hasImage(spec) ? 2 : 0)
               + (m.attempts.isEmpty() ? 0 : 1);
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -282,7 +282,7 @@
     Machine m = registry.machines().get(id);
     if (m != null && m.plan == Machine.Plan.TERMINATE) {
       m.plan = Machine.Plan.ACTIVE;
-      m.condemned = false;
+      m.presumedDead = false;
       if (!m.registered && m.phase != Machine.Phase.BOOTING) {
         stateWriter.register(m);
       }
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -266,12 +266,12 @@
   @Example
   void dearMachinesBeyondTheDemandTakeNoWorkThatCouldGoElsewhere() {
     Machine dear = machine("o", "a", false);
-    dear.closing = true;
+    dear.reservedForOnDemand = true;
     Job flexible = job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
     assertEquals(
         0, flexible.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
-    dear.closing = false;
+    dear.reservedForOnDemand = false;
     placement.place(NOW + 1);
     assertEquals(4, dear.toLaunch.size());
   }
