--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -55,7 +55,7 @@
   private final List<JobSpec> unplaceable = new ArrayList<>();
 
   private long steps;
-  private final StarvationGuard leftBehind;
+  private final StarvationGuard starvationGuard;
 
   public Placement(
       Settings settings,
@@ -76,8 +76,8 @@
     this.teams = teams;
     this.term = term;
     this.random = random;
-    this.leftBehind = new StarvationGuard(what -> sink.info(what + ", term=" + term));
-    workers.begun(leftBehind::begun);
+    this.starvationGuard = new StarvationGuard(what -> sink.info(what + ", term=" + term));
+    workers.begun(starvationGuard::noteStarted);
   }
 
   /** Tokens, machines and jobs looked at so far: what a test of growing cost counts. */
@@ -135,7 +135,7 @@
    * one, since a guarantee holds against what other teams borrow, whatever its priority.
    */
   private int rank(Job job) {
-    if (leftBehind.goesAhead(job)) {
+    if (starvationGuard.isBoosted(job)) {
       return -1;
     }
     JobSpec.Priority priority = job.spec().priority();
@@ -153,7 +153,7 @@
     if (nowMicros >= nextGuaranteedMicros) {
       nextGuaranteedMicros = nowMicros + GUARANTEED_EVERY_MICROS;
       guaranteed = guaranteed();
-      leftBehind.measure(replica.open.values(), this::cpusInUse, nowMicros);
+      starvationGuard.update(replica.open.values(), this::cpusInUse, nowMicros);
     }
     unplaceable.clear();
     List<Job> jobs = order(nowMicros);
@@ -190,7 +190,7 @@
         String why =
             !teams.allowsOneMore(spec)
                 ? " at its limit"
-                : !teams.leavesReserve(spec) ? " at its reserve" : "";
+                : !teams.leavesReserve(spec) ? " at its reservation" : "";
         waiting.merge(
             spec.jobClass() + " of " + spec.team() + why,
             job.waiting() + job.queued.size(),
@@ -203,9 +203,9 @@
     }
     return "machines "
         + workers.machines().size()
-        + ", unheard "
+        + ", unconfirmed "
         + workers.unconfirmed().size()
-        + ", tokens "
+        + ", available machines "
         + availableMachines.all().size()
         + ", free cpus "
         + Math.round(free)
@@ -213,7 +213,7 @@
         + Math.round(teams.totalCpus())
         + ", waiting "
         + waiting
-        + leftBehind.summary();
+        + starvationGuard.summary();
   }
 
   /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
@@ -283,13 +283,13 @@
       needed -= victim.spec.cpus();
       kills++;
       sink.info(
-          "stopping "
+          "preempting task="
               + victim.task()
-              + " on "
+              + " on machine="
               + victim.machine.id
-              + " for "
+              + " for job="
               + job.id
-              + " of team "
+              + " team="
               + spec.team()
               + ", term="
               + term);
@@ -316,7 +316,7 @@
 
   private boolean mayHaveOneMore(Job job) {
     return teams.allowsOneMore(job.spec())
-        && (teams.leavesReserve(job.spec()) || leftBehind.goesAhead(job));
+        && (teams.leavesReserve(job.spec()) || starvationGuard.isBoosted(job));
   }
 
   private void place(Job job, long nowMicros) {
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -14,169 +14,202 @@
 import org.eiderstair.core.model.Job;
 
 /**
- * Which jobs go ahead of their turn, since their class or team would be left behind for ever. The
- * order of service is strict, so more urgent work than there is room for would keep everything else
- * waiting until its end. Who is behind gets a bounded part of the processors as they come free, and
- * nothing is stopped for it; as long as every class and team is served, this changes nothing.
- * docs/design.md, "Nobody left behind".
+ * Selects jobs to be boosted, that is served before all others, so that no class and no team
+ * starves. The order of service is strict, so more urgent work than there is room for would keep
+ * everything else waiting until its end. Boosted jobs get a bounded share of the processors as they
+ * become free, and nothing is preempted for them; as long as every class and team is served, no job
+ * is boosted. See docs/design.md, "Starvation".
  */
 final class StarvationGuard {
-  private static final long EVERY_MICROS = 1_000_000;
+  private static final long UPDATE_INTERVAL_MICROS = 1_000_000;
 
-  /** A machine's boot, and a burst, are no reason yet. */
-  private static final long WAITS_MICROS = 90_000_000;
+  /** A shorter wait is explained by a booting machine or a burst. */
+  private static final long LONG_WAIT_MICROS = 90_000_000;
 
   /**
-   * Every job is to begin within four minutes: so long before, it goes ahead whatever the rest of
-   * its class does.
+   * Every job should start within four minutes: after this wait it is boosted even if its class and
+   * team are served.
    */
-  private static final long MAX_MICROS = 150_000_000;
+  private static final long LATE_START_MICROS = 150_000_000;
 
-  private static final double REMEMBERED_MICROS = 300e6;
+  /** Time constant of the exponential decay of the counts of started jobs. */
+  private static final double DECAY_MICROS = 300e6;
 
   /**
-   * Behind is who has begun fewer than this part of its jobs; above a half, so that it does not
-   * come to that.
+   * A class or team that has started a smaller share of its jobs is starving; above a half, so that
+   * it is boosted before it falls that low.
    */
-  private static final double LEAST_BEGUN = 0.6;
+  private static final double MIN_STARTED_SHARE = 0.6;
 
-  /** Of all processors, for work that goes ahead: who is urgent keeps at least the other half. */
-  private static final double MAX_PART = 0.5;
+  /** Of all processors, for boosted jobs: urgent work keeps at least the other half. */
+  private static final double MAX_BOOSTED_SHARE = 0.5;
 
-  /** What a class or a team has begun lately, and what of it waits for long. */
-  private static final class Tally {
-    double begun;
+  /** How many jobs of a class or a team have started lately, and how many wait for long. */
+  private static final class ServiceRecord {
+    double started;
     int waiting;
 
-    double share() {
-      return begun / (begun + waiting);
+    double startedShare() {
+      return started / (started + waiting);
     }
 
-    boolean behind() {
-      return waiting > 0 && share() < LEAST_BEGUN;
+    boolean isStarving() {
+      return waiting > 0 && startedShare() < MIN_STARTED_SHARE;
+    }
+
+    void beginUpdate(double decay) {
+      started *= decay;
+      waiting = 0;
     }
   }
 
   private final Consumer<String> log;
-  private final Map<String, Tally> classes = new HashMap<>();
-  private final Map<String, Tally> teams = new HashMap<>();
-  private Set<Job> ahead = Set.of();
-  private Set<String> behind = Set.of();
-  private long measuredMicros;
+  private final Map<String, ServiceRecord> classes = new HashMap<>();
+  private final Map<String, ServiceRecord> teams = new HashMap<>();
+  private Set<Job> boosted = Set.of();
+
+  /** Starving classes and teams by the names under which the log shows them. */
+  private Set<String> starving = Set.of();
+
+  private long updatedMicros;
 
   StarvationGuard(Consumer<String> log) {
     this.log = log;
   }
 
   /** The first task of a job has been placed. */
-  void begun(Job job) {
-    tally(classes, job.spec().jobClass()).begun++;
-    tally(teams, job.spec().team()).begun++;
+  void noteStarted(Job job) {
+    recordOf(classes, job.spec().jobClass()).started++;
+    recordOf(teams, job.spec().team()).started++;
   }
 
-  private static Tally tally(Map<String, Tally> of, String name) {
-    return of.computeIfAbsent(name, n -> new Tally());
+  private static ServiceRecord recordOf(Map<String, ServiceRecord> records, String name) {
+    return records.computeIfAbsent(name, key -> new ServiceRecord());
   }
 
   /**
-   * Whether a job goes before all others, and past what is kept for more urgent classes; limits
-   * hold for it as for all.
+   * Whether a job is served before all others, and may use what is reserved for more urgent
+   * classes. Quota limits hold for it as for all.
    */
-  boolean goesAhead(Job job) {
-    return ahead.contains(job);
+  boolean isBoosted(Job job) {
+    return boosted.contains(job);
   }
 
   /**
-   * @param cpus of all machines in use; asked for only where something waits
+   * Finds starving classes and teams and selects the jobs to be boosted, at most once a second.
+   *
+   * @param cpusInUse processors of all machines in use; computed only where something waits
    */
-  void measure(Collection<Job> open, DoubleSupplier cpus, long nowMicros) {
-    if (nowMicros < measuredMicros + EVERY_MICROS) {
+  void update(Collection<Job> openJobs, DoubleSupplier cpusInUse, long nowMicros) {
+    if (nowMicros < updatedMicros + UPDATE_INTERVAL_MICROS) {
       return;
     }
-    double fade = Math.exp(-(nowMicros - measuredMicros) / REMEMBERED_MICROS);
-    measuredMicros = nowMicros;
-    List<Map<String, Tally>> kinds = List.of(classes, teams);
-    kinds.forEach(
-        kind ->
-            kind.values()
-                .forEach(
-                    t -> {
-                      t.begun *= fade;
-                      t.waiting = 0;
-                    }));
+    double decay = Math.exp(-(nowMicros - updatedMicros) / DECAY_MICROS);
+    updatedMicros = nowMicros;
+    classes.values().forEach(record -> record.beginUpdate(decay));
+    teams.values().forEach(record -> record.beginUpdate(decay));
+    List<Job> waiting = countWaiting(openJobs, nowMicros);
+    updateStarving();
+    double maxCpus = waiting.isEmpty() ? 0 : cpusInUse.getAsDouble() * MAX_BOOSTED_SHARE;
+    selectBoosted(waiting, maxCpus, nowMicros);
+  }
+
+  private List<Job> countWaiting(Collection<Job> openJobs, long nowMicros) {
     List<Job> waiting = new ArrayList<>();
-    for (Job job : open) {
-      if (!job.begun
-          && nowMicros >= job.seenMicros + WAITS_MICROS
-          && nowMicros >= job.notBeforeMicros) {
+    for (Job job : openJobs) {
+      if (waitsForLong(job, nowMicros)) {
         waiting.add(job);
-        tally(classes, job.spec().jobClass()).waiting++;
-        tally(teams, job.spec().team()).waiting++;
+        recordOf(classes, job.spec().jobClass()).waiting++;
+        recordOf(teams, job.spec().team()).waiting++;
       }
     }
-    noteBehind();
-    choose(waiting, waiting.isEmpty() ? 0 : cpus.getAsDouble() * MAX_PART, nowMicros);
+    return waiting;
+  }
+
+  private static boolean waitsForLong(Job job, long nowMicros) {
+    return !job.begun
+        && nowMicros >= job.seenMicros + LONG_WAIT_MICROS
+        && nowMicros >= job.notBeforeMicros;
   }
 
-  private void noteBehind() {
+  private void updateStarving() {
     Set<String> now = new HashSet<>();
-    classes.forEach((name, t) -> note(now, "class " + name, t, classes));
-    teams.forEach((name, t) -> note(now, "team " + name, t, teams));
-    now.stream()
-        .filter(name -> !behind.contains(name))
-        .sorted()
-        .forEach(name -> log.accept(name + " is left behind"));
-    behind.stream()
-        .filter(name -> !now.contains(name))
-        .sorted()
-        .forEach(name -> log.accept(name + " is served again"));
-    behind = now;
+    addStarving(now, "class=", classes);
+    addStarving(now, "team=", teams);
+    logDifference(now, starving, " is starving");
+    logDifference(starving, now, " is no longer starving");
+    starving = now;
   }
 
-  /** Where nobody is served, as before the first machine is up, nobody is behind. */
-  private static void note(Set<String> now, String name, Tally t, Map<String, Tally> kind) {
-    if (t.behind()
-        && kind.values().stream().anyMatch(o -> o != t && !o.behind() && o.begun > t.begun)) {
-      now.add(name);
-    }
+  private static void addStarving(
+      Set<String> names, String prefix, Map<String, ServiceRecord> records) {
+    records.forEach(
+        (name, record) -> {
+          if (record.isStarving() && anotherIsServedBetter(record, records.values())) {
+            names.add(prefix + name);
+          }
+        });
+  }
+
+  /** Where nobody is served, as before the first machine is up, nobody is starving. */
+  private static boolean anotherIsServedBetter(
+      ServiceRecord record, Collection<ServiceRecord> records) {
+    return records.stream()
+        .anyMatch(
+            other -> other != record && !other.isStarving() && other.started > record.started);
+  }
+
+  private void logDifference(Set<String> names, Set<String> without, String message) {
+    names.stream()
+        .filter(name -> !without.contains(name))
+        .sorted()
+        .forEach(name -> log.accept(name + message));
   }
 
   /**
-   * Who goes ahead does so until it is done; others follow while there is room for them in the
-   * bound. Those that can still begin in time go first: with more work than room, oldest first
-   * would make every one of them late.
+   * A boosted job stays boosted until it is done; others follow while the bound has room for them.
+   * Those that can still start in time go first: with more work than room, oldest first would make
+   * every one of them late.
    */
-  private void choose(List<Job> waiting, double most, long nowMicros) {
-    Set<Job> next = new LinkedHashSet<>();
-    double taken = 0;
-    for (Job job : ahead) {
+  private void selectBoosted(List<Job> waiting, double maxCpus, long nowMicros) {
+    Set<Job> selected = new LinkedHashSet<>();
+    double cpus = 0;
+    for (Job job : boosted) {
       if (job.open() && job.unfinished() > 0) {
-        next.add(job);
-        taken += job.unfinished() * job.spec().cpus();
+        selected.add(job);
+        cpus += unfinishedCpus(job);
       }
     }
-    waiting.sort(Comparator.comparing((Job j) -> isLate(j, nowMicros)).thenComparing(Job::version));
+    waiting.sort(
+        Comparator.comparing((Job job) -> startsLate(job, nowMicros)).thenComparing(Job::version));
     for (Job job : waiting) {
-      if (taken >= most) {
+      if (cpus >= maxCpus) {
         break;
       }
-      if (isLate(job, nowMicros)
-          || behind.contains("class " + job.spec().jobClass())
-          || behind.contains("team " + job.spec().team())) {
-        taken += next.add(job) ? job.unfinished() * job.spec().cpus() : 0;
+      if ((startsLate(job, nowMicros) || belongsToStarving(job)) && selected.add(job)) {
+        cpus += unfinishedCpus(job);
       }
     }
-    ahead = next;
+    boosted = selected;
+  }
+
+  private boolean belongsToStarving(Job job) {
+    return starving.contains("class=" + job.spec().jobClass())
+        || starving.contains("team=" + job.spec().team());
+  }
+
+  private static double unfinishedCpus(Job job) {
+    return job.unfinished() * job.spec().cpus();
   }
 
-  private static boolean isLate(Job job, long nowMicros) {
-    return nowMicros >= job.seenMicros + MAX_MICROS;
+  private static boolean startsLate(Job job, long nowMicros) {
+    return nowMicros >= job.seenMicros + LATE_START_MICROS;
   }
 
-  /** For the leader's line of figures. */
+  /** The part of the leader's status line about starvation; empty while no job is boosted. */
   String summary() {
-    return ahead.isEmpty() && behind.isEmpty()
+    return boosted.isEmpty() && starving.isEmpty()
         ? ""
-        : ", behind " + behind + ", ahead " + ahead.size();
+        : ", starving " + starving + ", boosted jobs " + boosted.size();
   }
 }
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -10,11 +10,11 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 
-/** Who goes ahead, when, and how much of it. */
+/** Which jobs are boosted, when, and how many of them. */
 class StarvationGuardTest {
   private static final long SECOND = 1_000_000;
   private final List<String> logs = new ArrayList<>();
-  private final StarvationGuard leftBehind = new StarvationGuard(logs::add);
+  private final StarvationGuard starvationGuard = new StarvationGuard(logs::add);
   private final List<Job> open = new ArrayList<>();
   private int numbers;
 
@@ -48,74 +48,74 @@
     return job;
   }
 
-  private void begin(Job job) {
+  private void start(Job job) {
     job.begun = true;
-    leftBehind.begun(job);
+    starvationGuard.noteStarted(job);
   }
 
-  private long ahead() {
-    return open.stream().filter(leftBehind::goesAhead).count();
+  private long boosted() {
+    return open.stream().filter(starvationGuard::isBoosted).count();
   }
 
   @Example
-  void whereNobodyIsServedNobodyIsBehind() {
+  void whereNobodyIsServedNobodyIsStarving() {
     for (int i = 0; i < 5; i++) {
       job("urgent", 1, 0);
       job("low", 1, 0);
     }
-    leftBehind.measure(open, () -> 100, 120 * SECOND);
-    assertEquals(0, ahead());
+    starvationGuard.update(open, () -> 100, 120 * SECOND);
+    assertEquals(0, boosted());
     assertEquals(List.of(), logs);
   }
 
   @Example
-  void aClassBehindGetsABoundedPartUntilItIsServed() {
+  void aStarvingClassGetsABoundedShareUntilItIsServed() {
     for (int i = 0; i < 10; i++) {
-      begin(job("urgent", 1, 0));
+      start(job("urgent", 1, 0));
     }
     List<Job> low = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       low.add(job("low", 4, 0));
     }
-    leftBehind.measure(open, () -> 20, 80 * SECOND);
-    assertEquals(0, ahead(), "a burst or a boot");
-    leftBehind.measure(open, () -> 20, 100 * SECOND);
-    assertTrue(logs.contains("class low is left behind"));
-    assertEquals(3, ahead(), "three of four tasks reach half of 20 processors");
-    low.subList(0, 3).forEach(this::begin);
-    leftBehind.measure(open, () -> 20, 102 * SECOND);
-    assertEquals(3, ahead(), "these go ahead until they are done");
+    starvationGuard.update(open, () -> 20, 80 * SECOND);
+    assertEquals(0, boosted(), "a burst or a boot");
+    starvationGuard.update(open, () -> 20, 100 * SECOND);
+    assertTrue(logs.contains("class=low is starving"));
+    assertEquals(3, boosted(), "three of four tasks reach half of 20 processors");
+    low.subList(0, 3).forEach(this::start);
+    starvationGuard.update(open, () -> 20, 102 * SECOND);
+    assertEquals(3, boosted(), "these stay boosted until they are done");
     low.get(0).done.set(0, 4);
     low.get(1).done.set(0, 4);
     low.get(2).done.set(0, 4);
-    leftBehind.measure(open, () -> 20, 104 * SECOND);
-    assertEquals(3, ahead(), "the next");
-    low.subList(3, 7).forEach(this::begin);
+    starvationGuard.update(open, () -> 20, 104 * SECOND);
+    assertEquals(3, boosted(), "the next");
+    low.subList(3, 7).forEach(this::start);
     low.subList(3, 7).forEach(j -> j.done.set(0, 4));
-    leftBehind.measure(open, () -> 20, 106 * SECOND);
-    assertTrue(logs.contains("class low is served again"));
-    assertEquals(0, ahead());
+    starvationGuard.update(open, () -> 20, 106 * SECOND);
+    assertTrue(logs.contains("class=low is no longer starving"));
+    assertEquals(0, boosted());
   }
 
   @Example
-  void whatHasWaitedLongGoesAheadAfterWhatCanStillBeginInTime() {
+  void jobsThatCanStillStartInTimeAreBoostedBeforeLateOnes() {
     Job old = job("low", 1, 0);
     Job younger = job("low", 1, 70 * SECOND);
-    begin(job("low", 1, 0));
-    begin(job("low", 1, 0));
-    begin(job("low", 1, 0));
-    begin(job("urgent", 1, 0));
-    leftBehind.measure(open, () -> 2, 140 * SECOND);
-    assertEquals(0, ahead());
-    leftBehind.measure(open, () -> 2, 155 * SECOND);
-    assertTrue(leftBehind.goesAhead(old), "its class is served, but it has to begin");
+    start(job("low", 1, 0));
+    start(job("low", 1, 0));
+    start(job("low", 1, 0));
+    start(job("urgent", 1, 0));
+    starvationGuard.update(open, () -> 2, 140 * SECOND);
+    assertEquals(0, boosted());
+    starvationGuard.update(open, () -> 2, 155 * SECOND);
+    assertTrue(starvationGuard.isBoosted(old), "its class is served, but it has to start");
     for (int i = 0; i < 9; i++) {
-      begin(job("urgent", 1, 0));
+      start(job("urgent", 1, 0));
       job("low", 1, 0);
     }
     old.done.set(0);
-    leftBehind.measure(open, () -> 2, 165 * SECOND);
-    assertTrue(leftBehind.goesAhead(younger));
-    assertFalse(leftBehind.goesAhead(old));
+    starvationGuard.update(open, () -> 2, 165 * SECOND);
+    assertTrue(starvationGuard.isBoosted(younger));
+    assertFalse(starvationGuard.isBoosted(old));
   }
 }
