--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -104,8 +104,8 @@
     } catch (RuntimeException | StackOverflowError e) {
       StackTraceElement[] at = e.getStackTrace();
       sink.error(what + " failed: " + e + (at.length == 0 ? "" : " at " + at[0]));
-      if (leadership.inOffice()) {
-        leadership.giveUp("half an event was taken");
+      if (leadership.isLeader()) {
+        leadership.resign("half an event was taken");
       }
     }
   }
@@ -113,7 +113,7 @@
   private void takeWhole(Event event, long nowMicros) {
     now = nowMicros;
     replica.at(now);
-    leadership.at(now);
+    leadership.setTime(now);
     if (event instanceof Event.ReplyReceived replied) {
       sink.replied(replied.call(), replied.reply());
     } else if (event instanceof Event.HeartbeatReceived reported) {
@@ -133,7 +133,7 @@
     } else if (event instanceof Event.ReplicationReceived told) {
       // A leader that is known to have been replaced is not followed.
       boolean mayFollow =
-          leadership.follows()
+          leadership.isFollower()
               && (replica.leader() == null || told.batch().term() >= replica.leader().term());
       sink.respond(
           told.exchange(), new Answer.ReplicationAck(standby.take(told.batch(), mayFollow, now)));
@@ -165,7 +165,7 @@
     replica.tick(now);
     reach.tick(now);
     String newer = reach.newerLeader(leadership.term());
-    if (newer != null && leadership.inOffice()) {
+    if (newer != null && leadership.isLeader()) {
       leadership.deposed(
           "a peer that the state service serves follows " + newer + ", term=" + reach.newerTerm());
     }
@@ -178,7 +178,7 @@
   }
 
   private void reported(Event.HeartbeatReceived event) {
-    if (scheduler != null && leadership.inOffice()) {
+    if (scheduler != null && leadership.isLeader()) {
       scheduler.reported(event.exchange(), event.report(), event.relayed(), now);
       return;
     }
@@ -222,7 +222,7 @@
         || now < nextClaimMicros
         || record == null
         || leader == null
-        || !leadership.follows()
+        || !leadership.isFollower()
         || !standby.misses(now)
         || !standby.named(record.value())
         || StoredRecords.whole(record.value(), "epoch", 0) != leader.term()) {
@@ -251,19 +251,19 @@
   }
 
   @Override
-  public void stands() {
+  public void campaignStarted() {
     standby.stands();
   }
 
   @Override
-  public boolean anotherInSync() {
+  public boolean anotherNodeInSync() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
     return record != null && Standby.names(record.value()) && !standby.named(record.value());
   }
 
   /** Whether this node holds the office of leader. */
-  public boolean leads() {
-    return leadership.inOffice();
+  public boolean isLeader() {
+    return leadership.isLeader();
   }
 
   @Override
@@ -285,13 +285,13 @@
   }
 
   @Override
-  public void tookOffice(long term) {
+  public void leadershipGained(long term) {
     scheduler =
         new Scheduler(settings, sink, replica, leadership, membership, standby, term, random);
   }
 
   @Override
-  public void leftOffice(String why) {
+  public void leadershipLost(String why) {
     Scheduler ended = scheduler;
     scheduler = null;
     ended.close();
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -146,7 +146,7 @@
     if (now >= nextReachMicros) {
       nextReachMicros = now + REACH_EVERY_MICROS;
       if (workers.reach().outOfReach()) {
-        leadership.giveUp("most machines have not been heard for a while");
+        leadership.resign("most machines have not been heard for a while");
         return;
       }
     }
@@ -156,7 +156,7 @@
     if (heardByPeers >= HANDED_OVER) {
       // Whoever stands next hears them: sooner than by this node's patience, which is for machines
       // that are dead.
-      leadership.giveUp(
+      leadership.resign(
           "no machine reaches this node while peers hear "
               + heardByPeers
               + " of them: "
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -382,7 +382,7 @@
       calls.take(1);
       sink.call(
           request,
-          leadership.bounds().authorityEnd(),
+          leadership.bounds().leaseEndMicros(),
           reply -> {
             if (!closed) {
               callback.accept(reply);
--- a/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
@@ -71,16 +71,16 @@
   }
 
   /** The replica holds everything up to the election. */
-  public void caughtUp(int unconfirmed, boolean withPicture, long nowMicros) {
+  public void replicaCaughtUp(int unconfirmed, boolean withPicture, long nowMicros) {
     machines = unconfirmed;
     recovered = withPicture;
     caughtUpMicros = nowMicros;
     become(Phase.HEARING, nowMicros);
-    unconfirmed(unconfirmed, nowMicros);
+    unconfirmedMachines(unconfirmed, nowMicros);
   }
 
   /** So many machines have not been heard yet. */
-  public void unconfirmed(int left, long nowMicros) {
+  public void unconfirmedMachines(int left, long nowMicros) {
     if (phase != Phase.HEARING) {
       return;
     }
@@ -96,7 +96,7 @@
   }
 
   /** A first task was launched. */
-  public void launched(long nowMicros) {
+  public void taskLaunched(long nowMicros) {
     if (launchedMicros == NEVER) {
       launchedMicros = nowMicros;
     }
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -33,19 +33,19 @@
   /** What the node does when its part in leadership changes. */
   public interface Listener {
     /** This node asks to lead; nothing that it was told as a follower may change any more. */
-    void stands();
+    void campaignStarted();
 
     /**
      * Whether another controller than this one holds the last leader's picture, and so should ask
      * first.
      */
-    boolean anotherInSync();
+    boolean anotherNodeInSync();
 
     /** This node leads, in this term. */
-    void tookOffice(long term);
+    void leadershipGained(long term);
 
     /** This node does not lead any more. */
-    void leftOffice(String why);
+    void leadershipLost(String why);
   }
 
   private static final long RETRY_MICROS = 400_000;
@@ -96,25 +96,25 @@
   }
 
   /** Whether this node neither leads nor asks to. */
-  public boolean follows() {
+  public boolean isFollower() {
     return state == State.FOLLOWING;
   }
 
   /** Whether launches may be sent at this moment. */
   public boolean mayLaunch(long nowMicros) {
-    return state == State.LEADING && nowMicros < bounds.launchEnd();
+    return state == State.LEADING && nowMicros < bounds.launchEndMicros();
   }
 
   /**
    * Whether what ends work may be sent to machines: a kill or a question harms nobody, whoever
    * leads by now.
    */
-  public boolean mayEndWork(long nowMicros) {
-    return inOffice() && nowMicros < bounds.answersEnd();
+  public boolean mayKill(long nowMicros) {
+    return isLeader() && nowMicros < bounds.answerEndMicros();
   }
 
   /** Whether workers' reports may be answered. */
-  public boolean inOffice() {
+  public boolean isLeader() {
     return state == State.LEADING || state == State.FADING || state == State.CATCHING_UP;
   }
 
@@ -129,7 +129,7 @@
   }
 
   /** The time at which what is told next happened. */
-  public void at(long nowMicros) {
+  public void setTime(long nowMicros) {
     now = nowMicros;
   }
 
@@ -143,10 +143,10 @@
       case FOLLOWING -> considerStanding();
       case GRANTING, CREATING -> {}
       case LEADING -> {
-        if (now >= bounds.launchEnd()) {
+        if (now >= bounds.launchEndMicros()) {
           become(
               State.FADING,
-              now >= bounds.authorityEnd()
+              now >= bounds.leaseEndMicros()
                   ? "lease not renewed"
                   : "picture not shown to be current");
         }
@@ -158,11 +158,11 @@
         boolean begins =
             state == State.CATCHING_UP
                 && now < heldSinceMicros + settings.tuning().leaderTtlMicros();
-        if (now >= bounds.answersEnd() && !begins) {
+        if (now >= bounds.answerEndMicros() && !begins) {
           // Its lease may go on for ever while its watch hangs: then another has to lead.
           deposed(
               "picture not shown to be current for "
-                  + (now - bounds.currentMicros()) / 1000
+                  + (now - bounds.replicaCurrentMicros()) / 1000
                   + " ms: workers lose their leases, for what may have been cancelled meanwhile");
           return;
         }
@@ -174,15 +174,15 @@
 
   /** Out of FADING only by both proofs, the one of the picture sent no earlier than the renewal. */
   private void catchUp() {
-    if (state == State.FADING && heldSinceMicros > 0 && now < bounds.authorityEnd()) {
+    if (state == State.FADING && heldSinceMicros > 0 && now < bounds.leaseEndMicros()) {
       become(State.CATCHING_UP, "renewed again");
     }
-    if (state == State.CATCHING_UP && now >= bounds.authorityEnd()) {
+    if (state == State.CATCHING_UP && now >= bounds.leaseEndMicros()) {
       become(State.FADING, "lease not renewed");
     }
     if (state == State.CATCHING_UP
-        && bounds.currentMicros() >= heldSinceMicros
-        && now < bounds.launchEnd()) {
+        && bounds.replicaCurrentMicros() >= heldSinceMicros
+        && now < bounds.launchEndMicros()) {
       become(State.LEADING, "picture current");
     }
   }
@@ -192,18 +192,18 @@
     if (next == state) {
       return;
     }
-    boolean was = inOffice();
+    boolean was = isLeader();
     sink.info("leadership " + state + " -> " + next + " term=" + term + ": " + why);
     state = next;
     if (next == State.FADING) {
       heldSinceMicros = 0;
       nextTouchMicros = Math.min(nextTouchMicros, now);
     }
-    if (!was && inOffice()) {
-      listener.tookOffice(term);
-    } else if (was && !inOffice()) {
+    if (!was && isLeader()) {
+      listener.leadershipGained(term);
+    } else if (was && !isLeader()) {
       standAfterMicros = now + RETRY_MICROS;
-      listener.leftOffice(why);
+      listener.leadershipLost(why);
     }
   }
 
@@ -229,7 +229,7 @@
       return;
     }
     become(State.GRANTING, "no leader");
-    listener.stands();
+    listener.campaignStarted();
     long sentMicros = now;
     sink.call(
         new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
@@ -284,7 +284,7 @@
         new Request.LeaseRenew(lease),
         reply -> {
           touching = false;
-          if (!inOffice() || touchedTerm != term) {
+          if (!isLeader() || touchedTerm != term) {
             return;
           }
           if (reply instanceof Reply.Applied) {
@@ -309,7 +309,7 @@
    */
   private void showCurrent() {
     if (state == State.LEADING
-        && now < bounds.currentMicros() + settings.tuning().leaderRenewMicros()) {
+        && now < bounds.replicaCurrentMicros() + settings.tuning().leaderRenewMicros()) {
       return;
     }
     long sentMicros = now;
@@ -324,7 +324,7 @@
 
   /** The leader key was seen to belong to another, or a worker showed a newer token. */
   public void deposed(String why) {
-    if (inOffice()) {
+    if (isLeader()) {
       sink.call(new Request.LeaseRevoke(lease), ignored -> {});
       become(State.FOLLOWING, why);
     }
@@ -334,7 +334,7 @@
    * This node can renew its lease but is of no use, since it cannot reach the machines: another
    * may. It stands again only after a pause, so that the others get their turn.
    */
-  public void giveUp(String why) {
+  public void resign(String why) {
     deposed(why);
     standAfterMicros = now + GIVEN_UP_PAUSE_MICROS;
   }
@@ -342,20 +342,20 @@
   /** The replica's leader key changed. */
   public void leaderChanged() {
     Replica.Leader leader = replica.leader();
-    if (inOffice() && (leader == null || leader.term() != term)) {
+    if (isLeader() && (leader == null || leader.term() != term)) {
       become(
           State.FOLLOWING,
           leader == null ? "leader key dropped" : "another leads, term=" + leader.term());
     } else if (leader == null
         && state == State.FOLLOWING
         && loadedMicros != Long.MAX_VALUE
-        && (now < loadedMicros + COLD_MICROS || listener.anotherInSync())) {
+        && (now < loadedMicros + COLD_MICROS || listener.anotherNodeInSync())) {
       // A cold leader needs many times the processor time for the same reports. This changes who
       // asks first, never who may lead; and a key that is not there at the start was left by all
       // the warm ones, so then nothing waits. One that holds the last leader's picture goes before
       // both. Twice the time for which a warm one may gather changes before it learns of this one.
       boolean cold = now < loadedMicros + COLD_MICROS;
-      int pause = (int) ((cold && listener.anotherInSync() ? 4 : 2) * settings.gatherMicros());
+      int pause = (int) ((cold && listener.anotherNodeInSync() ? 4 : 2) * settings.gatherMicros());
       standAfterMicros = Math.max(standAfterMicros, now + pause + random.applyAsInt(pause));
     }
   }
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -30,18 +30,18 @@
   private static final long DRIFT_PART = 2_000;
 
   private final long leaseMicros;
-  private final long answersMicros;
+  private final long answerPeriodMicros;
   private final Replica replica;
   private long renewedMicros;
 
   LeadershipBounds(Settings settings, Replica replica) {
     long ttl = settings.tuning().leaderTtlMicros();
     this.leaseMicros = ttl - ttl / DRIFT_PART - MARGIN_MICROS;
-    this.answersMicros = Math.max(0, answersMicros(settings));
+    this.answerPeriodMicros = Math.max(0, answerPeriodMicros(settings));
     this.replica = replica;
   }
 
-  private static long answersMicros(Settings settings) {
+  private static long answerPeriodMicros(Settings settings) {
     long cancel = settings.cancelMicros();
     return cancel - settings.leaseMicros() - cancel / DRIFT_PART - ENDING_MICROS;
   }
@@ -51,7 +51,7 @@
    * long as its own lease lasts, else it would stop its workers between two renewals.
    */
   public static boolean boundsHold(Settings settings) {
-    return answersMicros(settings) >= settings.tuning().leaderTtlMicros();
+    return answerPeriodMicros(settings) >= settings.tuning().leaderTtlMicros();
   }
 
   /** The lease was granted or renewed by a request sent then. */
@@ -64,7 +64,7 @@
   }
 
   /** When the picture was last shown to be current. */
-  long currentMicros() {
+  long replicaCurrentMicros() {
     return replica.currentMicros();
   }
 
@@ -72,7 +72,7 @@
    * Until when nobody else can lead: backs what is durable or fenced, such as requests to the
    * cloud.
    */
-  public long authorityEnd() {
+  public long leaseEndMicros() {
     return renewedMicros + leaseMicros;
   }
 
@@ -81,8 +81,9 @@
    * lease may be. What was cancelled elsewhere longer ago is never started. A launch may ride in an
    * answer, so no longer than it may answer.
    */
-  public long launchEnd() {
-    return Math.min(Math.min(renewedMicros, currentMicros()) + leaseMicros, answersEnd());
+  public long launchEndMicros() {
+    return Math.min(
+        Math.min(renewedMicros, replicaCurrentMicros()) + leaseMicros, answerEndMicros());
   }
 
   /**
@@ -90,7 +91,7 @@
    * without a kill lose them, and with them the tasks of every job cancelled unknown to this node,
    * within {@code cancel_s} of the cancellation.
    */
-  public long answersEnd() {
-    return currentMicros() + answersMicros;
+  public long answerEndMicros() {
+    return replicaCurrentMicros() + answerPeriodMicros;
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
@@ -225,7 +225,7 @@
    */
   void flush() {
     boolean mayLaunch = leadership.mayLaunch(time.nowMicros()) && standby.admitsLaunches();
-    boolean mayKill = leadership.mayEndWork(time.nowMicros());
+    boolean mayKill = leadership.mayKill(time.nowMicros());
     for (Machine m : toAnswer) {
       answer(m, mayLaunch);
     }
@@ -288,7 +288,7 @@
           sink.respond(
               exchange,
               new Answer.Command(fencingToken, withLaunches(orders, launches)),
-              leadership.bounds().launchEnd());
+              leadership.bounds().launchEndMicros());
         },
         () -> {
           unlaunch(launches);
@@ -302,7 +302,9 @@
       sink.respond(exchange, new Answer.Redirect(null));
     } else {
       sink.respond(
-          exchange, new Answer.Command(fencingToken, orders), leadership.bounds().answersEnd());
+          exchange,
+          new Answer.Command(fencingToken, orders),
+          leadership.bounds().answerEndMicros());
     }
   }
 
@@ -337,7 +339,7 @@
     m.killInFlight = true;
     sink.call(
         new Request.WorkerCommands(m.address, m.fencingToken(), m.incarnation, kills),
-        leadership.bounds().answersEnd(),
+        leadership.bounds().answerEndMicros(),
         reply -> {
           m.killInFlight = false;
           if (closed || m.phase == Machine.Phase.TERMINATED) {
@@ -397,7 +399,7 @@
   /** A launch leaves, after all that it had to wait for. */
   private void leaves() {
     if (failover != null) {
-      failover.launched(time.nowMicros());
+      failover.taskLaunched(time.nowMicros());
     }
   }
 
@@ -421,7 +423,7 @@
     LeadershipBounds bounds = leadership.bounds();
     sink.call(
         request,
-        launches.isEmpty() ? bounds.answersEnd() : bounds.launchEnd(),
+        launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
           m.commandInFlight = false;
           over.run();
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -221,7 +221,7 @@
     }
     registry.follow(failover);
     dispatcher.follow(failover);
-    failover.caughtUp(registry.unconfirmedCount(), picture != null, nowMicros);
+    failover.replicaCaughtUp(registry.unconfirmedCount(), picture != null, nowMicros);
   }
 
   private void inherit(Machine m, Standby.Held held) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -103,7 +103,7 @@
     m.phase = next;
     enter(m);
     if (failover != null) {
-      failover.unconfirmed(unconfirmedCount(), time.nowMicros());
+      failover.unconfirmedMachines(unconfirmedCount(), time.nowMicros());
     }
   }
 
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -63,7 +63,7 @@
     reply(Request.StoreTxn.class, new Reply.Applied(6));
     reply(Request.StoreWatch.class, new Reply.Changed(List.of(), 6));
     core.handle(new Event.Tick(), now);
-    assertTrue(core.leads());
+    assertTrue(core.isLeader());
   }
 
   /**
@@ -79,7 +79,7 @@
   void aLeaderLeavesOfficeAndStandsAgainOnlyAfterOthersCould() {
     lead();
     core.handle(broken(1), now);
-    assertFalse(core.leads());
+    assertFalse(core.isLeader());
     taken(Request.LeaseRevoke.class);
     assertTrue(
         effects.stream()
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -106,18 +106,18 @@
             random::nextInt,
             new Leadership.Listener() {
               @Override
-              public void stands() {}
+              public void campaignStarted() {}
 
               @Override
-              public boolean anotherInSync() {
+              public boolean anotherNodeInSync() {
                 return false;
               }
 
               @Override
-              public void tookOffice(long term) {}
+              public void leadershipGained(long term) {}
 
               @Override
-              public void leftOffice(String why) {}
+              public void leadershipLost(String why) {}
             });
     workers =
         new WorkerManager(
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -152,10 +152,10 @@
     long now = 91 * SECOND;
     core.handle(new Event.Tick(), now);
     replied(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), now);
-    assertTrue(core.leads());
+    assertTrue(core.isLeader());
     long lastWord = now;
     boolean dropped = false;
-    while (core.leads() && now < 140 * SECOND) {
+    while (core.isLeader() && now < 140 * SECOND) {
       now += 100_000;
       core.handle(new Event.Tick(), now);
       for (Effect.Call call : List.copyOf(calls)) {
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -194,7 +194,7 @@
     for (LeaderBench leader : leaders) {
       leader.now = now;
       leader.replica.at(now);
-      leader.leadership.at(now);
+      leader.leadership.setTime(now);
     }
     action.run();
     if (now > worker.answeredSentMicros + newestLeader().settings.leaseMicros()) {
@@ -279,7 +279,7 @@
 
   private void deliver(InFlightHeartbeat r) {
     LeaderBench leader = leaders.get(r.leader);
-    if (!leader.leadership.inOffice()) {
+    if (!leader.leadership.isLeader()) {
       r.answer = new Answer.Redirect(null);
       r.exchange = -1;
       return;
@@ -345,7 +345,7 @@
 
   private void check() {
     LeaderBench leader = newestLeader();
-    if (!leader.leadership.inOffice()) {
+    if (!leader.leadership.isLeader()) {
       return;
     }
     Job job = leader.replica.jobs.get(JOB);
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -49,7 +49,7 @@
   }
 
   /** From whichever state of an office. */
-  private long leftOffice() {
+  private long leadershipLosses() {
     return logs.stream()
         .filter(l -> l.matches("leadership (LEADING|FADING|CATCHING_UP) -> FOLLOWING .*"))
         .count();
@@ -79,7 +79,7 @@
     SimulatedCluster day =
         play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 40 * SECOND));
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
-    assertEquals(0, leftOffice(), "a leader gives way for its machines, not for its peers");
+    assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
   }
 
   @Example
@@ -247,7 +247,7 @@
   void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
     play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
     assertTrue(logged("IN_SYNC -> STRIKING") > 0);
-    assertEquals(0, leftOffice());
+    assertEquals(0, leadershipLosses());
   }
 
   @Example
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -1011,7 +1011,7 @@
 
   int leader() {
     for (Node n : nodes) {
-      if (n.core != null && n.core.leads()) {
+      if (n.core != null && n.core.isLeader()) {
         return n.index;
       }
     }
