--- a/src/main/java/org/eiderstair/cli/LogStream.java
+++ b/src/main/java/org/eiderstair/cli/LogStream.java
@@ -10,10 +10,14 @@
  * calendars and locales, which cost a start 60 ms of processor time.
  */
 final class LogStream extends OutputStream {
-  private static final long DAY_MS = 86_400_000;
+  private static final int TIMESTAMP_LENGTH = 26;
+  private static final int SECOND_MS = 1_000;
+  private static final int MINUTE_MS = 60 * SECOND_MS;
+  private static final int HOUR_MS = 60 * MINUTE_MS;
+  private static final long DAY_MS = 24L * HOUR_MS;
 
   private final OutputStream out;
-  private boolean lineStarts = true;
+  private boolean atLineStart = true;
   private long day = -1;
   private String date;
 
@@ -31,18 +35,18 @@
     if (length == 0) {
       return;
     }
-    if (lineStarts) {
+    if (atLineStart) {
       // One write for the whole line: each is a system call, and lines of several threads must not
       // mix.
-      byte[] time = time(System.currentTimeMillis()).getBytes(StandardCharsets.US_ASCII);
-      byte[] line = new byte[time.length + length];
-      System.arraycopy(time, 0, line, 0, time.length);
-      System.arraycopy(bytes, from, line, time.length, length);
+      byte[] timestamp = timestamp(System.currentTimeMillis()).getBytes(StandardCharsets.US_ASCII);
+      byte[] line = new byte[timestamp.length + length];
+      System.arraycopy(timestamp, 0, line, 0, timestamp.length);
+      System.arraycopy(bytes, from, line, timestamp.length, length);
       out.write(line);
     } else {
       out.write(bytes, from, length);
     }
-    lineStarts = bytes[from + length - 1] == '\n';
+    atLineStart = bytes[from + length - 1] == '\n';
   }
 
   @Override
@@ -50,20 +54,21 @@
     out.flush();
   }
 
-  private String time(long millis) {
+  private String timestamp(long millis) {
     if (Math.floorDiv(millis, DAY_MS) != day) {
       day = Math.floorDiv(millis, DAY_MS);
       date = LocalDate.ofEpochDay(day).toString();
     }
-    int of = (int) Math.floorMod(millis, DAY_MS);
-    StringBuilder text = new StringBuilder(26).append(date).append('T');
-    two(text, of / 3_600_000).append(':');
-    two(text, of / 60_000 % 60).append(':');
-    two(text, of / 1000 % 60).append('.').append((char) ('0' + of / 100 % 10));
-    return two(text, of % 100).append("Z ").toString();
+    int ofDay = (int) Math.floorMod(millis, DAY_MS);
+    StringBuilder text = new StringBuilder(TIMESTAMP_LENGTH).append(date).append('T');
+    appendTwoDigits(text, ofDay / HOUR_MS).append(':');
+    appendTwoDigits(text, ofDay / MINUTE_MS % 60).append(':');
+    appendTwoDigits(text, ofDay / SECOND_MS % 60).append('.');
+    text.append((char) ('0' + ofDay / 100 % 10));
+    return appendTwoDigits(text, ofDay % 100).append("Z ").toString();
   }
 
-  private static StringBuilder two(StringBuilder text, int number) {
+  private static StringBuilder appendTwoDigits(StringBuilder text, int number) {
     return text.append((char) ('0' + number / 10)).append((char) ('0' + number % 10));
   }
 }
--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -25,6 +25,10 @@
   /** Not from the jar's manifest: reading that would open it once more at each start. */
   static final String VERSION = "0.1.0";
 
+  private static final int EXIT_SUCCESS = 0;
+  private static final int EXIT_FAILURE = 1;
+  private static final int EXIT_USAGE = 2;
+
   private static final Map<String, String> COMMANDS =
       Map.of(
           "serve", "run a controller until it is killed",
@@ -40,26 +44,28 @@
    * cannot be used.
    */
   public static void main(String[] args) {
-    noLocales();
+    disableLocaleProviders();
     setUpLogging();
-    int code;
+    System.exit(exitCode(args));
+  }
+
+  private static int exitCode(String[] args) {
     try {
-      code = run(args);
-    } catch (InvalidConfigException | ParseException | Usage e) {
+      return run(args);
+    } catch (InvalidConfigException | ParseException | UsageException e) {
       System.err.println("eiderstair: " + e.getMessage());
-      code = 2;
+      return EXIT_USAGE;
     } catch (Exception e) {
       System.err.println("eiderstair: " + e);
-      code = 1;
+      return EXIT_FAILURE;
     }
-    System.exit(code);
   }
 
   /** Arguments that cannot be used. */
-  static final class Usage extends Exception {
+  static final class UsageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Usage(String message) {
+    UsageException(String message) {
       super(message);
     }
   }
@@ -67,36 +73,37 @@
   private static int run(String[] args) throws Exception {
     if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
       help();
-      return args.length == 0 ? 2 : 0;
+      return args.length == 0 ? EXIT_USAGE : EXIT_SUCCESS;
     }
     if (args[0].equals("--version")) {
       System.out.println("eiderstair " + VERSION);
-      return 0;
+      return EXIT_SUCCESS;
     }
     String[] rest = Arrays.copyOfRange(args, 1, args.length);
-    switch (args[0]) {
-      case "serve":
-        System.setErr(
-            new PrintStream(new LogStream(new FileOutputStream(FileDescriptor.err)), false));
-        new Node(settings(rest)).join();
-        return 0;
-      case "check":
-        System.out.println("settings of " + settings(rest).settings().node() + " are good");
-        return 0;
-      case "submit":
-      case "show":
-      case "cancel":
-        return user(args[0], rest);
-      default:
-        throw new Usage("unknown command " + args[0] + "; see --help");
-    }
+    return switch (args[0]) {
+      case "serve" -> serve(rest);
+      case "check" -> check(rest);
+      case "submit", "show", "cancel" -> userCommand(args[0], rest);
+      default -> throw new UsageException("unknown command " + args[0] + "; see --help");
+    };
+  }
+
+  private static int serve(String[] args) throws Exception {
+    System.setErr(new PrintStream(new LogStream(new FileOutputStream(FileDescriptor.err)), false));
+    new Node(nodeConfig(args)).join();
+    return EXIT_SUCCESS;
+  }
+
+  private static int check(String[] args) throws Exception {
+    System.out.println("settings of " + nodeConfig(args).settings().node() + " are good");
+    return EXIT_SUCCESS;
   }
 
   private static void help() {
     System.out.println("usage: eiderstair COMMAND [options]\n");
     COMMANDS.entrySet().stream()
         .sorted(Map.Entry.comparingByKey())
-        .forEach(c -> System.out.printf("  %-10s%s%n", c.getKey(), c.getValue()));
+        .forEach(command -> System.out.printf("  %-10s%s%n", command.getKey(), command.getValue()));
     System.out.println();
     HelpFormatter formatter = new HelpFormatter();
     formatter.printHelp("serve | check", serveOptions());
@@ -136,10 +143,10 @@
     return options;
   }
 
-  private static NodeConfig settings(String[] args) throws Exception {
+  private static NodeConfig nodeConfig(String[] args) throws Exception {
     CommandLine line = new DefaultParser().parse(serveOptions(), args);
     if (!line.getArgList().isEmpty()) {
-      throw new Usage("unexpected argument " + line.getArgList().get(0));
+      throw new UsageException("unexpected argument " + line.getArgList().get(0));
     }
     String operators = line.getOptionValue("operator-config");
     return PlatformFile.read(
@@ -147,11 +154,12 @@
         operators == null ? OperatorFile.DEFAULTS : OperatorFile.read(Path.of(operators)));
   }
 
-  private static int user(String command, String[] args) throws Exception {
+  private static int userCommand(String command, String[] args) throws Exception {
     CommandLine line = new DefaultParser().parse(userOptions(), args);
     List<String> names = line.getArgList();
     if (names.size() != 1) {
-      throw new Usage(command + " takes one " + (command.equals("submit") ? "file" : "job id"));
+      throw new UsageException(
+          command + " takes one " + (command.equals("submit") ? "file" : "job id"));
     }
     try (UserClient client = new UserClient(line.getOptionValue("node"))) {
       return switch (command) {
@@ -167,7 +175,7 @@
    * that the JVM knows: that took a fifth of all bytecodes that a controller interprets until it
    * leads. Without providers there is only the root.
    */
-  private static void noLocales() {
+  private static void disableLocaleProviders() {
     System.setProperty("java.locale.providers", "SPI");
   }
 
--- a/src/main/java/org/eiderstair/cli/UserClient.java
+++ b/src/main/java/org/eiderstair/cli/UserClient.java
@@ -16,6 +16,7 @@
 /** The commands for users: one request each, its answer printed as JSON. */
 final class UserClient implements AutoCloseable {
   private static final long TIMEOUT_S = 5;
+  private static final int FIRST_REDIRECT_STATUS = 300;
 
   private final HttpClient http = new HttpClient();
   private final String base;
@@ -49,7 +50,7 @@
             + " "
             + new ObjectMapper()
                 .writeValueAsString(MessagePackCodec.readMap(response.getContent())));
-    return response.getStatus() < 300 ? 0 : 1;
+    return response.getStatus() < FIRST_REDIRECT_STATUS ? 0 : 1;
   }
 
   @Override
--- /dev/null
+++ b/src/main/java/org/eiderstair/config/HostAndPort.java
@@ -0,0 +1,29 @@
+package org.eiderstair.config;
+
+import java.util.Optional;
+
+/** An address of the form {@code host:port}. */
+record HostAndPort(String host, int port) {
+  private static final int MAX_PORT = 65_535;
+
+  /** Empty when the text is no such address. */
+  static Optional<HostAndPort> parse(String text) {
+    int colon = text.lastIndexOf(':');
+    if (colon <= 0) {
+      return Optional.empty();
+    }
+    try {
+      int port = Integer.parseInt(text.substring(colon + 1));
+      return port <= MAX_PORT
+          ? Optional.of(new HostAndPort(text.substring(0, colon), port))
+          : Optional.empty();
+    } catch (NumberFormatException e) {
+      return Optional.empty();
+    }
+  }
+
+  @Override
+  public String toString() {
+    return host + ":" + port;
+  }
+}
--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -14,17 +14,29 @@
 public final class OperatorFile {
   public static final Settings.Tuning DEFAULTS = Settings.Tuning.defaults();
 
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  private static final String TOKEN_LIST_SIZE = "token_list_size";
+  private static final String MACHINE_QUEUE = "machine_queue";
+  private static final String LEADER_TTL_S = "leader_ttl_s";
+  private static final String LEADER_RENEW_S = "leader_renew_s";
+  private static final String UNHEARD_DELETE_S = "unheard_delete_s";
+  private static final String DARK_DELETE_S = "dark_delete_s";
+  private static final String IDLE_RETURN_S = "idle_return_s";
+  private static final String RENT_BATCH = "rent_batch";
+  private static final String STANDBYS = "standbys";
+
   private static final Set<String> KNOWN =
       Set.of(
-          "token_list_size",
-          "machine_queue",
-          "leader_ttl_s",
-          "leader_renew_s",
-          "unheard_delete_s",
-          "dark_delete_s",
-          "idle_return_s",
-          "rent_batch",
-          "standbys");
+          TOKEN_LIST_SIZE,
+          MACHINE_QUEUE,
+          LEADER_TTL_S,
+          LEADER_RENEW_S,
+          UNHEARD_DELETE_S,
+          DARK_DELETE_S,
+          IDLE_RETURN_S,
+          RENT_BATCH,
+          STANDBYS);
 
   private final Path file;
   private final Map<String, Object> values;
@@ -36,58 +48,75 @@
 
   /** Reads and checks the file; settings that it does not have keep their defaults. */
   public static Settings.Tuning read(Path file) throws InvalidConfigException {
+    OperatorFile settings = new OperatorFile(file, parse(file));
+    settings.refuseUnknown();
+    Settings.Tuning tuning = settings.tuning();
+    if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
+      throw settings.invalid(LEADER_RENEW_S, "must be at most half of leader_ttl_s");
+    }
+    return tuning;
+  }
+
+  private static Map<String, Object> parse(Path file) throws InvalidConfigException {
     Map<String, Object> values = new HashMap<>();
     try {
       new HCLParser()
           .parse(Files.readString(file))
           .forEach((name, value) -> values.put(name.toString(), value));
     } catch (HCLParserException | RuntimeException e) {
-      throw new InvalidConfigException(file + ": not HCL: " + e.getMessage());
+      throw new InvalidConfigException(file.toString(), "not HCL: " + e.getMessage());
     } catch (IOException e) {
-      throw new InvalidConfigException(file + ": cannot be read: " + e.getMessage());
+      throw new InvalidConfigException(file.toString(), "cannot be read: " + e.getMessage());
     }
+    return values;
+  }
+
+  private void refuseUnknown() throws InvalidConfigException {
     for (String name : values.keySet()) {
       if (!KNOWN.contains(name)) {
-        throw new InvalidConfigException(file + ": " + name + ": unknown setting");
+        throw invalid(name, "unknown setting");
       }
     }
-    OperatorFile f = new OperatorFile(file, values);
-    Settings.Tuning d = DEFAULTS;
-    Settings.Tuning tuning =
-        new Settings.Tuning(
-            (int) f.number("token_list_size", 1, 100_000, d.tokenListSize()),
-            (int) f.number("machine_queue", 0, 100, d.machineQueue()),
-            f.micros("leader_ttl_s", 1, 600, d.leaderTtlMicros()),
-            f.micros("leader_renew_s", 0.1, 200, d.leaderRenewMicros()),
-            f.micros("unheard_delete_s", 1, 3600, d.unheardDeleteMicros()),
-            f.micros("dark_delete_s", 1, 3600, d.darkDeleteMicros()),
-            f.micros("idle_return_s", 0, 86_400, d.idleReturnMicros()),
-            (int) f.number("rent_batch", 1, 50, d.rentBatch()),
-            (int) f.number("standbys", 0, 1, d.standbys()));
-    if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
-      throw new InvalidConfigException(
-          file + ": leader_renew_s: must be at most half of leader_ttl_s");
-    }
-    return tuning;
   }
 
-  private double number(String name, double least, double most, double otherwise)
+  private Settings.Tuning tuning() throws InvalidConfigException {
+    return new Settings.Tuning(
+        count(TOKEN_LIST_SIZE, 1, 100_000, DEFAULTS.tokenListSize()),
+        count(MACHINE_QUEUE, 0, 100, DEFAULTS.machineQueue()),
+        micros(LEADER_TTL_S, 1, 600, DEFAULTS.leaderTtlMicros()),
+        micros(LEADER_RENEW_S, 0.1, 200, DEFAULTS.leaderRenewMicros()),
+        micros(UNHEARD_DELETE_S, 1, 3600, DEFAULTS.unheardDeleteMicros()),
+        micros(DARK_DELETE_S, 1, 3600, DEFAULTS.darkDeleteMicros()),
+        micros(IDLE_RETURN_S, 0, 86_400, DEFAULTS.idleReturnMicros()),
+        count(RENT_BATCH, 1, 50, DEFAULTS.rentBatch()),
+        count(STANDBYS, 0, 1, DEFAULTS.standbys()));
+  }
+
+  private double number(String name, double min, double max, double defaultValue)
       throws InvalidConfigException {
     Object value = values.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (value instanceof Number number
-        && number.doubleValue() >= least
-        && number.doubleValue() <= most) {
+        && number.doubleValue() >= min
+        && number.doubleValue() <= max) {
       return number.doubleValue();
     }
-    throw new InvalidConfigException(
-        file + ": " + name + ": not a number from " + least + " to " + most);
+    throw invalid(name, "not a number from " + min + " to " + max);
   }
 
-  private long micros(String name, double least, double most, long otherwise)
+  private int count(String name, int min, int max, int defaultValue) throws InvalidConfigException {
+    return (int) number(name, min, max, defaultValue);
+  }
+
+  private long micros(String name, double min, double max, long defaultMicros)
       throws InvalidConfigException {
-    return Math.round(number(name, least, most, otherwise / 1e6) * 1e6);
+    return Math.round(
+        number(name, min, max, defaultMicros / MICROS_PER_SECOND) * MICROS_PER_SECOND);
+  }
+
+  private InvalidConfigException invalid(String name, String problem) {
+    return new InvalidConfigException(file + ": " + name, problem);
   }
 }
--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -1,15 +1,5 @@
 package org.eiderstair.config;
 
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.JsonToken;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import com.fasterxml.jackson.dataformat.toml.TomlFactory;
-import java.io.IOException;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -20,213 +10,138 @@
 
 /** Reads the settings file that the platform hands over. Fields it does not know are ignored. */
 public final class PlatformFile {
-  private PlatformFile() {}
+  private final SettingsTable root;
+  private final SettingsTable settings;
+  private final SettingsTable workers;
+  private final SettingsTable state;
+  private final SettingsTable cloud;
+  private final SettingsTable resources;
+  private final SettingsTable endpoints;
+  private final Settings.Tuning tuning;
+
+  private PlatformFile(SettingsTable root, Settings.Tuning tuning) throws InvalidConfigException {
+    this.root = root;
+    this.settings = root.table("settings");
+    this.workers = settings.table("workers");
+    this.state = settings.table("state");
+    this.cloud = settings.table("cloud");
+    this.resources = settings.optionalTable("resources");
+    this.endpoints = root.table("endpoints");
+    this.tuning = tuning;
+  }
 
   /** Reads and checks the file; the exception's message names the field that is wrong. */
   public static NodeConfig read(Path file, Settings.Tuning tuning) throws InvalidConfigException {
-    JsonNode root;
-    try (JsonParser parser = new TomlFactory().createParser(Files.readString(file))) {
-      root = tree(parser);
-    } catch (JsonProcessingException e) {
-      throw new InvalidConfigException(file + ": not TOML: " + e.getOriginalMessage());
-    } catch (IOException e) {
-      throw new InvalidConfigException(file + ": cannot be read: " + e.getMessage());
-    }
-    JsonNode settings = table(root, "settings");
-    JsonNode workers = table(settings, "settings.workers", "workers");
-    JsonNode state = table(settings, "settings.state", "state");
-    JsonNode cloud = table(settings, "settings.cloud", "cloud");
-    JsonNode resources = settings.path("resources");
-    JsonNode endpoints = table(root, "endpoints");
-    List<String> peers = new ArrayList<>();
-    Map<String, String> nodeZones = new LinkedHashMap<>();
-    nodeZones.put(root.path("node").asText(""), root.path("domain").asText(""));
-    Map<String, String> peerAddresses = new LinkedHashMap<>();
-    for (JsonNode peer : root.path("others")) {
-      String name = text(peer, "others.node", "node");
-      peers.add(name);
-      nodeZones.put(name, peer.path("domain").asText(""));
-      peerAddresses.put(name, address(peer, "others.address", "address"));
-    }
-    List<String> zones = new ArrayList<>();
-    settings.path("zones").forEach(z -> zones.add(z.asText()));
-    if (zones.isEmpty()) {
-      throw new InvalidConfigException("settings.zones: missing or empty");
-    }
-    long lease = micros(workers, "settings.workers.lease_s", "lease_s");
-    long cancel = micros(workers, "settings.workers.cancel_s", "cancel_s");
-    Settings core =
-        new Settings(
-            text(root, "node", "node"),
-            peers,
-            zones,
-            teams(settings),
-            objectives(settings),
-            micros(workers, "settings.workers.report_s", "report_s"),
-            lease,
-            cancel,
-            positive(state, "settings.state.rps", "rps"),
-            positive(state, "settings.state.write_rps", "write_rps"),
-            (int) positive(state, "settings.state.txn_ops", "txn_ops"),
-            positive(cloud, "settings.cloud.rps", "rps"),
-            tuning,
-            nodeZones,
-            resources.path("cpu").asDouble(0));
+    return new PlatformFile(SettingsTable.root(TomlTree.read(file)), tuning).nodeConfig();
+  }
+
+  private NodeConfig nodeConfig() throws InvalidConfigException {
+    Map<String, String> peerAddresses = peerAddresses();
+    Settings core = coreSettings(List.copyOf(peerAddresses.keySet()));
+    requireCancellationBounds(core);
+    HostAndPort bind = root.address("bind");
+    HostAndPort peerBind = root.address("peer_bind");
+    return new NodeConfig(
+        core,
+        bind.host(),
+        bind.port(),
+        peerBind.host(),
+        peerBind.port(),
+        endpoints.address("state").toString(),
+        endpoints.address("cloud").toString(),
+        peerAddresses,
+        resources.optionalCount("max_connections"));
+  }
+
+  private Settings coreSettings(List<String> peers) throws InvalidConfigException {
+    List<String> zones = zones();
+    long leaseMicros = workers.positiveMicros("lease_s");
+    long cancelMicros = workers.positiveMicros("cancel_s");
+    return new Settings(
+        root.text("node"),
+        peers,
+        zones,
+        teams(),
+        objectives(),
+        workers.positiveMicros("report_s"),
+        leaseMicros,
+        cancelMicros,
+        state.positive("rps"),
+        state.positive("write_rps"),
+        (int) state.positive("txn_ops"),
+        cloud.positive("rps"),
+        tuning,
+        nodeZones(),
+        resources.optionalNumber("cpu"));
+  }
+
+  /** Cancelled work must end in time by the leases alone, whatever cannot be reached. */
+  private void requireCancellationBounds(Settings core) throws InvalidConfigException {
     if (!LeadershipBounds.boundsHold(core)) {
-      throw new InvalidConfigException(
-          "settings.workers.cancel_s: must be longer than lease_s by leader_ttl_s (now "
+      throw workers.invalid(
+          "cancel_s",
+          "must be longer than lease_s by leader_ttl_s (now "
               + tuning.leaderTtlMicros() / 1e6
               + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
     }
-    String bind = address(root, "bind", "bind");
-    String peerBind = address(root, "peer_bind", "peer_bind");
-    return new NodeConfig(
-        core,
-        host(bind),
-        port(bind),
-        host(peerBind),
-        port(peerBind),
-        address(endpoints, "endpoints.state", "state"),
-        address(endpoints, "endpoints.cloud", "cloud"),
-        peerAddresses,
-        resources.path("max_connections").asInt(0));
   }
 
-  /**
-   * The library's parser has the whole tree already; a mapper would only be set up to hand it over.
-   */
-  private static JsonNode tree(JsonParser parser) throws IOException {
-    parser.nextToken();
-    return node(parser);
+  /** The other controllers' addresses by their names, in the order of the file. */
+  private Map<String, String> peerAddresses() throws InvalidConfigException {
+    Map<String, String> addresses = new LinkedHashMap<>();
+    for (SettingsTable peer : root.tables("others")) {
+      addresses.put(peer.text("node"), peer.address("address").toString());
+    }
+    return addresses;
+  }
+
+  /** Each controller's zone, this one's included; empty text where it is not given. */
+  private Map<String, String> nodeZones() throws InvalidConfigException {
+    Map<String, String> nodeZones = new LinkedHashMap<>();
+    nodeZones.put(root.optionalText("node"), root.optionalText("domain"));
+    for (SettingsTable peer : root.tables("others")) {
+      nodeZones.put(peer.text("node"), peer.optionalText("domain"));
+    }
+    return nodeZones;
   }
 
-  private static JsonNode node(JsonParser parser) throws IOException {
-    JsonNodeFactory make = JsonNodeFactory.instance;
-    switch (parser.currentToken()) {
-      case START_OBJECT:
-        ObjectNode table = make.objectNode();
-        while (parser.nextToken() != JsonToken.END_OBJECT) {
-          String name = parser.currentName();
-          parser.nextToken();
-          table.set(name, node(parser));
-        }
-        return table;
-      case START_ARRAY:
-        ArrayNode list = make.arrayNode();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-          list.add(node(parser));
-        }
-        return list;
-      case VALUE_NUMBER_INT:
-      case VALUE_NUMBER_FLOAT:
-        return make.numberNode(parser.getDoubleValue());
-      case VALUE_TRUE:
-      case VALUE_FALSE:
-        return make.booleanNode(parser.getBooleanValue());
-      default:
-        return make.textNode(parser.getText());
+  private List<String> zones() throws InvalidConfigException {
+    List<String> zones = settings.texts("zones");
+    if (zones.isEmpty()) {
+      throw settings.invalid("zones", "missing or empty");
     }
+    return zones;
   }
 
-  private static Map<String, Settings.Team> teams(JsonNode settings) throws InvalidConfigException {
+  private Map<String, Settings.Team> teams() throws InvalidConfigException {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    for (JsonNode t : settings.path("teams")) {
-      String name = text(t, "settings.teams.name", "name");
+    for (SettingsTable team : settings.tables("teams")) {
+      String name = team.text("name");
       teams.put(
           name,
           new Settings.Team(
               name,
-              amount(t, "settings.teams.cpus", "cpus"),
-              amount(t, "settings.teams.cpus_max", "cpus_max"),
-              amount(t, "settings.teams.gpus", "gpus"),
-              amount(t, "settings.teams.gpus_max", "gpus_max")));
+              team.amount("cpus"),
+              team.amount("cpus_max"),
+              team.amount("gpus"),
+              team.amount("gpus_max")));
     }
     if (teams.isEmpty()) {
-      throw new InvalidConfigException("settings.teams: missing or empty");
+      throw settings.invalid("teams", "missing or empty");
     }
     return teams;
   }
 
-  private static List<Settings.Objective> objectives(JsonNode settings) {
+  private List<Settings.Objective> objectives() {
     List<Settings.Objective> objectives = new ArrayList<>();
-    for (JsonNode o : settings.path("objectives")) {
+    for (SettingsTable objective : settings.tables("objectives")) {
       objectives.add(
           new Settings.Objective(
-              o.path("kind").asText(""),
-              o.path("class").asText(""),
-              Math.round(o.path("within_s").asDouble(0) * 1e6),
-              o.path("share").asDouble(0)));
+              objective.optionalText("kind"),
+              objective.optionalText("class"),
+              objective.optionalMicros("within_s"),
+              objective.optionalNumber("share")));
     }
     return objectives;
   }
-
-  private static JsonNode table(JsonNode parent, String name) throws InvalidConfigException {
-    return table(parent, name, name);
-  }
-
-  private static JsonNode table(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    JsonNode node = parent.path(name);
-    if (!node.isObject()) {
-      throw new InvalidConfigException(where + ": missing or not a table");
-    }
-    return node;
-  }
-
-  private static String text(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    JsonNode node = parent.path(name);
-    if (!node.isTextual() || node.asText().isEmpty()) {
-      throw new InvalidConfigException(where + ": missing or not text");
-    }
-    return node.asText();
-  }
-
-  private static double amount(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    JsonNode node = parent.path(name);
-    if (node.isMissingNode()) {
-      return 0;
-    }
-    if (!node.isNumber() || !(node.asDouble() >= 0) || node.asDouble() > 1e9) {
-      throw new InvalidConfigException(where + ": not an amount");
-    }
-    return node.asDouble();
-  }
-
-  private static double positive(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    double amount = amount(parent, where, name);
-    if (amount <= 0) {
-      throw new InvalidConfigException(where + ": missing or not above 0");
-    }
-    return amount;
-  }
-
-  private static long micros(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    return Math.round(positive(parent, where, name) * 1e6);
-  }
-
-  private static String address(JsonNode parent, String where, String name)
-      throws InvalidConfigException {
-    String address = text(parent, where, name);
-    int colon = address.lastIndexOf(':');
-    try {
-      if (colon > 0 && Integer.parseInt(address.substring(colon + 1)) <= 65535) {
-        return address;
-      }
-    } catch (NumberFormatException e) {
-      // Told below, with the field's name.
-    }
-    throw new InvalidConfigException(where + ": not an address of the form host:port");
-  }
-
-  private static String host(String address) {
-    return address.substring(0, address.lastIndexOf(':'));
-  }
-
-  private static int port(String address) {
-    return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
-  }
 }
