--- /dev/null
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -0,0 +1,36 @@
+package org.eiderstair.compatibility;
+
+import java.util.List;
+import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.jobs.JobService;
+import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.state.StoredRecords;
+
+/** The write with which a submission creates its job. */
+final class CreatedJob {
+  static final long AT_MICROS = 3_000_000;
+
+  private static final MachineType LARGE =
+      new MachineType("g8", 64, 8, 512, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
+
+  private CreatedJob() {}
+
+  static Request.Write write(JobSpec spec) {
+    LeaderBench bench = new LeaderBench();
+    bench.replica.tick(bench.now);
+    Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+    Reply.Item catalog =
+        new Reply.Item(StoredRecords.CATALOG, StoredRecords.catalog(List.of(LARGE)), 2);
+    bench.sink.replied(list.call(), new Reply.Listed(List.of(catalog), false, 2));
+    JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
+    service.tick(AT_MICROS);
+    bench.effects.clear();
+    service.submit(1, spec.id(), spec, null);
+    Effect.Call call = (Effect.Call) bench.effects.get(0);
+    return ((Request.StoreTxn) call.request()).writes().get(0);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
@@ -0,0 +1,124 @@
+package org.eiderstair.compatibility;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.provisioning.RentalOption;
+
+/** What a leader writes of rentals and returns, in the order of its writes. */
+final class ProvisioningWrites {
+  static final RentalOption SPOT = new RentalOption("g8", "a", true);
+  static final RentalOption RELIABLE = new RentalOption("c4", "b", false);
+  static final List<String> NAMES =
+      List.of(
+          "provisioning-1:e/duty/rent/r-70-1",
+          "provisioning-2:e/duty/rent/r-70-2",
+          "provisioning-3:e/duty/rent/r-70-1",
+          "provisioning-4:e/duty/leave/70-3",
+          "provisioning-5:e/duty/leave/70-3");
+
+  private ProvisioningWrites() {}
+
+  /**
+   * Keeps what is written, and grants three machines to the first rental and none yet to others.
+   */
+  static final class Host implements ProvisioningController.Host {
+    final List<Request.Write> writes = new ArrayList<>();
+    final List<Runnable> durable = new ArrayList<>();
+    final List<String> errors = new ArrayList<>();
+    final List<String> booting = new ArrayList<>();
+
+    @Override
+    public void put(String key, Map<String, Object> value, Runnable whenDurable) {
+      writes.add(new Request.Write(key, value, 0));
+      durable.add(whenDurable);
+    }
+
+    @Override
+    public void drop(String key, Runnable whenDurable) {
+      writes.add(new Request.Write(key, null, 0));
+    }
+
+    @Override
+    public boolean mayCall() {
+      return true;
+    }
+
+    @Override
+    public void rent(
+        String charter,
+        RentalOption offer,
+        int count,
+        Consumer<ProvisioningController.Rental> callback) {
+      if (offer.equals(SPOT)) {
+        callback.accept(
+            new ProvisioningController.Rental(
+                ProvisioningController.Rental.Outcome.GRANTED, List.of("m-1", "m-2", "m-3"), ""));
+      }
+    }
+
+    @Override
+    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> callback) {}
+
+    @Override
+    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
+      booting.addAll(machines);
+    }
+
+    @Override
+    public void shortOf(RentalOption offer, String why) {}
+
+    @Override
+    public void gone(String machine) {}
+
+    @Override
+    public void kept(String machine) {}
+
+    @Override
+    public boolean onRoster(String machine) {
+      return machine.equals("m-1");
+    }
+
+    @Override
+    public boolean isTerminated(String machine) {
+      return false;
+    }
+
+    @Override
+    public void info(String text) {}
+
+    @Override
+    public void error(String text) {
+      errors.add(text);
+    }
+  }
+
+  static List<Request.Write> make() {
+    Host host = new Host();
+    ProvisioningController controller =
+        new ProvisioningController(host, 70, 1, 1_764_670_000_000_000L);
+    resume(controller, new TreeMap<>(), 1_000_000);
+    controller.rent(SPOT, 3);
+    controller.rent(RELIABLE, 1);
+    host.durable.get(0).run();
+    controller.tick(2_000_000);
+    controller.giveBack("m-7");
+    controller.giveBack("m-8");
+    controller.tick(3_000_000);
+    controller.takeBack("m-7");
+    return host.writes;
+  }
+
+  static void resume(
+      ProvisioningController controller, SortedMap<String, Reply.Item> items, long nowMicros) {
+    TreeMap<String, Map<String, Object>> values = new TreeMap<>();
+    items.forEach((key, item) -> values.put(key, item.value()));
+    controller.resume(values, nowMicros);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -0,0 +1,104 @@
+package org.eiderstair.compatibility;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.standby.Standby;
+
+/** What is written about the standby: that it is in sync, that nobody is, that it took over. */
+final class StandbyWrites {
+  private static final long TERM = 70;
+  private static final List<ReplicationBatch.Change> CHANGES =
+      List.of(new ReplicationBatch.Change(true, "m-1", 3, "job-1", 0, 2));
+
+  private StandbyWrites() {}
+
+  /** A leader whose one peer acknowledges all, while the state service answers as the test says. */
+  private static final class Host implements Standby.Host {
+    final List<Request.Write> writes = new ArrayList<>();
+    boolean acknowledges = true;
+    Reply.Item stored;
+    boolean claimed;
+
+    @Override
+    public boolean whole() {
+      return true;
+    }
+
+    @Override
+    public void snapshot(Consumer<ReplicationBatch.Change> each) {
+      CHANGES.forEach(each);
+    }
+
+    @Override
+    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
+      callback.accept(acknowledges ? new ReplicationBatch.Ack("run-b", true, batch.last()) : null);
+    }
+
+    @Override
+    public void write(long version, Map<String, Object> value, LongConsumer callback) {
+      writes.add(new Request.Write(Standby.RECORD, value, 0));
+      callback.accept(stored == null ? version + 1 : -1);
+    }
+
+    @Override
+    public void read(BiConsumer<Long, Map<String, Object>> callback) {
+      callback.accept(stored.version(), stored.value());
+    }
+
+    @Override
+    public void claimed() {
+      claimed = true;
+    }
+
+    @Override
+    public void info(String text) {}
+  }
+
+  static List<Request.Write> make() {
+    Standby leader = new Standby("a", "run-a", text -> {});
+    Host host = new Host();
+    leader.leads(host, TERM, List.of("b"), 0);
+    for (int i = 1; i <= 5; i++) {
+      leader.tick(i * 5_000_000L);
+    }
+    host.acknowledges = false;
+    leader.tick(30_000_000);
+    List<Request.Write> writes = new ArrayList<>(host.writes);
+    writes.add(new Request.Write(Standby.RECORD, Standby.claim(host.writes.get(0).value()), 0));
+    return writes;
+  }
+
+  static Map<String, Object> value(Reply.Item item) {
+    return item.value();
+  }
+
+  /** Whether a leader that reads this record leaves office. */
+  static boolean endsTheTerm(Reply.Item item) {
+    Host host = new Host();
+    host.stored = item;
+    Standby leader = new Standby("a", "run-a", text -> {});
+    leader.leads(host, TERM, List.of("b"), 9);
+    leader.tick(1_000_000);
+    return host.claimed;
+  }
+
+  /** A peer that holds all that the leader of the term told. */
+  static final class Follower {
+    private final Standby standby = new Standby("b", "run-b", text -> {});
+
+    Follower() {
+      standby.take(new ReplicationBatch(TERM, 1, 1, false, CHANGES), true, 0);
+    }
+
+    Map<String, Standby.Held> inherit(Reply.Item item) {
+      return standby.inherit(90, 90, item.value());
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -0,0 +1,265 @@
+package org.eiderstair.compatibility;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import net.jqwik.api.Example;
+import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
+import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.protocol.MalformedMessageException;
+import org.eiderstair.protocol.MessagePackCodec;
+import org.eiderstair.protocol.StoreMessages;
+
+/**
+ * Every value that is kept in the state service: written in the bytes in which version 0.1.0 wrote
+ * it, and read from them.
+ */
+class StoredValueCompatibilityTest {
+  private static final RecordedBytes RECORDED = RecordedBytes.load("stored-values.hex");
+  private static final long DAY = 1_764_670_000_000_000L;
+  private static final List<MachineType> CATALOG =
+      List.of(
+          new MachineType("g8", 8, 4, 32.5, 10, 0.4, 1.25, 0.3, 30_000_000, List.of("a", "b")),
+          new MachineType("c4", 64, 0, 256, 100, 1, 3, 0, 0, List.of()));
+
+  private static byte[] written(Request.Write write) {
+    return StoreMessages.txn(new Request.StoreTxn(List.of(), List.of(write)));
+  }
+
+  /** The transactions of a leader's writer, with all that was to be written. */
+  private static List<Request.StoreTxn> leaderTransactions() {
+    LeaderBench bench = new LeaderBench();
+    StateWriter.Listener listener =
+        new StateWriter.Listener() {
+          @Override
+          public void jobFinished(Job job) {}
+
+          @Override
+          public void workerRegistered(String machine) {}
+        };
+    StateWriter writer =
+        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, listener);
+    Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
+    finished.progressVersion = 4;
+    writer.finished(finished);
+    Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
+    progressed.done.set(0, 6);
+    progressed.done.set(9);
+    writer.progressed(progressed);
+    Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
+    for (int i = 0; i < 1000; i += 2) {
+      scattered.done.set(i);
+    }
+    writer.progressed(scattered);
+    writer.progressed(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
+    for (boolean spot : new boolean[] {true, false}) {
+      Machine machine =
+          new Machine(spot ? "i-1" : "i-2", LeaderBench.TERM, Machine.Phase.CONFIRMED, 0);
+      machine.address = "10.0.0.1:80";
+      machine.typeName = "t";
+      machine.zone = spot ? "a" : null;
+      machine.spot = spot;
+      writer.register(machine);
+    }
+    List<Request.StoreTxn> transactions = new ArrayList<>();
+    bench.effects.clear();
+    writer.tick(10_000_000);
+    Effect.Call lost = (Effect.Call) bench.effects.remove(0);
+    transactions.add((Request.StoreTxn) lost.request());
+    bench.sink.replied(lost.call(), new Reply.NoResponse("timeout"));
+    writer.tick(11_000_000);
+    transactions.add((Request.StoreTxn) ((Effect.Call) bench.effects.remove(0)).request());
+    return transactions;
+  }
+
+  private static List<Request.Write> samples() {
+    List<Request.Write> writes = new ArrayList<>();
+    writes.add(
+        new Request.Write(
+            StoredRecords.LEADER, StoredRecords.leader("n1", 1L << 40, "run-7"), 1L << 40));
+    writes.add(new Request.Write(StoredRecords.CATALOG, StoredRecords.catalog(CATALOG), 0));
+    writes.add(new Request.Write(StoredRecords.CATALOG, StoredRecords.catalog(List.of()), 0));
+    for (JobSpec spec : specs()) {
+      String key = StoredRecords.jobKey(spec.id());
+      writes.add(new Request.Write(key, StoredRecords.openJob(spec), 0));
+      writes.add(new Request.Write(key, StoredRecords.cancelledJob(spec, 2, DAY), 0));
+    }
+    writes.add(
+        new Request.Write(
+            "e/prog/job-1", StoredRecords.progress(new BitSet(), Integer.MAX_VALUE), 0));
+    return writes;
+  }
+
+  private static List<JobSpec> specs() {
+    return List.of(
+        SampleSpecs.plain("job-1"),
+        SampleSpecs.full("job-2"),
+        SampleSpecs.other("job-3", JobSpec.Priority.HIGH, List.of(), "a"),
+        SampleSpecs.other("job-4", JobSpec.Priority.LOW, List.of("t"), null));
+  }
+
+  private static Map<String, byte[]> allWritten() {
+    Map<String, byte[]> all = new LinkedHashMap<>();
+    int number = 0;
+    for (Request.Write write : samples()) {
+      all.put("sample-" + ++number + ":" + write.key(), written(write));
+    }
+    Request.Write created = CreatedJob.write(SampleSpecs.full("job-9"));
+    all.put("created:" + created.key(), written(created));
+    number = 0;
+    for (Request.StoreTxn transaction : leaderTransactions()) {
+      all.put("transaction-" + ++number, StoreMessages.txn(transaction));
+    }
+    number = 0;
+    for (Request.Write write : ProvisioningWrites.make()) {
+      all.put("provisioning-" + ++number + ":" + write.key(), written(write));
+    }
+    number = 0;
+    for (Request.Write write : StandbyWrites.make()) {
+      all.put("standby-" + ++number + ":" + write.key(), written(write));
+    }
+    return all;
+  }
+
+  @Example
+  void everyStoredValueIsWrittenInTheRecordedBytes() {
+    RECORDED.assertWrittenAlike(allWritten());
+  }
+
+  /** The values of a recorded transaction as the state service gives them back. */
+  private static List<Reply.Item> read(String name, long version) throws MalformedMessageException {
+    List<Object> entries = new ArrayList<>();
+    for (Object write : (List<?>) MessagePackCodec.readMap(RECORDED.get(name)).get("Writes")) {
+      Map<?, ?> fields = (Map<?, ?>) write;
+      if (fields.get("Put") != null) {
+        entries.add(Map.of("K", fields.get("Put"), "Data", fields.get("Data"), "Stamp", version));
+      }
+    }
+    byte[] page =
+        MessagePackCodec.write(
+            Map.of("Entries", entries, "LedgerRev", version, "Truncated", false));
+    return ((Reply.Listed) StoreMessages.listed(MessagePackCodec.readMap(page))).items();
+  }
+
+  private static Replica replicaOf(String... names) throws MalformedMessageException {
+    Replica replica = new LeaderBench().replica;
+    long version = 10;
+    for (String name : names) {
+      read(name, ++version).forEach(replica::apply);
+    }
+    return replica;
+  }
+
+  @Example
+  void theLeaderAndTheCatalogAreRead() throws MalformedMessageException {
+    Replica replica = replicaOf("sample-1:e/leader", "sample-3:e/catalog", "sample-2:e/catalog");
+    assertEquals(new Replica.Leader("n1", "run-7", 1L << 40, 11), replica.leader());
+    assertEquals(CATALOG, replica.catalog());
+    assertEquals(13, replica.catalogVersion());
+    assertEquals(List.of(), replicaOf("sample-3:e/catalog").catalog());
+  }
+
+  @Example
+  void openAndCancelledJobsAreRead() throws MalformedMessageException {
+    int number = 4;
+    for (JobSpec spec : specs()) {
+      String open = "sample-" + number++ + ":e/job/" + spec.id();
+      String cancelled = "sample-" + number++ + ":e/job/" + spec.id();
+      Job job = replicaOf(open).jobs.get(spec.id());
+      assertEquals(Job.State.OPEN, job.state());
+      assertEquals(spec, job.spec());
+      assertEquals(spec.tasks(), job.tasks());
+      assertEquals(11, job.version());
+      Job ended = replicaOf(open, cancelled).jobs.get(spec.id());
+      assertEquals(Job.State.CANCELLED, ended.state());
+      assertEquals(2, ended.finalDone());
+      assertEquals(spec.tasks(), ended.tasks());
+    }
+  }
+
+  @Example
+  void whenAJobWasCreatedIsRead() throws MalformedMessageException {
+    LeaderBench bench = new LeaderBench();
+    bench.replica.at(5_000_000);
+    read("created:e/job/job-9", 11).forEach(bench.replica::apply);
+    Job job = bench.replica.jobs.get("job-9");
+    assertEquals(SampleSpecs.full("job-9"), job.spec());
+    assertEquals(CreatedJob.AT_MICROS, job.seenMicros);
+  }
+
+  @Example
+  void finishedJobsProgressAndWorkersAreRead() throws MalformedMessageException {
+    LeaderBench bench = new LeaderBench();
+    Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
+    Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
+    Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
+    read("transaction-1", 11).forEach(bench.replica::apply);
+    assertEquals(Job.State.DONE, finished.state());
+    assertEquals(7, finished.tasks());
+    assertEquals("{0, 1, 2, 3, 4, 5, 9}", progressed.durable.toString());
+    assertEquals(500, scattered.durable.cardinality());
+    assertEquals(1000 - 1, scattered.durable.length());
+    assertEquals(
+        new Replica.RegisteredWorker("i-1", "10.0.0.1:80", "t", "a", true, 11),
+        bench.replica.registeredWorkers.get("i-1"));
+    assertEquals(
+        new Replica.RegisteredWorker("i-2", "10.0.0.1:80", "t", null, false, 11),
+        bench.replica.registeredWorkers.get("i-2"));
+    read("transaction-2", 12).forEach(bench.replica::apply);
+    assertEquals(12, bench.replica.duties.get("e/duty/barrier").version());
+  }
+
+  @Example
+  void rentalsAndReturnsAreTakenOver() throws MalformedMessageException {
+    ProvisioningWrites.Host host = new ProvisioningWrites.Host();
+    ProvisioningController next = new ProvisioningController(host, 90, 1, DAY);
+    TreeMap<String, Reply.Item> items = new TreeMap<>();
+    for (String name : ProvisioningWrites.NAMES) {
+      for (Reply.Item item : read(name, 11)) {
+        items.put(item.key(), item);
+      }
+    }
+    ProvisioningWrites.resume(next, items, 0);
+    assertEquals(List.of(), host.errors);
+    assertEquals("2 rentals, 1 returns open", next.summary());
+    List<ProvisioningController.Awaited> awaited = new ArrayList<>();
+    next.awaited(awaited::add);
+    assertEquals(
+        List.of(new ProvisioningController.Awaited("r-70-2", ProvisioningWrites.RELIABLE, 1)),
+        awaited);
+    assertEquals(List.of("m-2", "m-3"), host.booting);
+    assertTrue(next.leaving("m-8"));
+    assertFalse(next.leaving("m-7"));
+  }
+
+  @Example
+  void theStandbysRecordIsRead() throws MalformedMessageException {
+    assertTrue(Standby.names(StandbyWrites.value(read("standby-1:e/duty/standby", 11).get(0))));
+    assertFalse(Standby.names(StandbyWrites.value(read("standby-2:e/duty/standby", 11).get(0))));
+    assertTrue(StandbyWrites.endsTheTerm(read("standby-3:e/duty/standby", 11).get(0)));
+    assertFalse(StandbyWrites.endsTheTerm(read("standby-1:e/duty/standby", 11).get(0)));
+    StandbyWrites.Follower follower = new StandbyWrites.Follower();
+    Reply.Item named = read("standby-1:e/duty/standby", 11).get(0);
+    assertEquals(1, follower.inherit(named).size());
+    assertNull(new StandbyWrites.Follower().inherit(read("standby-2:e/duty/standby", 11).get(0)));
+  }
+}
