--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -284,7 +284,7 @@
    */
   long passDueMicros() {
     return lastPassMicros
-        + (workers.changed() || workers.owesAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
+        + (workers.changed() || workers.hasPendingAnswers() ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and tells the machines. */
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -108,7 +108,7 @@
     double estimate = Math.max(job.spec().estimateMicros(), 1e6);
     double work = job.waiting() * estimate;
     for (Attempt a : job.active.values()) {
-      boolean runs = a.shown == Heartbeat.TaskState.RUNNING;
+      boolean runs = a.reportedState == Heartbeat.TaskState.RUNNING;
       double left = runs ? estimate - (nowMicros - a.runningSinceMicros) : estimate;
       work += Math.max(left, estimate / 5);
     }
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -118,7 +118,7 @@
     for (Job job : replica.cancelledLately(now)) {
       if (job.cancelledMicros < since) {
         for (Attempt a : new ArrayList<>(job.active.values())) {
-          if (a.mayBeThere() && a.machine.plan != Machine.Plan.TERMINATE) {
+          if (a.mayBeOnMachine() && a.machine.plan != Machine.Plan.TERMINATE) {
             returnNow(
                 a.machine,
                 "not shown to have ended "
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -71,7 +71,7 @@
       }
       Zone zone = zones.computeIfAbsent(String.valueOf(m.zone()), z -> new Zone());
       all++;
-      holding += m.holdsBack() ? 1 : 0;
+      holding += m.unconfirmed() ? 1 : 0;
       zone.all++;
       zone.latestMicros = Math.max(zone.latestMicros, m.lastHeartbeatMicros());
       if (isMissed(m)) {
@@ -87,7 +87,7 @@
    * Silent for long enough to ask peers for it, so that they have answered when patience is over.
    */
   private boolean isMissed(MonitoredMachine m) {
-    long patience = m.holdsBack() ? patienceMicros * 2 / 5 : patienceMicros;
+    long patience = m.unconfirmed() ? patienceMicros * 2 / 5 : patienceMicros;
     return m.lastHeartbeatMicros() != Long.MAX_VALUE
         && now > m.lastHeartbeatMicros() + patience * 4 / 5;
   }
@@ -130,7 +130,7 @@
     // others have.
     boolean few = holding * FEW_PART <= all;
     long patience =
-        m.holdsBack() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
+        m.unconfirmed() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
     if (now <= last + patience) {
       return Verdict.DOUBTED;
     }
@@ -144,7 +144,7 @@
     }
     // Waiting costs little, as what is on it comes free when its lease ends; but not where only its
     // end tells.
-    if (dark && !m.holdsBack() && now <= last + darkMicros) {
+    if (dark && !m.unconfirmed() && now <= last + darkMicros) {
       return Verdict.DARK;
     }
     return Verdict.SILENT;
--- a/src/main/java/org/eiderstair/core/model/Attempt.java
+++ b/src/main/java/org/eiderstair/core/model/Attempt.java
@@ -5,13 +5,13 @@
 
   /**
    * QUEUED waits at the leader for room on its machine; PLANNED goes with the next command or
-   * answer to it; SENT may or may not be on the machine; SEEN was shown by the machine.
+   * answer to it; SENT may or may not be on the machine; REPORTED was shown by the machine.
    */
   public enum Phase {
     QUEUED,
     PLANNED,
     SENT,
-    SEEN
+    REPORTED
   }
 
   public final Job job;
@@ -24,7 +24,7 @@
 
   private final TaskId task;
   public Phase phase;
-  public Heartbeat.TaskState shown;
+  public Heartbeat.TaskState reportedState;
 
   /**
    * The sequence of the report whose answer carried the launch, or -1 when it went by /commands.
@@ -37,7 +37,7 @@
   public long runningSinceMicros;
 
   /** Asked to make room for other work. */
-  public boolean stop;
+  public boolean stopRequested;
 
   public Attempt(Job job, int index, long number, Machine machine, Phase phase, long nowMicros) {
     this.job = job;
@@ -56,7 +56,7 @@
   }
 
   /** Whether it may be on its machine: one that waits here is not, until its launch has left. */
-  public boolean mayBeThere() {
-    return phase == Phase.SENT || phase == Phase.SEEN;
+  public boolean mayBeOnMachine() {
+    return phase == Phase.SENT || phase == Phase.REPORTED;
   }
 }
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -59,10 +59,10 @@
   public final List<Attempt> queue = new ArrayList<>();
 
   /** Entries to be killed or forgotten that no attempt stands for. */
-  public final Map<TaskId, Order> orphans = new HashMap<>();
+  public final Map<TaskId, Order> untrackedTasks = new HashMap<>();
 
   /** Ended entries that may be forgotten: their outcome is durable, or needs no record. */
-  public final Map<TaskId, Order.Reap> reaps = new HashMap<>();
+  public final Map<TaskId, Order.Acknowledge> acknowledgements = new HashMap<>();
 
   /**
    * The images it should have, with their size, the one used longest ago first: it keeps only the
@@ -79,7 +79,7 @@
   public boolean killInFlight;
 
   public long nextKillMicros;
-  public long nextAskMicros;
+  public long nextProbeMicros;
   public long sinceMicros;
   public long lastHeartbeatMicros;
 
@@ -108,7 +108,7 @@
    */
   public boolean reservedForOnDemand;
 
-  public final PendingHeartbeat pendingReport = new PendingHeartbeat();
+  public final PendingHeartbeat pendingHeartbeat = new PendingHeartbeat();
 
   /** Where its token stands in the list; -1 when it has none. */
   public int availableIndex = -1;
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public boolean holdsBack() {
+  public boolean unconfirmed() {
     return phase == Phase.UNCONFIRMED;
   }
 
@@ -180,26 +180,26 @@
   private double freeMemory;
 
   /** Works out the room that is left beside everything that may be here. */
-  public void measureRoom() {
+  public void recomputeFreeResources() {
     freeCpus = type == null ? 0 : type.cpus();
     freeAccelerators = type == null ? 0 : type.accelerators();
     freeMemory = type == null ? 0 : type.memoryGb();
-    for (Attempt a : attempts.values()) {
-      if (a.phase != Attempt.Phase.QUEUED) {
-        take(a.spec);
+    for (Attempt attempt : attempts.values()) {
+      if (attempt.phase != Attempt.Phase.QUEUED) {
+        reserve(attempt.spec);
       }
     }
   }
 
   /** Takes room for a task. */
-  public void take(JobSpec spec) {
+  public void reserve(JobSpec spec) {
     freeCpus -= spec.cpus();
     freeAccelerators -= spec.accelerators();
     freeMemory -= spec.memoryGb();
   }
 
   /** Gives back the room of a task. */
-  public void give(JobSpec spec) {
+  public void release(JobSpec spec) {
     freeCpus += spec.cpus();
     freeAccelerators += spec.accelerators();
     freeMemory += spec.memoryGb();
@@ -207,7 +207,7 @@
 
   /** None does while something unknown is here, since nobody knows what room that takes. */
   public boolean fits(JobSpec spec) {
-    return orphans.isEmpty()
+    return untrackedTasks.isEmpty()
         && spec.cpus() <= freeCpus + 1e-6
         && spec.accelerators() <= freeAccelerators + 1e-6
         && spec.memoryGb() <= freeMemory + 1e-6;
@@ -251,8 +251,8 @@
   }
 
   /** Whether anything at all fits. */
-  public boolean hasRoom() {
-    return orphans.isEmpty() && freeCpus > 1e-6 && freeMemory > 1e-6;
+  public boolean hasFreeResources() {
+    return untrackedTasks.isEmpty() && freeCpus > 1e-6 && freeMemory > 1e-6;
   }
 
   /** Whether a job's constraints and size allow this machine. */
--- a/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
+++ b/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
@@ -15,5 +15,5 @@
   long lastHeartbeatMicros();
 
   /** Whether work of earlier terms may be on it, and waits until it is confirmed or terminated. */
-  boolean holdsBack();
+  boolean unconfirmed();
 }
--- a/src/main/java/org/eiderstair/core/model/Order.java
+++ b/src/main/java/org/eiderstair/core/model/Order.java
@@ -15,5 +15,5 @@
   record Kill(TaskId task, long attempt, long graceMicros) implements Order {}
 
   /** Removes an ended attempt from the machine's reports. */
-  record Reap(TaskId task, long attempt) implements Order {}
+  record Acknowledge(TaskId task, long attempt) implements Order {}
 }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -77,7 +77,7 @@
     this.term = term;
     this.random = random;
     this.starvationGuard = new StarvationGuard(what -> sink.info(what + ", term=" + term));
-    workers.begun(starvationGuard::noteStarted);
+    workers.onJobStarted(starvationGuard::noteStarted);
   }
 
   /** Tokens, machines and jobs looked at so far: what a test of growing cost counts. */
@@ -167,7 +167,7 @@
     }
     // What gave way to more urgent work takes the room that is left.
     serveQueues(Integer.MAX_VALUE, nowMicros);
-    workers.toServe().clear();
+    workers.queuesToServe().clear();
   }
 
   private double cpusInUse() {
@@ -254,11 +254,11 @@
     List<Attempt> victims = new ArrayList<>();
     for (Machine m : workers.machines().values()) {
       for (Attempt a : m.attempts.values()) {
-        if (a.stop && allowed.test(m)) {
+        if (a.stopRequested && allowed.test(m)) {
           needed -= a.spec.cpus();
-        } else if (a.phase == Attempt.Phase.SEEN
+        } else if (a.phase == Attempt.Phase.REPORTED
             && a.job.open()
-            && !a.stop
+            && !a.stopRequested
             && allowed.test(m)
             && !guaranteed.contains(a.job)
             && spec.priority().compareTo(a.spec.priority()) <= 0
@@ -278,7 +278,7 @@
       if (needed <= 0 || kills >= most) {
         break;
       }
-      victim.stop = true;
+      victim.stopRequested = true;
       workers.killSoon(victim.machine);
       needed -= victim.spec.cpus();
       kills++;
@@ -299,7 +299,7 @@
 
   /** A machine's own queue goes first, but never before waiting work that is more urgent. */
   private void serveQueues(int first, long nowMicros) {
-    for (Machine m : workers.toServe()) {
+    for (Machine m : workers.queuesToServe()) {
       for (Attempt a : new ArrayList<>(m.queue)) {
         steps++;
         if (!a.job.open()) {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -24,9 +24,9 @@
   private final TeamQuotas teams;
   private final Standby standby;
   private final long term;
-  private final Set<Machine> toServe = new LinkedHashSet<>();
+  private final Set<Machine> queuesToServe = new LinkedHashSet<>();
   private long attempts;
-  private Consumer<Job> begun = job -> {};
+  private Consumer<Job> jobStartedListener = job -> {};
   private Consumer<Machine> planned = machine -> {};
 
   /** Set whenever something changed that may let a task be placed. */
@@ -53,8 +53,8 @@
   }
 
   /** Machines with waiting attempts that may have got room. */
-  Set<Machine> toServe() {
-    return toServe;
+  Set<Machine> queuesToServe() {
+    return queuesToServe;
   }
 
   /** From now on only what changes later counts. */
@@ -72,8 +72,8 @@
   }
 
   /** Who is to be told when the first task of a job is placed. */
-  void begun(Consumer<Job> told) {
-    begun = told;
+  void onJobStarted(Consumer<Job> listener) {
+    jobStartedListener = listener;
   }
 
   long nextAttempt() {
@@ -84,121 +84,126 @@
    * An attempt comes to stand on a machine: the one place where that happens, so that room, team
    * use and queues are kept by increments. One that only waits at the leader uses nothing yet.
    */
-  void attach(Attempt a) {
-    a.machine.attempts.put(a.task(), a);
-    a.job.active.put(a.index, a);
-    if (a.phase == Attempt.Phase.QUEUED) {
-      List<Attempt> queue = a.machine.queue;
+  void attach(Attempt attempt) {
+    attempt.machine.attempts.put(attempt.task(), attempt);
+    attempt.job.active.put(attempt.index, attempt);
+    if (attempt.phase == Attempt.Phase.QUEUED) {
+      List<Attempt> queue = attempt.machine.queue;
       int at = queue.size();
-      while (at > 0 && queue.get(at - 1).job.rank > a.job.rank) {
+      while (at > 0 && queue.get(at - 1).job.rank > attempt.job.rank) {
         at--;
       }
-      queue.add(at, a);
-      a.job.queued.add(a);
+      queue.add(at, attempt);
+      attempt.job.queued.add(attempt);
     } else {
-      occupy(a);
+      occupy(attempt);
     }
   }
 
   /** A waiting attempt gets its machine's room, or a new one comes with it. */
-  void occupy(Attempt a) {
-    if (a.phase == Attempt.Phase.QUEUED) {
-      leaveQueue(a);
-      a.phase = Attempt.Phase.PLANNED;
+  void occupy(Attempt attempt) {
+    if (attempt.phase == Attempt.Phase.QUEUED) {
+      leaveQueue(attempt);
+      attempt.phase = Attempt.Phase.PLANNED;
     }
-    teams.add(a.spec, 1);
-    a.machine.take(a.spec);
-    if (!a.job.begun) {
-      a.job.begun = true;
-      begun.accept(a.job);
+    teams.add(attempt.spec, 1);
+    attempt.machine.reserve(attempt.spec);
+    if (!attempt.job.begun) {
+      attempt.job.begun = true;
+      jobStartedListener.accept(attempt.job);
     }
-    if (a.phase == Attempt.Phase.PLANNED) {
-      a.machine.useImage(a.spec);
-      a.machine.toLaunch.add(a);
-      planned.accept(a.machine);
+    if (attempt.phase == Attempt.Phase.PLANNED) {
+      attempt.machine.useImage(attempt.spec);
+      attempt.machine.toLaunch.add(attempt);
+      planned.accept(attempt.machine);
     }
-    if (!a.machine.hasRoom()) {
-      availableMachines.remove(a.machine);
+    if (!attempt.machine.hasFreeResources()) {
+      availableMachines.remove(attempt.machine);
     }
   }
 
-  private void leaveQueue(Attempt a) {
-    a.machine.queue.remove(a);
-    a.job.queued.remove(a);
+  private void leaveQueue(Attempt attempt) {
+    attempt.machine.queue.remove(attempt);
+    attempt.job.queued.remove(attempt);
   }
 
   /** An attempt is gone from its machine: the opposite of {@link #attach}. */
-  void remove(Attempt a) {
-    if (!a.machine.attempts.remove(a.task(), a)) {
+  void remove(Attempt attempt) {
+    if (!attempt.machine.attempts.remove(attempt.task(), attempt)) {
       return;
     }
-    if (a.phase == Attempt.Phase.QUEUED) {
-      leaveQueue(a);
+    if (attempt.phase == Attempt.Phase.QUEUED) {
+      leaveQueue(attempt);
     } else {
-      teams.add(a.spec, -1);
-      a.machine.give(a.spec);
-      if (a.phase == Attempt.Phase.PLANNED) {
-        a.machine.toLaunch.remove(a);
+      teams.add(attempt.spec, -1);
+      attempt.machine.release(attempt.spec);
+      if (attempt.phase == Attempt.Phase.PLANNED) {
+        attempt.machine.toLaunch.remove(attempt);
       } else {
-        tell(a, false);
+        tell(attempt, false);
       }
-      roomChanged(a.machine);
+      roomChanged(attempt.machine);
     }
-    if (a.job.active.get(a.index) == a) {
-      a.job.active.remove(a.index);
-      a.job.freed(a.index);
+    if (attempt.job.active.get(attempt.index) == attempt) {
+      attempt.job.active.remove(attempt.index);
+      attempt.job.freed(attempt.index);
     }
-    a.machine.idleSinceMicros = time.nowMicros();
+    attempt.machine.idleSinceMicros = time.nowMicros();
     changed = true;
   }
 
-  void free(Attempt a, String why) {
+  void free(Attempt attempt, String why) {
     sink.debug(
         "task "
-            + a.task()
+            + attempt.task()
             + " attempt "
-            + a.number
+            + attempt.number
             + " free from "
-            + a.machine.id
+            + attempt.machine.id
             + ": "
             + why
             + ", term="
             + term);
-    remove(a);
+    remove(attempt);
   }
 
-  void freeAll(Machine m, String why) {
-    for (Attempt a : new ArrayList<>(m.attempts.values())) {
-      free(a, why);
+  void freeAll(Machine machine, String why) {
+    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
+      free(attempt, why);
     }
-    m.orphans.clear();
-    m.reaps.clear();
-    m.forgetImages();
+    machine.untrackedTasks.clear();
+    machine.acknowledgements.clear();
+    machine.forgetImages();
   }
 
-  void unplan(Machine m) {
-    availableMachines.remove(m);
-    for (Attempt a : new ArrayList<>(m.attempts.values())) {
-      if (a.phase == Attempt.Phase.QUEUED || a.phase == Attempt.Phase.PLANNED) {
-        free(a, "machine not usable");
+  void unplan(Machine machine) {
+    availableMachines.remove(machine);
+    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
+      if (attempt.phase == Attempt.Phase.QUEUED || attempt.phase == Attempt.Phase.PLANNED) {
+        free(attempt, "machine not usable");
       }
     }
   }
 
   /** The machine may have got room: it gets its token, and what waits for it its turn. */
-  void roomChanged(Machine m) {
-    if (m.plan == Machine.Plan.ACTIVE && m.known() && m.hasRoom()) {
-      availableMachines.offer(m);
-      if (!m.queue.isEmpty()) {
-        toServe.add(m);
+  void roomChanged(Machine machine) {
+    if (machine.plan == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
+      availableMachines.offer(machine);
+      if (!machine.queue.isEmpty()) {
+        queuesToServe.add(machine);
       }
     }
   }
 
   /** Tells the standby of an attempt that may be on its machine from now on, or is not any more. */
-  void tell(Attempt a, boolean there) {
+  void tell(Attempt attempt, boolean there) {
     standby.change(
         new ReplicationBatch.Change(
-            there, a.machine.id, a.machine.incarnation, a.job.id, a.index, a.number));
+            there,
+            attempt.machine.id,
+            attempt.machine.incarnation,
+            attempt.job.id,
+            attempt.index,
+            attempt.number));
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
@@ -103,25 +103,25 @@
   }
 
   /** A report waits for its answer; the one that waited before is given up. */
-  void toAnswer(Machine m, long sequence, long exchange) {
-    refuse(m.pendingReport.become(sequence, exchange), "a newer report is here");
-    toAnswer.add(m);
+  void toAnswer(Machine machine, long sequence, long exchange) {
+    refuse(machine.pendingHeartbeat.become(sequence, exchange), "a newer report is here");
+    toAnswer.add(machine);
   }
 
   /** The machine has begun a new session: nobody reads an answer to a report of the one before. */
-  void newIncarnation(Machine m) {
-    refuse(m.pendingReport.newIncarnation(), "report of an earlier session");
-    toAnswer.remove(m);
+  void newIncarnation(Machine machine) {
+    refuse(machine.pendingHeartbeat.newIncarnation(), "report of an earlier session");
+    toAnswer.remove(machine);
   }
 
   /** The answer that a machine's report waits for will show it our token: asking can wait. */
-  void tellsItself(Machine m) {
-    m.nextAskMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+  void tellsItself(Machine machine) {
+    machine.nextProbeMicros = time.nowMicros() + ASK_AGAIN_MICROS;
   }
 
   /** Nothing is to be sent to a machine that is gone. */
-  void forget(Machine m) {
-    toSend.remove(m);
+  void forget(Machine machine) {
+    toSend.remove(machine);
   }
 
   /** Asks machines that are not heard yet, or whose fence was raised. */
@@ -149,8 +149,8 @@
    */
   void close() {
     closed = true;
-    for (Machine m : toAnswer) {
-      sink.respond(m.pendingReport.answered(), new Answer.Redirect(null));
+    for (Machine machine : toAnswer) {
+      sink.respond(machine.pendingHeartbeat.answered(), new Answer.Redirect(null));
     }
     toAnswer.clear();
   }
@@ -162,14 +162,14 @@
   }
 
   /** Whether reports wait for their answers. */
-  boolean owesAnswers() {
+  boolean hasPendingAnswers() {
     return !toAnswer.isEmpty();
   }
 
   /** A machine has something to be told to stop. */
-  void killSoon(Machine m) {
-    m.killsPending = true;
-    toSend.add(m);
+  void killSoon(Machine machine) {
+    machine.killsPending = true;
+    toSend.add(machine);
   }
 
   /**
@@ -178,12 +178,12 @@
    * nobody reached kept the others from being asked, and half of all were heard 4.8 s after the
    * election instead of 1 s.
    */
-  private void askIfDue(Machine m) {
+  private void askIfDue(Machine machine) {
     if (youngAsks < MAX_ASKS
         && asks.size() < MAX_SLOW_ASKS
-        && !m.commandInFlight
-        && time.nowMicros() >= m.nextAskMicros) {
-      ask(m);
+        && !machine.commandInFlight
+        && time.nowMicros() >= machine.nextProbeMicros) {
+      ask(machine);
     }
   }
 
@@ -192,30 +192,34 @@
    * are in their first session; one that is not says so in its refusal, and is asked again with
    * what it said.
    */
-  private void ask(Machine m) {
-    if (m.address == null || !leadership.mayLaunch(time.nowMicros())) {
+  private void ask(Machine machine) {
+    if (machine.address == null || !leadership.mayLaunch(time.nowMicros())) {
       return;
     }
-    m.nextAskMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+    machine.nextProbeMicros = time.nowMicros() + ASK_AGAIN_MICROS;
     youngAsks++;
-    asks.put(m, time.nowMicros());
-    m.commandInFlight = true;
+    asks.put(machine, time.nowMicros());
+    machine.commandInFlight = true;
     call(
-        m,
+        machine,
         new Request.WorkerCommands(
-            m.address, m.fencingToken(), Math.max(1, m.incarnation), List.of()),
+            machine.address, machine.fencingToken(), Math.max(1, machine.incarnation), List.of()),
         List.of(),
-        () -> asks.remove(m));
+        () -> asks.remove(machine));
   }
 
-  private List<Order> killsFor(Machine m) {
+  private List<Order> killsFor(Machine machine) {
     List<Order> kills = new ArrayList<>();
-    for (Attempt a : m.attempts.values()) {
-      if (a.mayBeThere() && (!a.job.open() || a.stop)) {
-        kills.add(new Order.Kill(a.task(), a.number, a.job.open() ? a.spec.saveMicros() : 0));
+    for (Attempt attempt : machine.attempts.values()) {
+      if (attempt.mayBeOnMachine() && (!attempt.job.open() || attempt.stopRequested)) {
+        kills.add(
+            new Order.Kill(
+                attempt.task(),
+                attempt.number,
+                attempt.job.open() ? attempt.spec.saveMicros() : 0));
       }
     }
-    kills.addAll(m.orphans.values());
+    kills.addAll(machine.untrackedTasks.values());
     return kills;
   }
 
@@ -226,23 +230,23 @@
   void flush() {
     boolean mayLaunch = leadership.mayLaunch(time.nowMicros()) && standby.admitsLaunches();
     boolean mayKill = leadership.mayKill(time.nowMicros());
-    for (Machine m : toAnswer) {
-      answer(m, mayLaunch);
+    for (Machine machine : toAnswer) {
+      answer(machine, mayLaunch);
     }
     toAnswer.clear();
-    for (Machine m : new ArrayList<>(toSend)) {
-      if (m.toLaunch.isEmpty() && !m.killsPending) {
-        toSend.remove(m);
-      } else if (!comesThroughPeer(m)) {
-        if (mayKill && m.killsPending && mayBeKilledOn(m)) {
-          sendKills(m);
+    for (Machine machine : new ArrayList<>(toSend)) {
+      if (machine.toLaunch.isEmpty() && !machine.killsPending) {
+        toSend.remove(machine);
+      } else if (!comesThroughPeer(machine)) {
+        if (mayKill && machine.killsPending && mayBeKilledOn(machine)) {
+          sendKills(machine);
         }
         if (mayLaunch
-            && !m.toLaunch.isEmpty()
-            && !m.commandInFlight
-            && m.known()
-            && time.nowMicros() >= m.holdUntilMicros) {
-          sendLaunches(m);
+            && !machine.toLaunch.isEmpty()
+            && !machine.commandInFlight
+            && machine.known()
+            && time.nowMicros() >= machine.holdUntilMicros) {
+          sendLaunches(machine);
         }
       }
     }
@@ -253,9 +257,9 @@
    * without an answer, which may take its whole time limit, nor for the pause after one. A kill may
    * be repeated, and may come before or after anything.
    */
-  private boolean mayBeKilledOn(Machine m) {
-    boolean sessionKnown = m.phase == Machine.Phase.FENCING || m.known();
-    return sessionKnown && !m.killInFlight && time.nowMicros() >= m.nextKillMicros;
+  private boolean mayBeKilledOn(Machine machine) {
+    boolean sessionKnown = machine.phase == Machine.Phase.FENCING || machine.known();
+    return sessionKnown && !machine.killInFlight && time.nowMicros() >= machine.nextKillMicros;
   }
 
   /**
@@ -263,21 +267,22 @@
    * its workers: each command ran into its time limit, and the fence raised for it kept the machine
    * from work. Its next report is soon here.
    */
-  private boolean comesThroughPeer(Machine m) {
-    return m.relayed && time.nowMicros() < m.lastHeartbeatMicros + settings.reportMicros() * 2;
+  private boolean comesThroughPeer(Machine machine) {
+    return machine.relayed
+        && time.nowMicros() < machine.lastHeartbeatMicros + settings.reportMicros() * 2;
   }
 
-  private void answer(Machine m, boolean mayLaunch) {
-    List<Order> orders = killsFor(m);
-    orders.addAll(m.reaps.values());
+  private void answer(Machine machine, boolean mayLaunch) {
+    List<Order> orders = killsFor(machine);
+    orders.addAll(machine.acknowledgements.values());
     List<Attempt> launches =
-        mayLaunch && m.phase == Machine.Phase.CONFIRMED
-            ? launch(m, m.pendingReport.sequence())
+        mayLaunch && machine.phase == Machine.Phase.CONFIRMED
+            ? launch(machine, machine.pendingHeartbeat.sequence())
             : List.of();
-    registry.answered(m);
-    m.killsPending = false;
-    long exchange = m.pendingReport.answered();
-    long fencingToken = m.fencingToken();
+    registry.answered(machine);
+    machine.killsPending = false;
+    long exchange = machine.pendingHeartbeat.answered();
+    long fencingToken = machine.fencingToken();
     if (launches.isEmpty()) {
       respond(exchange, fencingToken, orders);
       return;
@@ -308,77 +313,79 @@
     }
   }
 
-  private void sendLaunches(Machine m) {
-    List<Order> reaps = new ArrayList<>(m.reaps.values());
-    List<Attempt> launches = launch(m, -1);
-    long fencingToken = m.fencingToken();
-    long incarnation = m.incarnation;
-    m.commandInFlight = true;
+  private void sendLaunches(Machine machine) {
+    List<Order> reaps = new ArrayList<>(machine.acknowledgements.values());
+    List<Attempt> launches = launch(machine, -1);
+    long fencingToken = machine.fencingToken();
+    long incarnation = machine.incarnation;
+    machine.commandInFlight = true;
     standby.launch(
         () -> {
           leaves();
           call(
-              m,
+              machine,
               new Request.WorkerCommands(
-                  m.address, fencingToken, incarnation, withLaunches(reaps, launches)),
+                  machine.address, fencingToken, incarnation, withLaunches(reaps, launches)),
               launches,
               () -> {});
         },
         () -> {
-          m.commandInFlight = false;
+          machine.commandInFlight = false;
           unlaunch(launches);
         });
   }
 
-  private void sendKills(Machine m) {
-    m.killsPending = false;
-    List<Order> kills = killsFor(m);
+  private void sendKills(Machine machine) {
+    machine.killsPending = false;
+    List<Order> kills = killsFor(machine);
     if (kills.isEmpty()) {
       return;
     }
-    m.killInFlight = true;
+    machine.killInFlight = true;
     sink.call(
-        new Request.WorkerCommands(m.address, m.fencingToken(), m.incarnation, kills),
+        new Request.WorkerCommands(
+            machine.address, machine.fencingToken(), machine.incarnation, kills),
         leadership.bounds().answerEndMicros(),
         reply -> {
-          m.killInFlight = false;
-          if (closed || m.phase == Machine.Phase.TERMINATED) {
+          machine.killInFlight = false;
+          if (closed || machine.phase == Machine.Phase.TERMINATED) {
             return;
           }
           // What it shows may have been written before a command that is still on its way arrives.
-          if (!absorbReply(m, reply, !m.commandInFlight)) {
-            m.nextKillMicros = time.nowMicros() + KILL_AGAIN_MICROS;
-            killSoon(m);
+          if (!absorbReply(machine, reply, !machine.commandInFlight)) {
+            machine.nextKillMicros = time.nowMicros() + KILL_AGAIN_MICROS;
+            killSoon(machine);
           }
         });
   }
 
   /** Takes what is planned for a machine out of its list, to be sent time.nowMicros(). */
-  private List<Attempt> launch(Machine m, long sequence) {
-    List<Attempt> launches = new ArrayList<>(m.toLaunch);
-    for (Attempt a : launches) {
-      a.phase = Attempt.Phase.SENT;
-      a.sentSequence = sequence;
-      a.sinceMicros = time.nowMicros();
-      tracker.tell(a, true);
+  private List<Attempt> launch(Machine machine, long sequence) {
+    List<Attempt> launches = new ArrayList<>(machine.toLaunch);
+    for (Attempt attempt : launches) {
+      attempt.phase = Attempt.Phase.SENT;
+      attempt.sentSequence = sequence;
+      attempt.sinceMicros = time.nowMicros();
+      tracker.tell(attempt, true);
     }
-    m.toLaunch.clear();
+    machine.toLaunch.clear();
     return launches;
   }
 
   /** What was to be launched has not left, and will not: it is planned as before. */
   private void unlaunch(List<Attempt> launches) {
-    for (Attempt a : launches) {
-      if (stillSent(a)) {
-        a.phase = Attempt.Phase.PLANNED;
-        a.machine.toLaunch.add(a);
-        toSend.add(a.machine);
+    for (Attempt attempt : launches) {
+      if (stillSent(attempt)) {
+        attempt.phase = Attempt.Phase.PLANNED;
+        attempt.machine.toLaunch.add(attempt);
+        toSend.add(attempt.machine);
       }
     }
   }
 
-  private static boolean stillSent(Attempt a) {
-    return a.phase == Attempt.Phase.SENT && a.machine.attempts.get(a.task()) == a;
+  private static boolean stillSent(Attempt attempt) {
+    return attempt.phase == Attempt.Phase.SENT
+        && attempt.machine.attempts.get(attempt.task()) == attempt;
   }
 
   /**
@@ -388,9 +395,9 @@
    */
   private static List<Order> withLaunches(List<Order> orders, List<Attempt> launches) {
     List<Order> all = new ArrayList<>(orders);
-    for (Attempt a : launches) {
-      if (a.job.open() && stillSent(a)) {
-        all.add(new Order.Launch(a.task(), a.number));
+    for (Attempt attempt : launches) {
+      if (attempt.job.open() && stillSent(attempt)) {
+        all.add(new Order.Launch(attempt.task(), attempt.number));
       }
     }
     return all;
@@ -404,38 +411,39 @@
   }
 
   /** Takes the report that is the reply of a command; false when there is none. */
-  private boolean absorbReply(Machine m, Reply reply, boolean settles) {
-    if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(m.id)) {
+  private boolean absorbReply(Machine machine, Reply reply, boolean settles) {
+    if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(machine.id)) {
       return false;
     }
     if (answer.report().fencingToken() >> 20 > term) {
-      leadership.deposed("machine " + m.id + " has seen token " + answer.report().fencingToken());
+      leadership.deposed(
+          "machine " + machine.id + " has seen token " + answer.report().fencingToken());
       return true;
     }
-    replies.replied(m, answer.report(), settles);
+    replies.replied(machine, answer.report(), settles);
     if (!answer.executed()) {
-      m.nextAskMicros = time.nowMicros();
+      machine.nextProbeMicros = time.nowMicros();
     }
     return true;
   }
 
-  private void call(Machine m, Request request, List<Attempt> launches, Runnable over) {
+  private void call(Machine machine, Request request, List<Attempt> launches, Runnable over) {
     LeadershipBounds bounds = leadership.bounds();
     sink.call(
         request,
         launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
-          m.commandInFlight = false;
+          machine.commandInFlight = false;
           over.run();
-          if (closed || m.phase == Machine.Phase.TERMINATED) {
+          if (closed || machine.phase == Machine.Phase.TERMINATED) {
             return;
           }
-          if (launches.stream().anyMatch(a -> !a.job.open())) {
+          if (launches.stream().anyMatch(attempt -> !attempt.job.open())) {
             // A kill that was sent meanwhile may have come before the launch.
-            killSoon(m);
+            killSoon(machine);
           }
-          if (!absorbReply(m, reply, true)) {
-            unanswered(m, !launches.isEmpty(), reply);
+          if (!absorbReply(machine, reply, true)) {
+            unanswered(machine, !launches.isEmpty(), reply);
           }
         });
   }
@@ -444,27 +452,28 @@
    * The command may still arrive, minutes later: kill it with a higher token before anything is
    * concluded.
    */
-  private void unanswered(Machine m, boolean launched, Reply reply) {
-    if (launched && (m.phase == Machine.Phase.CONFIRMED || m.phase == Machine.Phase.RECOVERED)) {
-      m.raiseFence();
-      availableMachines.remove(m);
+  private void unanswered(Machine machine, boolean launched, Reply reply) {
+    if (launched
+        && (machine.phase == Machine.Phase.CONFIRMED || machine.phase == Machine.Phase.RECOVERED)) {
+      machine.raiseFence();
+      availableMachines.remove(machine);
       // It may be out of this node's reach while its reports still come, relayed: no more launches
       // for a while.
-      m.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
+      machine.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
     }
-    if (launched && m.phase == Machine.Phase.CONFIRMED) {
+    if (launched && machine.phase == Machine.Phase.CONFIRMED) {
       sink.info(
           "no answer from "
-              + m.id
+              + machine.id
               + " to a command: raising its fence, term="
               + term
               + ": "
               + reply);
-      registry.become(m, Machine.Phase.FENCING);
+      registry.become(machine, Machine.Phase.FENCING);
     }
-    m.nextAskMicros =
+    machine.nextProbeMicros =
         Math.max(
-            m.nextAskMicros,
+            machine.nextProbeMicros,
             time.nowMicros() + (launched ? ASK_AFTER_LAUNCH_MICROS : ASK_AFTER_SILENCE_MICROS));
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -85,15 +85,16 @@
       sink.respond(exchange, new Answer.Failure(503, "machine was deleted", 0));
       return;
     }
-    Machine m = registry.machines().get(report.machine());
-    if (m == null) {
+    Machine machine = registry.machines().get(report.machine());
+    if (machine == null) {
       sink.info("machine " + report.machine() + " appeared, term=" + term);
-      m =
+      machine =
           registry.expect(
               report.machine(), report.address(), report.type(), report.zone(), report.spot());
     }
     PendingHeartbeat.Standing standing =
-        m.pendingReport.standing(report.incarnation(), m.incarnation, report.sequence());
+        machine.pendingHeartbeat.standing(
+            report.incarnation(), machine.incarnation, report.sequence());
     if (standing != PendingHeartbeat.Standing.OPEN) {
       // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
       // nothing.
@@ -103,19 +104,19 @@
     if (!relayed) {
       reach.reportedDirectly();
     }
-    if (m.address == null || m.typeName == null || !m.registered) {
-      registry.describe(m, report.address(), report.type(), report.zone(), report.spot());
+    if (machine.address == null || machine.typeName == null || !machine.registered) {
+      registry.describe(machine, report.address(), report.type(), report.zone(), report.spot());
     }
-    if (!m.registered && m.plan != Machine.Plan.TERMINATE) {
-      stateWriter.register(m);
+    if (!machine.registered && machine.plan != Machine.Plan.TERMINATE) {
+      stateWriter.register(machine);
     }
-    m.relayed = relayed;
-    absorb(m, report, true, !m.commandInFlight);
-    if (m.phase == Machine.Phase.UNCONFIRMED) {
+    machine.relayed = relayed;
+    absorb(machine, report, true, !machine.commandInFlight);
+    if (machine.phase == Machine.Phase.UNCONFIRMED) {
       // The answer shows it our token, and it reports again at once: asking would only cost time.
-      dispatcher.tellsItself(m);
+      dispatcher.tellsItself(machine);
     }
-    dispatcher.toAnswer(m, report.sequence(), exchange);
+    dispatcher.toAnswer(machine, report.sequence(), exchange);
   }
 
   /**
@@ -124,55 +125,55 @@
    * went with an answer to an earlier report: the body of /commands or /status may be written while
    * that answer is still on its way.
    */
-  private void absorb(Machine m, Heartbeat report, boolean isReport, boolean settles) {
-    if (!report.newerThan(m.incarnation, m.sequence)) {
+  private void absorb(Machine machine, Heartbeat report, boolean isReport, boolean settles) {
+    if (!report.newerThan(machine.incarnation, machine.sequence)) {
       return;
     }
-    m.lastHeartbeatMicros = time.nowMicros();
-    if (report.incarnation() > m.incarnation && m.incarnation > 0) {
+    machine.lastHeartbeatMicros = time.nowMicros();
+    if (report.incarnation() > machine.incarnation && machine.incarnation > 0) {
       sink.info(
           "machine "
-              + m.id
+              + machine.id
               + " lost its lease and began session "
               + report.incarnation()
               + ", term="
               + term);
-      tracker.freeAll(m, "new session");
-      dispatcher.newIncarnation(m);
+      tracker.freeAll(machine, "new session");
+      dispatcher.newIncarnation(machine);
       // Found by the simulator (a leader cut from its workers): a new session has its full lease
       // from its own beginning, whenever we last answered the session before.
-      registry.answered(m);
+      registry.answered(machine);
     }
-    if (report.incarnation() != m.incarnation) {
-      standby.change(new ReplicationBatch.Change(true, m.id, report.incarnation(), "", 0, 0));
+    if (report.incarnation() != machine.incarnation) {
+      standby.change(new ReplicationBatch.Change(true, machine.id, report.incarnation(), "", 0, 0));
     }
-    m.incarnation = report.incarnation();
-    m.sequence = report.sequence();
-    if (report.noticeMicros() != Heartbeat.NO_NOTICE && m.plan == Machine.Plan.ACTIVE) {
-      sink.info("machine " + m.id + " has notice, term=" + term);
-      drain(m);
-      saveProgress(m, report.noticeMicros());
+    machine.incarnation = report.incarnation();
+    machine.sequence = report.sequence();
+    if (report.noticeMicros() != Heartbeat.NO_NOTICE && machine.plan == Machine.Plan.ACTIVE) {
+      sink.info("machine " + machine.id + " has notice, term=" + term);
+      drain(machine);
+      saveProgress(machine, report.noticeMicros());
     }
-    boolean truth = report.fencingToken() >= m.fencingToken();
-    if (truth && m.phase != Machine.Phase.CONFIRMED) {
-      boolean fenced = m.phase == Machine.Phase.FENCING;
-      registry.become(m, Machine.Phase.CONFIRMED);
+    boolean truth = report.fencingToken() >= machine.fencingToken();
+    if (truth && machine.phase != Machine.Phase.CONFIRMED) {
+      boolean fenced = machine.phase == Machine.Phase.FENCING;
+      registry.become(machine, Machine.Phase.CONFIRMED);
       if (!fenced) {
-        sink.info("machine " + m.id + " heard, term=" + term);
-        registry.answered(m);
-        m.idleSinceMicros = time.nowMicros();
+        sink.info("machine " + machine.id + " heard, term=" + term);
+        registry.answered(machine);
+        machine.idleSinceMicros = time.nowMicros();
       }
     }
     if (!truth
-        && (m.phase == Machine.Phase.UNCONFIRMED
-            || m.phase == Machine.Phase.RECOVERED
-            || m.phase == Machine.Phase.FENCING)) {
+        && (machine.phase == Machine.Phase.UNCONFIRMED
+            || machine.phase == Machine.Phase.RECOVERED
+            || machine.phase == Machine.Phase.FENCING)) {
       // Older commands may still arrive there; what it shows proves nothing yet.
       return;
     }
-    readEntries(m, report, isReport && truth, settles && truth);
-    if (!truth && m.phase == Machine.Phase.BOOTING && report.fencingToken() > 0) {
-      holdNoLongerThanItsLease(m);
+    readEntries(machine, report, isReport && truth, settles && truth);
+    if (!truth && machine.phase == Machine.Phase.BOOTING && report.fencingToken() > 0) {
+      holdNoLongerThanItsLease(machine);
     }
     tracker.noteChange();
   }
@@ -185,57 +186,58 @@
    * over, or until it answers our question; without this it held its tasks back until it counted as
    * never booted.
    */
-  private void holdNoLongerThanItsLease(Machine m) {
-    sink.info("machine " + m.id + " is unknown and shows an earlier term's token, term=" + term);
-    registry.become(m, Machine.Phase.FENCING);
-    registry.answered(m);
-    m.idleSinceMicros = time.nowMicros();
+  private void holdNoLongerThanItsLease(Machine machine) {
+    sink.info(
+        "machine " + machine.id + " is unknown and shows an earlier term's token, term=" + term);
+    registry.become(machine, Machine.Phase.FENCING);
+    registry.answered(machine);
+    machine.idleSinceMicros = time.nowMicros();
   }
 
   private void readEntries(
-      Machine m, Heartbeat report, boolean settlesAnswers, boolean settlesCommands) {
-    m.orphans.clear();
-    m.reaps.clear();
+      Machine machine, Heartbeat report, boolean settlesAnswers, boolean settlesCommands) {
+    machine.untrackedTasks.clear();
+    machine.acknowledgements.clear();
     Set<TaskId> shown = new HashSet<>();
     for (Heartbeat.Entry entry : report.tasks()) {
       shown.add(entry.task());
       if (entry.state() == Heartbeat.TaskState.ENDED) {
-        ended(m, entry);
+        ended(machine, entry);
       } else {
-        alive(m, entry);
+        alive(machine, entry);
       }
     }
-    for (Attempt a : new ArrayList<>(m.attempts.values())) {
+    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
       boolean settled =
-          switch (a.phase) {
+          switch (attempt.phase) {
             case QUEUED, PLANNED -> false;
             case SENT ->
-                a.sentSequence < 0
+                attempt.sentSequence < 0
                     ? settlesCommands
-                    : settlesAnswers && report.sequence() > a.sentSequence;
-            case SEEN -> true;
+                    : settlesAnswers && report.sequence() > attempt.sentSequence;
+            case REPORTED -> true;
           };
-      if (settled && !shown.contains(a.task())) {
-        tracker.free(a, "not on the machine");
+      if (settled && !shown.contains(attempt.task())) {
+        tracker.free(attempt, "not on the machine");
       }
     }
-    if (!m.attempts.isEmpty()) {
-      m.idleSinceMicros = time.nowMicros();
+    if (!machine.attempts.isEmpty()) {
+      machine.idleSinceMicros = time.nowMicros();
     }
-    m.measureRoom();
-    tracker.roomChanged(m);
+    machine.recomputeFreeResources();
+    tracker.roomChanged(machine);
   }
 
-  private void alive(Machine m, Heartbeat.Entry entry) {
+  private void alive(Machine machine, Heartbeat.Entry entry) {
     Job job = replica.jobs.get(entry.task().job());
-    Attempt known = m.attempts.get(entry.task());
+    Attempt known = machine.attempts.get(entry.task());
     if (known != null && known.number == entry.attempt()) {
-      if (known.phase != Attempt.Phase.SEEN) {
-        known.phase = Attempt.Phase.SEEN;
+      if (known.phase != Attempt.Phase.REPORTED) {
+        known.phase = Attempt.Phase.REPORTED;
       }
-      if (known.shown != entry.state()) {
-        known.shown = entry.state();
-        m.useImage(known.spec);
+      if (known.reportedState != entry.state()) {
+        known.reportedState = entry.state();
+        machine.useImage(known.spec);
         if (entry.state() == Heartbeat.TaskState.RUNNING) {
           known.runningSinceMicros = time.nowMicros();
           noteRunning(known.job);
@@ -252,26 +254,31 @@
             && !job.active.containsKey(entry.task().index());
     if (!wanted) {
       if (job != null && !job.open() && known == null && job.spec() != null) {
-        adopt(m, job, entry);
+        adopt(machine, job, entry);
       } else {
-        m.orphans.put(entry.task(), new Order.Kill(entry.task(), entry.attempt(), 0));
+        machine.untrackedTasks.put(entry.task(), new Order.Kill(entry.task(), entry.attempt(), 0));
       }
       return;
     }
-    sink.debug("task " + entry.task() + " found on " + m.id + ", term=" + term);
-    adopt(m, job, entry);
+    sink.debug("task " + entry.task() + " found on " + machine.id + ", term=" + term);
+    adopt(machine, job, entry);
     noteRunning(job);
   }
 
-  private void adopt(Machine m, Job job, Heartbeat.Entry entry) {
-    Attempt a =
+  private void adopt(Machine machine, Job job, Heartbeat.Entry entry) {
+    Attempt attempt =
         new Attempt(
-            job, entry.task().index(), entry.attempt(), m, Attempt.Phase.SEEN, time.nowMicros());
-    a.shown = entry.state();
-    a.runningSinceMicros = time.nowMicros();
-    m.useImage(job.spec());
-    tracker.attach(a);
-    tracker.tell(a, true);
+            job,
+            entry.task().index(),
+            entry.attempt(),
+            machine,
+            Attempt.Phase.REPORTED,
+            time.nowMicros());
+    attempt.reportedState = entry.state();
+    attempt.runningSinceMicros = time.nowMicros();
+    machine.useImage(job.spec());
+    tracker.attach(attempt);
+    tracker.tell(attempt, true);
   }
 
   private void noteRunning(Job job) {
@@ -280,11 +287,11 @@
     }
   }
 
-  private void ended(Machine m, Heartbeat.Entry entry) {
+  private void ended(Machine machine, Heartbeat.Entry entry) {
     TaskId task = entry.task();
-    Order.Reap reap = new Order.Reap(task, entry.attempt());
+    Order.Acknowledge reap = new Order.Acknowledge(task, entry.attempt());
     Job job = replica.jobs.get(task.job());
-    Attempt known = m.attempts.get(task);
+    Attempt known = machine.attempts.get(task);
     boolean ours = known != null && known.number == entry.attempt();
     if (ours) {
       tracker.remove(known);
@@ -297,8 +304,8 @@
         job.done.set(task.index());
         job.failedOn.clear();
         job.failedRounds = 0;
-        m.errorsInRow = 0;
-        m.failedJobs.clear();
+        machine.errorsInRow = 0;
+        machine.failedJobs.clear();
         boolean all =
             job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
         if (all) {
@@ -309,60 +316,61 @@
       }
       // Forgotten only once durable: until then the machine's own record is the only proof.
       if (job.durable.get(task.index())) {
-        m.reaps.put(task, reap);
+        machine.acknowledgements.put(task, reap);
       }
       return;
     }
-    m.reaps.put(task, reap);
+    machine.acknowledgements.put(task, reap);
     if (!ours || job == null || !job.open()) {
       return;
     }
     switch (entry.exit()) {
-      case ERROR -> failed(m, job, task);
+      case ERROR -> failed(machine, job, task);
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-        sink.debug("task " + task + " refused by " + m.id + ": " + entry.exit() + ", term=" + term);
-        m.holdUntilMicros = time.nowMicros() + 1_000_000;
-        availableMachines.remove(m);
+        sink.debug(
+            "task " + task + " refused by " + machine.id + ": " + entry.exit() + ", term=" + term);
+        machine.holdUntilMicros = time.nowMicros() + 1_000_000;
+        availableMachines.remove(machine);
       }
       default -> {}
     }
   }
 
   /** Tells a machine that fails everything from a job that fails everywhere. */
-  private void failed(Machine m, Job job, TaskId task) {
-    sink.info("task " + task + " failed on " + m.id + ", term=" + term);
-    boolean again = !job.failedOn.add(m.id);
+  private void failed(Machine machine, Job job, TaskId task) {
+    sink.info("task " + task + " failed on " + machine.id + ", term=" + term);
+    boolean again = !job.failedOn.add(machine.id);
     if ((again || job.failedOn.size() > 1) && time.nowMicros() >= job.notBeforeMicros) {
       job.failedRounds++;
       long pause = FAILURE_PAUSE_MICROS << Math.min(job.failedRounds, 6);
       job.notBeforeMicros = time.nowMicros() + Math.min(MAX_PAUSE_MICROS, pause);
     }
-    m.errorsInRow++;
+    machine.errorsInRow++;
     if (!job.done.isEmpty() || job.failedOn.size() == 1) {
-      m.failedJobs.add(job.id);
+      machine.failedJobs.add(job.id);
     }
     // A job with a mistake fails wherever it goes: it alone may cost one machine, never one after
     // another.
     boolean faulty =
-        m.failedJobs.size() >= 2 && m.errorsInRow >= 3
-            || job.failedOn.size() == 1 && m.errorsInRow >= 6;
-    if (faulty && m.plan == Machine.Plan.ACTIVE) {
+        machine.failedJobs.size() >= 2 && machine.errorsInRow >= 3
+            || job.failedOn.size() == 1 && machine.errorsInRow >= 6;
+    if (faulty && machine.plan == Machine.Plan.ACTIVE) {
       sink.info(
           "machine "
-              + m.id
+              + machine.id
               + " fails the tasks of "
-              + m.failedJobs.size()
+              + machine.failedJobs.size()
               + " jobs: draining, term="
               + term);
-      drain(m);
+      drain(machine);
     }
   }
 
   /** No new work; what waits for it at the leader goes back to the common queue. */
-  void drain(Machine m) {
-    m.plan = Machine.Plan.DRAIN;
-    tracker.unplan(m);
-    registry.updateQueueable(m);
+  void drain(Machine machine) {
+    machine.plan = Machine.Plan.DRAIN;
+    tracker.unplan(machine);
+    registry.updateQueueable(machine);
     tracker.noteChange();
   }
 
@@ -370,12 +378,12 @@
    * Before a machine is taken away, tasks that can save in time are told to; the others may yet
    * complete.
    */
-  private void saveProgress(Machine m, long noticeMicros) {
-    for (Attempt a : m.attempts.values()) {
-      if (a.spec.checkpointEveryMicros() > 0
-          && a.spec.saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
-        a.stop = true;
-        dispatcher.killSoon(m);
+  private void saveProgress(Machine machine, long noticeMicros) {
+    for (Attempt attempt : machine.attempts.values()) {
+      if (attempt.spec.checkpointEveryMicros() > 0
+          && attempt.spec.saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
+        attempt.stopRequested = true;
+        dispatcher.killSoon(machine);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -103,8 +103,8 @@
   }
 
   /** Machines with waiting attempts that may have got room. */
-  public Set<Machine> toServe() {
-    return tracker.toServe();
+  public Set<Machine> queuesToServe() {
+    return tracker.queuesToServe();
   }
 
   /** Deleted by this term: a late report or list must not bring one back. */
@@ -128,8 +128,8 @@
   }
 
   /** Who is to be told when the first task of a job is placed. */
-  public void begun(Consumer<Job> told) {
-    tracker.begun(told);
+  public void onJobStarted(Consumer<Job> listener) {
+    tracker.onJobStarted(listener);
   }
 
   /** What is marked as leaving, also by an earlier term: nothing may be placed on it. */
@@ -138,8 +138,8 @@
   }
 
   /** Adds a machine. */
-  public void add(Machine m) {
-    registry.add(m);
+  public void add(Machine machine) {
+    registry.add(machine);
   }
 
   /** A machine is rented, or was found: it holds nothing yet. */
@@ -153,33 +153,33 @@
   }
 
   /** Puts an attempt on its machine. */
-  public void attach(Attempt a) {
-    tracker.attach(a);
+  public void attach(Attempt attempt) {
+    tracker.attach(attempt);
   }
 
   /** Takes room for an attempt that waited for it. */
-  public void occupy(Attempt a) {
-    tracker.occupy(a);
+  public void occupy(Attempt attempt) {
+    tracker.occupy(attempt);
   }
 
   /** Takes an attempt off its machine. */
-  public void remove(Attempt a) {
-    tracker.remove(a);
+  public void remove(Attempt attempt) {
+    tracker.remove(attempt);
   }
 
   /** Gives the machine no new work. */
-  public void drain(Machine m) {
-    reports.drain(m);
+  public void drain(Machine machine) {
+    reports.drain(machine);
   }
 
   /** Sends the machine's kills with the next flush. */
-  public void killSoon(Machine m) {
-    dispatcher.killSoon(m);
+  public void killSoon(Machine machine) {
+    dispatcher.killSoon(machine);
   }
 
   /** Whether reports wait for their answers. */
-  public boolean owesAnswers() {
-    return dispatcher.owesAnswers();
+  public boolean hasPendingAnswers() {
+    return dispatcher.hasPendingAnswers();
   }
 
   /** The term is over: nothing is answered or sent any more. */
@@ -211,12 +211,12 @@
     FailoverTimeline failover = new FailoverTimeline(sink, term, electedMicros);
     for (Replica.RegisteredWorker entry : replica.registeredWorkers.values()) {
       Machine.Phase phase = picture == null ? Machine.Phase.UNCONFIRMED : Machine.Phase.RECOVERED;
-      Machine m = new Machine(entry.machine(), term, phase, nowMicros);
-      registry.describe(m, entry.address(), entry.type(), entry.zone(), entry.spot());
-      m.registered = true;
-      registry.add(m);
-      if (picture != null && picture.containsKey(m.id)) {
-        inherit(m, picture.get(m.id));
+      Machine machine = new Machine(entry.machine(), term, phase, nowMicros);
+      registry.describe(machine, entry.address(), entry.type(), entry.zone(), entry.spot());
+      machine.registered = true;
+      registry.add(machine);
+      if (picture != null && picture.containsKey(machine.id)) {
+        inherit(machine, picture.get(machine.id));
       }
     }
     registry.follow(failover);
@@ -224,8 +224,8 @@
     failover.replicaCaughtUp(registry.unconfirmedCount(), picture != null, nowMicros);
   }
 
-  private void inherit(Machine m, Standby.Held held) {
-    m.incarnation = held.incarnation();
+  private void inherit(Machine machine, Standby.Held held) {
+    machine.incarnation = held.incarnation();
     held.attempts()
         .forEach(
             (id, tasks) ->
@@ -241,24 +241,35 @@
                           && !job.active.containsKey(index)) {
                         tracker.attach(
                             new Attempt(
-                                job, index, number, m, Attempt.Phase.SEEN, time.nowMicros()));
+                                job,
+                                index,
+                                number,
+                                machine,
+                                Attempt.Phase.REPORTED,
+                                time.nowMicros()));
                       }
                     }));
-    m.measureRoom();
-    registry.updateQueueable(m);
-    tracker.roomChanged(m);
+    machine.recomputeFreeResources();
+    registry.updateQueueable(machine);
+    tracker.roomChanged(machine);
   }
 
   /** All that a standby must know of this leader's picture. */
   public void snapshot(Consumer<ReplicationBatch.Change> each) {
-    for (Machine m : registry.machines().values()) {
-      if (m.incarnation > 0) {
-        each.accept(new ReplicationBatch.Change(true, m.id, m.incarnation, "", 0, 0));
+    for (Machine machine : registry.machines().values()) {
+      if (machine.incarnation > 0) {
+        each.accept(new ReplicationBatch.Change(true, machine.id, machine.incarnation, "", 0, 0));
       }
-      for (Attempt a : m.attempts.values()) {
-        if (a.mayBeThere()) {
+      for (Attempt attempt : machine.attempts.values()) {
+        if (attempt.mayBeOnMachine()) {
           each.accept(
-              new ReplicationBatch.Change(true, m.id, m.incarnation, a.job.id, a.index, a.number));
+              new ReplicationBatch.Change(
+                  true,
+                  machine.id,
+                  machine.incarnation,
+                  attempt.job.id,
+                  attempt.index,
+                  attempt.number));
         }
       }
     }
@@ -266,10 +277,10 @@
 
   /** The catalogue has changed. */
   public void typesChanged() {
-    for (Machine m : registry.machines().values()) {
-      registry.resolveType(m);
-      m.measureRoom();
-      registry.updateQueueable(m);
+    for (Machine machine : registry.machines().values()) {
+      registry.resolveType(machine);
+      machine.recomputeFreeResources();
+      registry.updateQueueable(machine);
     }
     tracker.noteChange();
   }
@@ -279,28 +290,28 @@
    * any more.
    */
   public void keep(String id) {
-    Machine m = registry.machines().get(id);
-    if (m != null && m.plan == Machine.Plan.TERMINATE) {
-      m.plan = Machine.Plan.ACTIVE;
-      m.presumedDead = false;
-      if (!m.registered && m.phase != Machine.Phase.BOOTING) {
-        stateWriter.register(m);
+    Machine machine = registry.machines().get(id);
+    if (machine != null && machine.plan == Machine.Plan.TERMINATE) {
+      machine.plan = Machine.Plan.ACTIVE;
+      machine.presumedDead = false;
+      if (!machine.registered && machine.phase != Machine.Phase.BOOTING) {
+        stateWriter.register(machine);
       }
-      registry.updateQueueable(m);
-      m.measureRoom();
-      tracker.roomChanged(m);
+      registry.updateQueueable(machine);
+      machine.recomputeFreeResources();
+      tracker.roomChanged(machine);
       tracker.noteChange();
     }
   }
 
   /** The cloud confirmed that the machine is gone, with everything on it. */
   public void deleted(String id) {
-    Machine m = registry.remove(id);
+    Machine machine = registry.remove(id);
     stateWriter.unregister(id);
-    if (m != null) {
-      availableMachines.remove(m);
-      tracker.freeAll(m, "machine deleted");
-      dispatcher.forget(m);
+    if (machine != null) {
+      availableMachines.remove(machine);
+      tracker.freeAll(machine, "machine deleted");
+      dispatcher.forget(machine);
       standby.change(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
     }
     tracker.noteChange();
@@ -308,10 +319,10 @@
 
   /** The worker's registration is durable. */
   public void registered(String id) {
-    Machine m = registry.machines().get(id);
-    if (m != null) {
-      m.registered = true;
-      registry.updateQueueable(m);
+    Machine machine = registry.machines().get(id);
+    if (machine != null) {
+      machine.registered = true;
+      registry.updateQueueable(machine);
       tracker.noteChange();
     }
   }
@@ -333,24 +344,24 @@
     long lease = settings.leaseMicros() + settings.leaseMicros() / 1000 + LEASE_MARGIN_MICROS;
     Set<Machine> leased = registry.leased();
     while (!leased.isEmpty()) {
-      Machine m = leased.iterator().next();
-      if (time.nowMicros() <= m.answeredMicros + lease) {
+      Machine machine = leased.iterator().next();
+      if (time.nowMicros() <= machine.answeredMicros + lease) {
         break;
       }
-      sink.info("machine " + m.id + " has lost its lease, term=" + term);
-      registry.become(m, Machine.Phase.LEASE_EXPIRED);
-      availableMachines.remove(m);
-      tracker.freeAll(m, "lease over");
+      sink.info("machine " + machine.id + " has lost its lease, term=" + term);
+      registry.become(machine, Machine.Phase.LEASE_EXPIRED);
+      availableMachines.remove(machine);
+      tracker.freeAll(machine, "lease over");
     }
   }
 
   /** The job is over: what waits for room goes at once, what may be on machines is killed. */
   public void jobOver(Job job) {
-    for (Attempt a : new ArrayList<>(job.active.values())) {
-      if (a.phase == Attempt.Phase.QUEUED || a.phase == Attempt.Phase.PLANNED) {
-        tracker.remove(a);
+    for (Attempt attempt : new ArrayList<>(job.active.values())) {
+      if (attempt.phase == Attempt.Phase.QUEUED || attempt.phase == Attempt.Phase.PLANNED) {
+        tracker.remove(attempt);
       } else {
-        dispatcher.killSoon(a.machine);
+        dispatcher.killSoon(attempt.machine);
       }
     }
     tracker.noteChange();
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -89,60 +89,64 @@
   }
 
   /** A machine comes into the picture. */
-  void add(Machine m) {
-    machines.put(m.id, m);
-    enter(m);
+  void add(Machine machine) {
+    machines.put(machine.id, machine);
+    enter(machine);
   }
 
   /** The one function for a change of a machine's phase: the sets above follow it. */
-  void become(Machine m, Machine.Phase next) {
-    unconfirmed.remove(m);
-    recovered.remove(m);
-    fencing.remove(m);
-    leased.remove(m);
-    m.phase = next;
-    enter(m);
+  void become(Machine machine, Machine.Phase next) {
+    unconfirmed.remove(machine);
+    recovered.remove(machine);
+    fencing.remove(machine);
+    leased.remove(machine);
+    machine.phase = next;
+    enter(machine);
     if (failover != null) {
       failover.unconfirmedMachines(unconfirmedCount(), time.nowMicros());
     }
   }
 
-  private void enter(Machine m) {
-    switch (m.phase) {
-      case UNCONFIRMED -> unconfirmed.add(m);
-      case RECOVERED -> recovered.add(m);
+  private void enter(Machine machine) {
+    switch (machine.phase) {
+      case UNCONFIRMED -> unconfirmed.add(machine);
+      case RECOVERED -> recovered.add(machine);
       case FENCING -> {
-        fencing.add(m);
-        leased.add(m);
+        fencing.add(machine);
+        leased.add(machine);
       }
-      case CONFIRMED -> leased.add(m);
+      case CONFIRMED -> leased.add(machine);
       case BOOTING, LEASE_EXPIRED, TERMINATED -> {}
     }
-    updateQueueable(m);
+    updateQueueable(machine);
   }
 
-  void answered(Machine m) {
-    m.answeredMicros = time.nowMicros();
-    if (leased.remove(m)) {
-      leased.add(m);
+  void answered(Machine machine) {
+    machine.answeredMicros = time.nowMicros();
+    if (leased.remove(machine)) {
+      leased.add(machine);
     }
   }
 
-  void updateQueueable(Machine m) {
-    boolean open = m.known() && m.plan == Machine.Plan.ACTIVE && m.registered && m.type != null;
-    if (open == m.queueableIndex >= 0) {
+  void updateQueueable(Machine machine) {
+    boolean open =
+        machine.known()
+            && machine.plan == Machine.Plan.ACTIVE
+            && machine.registered
+            && machine.type != null;
+    if (open == machine.queueableIndex >= 0) {
       return;
     }
     if (open) {
-      m.queueableIndex = queueable.size();
-      queueable.add(m);
+      machine.queueableIndex = queueable.size();
+      queueable.add(machine);
     } else {
       Machine last = queueable.remove(queueable.size() - 1);
-      if (last != m) {
-        queueable.set(m.queueableIndex, last);
-        last.queueableIndex = m.queueableIndex;
+      if (last != machine) {
+        queueable.set(machine.queueableIndex, last);
+        last.queueableIndex = machine.queueableIndex;
       }
-      m.queueableIndex = -1;
+      machine.queueableIndex = -1;
     }
   }
 
@@ -152,27 +156,27 @@
   }
 
   Machine expect(String id, String address, String type, String zone, boolean spot) {
-    Machine m = new Machine(id, term, Machine.Phase.BOOTING, time.nowMicros());
-    describe(m, address, type, zone, spot);
+    Machine machine = new Machine(id, term, Machine.Phase.BOOTING, time.nowMicros());
+    describe(machine, address, type, zone, spot);
     if (leaving.test(id)) {
-      m.plan = Machine.Plan.TERMINATE;
+      machine.plan = Machine.Plan.TERMINATE;
     }
-    add(m);
-    return m;
+    add(machine);
+    return machine;
   }
 
-  void describe(Machine m, String address, String typeName, String zone, boolean spot) {
-    m.address = address;
-    m.typeName = typeName;
-    m.zone = zone;
-    m.spot = spot;
-    resolveType(m);
+  void describe(Machine machine, String address, String typeName, String zone, boolean spot) {
+    machine.address = address;
+    machine.typeName = typeName;
+    machine.zone = zone;
+    machine.spot = spot;
+    resolveType(machine);
   }
 
-  void resolveType(Machine m) {
+  void resolveType(Machine machine) {
     for (MachineType type : replica.catalog()) {
-      if (type.name().equals(m.typeName)) {
-        m.type = type;
+      if (type.name().equals(machine.typeName)) {
+        machine.type = type;
       }
     }
   }
@@ -184,14 +188,14 @@
 
   /** The machine is gone; whatever still comes of it is late. */
   Machine remove(String id) {
-    Machine m = machines.remove(id);
+    Machine machine = machines.remove(id);
     gone.add(id);
     if (gone.size() > MAX_TERMINATED) {
       gone.remove(gone.iterator().next());
     }
-    if (m != null) {
-      become(m, Machine.Phase.TERMINATED);
+    if (machine != null) {
+      become(machine, Machine.Phase.TERMINATED);
     }
-    return m;
+    return machine;
   }
 }
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -147,7 +147,7 @@
               switch (o.getVerb()) {
                 case LAUNCH -> new Order.Launch(task, o.getAttempt());
                 case KILL -> new Order.Kill(task, o.getAttempt(), o.getGraceMicros());
-                case REAP -> new Order.Reap(task, o.getAttempt());
+                case REAP -> new Order.Acknowledge(task, o.getAttempt());
               });
         }
         return new Answer.Command(a.getToken(), orders);
--- a/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
@@ -35,7 +35,7 @@
               List.of(
                   new Order.Launch(TASK, 2),
                   new Order.Kill(TASK, 3, 5_000_000),
-                  new Order.Reap(TASK, 4))),
+                  new Order.Acknowledge(TASK, 4))),
           new Answer.Command(1, List.of()),
           new Answer.Redirect("n1"),
           new Answer.Redirect(null),
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -268,7 +268,7 @@
       m.registered = true;
       m.incarnation = 1;
       workers.add(m);
-      m.measureRoom();
+      m.recomputeFreeResources();
       availableMachines.offer(m);
     }
   }
@@ -328,7 +328,7 @@
     List<Heartbeat.Entry> entries = new ArrayList<>();
     int over = ended;
     for (Attempt a : m.attempts.values()) {
-      if (a.phase == Attempt.Phase.SENT || a.phase == Attempt.Phase.SEEN) {
+      if (a.phase == Attempt.Phase.SENT || a.phase == Attempt.Phase.REPORTED) {
         boolean ends = over-- > 0;
         entries.add(
             new Heartbeat.Entry(
--- a/src/test/java/org/eiderstair/core/membership/MembershipTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipTest.java
@@ -29,7 +29,7 @@
 
   private record Asked(String peer, String run, long after, Consumer<Membership.Answer> callback) {}
 
-  private record Known(String machine, String zone, long lastHeartbeatMicros, boolean holdsBack)
+  private record Known(String machine, String zone, long lastHeartbeatMicros, boolean unconfirmed)
       implements MonitoredMachine {}
 
   private final List<Asked> asked = new ArrayList<>();
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -120,7 +120,7 @@
     m.spot = spot;
     m.registered = true;
     workers.add(m);
-    m.measureRoom();
+    m.recomputeFreeResources();
     availableMachines.offer(m);
     return m;
   }
@@ -130,7 +130,7 @@
         .filter(a -> a.phase == Attempt.Phase.PLANNED)
         .forEach(
             a -> {
-              a.phase = Attempt.Phase.SEEN;
+              a.phase = Attempt.Phase.REPORTED;
               a.machine.toLaunch.clear();
             });
   }
@@ -231,8 +231,8 @@
     Job waiting = job(3, "red", Priority.NORMAL, 3, 1);
     waiting.seenMicros = 0;
     placement.place(NOW + 1_000_000);
-    assertTrue(inside.active.values().stream().noneMatch(a -> a.stop));
-    assertEquals(3, beyond.active.values().stream().filter(a -> a.stop).count());
+    assertTrue(inside.active.values().stream().noneMatch(a -> a.stopRequested));
+    assertEquals(3, beyond.active.values().stream().filter(a -> a.stopRequested).count());
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -247,7 +247,7 @@
     second.workers.takeOver(now, picture, now);
     Machine m = second.workers.machines().get(MACHINE);
     m.type = LeaderBench.TYPE;
-    m.measureRoom();
+    m.recomputeFreeResources();
     leaders.add(second);
     if (withPicture) {
       // Its standby has claimed the term: it never launches again.
--- a/src/test/java/org/eiderstair/core/workers/SearchWorker.java
+++ b/src/test/java/org/eiderstair/core/workers/SearchWorker.java
@@ -45,7 +45,7 @@
       tasks.put(
           order.task(),
           new Entry(order.task(), order.attempt(), TaskState.ENDED, Exit.STOPPED, false));
-    } else if (same && order instanceof Order.Reap && known.state() == TaskState.ENDED) {
+    } else if (same && order instanceof Order.Acknowledge && known.state() == TaskState.ENDED) {
       tasks.remove(order.task());
     }
   }
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -86,7 +86,9 @@
         .append(m.commandInFlight)
         .append(m.killInFlight)
         .append(m.killsPending);
-    key.append(m.reaps.size()).append(m.orphans.size()).append(world.now >= m.holdUntilMicros);
+    key.append(m.acknowledgements.size())
+        .append(m.untrackedTasks.size())
+        .append(world.now >= m.holdUntilMicros);
     key.append((world.now - m.answeredMicros) / ALIKE_MICROS);
     for (Attempt a : m.attempts.values()) {
       key.append(a.index).append(a.phase).append(attempts.of(a.number));
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -174,7 +174,7 @@
 
   @Example
   void anOlderReportThatComesLateChangesNothing() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     reported(
         report(
             1,
@@ -189,7 +189,7 @@
 
   @Example
   void aNoticeTellsTasksWithCheckpointsToSaveInTime() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
     reported(report(1, 1, machine.fencingToken(), 12_000_000, running), 1_000_000);
     workers.flush(1_000_000);
@@ -227,7 +227,7 @@
             new TeamQuotas(settings),
             new Standby("n0", "run", text -> {}),
             1);
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     other.add(machine);
     other.reported(9, report(1, 1, machine.fencingToken(), -1), false, 1_000_000);
     other.flush(1_000_000);
@@ -249,7 +249,7 @@
    */
   @Example
   void aReportOfAnEarlierSessionIsNotAnsweredOnceTheNextIsHere() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     reported(report(1, 500, machine.fencingToken(), -1), 1_000_000);
     reported(report(2, 1, machine.fencingToken(), -1), 1_001_000);
     workers.flush(1_002_000);
@@ -263,7 +263,7 @@
    */
   @Example
   void aLateCopyOfAnEarlierSessionIsNotAnswered() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     reported(report(1, 500, machine.fencingToken(), -1), 1_000_000);
     workers.flush(1_001_000);
     reported(report(2, 1, machine.fencingToken(), -1), 2_000_000);
@@ -296,7 +296,7 @@
     assertTrue(one.done.get(shown.get(0).task().index()));
     one.durable.set(shown.get(0).task().index());
     assertEquals(
-        List.of(new Order.Reap(shown.get(0).task(), shown.get(0).attempt())),
+        List.of(new Order.Acknowledge(shown.get(0).task(), shown.get(0).attempt())),
         reapsAfter(bench, m, shown.get(0)));
   }
 
@@ -308,14 +308,14 @@
     return bench.effects.stream()
         .filter(e -> e instanceof Effect.Respond)
         .flatMap(e -> ((Answer.Command) ((Effect.Respond) e).answer()).orders().stream())
-        .filter(o -> o instanceof Order.Reap)
+        .filter(o -> o instanceof Order.Acknowledge)
         .toList();
   }
 
   /** A copy renews nothing, moves no clock and takes no launch with it. */
   @Example
   void aLateCopyOfAReportIsNotAnswered() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
     reported(report(1, 8, machine.fencingToken(), -1, running), 1_000_000);
     workers.flush(1_001_000);
@@ -334,7 +334,7 @@
 
   @Example
   void aNewSessionFreesEverything() {
-    launched(Attempt.Phase.SEEN);
+    launched(Attempt.Phase.REPORTED);
     reported(report(2, 1, machine.fencingToken(), -1), 30_000_000);
     assertTrue(job.active.isEmpty());
   }
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -52,7 +52,7 @@
                 List.of(
                     new Order.Launch(task, 2),
                     new Order.Kill(task, 3, 5_000_000),
-                    new Order.Reap(task, 4))),
+                    new Order.Acknowledge(task, 4))),
             new Answer.Redirect("n1"),
             new Answer.Redirect(null),
             new Answer.Failure(503, "taking over", 0));
--- a/src/test/java/org/eiderstair/sim/WaitingJobsCheck.java
+++ b/src/test/java/org/eiderstair/sim/WaitingJobsCheck.java
@@ -76,7 +76,7 @@
               && !day.cancelAsked(id)
               && !day.mistaken(id)
               && day.machinesOf(id).isEmpty()
-              && hasRoom(spec)
+              && hasFreeResources(spec)
               && day.teamUse(spec.team()) + spec.cpus() <= day.size.limit() + 1e-6;
       if (!waits) {
         since.remove(id);
@@ -87,8 +87,8 @@
     }
   }
 
-  private boolean hasRoom(JobSpec spec) {
+  private boolean hasFreeResources(JobSpec spec) {
     return day.workers().stream()
-        .anyMatch(w -> spec.allows(w.type, w.zone, w.spot) && w.hasRoom(spec.cpus()));
+        .anyMatch(w -> spec.allows(w.type, w.zone, w.spot) && w.hasFreeResources(spec.cpus()));
   }
 }
--- a/src/test/java/org/eiderstair/sim/Worker.java
+++ b/src/test/java/org/eiderstair/sim/Worker.java
@@ -111,7 +111,7 @@
   }
 
   /** Whether a task of that size would find room. */
-  boolean hasRoom(double cpus) {
+  boolean hasFreeResources(double cpus) {
     double used = 0;
     for (Running r : tasks.values()) {
       used += r.state == TaskState.ENDED ? 0 : day.spec(r.task.job()).cpus();
@@ -239,7 +239,7 @@
         r.state = TaskState.ENDED;
         r.exit = Exit.STOPPED;
         reportSoon = true;
-      } else if (order instanceof Order.Reap && r.state == TaskState.ENDED) {
+      } else if (order instanceof Order.Acknowledge && r.state == TaskState.ENDED) {
         tasks.remove(order.task());
       }
     }
