--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -85,8 +85,8 @@
         count(MACHINE_QUEUE, 0, 100, DEFAULTS.machineQueue()),
         micros(LEADER_TTL_S, 1, 600, DEFAULTS.leaderTtlMicros()),
         micros(LEADER_RENEW_S, 0.1, 200, DEFAULTS.leaderRenewMicros()),
-        micros(UNHEARD_DELETE_S, 1, 3600, DEFAULTS.unheardDeleteMicros()),
-        micros(DARK_DELETE_S, 1, 3600, DEFAULTS.darkDeleteMicros()),
+        micros(UNHEARD_DELETE_S, 1, 3600, DEFAULTS.unreachableDeleteMicros()),
+        micros(DARK_DELETE_S, 1, 3600, DEFAULTS.partitionedDeleteMicros()),
         micros(IDLE_RETURN_S, 0, 86_400, DEFAULTS.idleReturnMicros()),
         count(RENT_BATCH, 1, 50, DEFAULTS.rentBatch()),
         count(STANDBYS, 0, 1, DEFAULTS.standbys()));
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -129,14 +129,15 @@
     } else if (event instanceof Event.MembershipRequested asked) {
       sink.respond(
           asked.exchange(),
-          new Answer.ReachableWorkers(membership.tell(asked.run(), asked.after(), now)));
+          new Answer.ReachableWorkers(membership.digestAfter(asked.run(), asked.after(), now)));
     } else if (event instanceof Event.ReplicationReceived told) {
       // A leader that is known to have been replaced is not followed.
       boolean mayFollow =
           leadership.isFollower()
               && (replica.leader() == null || told.batch().term() >= replica.leader().term());
       sink.respond(
-          told.exchange(), new Answer.ReplicationAck(standby.take(told.batch(), mayFollow, now)));
+          told.exchange(),
+          new Answer.ReplicationAck(standby.receive(told.batch(), mayFollow, now)));
     } else if (event instanceof Event.CancellationsReceived told) {
       told.cancellations().forEach(replica::cancelledElsewhere);
       sink.respond(told.exchange(), new Answer.Acknowledged());
@@ -183,7 +184,7 @@
       return;
     }
     if (!event.relayed()) {
-      membership.heard(event.report().machine(), now);
+      membership.heartbeatReceived(event.report().machine(), now);
     }
     Replica.Leader leader = replica.leader();
     // While the state service refuses this node alone, its own picture of the leader is old.
@@ -203,7 +204,7 @@
         reply ->
             callback.accept(
                 reply instanceof Reply.PeerMembership told
-                    ? new Membership.Answer(told.hearing())
+                    ? new Membership.Answer(told.digest())
                     : reply instanceof Reply.Refused refused && refused.status() == 404
                         ? new Membership.Answer(null)
                         : null));
@@ -223,14 +224,14 @@
         || record == null
         || leader == null
         || !leadership.isFollower()
-        || !standby.misses(now)
-        || !standby.named(record.value())
+        || !standby.leaderTimedOut(now)
+        || !standby.namesThisNode(record.value())
         || StoredRecords.whole(record.value(), "epoch", 0) != leader.term()) {
       return;
     }
-    Map<String, Object> claimed = Standby.claim(record.value());
+    Map<String, Object> claimed = Standby.withTakeover(record.value());
     claiming = true;
-    standby.stands();
+    standby.stopFollowing();
     sink.info(
         "claiming the term of " + leader.node() + ", which is not heard, term=" + leader.term());
     sink.call(
@@ -252,13 +253,15 @@
 
   @Override
   public void campaignStarted() {
-    standby.stands();
+    standby.stopFollowing();
   }
 
   @Override
   public boolean anotherNodeInSync() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
-    return record != null && Standby.names(record.value()) && !standby.named(record.value());
+    return record != null
+        && Standby.namesAnyNode(record.value())
+        && !standby.namesThisNode(record.value());
   }
 
   /** Whether this node holds the office of leader. */
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -104,7 +104,7 @@
     stateWriter.close();
     workers.close();
     // After the fleet: launches that the standby withholds now are told that the term is over.
-    standby.leaves();
+    standby.endTerm();
     capacity.close();
   }
 
@@ -138,7 +138,7 @@
       replica.jobs.values().forEach(Job::forgetPlaces);
       inherit();
       capacity.takeOver(now);
-      membership.begin(now);
+      membership.startTerm(now);
     }
     // Passes are due soon after every event: one that is late says that there is more to do than
     // can be done.
@@ -191,10 +191,10 @@
     Reply.Item record = replica.duties.get(Standby.RECORD);
     workers.takeOver(
         electedMicros,
-        standby.inherit(term, replica.revision(), record == null ? null : record.value()),
+        standby.recover(term, replica.revision(), record == null ? null : record.value()),
         now);
     if (record != null || settings.keepsStandby()) {
-      standby.leads(
+      standby.startTerm(
           new StandbyHost(),
           term,
           settings.keepsStandby() ? inOtherZonesFirst() : List.of(),
@@ -217,7 +217,7 @@
    */
   private final class StandbyHost implements Standby.Host {
     @Override
-    public boolean whole() {
+    public boolean hasCompleteState() {
       return workers.unconfirmed().isEmpty();
     }
 
@@ -268,7 +268,7 @@
     }
 
     @Override
-    public void claimed() {
+    public void termTakenOver() {
       leadership.deposed("its standby has claimed the term");
     }
 
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -153,7 +153,7 @@
     if (now >= nextDecideMicros) {
       nextDecideMicros = now + DECIDE_EVERY_MICROS;
       retirement.retire(now);
-      if (!replica.catalog().isEmpty() && membership.begun(now)) {
+      if (!replica.catalog().isEmpty() && membership.hasConsultedPeers(now)) {
         balance();
       }
     }
@@ -254,7 +254,7 @@
           }
           // In a zone that nobody sees a machine boots unseen, and is paid for: only where no other
           // zone has room.
-          price += membership.isDark(zone) ? UNSEEN_PRICE : 0;
+          price += membership.isPartitioned(zone) ? UNSEEN_PRICE : 0;
           int there = inZone(zone);
           if (price < bestPrice - 1e-9 || price < bestPrice + 1e-9 && there < bestCount) {
             best = offer;
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -52,7 +52,7 @@
 
   /** Whether some machine has been silent for so long that peers are to be asked for it. */
   boolean missesMachines() {
-    return survey != null && survey.misses();
+    return survey != null && survey.hasMissingMachines();
   }
 
   /**
@@ -62,11 +62,11 @@
   void retire(long nowMicros) {
     now = nowMicros;
     survey =
-        membership.survey(
+        membership.classify(
             workers.machines().values(),
             workers.reach().unreached(),
-            settings.tuning().unheardDeleteMicros(),
-            settings.tuning().darkDeleteMicros(),
+            settings.tuning().unreachableDeleteMicros(),
+            settings.tuning().partitionedDeleteMicros(),
             now);
     returnOverdue();
     int spared = 0;
@@ -79,16 +79,16 @@
         }
         continue;
       }
-      ReachabilityClassifier.Verdict verdict = survey.of(m);
-      m.partitioned = verdict == ReachabilityClassifier.Verdict.DARK;
+      ReachabilityClassifier.Verdict verdict = survey.verdictOf(m);
+      m.partitioned = verdict == ReachabilityClassifier.Verdict.ZONE_PARTITIONED;
       String why = null;
       if (m.phase == Machine.Phase.BOOTING) {
         long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
         why =
-            now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.heardElsewhere(m.id)
+            now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.isReachableByPeer(m.id)
                 ? "never came up"
                 : null;
-      } else if (verdict == ReachabilityClassifier.Verdict.SILENT) {
+      } else if (verdict == ReachabilityClassifier.Verdict.UNREACHABLE) {
         why = survey.evidence(m);
       } else if (m.plan == Machine.Plan.DRAIN
           && m.attempts.isEmpty()
@@ -96,9 +96,9 @@
         why = "drained";
       }
       if (why != null) {
-        m.presumedDead = verdict == ReachabilityClassifier.Verdict.SILENT;
+        m.presumedDead = verdict == ReachabilityClassifier.Verdict.UNREACHABLE;
         returnNow(m, m.presumedDead ? "silent: " + why : why);
-      } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.ELSEWHERE.ordinal()) {
+      } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.REACHABLE_BY_PEER.ordinal()) {
         spared++;
       }
     }
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -96,7 +96,7 @@
    * What changed after a number, at most so much; from the beginning when that is not known any
    * more.
    */
-  HeartbeatDigest tell(String run, long after, int most, long nowMicros) {
+  HeartbeatDigest digestAfter(String run, long after, int most, long nowMicros) {
     sweep(nowMicros);
     boolean whole = after < forgotten || after > last;
     List<HeartbeatDigest.Change> changes = new ArrayList<>();
--- a/src/main/java/org/eiderstair/core/membership/Membership.java
+++ b/src/main/java/org/eiderstair/core/membership/Membership.java
@@ -42,7 +42,7 @@
   }
 
   /** A peer's answer; {@code hearing} is null when it does not understand the question. */
-  public record Answer(HeartbeatDigest hearing) {}
+  public record Answer(HeartbeatDigest digest) {}
 
   /**
    * What is known of a peer's hearing. UNKNOWN has told nothing yet, or lately; TOLD has; UNABLE is
@@ -54,10 +54,13 @@
     UNABLE
   }
 
-  /** DARK: most of a zone's machines are silent, and none of its controllers answers; SEEN else. */
+  /**
+   * PARTITIONED: most of a zone's machines are silent, and none of its controllers answers;
+   * REACHABLE else.
+   */
   enum ZoneState {
-    SEEN,
-    DARK
+    REACHABLE,
+    PARTITIONED
   }
 
   private static final class Peer {
@@ -119,14 +122,14 @@
    * A new term judges anew: it asks all peers, so that it knows which zones it sees before it
    * decides anything on them.
    */
-  public void begin(long nowMicros) {
+  public void startTerm(long nowMicros) {
     darkZones.clear();
     beganMicros = nowMicros;
     beginning = true;
   }
 
   /** Whether peers have answered since the term began, or could have. */
-  public boolean begun(long nowMicros) {
+  public boolean hasConsultedPeers(long nowMicros) {
     return !beginning && nowMicros >= beganMicros;
   }
 
@@ -142,19 +145,19 @@
     boolean someAnswer = peers.values().stream().anyMatch(p -> p.state != PeerState.UNKNOWN);
     for (String zone : new HashSet<>(nodeZones.values())) {
       if (someAnswer && !zone.isEmpty() && !reached(zone)) {
-        become(zone, ZoneState.DARK, "none of its controllers answers");
+        become(zone, ZoneState.PARTITIONED, "none of its controllers answers");
       }
     }
   }
 
   /** A machine has reported to this node, not through a peer. */
-  public void heard(String machine, long nowMicros) {
+  public void heartbeatReceived(String machine, long nowMicros) {
     ear.heard(machine, nowMicros);
   }
 
   /** What a peer that knows changes of a run up to a number is told. */
-  public HeartbeatDigest tell(String ofRun, long after, long nowMicros) {
-    return ear.tell(run, run.equals(ofRun) ? after : -1, MAX_TOLD, nowMicros);
+  public HeartbeatDigest digestAfter(String ofRun, long after, long nowMicros) {
+    return ear.digestAfter(run, run.equals(ofRun) ? after : -1, MAX_TOLD, nowMicros);
   }
 
   /**
@@ -193,20 +196,20 @@
           if (answer == null || !p.run.equals(knownRun) || p.after != knownAfter) {
             return;
           }
-          if (answer.hearing() == null) {
+          if (answer.digest() == null) {
             become(p, PeerState.UNABLE);
             p.nextAskMicros = now + UNABLE_MICROS;
             return;
           }
-          take(p, answer.hearing());
-          if (answer.hearing().more()) {
+          take(p, answer.digest());
+          if (answer.digest().more()) {
             p.nextAskMicros = now;
           } else {
             p.toldMicros = p.askedMicros;
             become(p, PeerState.TOLD);
             // A zone is cut off only while nobody reaches its controllers either.
             if (nodeZones.containsKey(name)) {
-              become(nodeZones.get(name), ZoneState.SEEN, name + " answers");
+              become(nodeZones.get(name), ZoneState.REACHABLE, name + " answers");
             }
           }
         });
@@ -252,7 +255,7 @@
    * @param patienceMicros how long a machine alone may be silent
    * @param darkMicros how long one of a zone that nobody sees may be
    */
-  public ReachabilityClassifier survey(
+  public ReachabilityClassifier classify(
       Iterable<? extends MonitoredMachine> machines,
       boolean unreached,
       long patienceMicros,
@@ -265,20 +268,20 @@
     survey.zones(
         (zone, dark, latestMicros) -> {
           if (dark && !reached(zone) && !darkZones.containsKey(zone)) {
-            become(zone, ZoneState.DARK, survey.evidence());
+            become(zone, ZoneState.PARTITIONED, survey.evidence());
           }
         });
     survey.zones(
         (zone, dark, latestMicros) -> {
           Long since = darkZones.get(zone);
           if (since != null && !dark && latestMicros > Math.max(since, now - LIVE_MICROS)) {
-            become(zone, ZoneState.SEEN, "its machines are heard again");
+            become(zone, ZoneState.REACHABLE, "its machines report again");
           }
         });
     for (Map.Entry<String, Long> e : List.copyOf(darkZones.entrySet())) {
       // A zone whose machines were all given back has none that could tell that it is seen again.
       if (now > e.getValue() + DARK_MICROS) {
-        become(e.getKey(), ZoneState.SEEN, "no word for long");
+        become(e.getKey(), ZoneState.REACHABLE, "nothing known for long");
       }
     }
     return survey;
@@ -286,12 +289,12 @@
 
   /** The one function for every change of what is known of a zone. */
   private void become(String zone, ZoneState next, String why) {
-    if (next == ZoneState.DARK) {
+    if (next == ZoneState.PARTITIONED) {
       darkZones.put(zone, now);
     } else if (darkZones.remove(zone) == null) {
       return;
     }
-    log.accept("zone " + zone + " is " + next + ": " + why);
+    log.accept("zone=" + zone + " -> " + next + ": " + why);
   }
 
   /**
@@ -310,12 +313,12 @@
   }
 
   /** Whether most machines of a zone were silent lately, and none of it has been heard since. */
-  public boolean isDark(String zone) {
+  public boolean isPartitioned(String zone) {
     return darkZones.containsKey(zone);
   }
 
   /** Whether any live controller but this one hears the machine. */
-  public boolean heardElsewhere(String machine) {
+  public boolean isReachableByPeer(String machine) {
     return heardBy.containsKey(machine);
   }
 
@@ -336,7 +339,7 @@
   }
 
   /** How many machines peers hear, of those that {@code which} names. */
-  public int heardElsewhere(Predicate<String> which) {
+  public int countReachableByPeers(Predicate<String> which) {
     int count = 0;
     for (String machine : heardBy.keySet()) {
       count += which.test(machine) ? 1 : 0;
@@ -350,9 +353,9 @@
     peers.forEach(
         (name, p) -> {
           if (p.state == PeerState.TOLD) {
-            told.add(name + " hears " + p.hears.size());
+            told.add("peer=" + name + " reachable=" + p.hears.size());
           }
         });
-    return told.isEmpty() ? "no peer tells" : String.join(", ", told);
+    return told.isEmpty() ? "no peer answers" : String.join(", ", told);
   }
 }
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -16,20 +16,21 @@
   private static final int FEW_PART = 20;
 
   /** So many times the patience with one machine when most of all are silent. */
-  private static final int CUT_OFF_FACTOR = 3;
+  private static final int ISOLATED_PATIENCE_FACTOR = 3;
 
   /**
-   * HEARD is not silent. DOUBTED is, but not for long, or peers have yet to say whether they hear
-   * it. ELSEWHERE is heard by a peer. CUT_OFF: most machines are silent, so the fault is likely
-   * this node's. DARK: its zone is. SILENT is taken for dead.
+   * REACHABLE reports to this node. SUSPECTED has not lately, but not for long, or peers have yet
+   * to say whether it reports to them. REACHABLE_BY_PEER reports to a peer. LEADER_ISOLATED: most
+   * machines are silent, so the fault is likely this node's. ZONE_PARTITIONED: its zone is cut off.
+   * UNREACHABLE is taken for dead.
    */
   public enum Verdict {
-    HEARD,
-    DOUBTED,
-    ELSEWHERE,
-    CUT_OFF,
-    DARK,
-    SILENT
+    REACHABLE,
+    SUSPECTED,
+    REACHABLE_BY_PEER,
+    LEADER_ISOLATED,
+    ZONE_PARTITIONED,
+    UNREACHABLE
   }
 
   private static final class Zone {
@@ -75,7 +76,7 @@
       zone.all++;
       zone.latestMicros = Math.max(zone.latestMicros, m.lastHeartbeatMicros());
       if (isMissed(m)) {
-        boolean there = peers.heardElsewhere(m.machine());
+        boolean there = peers.isReachableByPeer(m.machine());
         elsewhere += there ? 1 : 0;
         silent += there ? 0 : 1;
         zone.silent += there ? 0 : 1;
@@ -93,7 +94,7 @@
   }
 
   /** Whether peers are to be asked. */
-  public boolean misses() {
+  public boolean hasMissingMachines() {
     return silent + elsewhere > 0;
   }
 
@@ -111,43 +112,45 @@
    * merely the first to run out of patience. Seen in a cut: 33 were given back in the second before
    * peers heard them.
    */
-  public boolean cutOff() {
+  public boolean leaderIsolated() {
     return silent >= MANY && (unreached || silent * 2 > all);
   }
 
   /** What was found for a machine. */
-  public Verdict of(MonitoredMachine m) {
+  public Verdict verdictOf(MonitoredMachine m) {
     long last = m.lastHeartbeatMicros();
     if (!isMissed(m)) {
-      return Verdict.HEARD;
+      return Verdict.REACHABLE;
     }
-    if (peers.heardElsewhere(m.machine())) {
-      return Verdict.ELSEWHERE;
+    if (peers.isReachableByPeer(m.machine())) {
+      return Verdict.REACHABLE_BY_PEER;
     }
-    boolean dark = peers.isDark(String.valueOf(m.zone()));
+    boolean dark = peers.isPartitioned(String.valueOf(m.zone()));
     // Where all work waits for what is unconfirmed, a whole zone that nobody sees has said enough
     // in half the time; so have a few machines that do not answer when they are asked, while all
     // others have.
     boolean few = holding * FEW_PART <= all;
     long patience =
-        m.unconfirmed() && (dark && !cutOff() || few) ? patienceMicros * 2 / 5 : patienceMicros;
+        m.unconfirmed() && (dark && !leaderIsolated() || few)
+            ? patienceMicros * 2 / 5
+            : patienceMicros;
     if (now <= last + patience) {
-      return Verdict.DOUBTED;
+      return Verdict.SUSPECTED;
     }
     // What peers told before the machine was missed proves nothing. One that cannot be reached is
     // not waited for longer.
     if (peers.mayYetTell(last) && now <= last + patience * 5 / 4) {
-      return Verdict.DOUBTED;
+      return Verdict.SUSPECTED;
     }
-    if (cutOff() && now <= last + patienceMicros * CUT_OFF_FACTOR) {
-      return Verdict.CUT_OFF;
+    if (leaderIsolated() && now <= last + patienceMicros * ISOLATED_PATIENCE_FACTOR) {
+      return Verdict.LEADER_ISOLATED;
     }
     // Waiting costs little, as what is on it comes free when its lease ends; but not where only its
     // end tells.
     if (dark && !m.unconfirmed() && now <= last + darkMicros) {
-      return Verdict.DARK;
+      return Verdict.ZONE_PARTITIONED;
     }
-    return Verdict.SILENT;
+    return Verdict.UNREACHABLE;
   }
 
   /** The same of all machines together. */
@@ -157,8 +160,8 @@
         + all
         + " silent, "
         + elsewhere
-        + " heard by peers alone"
-        + (cutOff() ? ", cut off" : "")
+        + " reachable by peers only"
+        + (leaderIsolated() ? ", leader isolated" : "")
         + "; "
         + peers.evidence();
   }
--- a/src/main/java/org/eiderstair/core/message/Answer.java
+++ b/src/main/java/org/eiderstair/core/message/Answer.java
@@ -33,7 +33,7 @@
   record StateServiceStatus(boolean served, String leader, long term) implements Answer {}
 
   /** To a peer: which machines this node hears by itself. */
-  record ReachableWorkers(HeartbeatDigest hearing) implements Answer {}
+  record ReachableWorkers(HeartbeatDigest digest) implements Answer {}
 
   /** To a leader: how far its picture is here. */
   record ReplicationAck(ReplicationBatch.Ack ack) implements Answer {}
--- a/src/main/java/org/eiderstair/core/message/Reply.java
+++ b/src/main/java/org/eiderstair/core/message/Reply.java
@@ -55,7 +55,7 @@
   record PeerStateServiceStatus(boolean served, String leader, long term) implements Reply {}
 
   /** Which machines a peer hears by itself. */
-  record PeerMembership(HeartbeatDigest hearing) implements Reply {}
+  record PeerMembership(HeartbeatDigest digest) implements Reply {}
 
   /** What a peer says to changes of the leader's picture. */
   record ReplicationAck(ReplicationBatch.Ack ack) implements Reply {}
--- a/src/main/java/org/eiderstair/core/settings/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -95,8 +95,8 @@
       int machineQueue,
       long leaderTtlMicros,
       long leaderRenewMicros,
-      long unheardDeleteMicros,
-      long darkDeleteMicros,
+      long unreachableDeleteMicros,
+      long partitionedDeleteMicros,
       long idleReturnMicros,
       int rentBatch,
       int standbys) {
--- a/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -139,7 +139,7 @@
     return state == State.ENLISTING || state == State.IN_SYNC;
   }
 
-  void change(ReplicationBatch.Change change) {
+  void replicate(ReplicationBatch.Change change) {
     if (state == State.FILLING || awaitsAcknowledgements()) {
       queue.add(change);
       made++;
@@ -181,7 +181,7 @@
     switch (state) {
       case CLEARING, STRIKING -> unregister();
       case ALONE -> {
-        if (!peers.isEmpty() && now >= nextTryMicros && host.whole()) {
+        if (!peers.isEmpty() && now >= nextTryMicros && host.hasCompleteState()) {
           fill();
         }
       }
@@ -328,7 +328,7 @@
               // The standby has taken this term for over: nothing may be launched any more,
               // whatever the lease says.
               end();
-              host.claimed();
+              host.termTakenOver();
               return;
             }
             recordVersion = version;
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -23,7 +23,7 @@
   /** What the leader's side needs. */
   public interface Host {
     /** Whether the leader's own picture is whole: no machine may hold what it does not know. */
-    boolean whole();
+    boolean hasCompleteState();
 
     /** All that may be on any machine, and the machines whose session is known. */
     void snapshot(Consumer<ReplicationBatch.Change> each);
@@ -42,7 +42,7 @@
     void read(BiConsumer<Long, Map<String, Object>> callback);
 
     /** The standby has claimed the term: leave office. */
-    void claimed();
+    void termTakenOver();
 
     /** Logs a line. */
     void info(String text);
@@ -60,9 +60,6 @@
     REFUSED
   }
 
-  /** What may be on a machine, by task, and its session; 0 when it is not known. */
-  public record Held(long incarnation, Map<String, Map<Integer, Long>> attempts) {}
-
   private final String node;
   private final String run;
   private final Consumer<String> log;
@@ -79,8 +76,8 @@
   // The standby's side.
 
   /** A batch of the leader's; {@code mayFollow} while this node neither stands nor leads. */
-  public ReplicationBatch.Ack take(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
-    boolean accepted = mayFollow && copy.take(batch);
+  public ReplicationBatch.Ack receive(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
+    boolean accepted = mayFollow && copy.receive(batch);
     if (accepted) {
       lastHeartbeatMicros = nowMicros;
     }
@@ -88,12 +85,12 @@
   }
 
   /** This node stands: nothing of older terms is acknowledged from now on. */
-  public void stands() {
+  public void stopFollowing() {
     copy.freeze();
   }
 
   /** Whether the record names this run of this node, for the term whose picture it holds whole. */
-  public boolean named(Map<String, Object> record) {
+  public boolean namesThisNode(Map<String, Object> record) {
     return record != null
         && node.equals(record.get("node"))
         && run.equals(record.get("run"))
@@ -104,18 +101,18 @@
   }
 
   /** Whether the record names any standby. */
-  public static boolean names(Map<String, Object> record) {
+  public static boolean namesAnyNode(Map<String, Object> record) {
     return record != null && record.get("node") instanceof String name && !name.isEmpty();
   }
 
   /** Whether the leader has not been heard for so long that its standby looks for it. */
-  public boolean misses(long nowMicros) {
+  public boolean leaderTimedOut(long nowMicros) {
     return copy.state() == StandbyReplica.State.FOLLOWING
         && nowMicros > lastHeartbeatMicros + MISSED_MICROS;
   }
 
   /** The record with the claim, which its leader can neither drop nor launch beside. */
-  public static Map<String, Object> claim(Map<String, Object> record) {
+  public static Map<String, Object> withTakeover(Map<String, Object> record) {
     Map<String, Object> claimed = new LinkedHashMap<>(record);
     claimed.put("claimed", true);
     return claimed;
@@ -132,7 +129,8 @@
    *
    * @param record as of this term's beginning
    */
-  public Map<String, Held> inherit(long term, long revision, Map<String, Object> record) {
+  public Map<String, RecoveredMachine> recover(
+      long term, long revision, Map<String, Object> record) {
     reached(Check.ELECTED, "term=" + term);
     if (revision < term) {
       reached(Check.REFUSED, "its keys are of revision " + revision);
@@ -142,16 +140,18 @@
     if (record == null || !node.equals(record.get("node")) || !run.equals(record.get("run"))) {
       reached(
           Check.REFUSED,
-          names(record) ? "the record names " + record.get("node") : "no standby was in sync");
+          namesAnyNode(record)
+              ? "the record names " + record.get("node")
+              : "no standby was in sync");
       return null;
     }
     reached(Check.NAMED, "by term " + record.get("epoch"));
-    if (!named(record)) {
+    if (!namesThisNode(record)) {
       reached(Check.REFUSED, "its picture is " + copy.state() + " of term " + copy.term());
       return null;
     }
     reached(Check.WHOLE, copy.machines().size() + " machines");
-    Map<String, Held> all = new LinkedHashMap<>();
+    Map<String, RecoveredMachine> all = new LinkedHashMap<>();
     copy.machines()
         .forEach(
             (machine, held) -> {
@@ -161,7 +161,7 @@
                       attempts
                           .computeIfAbsent(task.job(), j -> new LinkedHashMap<>())
                           .put(task.index(), attempt));
-              all.put(machine, new Held(held.incarnation, attempts));
+              all.put(machine, new RecoveredMachine(held.incarnation, attempts));
             });
     copy.forget();
     return all;
@@ -172,12 +172,12 @@
   /**
    * @param recordVersion of the record as it was when the term began; 0 when there was none
    */
-  public void leads(Host host, long term, List<String> peers, long recordVersion) {
+  public void startTerm(Host host, long term, List<String> peers, long recordVersion) {
     primary = new ReplicationPrimary(host, term, peers, recordVersion);
   }
 
   /** This node leads no longer; launches that wait are withheld. */
-  public void leaves() {
+  public void endTerm() {
     if (primary != null) {
       primary.end();
       primary = null;
@@ -185,9 +185,9 @@
   }
 
   /** Something changed in the leader's picture. */
-  public void change(ReplicationBatch.Change change) {
+  public void replicate(ReplicationBatch.Change change) {
     if (primary != null) {
-      primary.change(change);
+      primary.replicate(change);
     }
   }
 
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -53,7 +53,7 @@
   }
 
   /** Takes a batch; true when all up to its end is here now. */
-  boolean take(ReplicationBatch batch) {
+  boolean receive(ReplicationBatch batch) {
     boolean newer = batch.term() > term || batch.term() == term && batch.filling() > filling;
     if (!newer
         && (batch.term() < term
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -197,7 +197,7 @@
 
   /** Tells the standby of an attempt that may be on its machine from now on, or is not any more. */
   void tell(Attempt attempt, boolean there) {
-    standby.change(
+    standby.replicate(
         new ReplicationBatch.Change(
             there,
             attempt.machine.id,
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -145,7 +145,8 @@
       registry.answered(machine);
     }
     if (report.incarnation() != machine.incarnation) {
-      standby.change(new ReplicationBatch.Change(true, machine.id, report.incarnation(), "", 0, 0));
+      standby.replicate(
+          new ReplicationBatch.Change(true, machine.id, report.incarnation(), "", 0, 0));
     }
     machine.incarnation = report.incarnation();
     machine.sequence = report.sequence();
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -16,6 +16,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.quota.TeamQuotas;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
@@ -204,7 +205,7 @@
    * more than what the picture shows where there is one. A machine that it does not show holds
    * nothing.
    */
-  public void takeOver(long electedMicros, Map<String, Standby.Held> picture, long nowMicros) {
+  public void takeOver(long electedMicros, Map<String, RecoveredMachine> picture, long nowMicros) {
     time.at(nowMicros);
     takenOverMicros = nowMicros;
     reach.begin();
@@ -224,7 +225,7 @@
     failover.replicaCaughtUp(registry.unconfirmedCount(), picture != null, nowMicros);
   }
 
-  private void inherit(Machine machine, Standby.Held held) {
+  private void inherit(Machine machine, RecoveredMachine held) {
     machine.incarnation = held.incarnation();
     held.attempts()
         .forEach(
@@ -312,7 +313,7 @@
       availableMachines.remove(machine);
       tracker.freeAll(machine, "machine deleted");
       dispatcher.forget(machine);
-      standby.change(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
+      standby.replicate(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
     }
     tracker.noteChange();
   }
--- a/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -64,7 +64,7 @@
 
   /** How many machines that this leader knows a peer hears. */
   public int heardBy(Membership membership) {
-    return membership.heardElsewhere(
+    return membership.countReachableByPeers(
         id -> {
           Machine m = registry.machines().get(id);
           return m != null && m.phase != Machine.Phase.BOOTING;
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -219,7 +219,7 @@
     if (answer instanceof Answer.StateServiceStatus standing) {
       write(to, 200, PeerMessages.standing(standing));
     } else if (answer instanceof Answer.ReachableWorkers heard) {
-      write(to, 200, PeerMessages.heard(heard.hearing()));
+      write(to, 200, PeerMessages.heard(heard.digest()));
     } else if (answer instanceof Answer.ReplicationAck acked) {
       write(to, 200, PeerMessages.standbyAck(acked.ack()));
     } else if (answer instanceof Answer.Acknowledged) {
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -203,9 +203,9 @@
   }
 
   /** Encodes the machines that report to this node. */
-  public static byte[] heard(HeartbeatDigest hearing) {
-    List<HeardChange> changes = new ArrayList<>(hearing.changes().size());
-    for (HeartbeatDigest.Change c : hearing.changes()) {
+  public static byte[] heard(HeartbeatDigest digest) {
+    List<HeardChange> changes = new ArrayList<>(digest.changes().size());
+    for (HeartbeatDigest.Change c : digest.changes()) {
       changes.add(new HeardChange(c.machine(), c.heard(), c.forMicros()));
     }
     try {
@@ -213,7 +213,7 @@
           HeardTold.getEncoder()
               .encode(
                   new HeardTold(
-                      hearing.run(), hearing.whole(), hearing.last(), hearing.more(), changes)));
+                      digest.run(), digest.whole(), digest.last(), digest.more(), changes)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
--- a/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
@@ -117,7 +117,7 @@
     assertEquals(
         new Event.MembershipRequested(9, "run-1", 12),
         PeerMessages.heardAsked(9, RECORDED.get("digest-request")));
-    assertEquals(DIGEST, PeerMessages.heard(RECORDED.get("digest")).hearing());
+    assertEquals(DIGEST, PeerMessages.heard(RECORDED.get("digest")).digest());
     assertEquals(BATCH, PeerMessages.standby(RECORDED.get("replication")));
     assertEquals(ACK, PeerMessages.standbyAck(RECORDED.get("replication-ack")).ack());
     assertEquals(CANCELLATIONS, PeerMessages.cancelled(RECORDED.get("cancellations")));
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -9,6 +9,7 @@
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.standby.Standby;
 
 /** What is written about the standby: that it is in sync, that nobody is, that it took over. */
@@ -27,7 +28,7 @@
     boolean claimed;
 
     @Override
-    public boolean whole() {
+    public boolean hasCompleteState() {
       return true;
     }
 
@@ -53,7 +54,7 @@
     }
 
     @Override
-    public void claimed() {
+    public void termTakenOver() {
       claimed = true;
     }
 
@@ -64,14 +65,15 @@
   static List<Request.Write> make() {
     Standby leader = new Standby("a", "run-a", text -> {});
     Host host = new Host();
-    leader.leads(host, TERM, List.of("b"), 0);
+    leader.startTerm(host, TERM, List.of("b"), 0);
     for (int i = 1; i <= 5; i++) {
       leader.tick(i * 5_000_000L);
     }
     host.acknowledges = false;
     leader.tick(30_000_000);
     List<Request.Write> writes = new ArrayList<>(host.writes);
-    writes.add(new Request.Write(Standby.RECORD, Standby.claim(host.writes.get(0).value()), 0));
+    writes.add(
+        new Request.Write(Standby.RECORD, Standby.withTakeover(host.writes.get(0).value()), 0));
     return writes;
   }
 
@@ -84,7 +86,7 @@
     Host host = new Host();
     host.stored = item;
     Standby leader = new Standby("a", "run-a", text -> {});
-    leader.leads(host, TERM, List.of("b"), 9);
+    leader.startTerm(host, TERM, List.of("b"), 9);
     leader.tick(1_000_000);
     return host.claimed;
   }
@@ -94,11 +96,11 @@
     private final Standby standby = new Standby("b", "run-b", text -> {});
 
     Follower() {
-      standby.take(new ReplicationBatch(TERM, 1, 1, false, CHANGES), true, 0);
+      standby.receive(new ReplicationBatch(TERM, 1, 1, false, CHANGES), true, 0);
     }
 
-    Map<String, Standby.Held> inherit(Reply.Item item) {
-      return standby.inherit(90, 90, item.value());
+    Map<String, RecoveredMachine> inherit(Reply.Item item) {
+      return standby.recover(90, 90, item.value());
     }
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -253,8 +253,10 @@
 
   @Example
   void theStandbysRecordIsRead() throws MalformedMessageException {
-    assertTrue(Standby.names(StandbyWrites.value(read("standby-1:e/duty/standby", 11).get(0))));
-    assertFalse(Standby.names(StandbyWrites.value(read("standby-2:e/duty/standby", 11).get(0))));
+    assertTrue(
+        Standby.namesAnyNode(StandbyWrites.value(read("standby-1:e/duty/standby", 11).get(0))));
+    assertFalse(
+        Standby.namesAnyNode(StandbyWrites.value(read("standby-2:e/duty/standby", 11).get(0))));
     assertTrue(StandbyWrites.endsTheTerm(read("standby-3:e/duty/standby", 11).get(0)));
     assertFalse(StandbyWrites.endsTheTerm(read("standby-1:e/duty/standby", 11).get(0)));
     StandbyWrites.Follower follower = new StandbyWrites.Follower();
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -185,7 +185,7 @@
   /** A standby in sync that answers at once, unless its acknowledgements are deferred. */
   public void keepStandby() {
     Standby other = new Standby("n1", "run1", text -> {});
-    standby.leads(
+    standby.startTerm(
         new InstantHost() {
 
           @Override
@@ -196,7 +196,7 @@
           @Override
           public void send(
               String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
-            ReplicationBatch.Ack ack = other.take(batch, true, now);
+            ReplicationBatch.Ack ack = other.receive(batch, true, now);
             if (defersAcknowledgements) {
               acknowledgements.add(() -> callback.accept(ack));
             } else {
@@ -225,7 +225,7 @@
    * The record of an earlier term names a standby: it must name nobody before anything is launched.
    */
   public void standbyOfTheTermBefore() {
-    standby.leads(
+    standby.startTerm(
         new InstantHost() {
           @Override
           public void snapshot(Consumer<ReplicationBatch.Change> each) {}
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -50,7 +50,7 @@
             membership,
             LeaderBench.TERM);
     capacity.takeOver(bench.now);
-    membership.begin(bench.now);
+    membership.startTerm(bench.now);
     membership.tick(false, bench.now);
   }
 
--- a/src/test/java/org/eiderstair/core/membership/MembershipTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipTest.java
@@ -59,7 +59,7 @@
     for (Asked a : List.copyOf(asked)) {
       if (a.peer().equals(name)) {
         asked.remove(a);
-        a.callback().accept(new Membership.Answer(peer.tell(a.run(), a.after(), nowMicros)));
+        a.callback().accept(new Membership.Answer(peer.digestAfter(a.run(), a.after(), nowMicros)));
       }
     }
   }
@@ -78,7 +78,7 @@
       now += random.nextInt(3_000_000);
       int count = random.nextInt(30) == 0 ? 1500 : random.nextInt(20);
       for (int i = 0; i < count; i++) {
-        peer.heard("m" + random.nextInt(count + 10), now);
+        peer.heartbeatReceived("m" + random.nextInt(count + 10), now);
       }
       if (random.nextInt(15) == 0) {
         peer = node("n1", "p" + step);
@@ -100,10 +100,10 @@
       leader.tick(true, now);
       answer(peer, "n1", now);
     }
-    HeartbeatDigest all = peer.tell("", 0, now);
+    HeartbeatDigest all = peer.digestAfter("", 0, now);
     assertTrue(all.whole());
     heard.clear();
-    for (HeartbeatDigest h = all; ; h = peer.tell(h.run(), h.last(), now)) {
+    for (HeartbeatDigest h = all; ; h = peer.digestAfter(h.run(), h.last(), now)) {
       h.changes().stream()
           .filter(HeartbeatDigest.Change::heard)
           .forEach(c -> heard.add(c.machine()));
@@ -112,9 +112,9 @@
       }
     }
     for (String machine : heard) {
-      assertTrue(leader.heardElsewhere(machine), machine);
+      assertTrue(leader.isReachableByPeer(machine), machine);
     }
-    assertEquals(heard.size(), leader.heardElsewhere(m -> true));
+    assertEquals(heard.size(), leader.countReachableByPeers(m -> true));
   }
 
   /** 1,600 machines that go on reporting here are told once; after that an answer is empty. */
@@ -122,41 +122,41 @@
   void whatDoesNotChangeIsNotToldAgain() {
     Membership peer = node("n1", "p");
     for (int i = 0; i < 1600; i++) {
-      peer.heard("m" + i, SECOND);
+      peer.heartbeatReceived("m" + i, SECOND);
     }
     long told = 0;
-    HeartbeatDigest h = peer.tell("", 0, SECOND);
-    for (; h.more(); h = peer.tell(h.run(), h.last(), SECOND)) {
+    HeartbeatDigest h = peer.digestAfter("", 0, SECOND);
+    for (; h.more(); h = peer.digestAfter(h.run(), h.last(), SECOND)) {
       told += h.changes().size();
       assertTrue(h.changes().size() <= 400);
     }
     assertEquals(1600, told + h.changes().size());
     for (int i = 0; i < 1600; i++) {
-      peer.heard("m" + i, 4 * SECOND);
+      peer.heartbeatReceived("m" + i, 4 * SECOND);
     }
-    assertEquals(0, peer.tell("p", h.last(), 5 * SECOND).changes().size());
+    assertEquals(0, peer.digestAfter("p", h.last(), 5 * SECOND).changes().size());
     assertEquals(
         1600,
-        peer.tell("another run", h.last(), 30 * SECOND).last() - h.last(),
+        peer.digestAfter("another run", h.last(), 30 * SECOND).last() - h.last(),
         "all have gone quiet");
   }
 
   @Example
   void aMachineThatAPeerHearsIsNotSilent() {
     Membership peer = node("n1", "p");
-    peer.heard("b1", 19 * SECOND);
+    peer.heartbeatReceived("b1", 19 * SECOND);
     leader.tick(true, 20 * SECOND);
     answer(peer, "n1", 20 * SECOND);
     List<Known> all = machines(2, "b", 9 * SECOND);
     all.addAll(machines(20, "a", 20 * SECOND));
-    ReachabilityClassifier survey = leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND);
-    assertEquals(ReachabilityClassifier.Verdict.ELSEWHERE, survey.of(all.get(1)));
-    assertEquals(ReachabilityClassifier.Verdict.SILENT, survey.of(all.get(0)));
+    ReachabilityClassifier survey = leader.classify(all, false, PATIENCE, PATIENCE, 21 * SECOND);
+    assertEquals(ReachabilityClassifier.Verdict.REACHABLE_BY_PEER, survey.verdictOf(all.get(1)));
+    assertEquals(ReachabilityClassifier.Verdict.UNREACHABLE, survey.verdictOf(all.get(0)));
     // What it told is believed no longer than it goes on telling.
     leader.tick(false, 40 * SECOND);
     assertEquals(
-        ReachabilityClassifier.Verdict.SILENT,
-        leader.survey(all, false, PATIENCE, PATIENCE, 40 * SECOND).of(all.get(1)));
+        ReachabilityClassifier.Verdict.UNREACHABLE,
+        leader.classify(all, false, PATIENCE, PATIENCE, 40 * SECOND).verdictOf(all.get(1)));
   }
 
   /**
@@ -166,17 +166,17 @@
   @Example
   void changesAreNotTakenOnTopOfWhatWasForgotten() {
     Membership peer = node("n1", "p");
-    peer.heard("b0", 10 * SECOND);
+    peer.heartbeatReceived("b0", 10 * SECOND);
     leader.tick(true, 10 * SECOND);
     answer(peer, "n1", 10 * SECOND);
     leader.tick(true, 11 * SECOND);
-    peer.heard("b1", 13 * SECOND);
+    peer.heartbeatReceived("b1", 13 * SECOND);
     leader.tick(false, 14 * SECOND);
     answer(peer, "n1", 14 * SECOND);
-    assertFalse(leader.heardElsewhere("b1"), "without b0, which is as much heard");
+    assertFalse(leader.isReachableByPeer("b1"), "without b0, which is as much heard");
     leader.tick(true, 15 * SECOND);
     answer(peer, "n1", 15 * SECOND);
-    assertTrue(leader.heardElsewhere("b0") && leader.heardElsewhere("b1"));
+    assertTrue(leader.isReachableByPeer("b0") && leader.isReachableByPeer("b1"));
   }
 
   /**
@@ -185,18 +185,18 @@
    */
   @Example
   void aNewTermAsksBeforeItDecidesOnZones() {
-    leader.begin(SECOND);
+    leader.startTerm(SECOND);
     leader.tick(false, SECOND);
-    assertFalse(leader.begun(SECOND));
+    assertFalse(leader.hasConsultedPeers(SECOND));
     answer(node("n2", "p"), "n2", SECOND + 10_000);
     leader.tick(false, SECOND + 100_000);
-    assertFalse(leader.begun(SECOND + 100_000), "n1 may yet answer");
+    assertFalse(leader.hasConsultedPeers(SECOND + 100_000), "n1 may yet answer");
     leader.tick(false, 3 * SECOND);
-    assertTrue(leader.begun(3 * SECOND));
-    assertTrue(leader.isDark("b"));
-    assertFalse(leader.isDark("a") || leader.isDark("c"));
-    leader.survey(machines(1, "b", 4 * SECOND), false, PATIENCE, PATIENCE, 4 * SECOND);
-    assertFalse(leader.isDark("b"), "one of its machines is heard");
+    assertTrue(leader.hasConsultedPeers(3 * SECOND));
+    assertTrue(leader.isPartitioned("b"));
+    assertFalse(leader.isPartitioned("a") || leader.isPartitioned("c"));
+    leader.classify(machines(1, "b", 4 * SECOND), false, PATIENCE, PATIENCE, 4 * SECOND);
+    assertFalse(leader.isPartitioned("b"), "one of its machines is heard");
   }
 
   @Example
@@ -206,20 +206,20 @@
     leader.tick(true, 18 * SECOND);
     Known one = all.get(0);
     assertEquals(
-        ReachabilityClassifier.Verdict.CUT_OFF,
-        leader.survey(all, false, PATIENCE, PATIENCE, 21 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.LEADER_ISOLATED,
+        leader.classify(all, false, PATIENCE, PATIENCE, 21 * SECOND).verdictOf(one));
     assertEquals(
-        ReachabilityClassifier.Verdict.SILENT,
-        leader.survey(all, false, PATIENCE, PATIENCE, 40 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.UNREACHABLE,
+        leader.classify(all, false, PATIENCE, PATIENCE, 40 * SECOND).verdictOf(one));
     // None reaches this node any more: these are merely the first to run out of patience.
     List<Known> first = machines(8, "a", 9 * SECOND);
     first.addAll(machines(50, "b", 20 * SECOND));
     assertEquals(
-        ReachabilityClassifier.Verdict.SILENT,
-        leader.survey(first, false, PATIENCE, PATIENCE, 21 * SECOND).of(first.get(0)));
+        ReachabilityClassifier.Verdict.UNREACHABLE,
+        leader.classify(first, false, PATIENCE, PATIENCE, 21 * SECOND).verdictOf(first.get(0)));
     assertEquals(
-        ReachabilityClassifier.Verdict.CUT_OFF,
-        leader.survey(first, true, PATIENCE, PATIENCE, 21 * SECOND).of(first.get(0)));
+        ReachabilityClassifier.Verdict.LEADER_ISOLATED,
+        leader.classify(first, true, PATIENCE, PATIENCE, 21 * SECOND).verdictOf(first.get(0)));
   }
 
   @Example
@@ -229,16 +229,16 @@
     leader.tick(true, 18 * SECOND);
     Known one = all.get(0);
     assertEquals(
-        ReachabilityClassifier.Verdict.DARK,
-        leader.survey(all, false, PATIENCE, 60 * SECOND, 21 * SECOND).of(one));
-    assertTrue(leader.isDark("b"));
+        ReachabilityClassifier.Verdict.ZONE_PARTITIONED,
+        leader.classify(all, false, PATIENCE, 60 * SECOND, 21 * SECOND).verdictOf(one));
+    assertTrue(leader.isPartitioned("b"));
     assertEquals(1, logs.size());
     // Its controller answers: the zone is not cut off, so its machines are dead.
     answer(node("n1", "p"), "n1", 22 * SECOND);
-    assertFalse(leader.isDark("b"));
+    assertFalse(leader.isPartitioned("b"));
     assertEquals(
-        ReachabilityClassifier.Verdict.SILENT,
-        leader.survey(all, false, PATIENCE, 60 * SECOND, 22 * SECOND).of(one));
+        ReachabilityClassifier.Verdict.UNREACHABLE,
+        leader.classify(all, false, PATIENCE, 60 * SECOND, 22 * SECOND).verdictOf(one));
   }
 
   @Example
@@ -247,11 +247,13 @@
     all.addAll(machines(20, "a", 20 * SECOND));
     leader.tick(true, 19 * SECOND);
     ReachabilityClassifier asking =
-        leader.survey(all, false, PATIENCE, PATIENCE, 19 * SECOND + 100_000);
-    assertEquals(ReachabilityClassifier.Verdict.DOUBTED, asking.of(all.get(0)));
+        leader.classify(all, false, PATIENCE, PATIENCE, 19 * SECOND + 100_000);
+    assertEquals(ReachabilityClassifier.Verdict.SUSPECTED, asking.verdictOf(all.get(0)));
     asked.forEach(a -> a.callback().accept(new Membership.Answer(null)));
     assertEquals(
-        ReachabilityClassifier.Verdict.SILENT,
-        leader.survey(all, false, PATIENCE, PATIENCE, 19 * SECOND + 200_000).of(all.get(0)));
+        ReachabilityClassifier.Verdict.UNREACHABLE,
+        leader
+            .classify(all, false, PATIENCE, PATIENCE, 19 * SECOND + 200_000)
+            .verdictOf(all.get(0)));
   }
 }
--- a/src/test/java/org/eiderstair/core/standby/InstantHost.java
+++ b/src/test/java/org/eiderstair/core/standby/InstantHost.java
@@ -10,7 +10,7 @@
  */
 public abstract class InstantHost implements Standby.Host {
   @Override
-  public boolean whole() {
+  public boolean hasCompleteState() {
     return true;
   }
 
@@ -23,7 +23,7 @@
   public void read(BiConsumer<Long, Map<String, Object>> callback) {}
 
   @Override
-  public void claimed() {}
+  public void termTakenOver() {}
 
   @Override
   public void info(String text) {}
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -178,17 +178,17 @@
     }
 
     String held() {
-      return standby.named(world.record) ? "named" : "";
+      return standby.namesThisNode(world.record) ? "named" : "";
     }
 
     void elected() {
       world.elections++;
-      standby.stands();
+      standby.stopFollowing();
       authority = true;
       world.leader = name;
       world.leaderTerm = ++world.revision;
       term = world.leaderTerm;
-      Map<String, Standby.Held> inherited = standby.inherit(term, world.revision, world.record);
+      Map<String, RecoveredMachine> inherited = standby.recover(term, world.revision, world.record);
       known.clear();
       if (inherited != null) {
         inherited.values().forEach(h -> known.addAll(h.attempts().keySet()));
@@ -199,7 +199,7 @@
         // Every machine is asked, and fenced.
         known.addAll(world.launched);
       }
-      standby.leads(
+      standby.startTerm(
           this,
           term,
           List.of(name.equals("a") ? "b" : "a"),
@@ -209,10 +209,10 @@
 
     void claim() {
       if (world.record != null
-          && standby.named(world.record)
+          && standby.namesThisNode(world.record)
           && Long.valueOf(world.leaderTerm).equals(world.record.get("epoch"))) {
-        standby.stands();
-        world.record = Standby.claim(world.record);
+        standby.stopFollowing();
+        world.record = Standby.withTakeover(world.record);
         world.recordVersion = ++world.revision;
         // Its lease is ended soon; whoever is elected next, the old leader's clock still allows it
         // everything.
@@ -231,7 +231,7 @@
       long ofTerm = term;
       String ofRun = run;
       known.add(task);
-      standby.change(new ReplicationBatch.Change(true, "m", 1, task, 0, ofTerm));
+      standby.replicate(new ReplicationBatch.Change(true, "m", 1, task, 0, ofTerm));
       standby.launch(
           () -> {
             if (run.equals(ofRun) && authority) {
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public boolean whole() {
+    public boolean hasCompleteState() {
       return true;
     }
 
@@ -276,7 +276,7 @@
             name + batch.term() + "." + batch.filling() + "." + batch.first(),
             () -> {
               Node to = world.node(peer);
-              to.standby.take(batch, to.term == 0, 0);
+              to.standby.receive(batch, to.term == 0, 0);
             });
       }
       world.send(
@@ -291,7 +291,7 @@
               + batch.changes().size(),
           () -> {
             Node to = world.node(peer);
-            ReplicationBatch.Ack ack = to.standby.take(batch, to.term == 0, 0);
+            ReplicationBatch.Ack ack = to.standby.receive(batch, to.term == 0, 0);
             world.send(
                 "ack "
                     + name
@@ -358,8 +358,8 @@
     }
 
     @Override
-    public void claimed() {
-      standby.leaves();
+    public void termTakenOver() {
+      standby.endTerm();
       term = 0;
     }
 
@@ -443,28 +443,28 @@
 
   @Example
   void aGapIsNotFollowedAndARepeatChangesNothing() {
-    assertTrue(copy.take(batch(3, 1, 1, true, there("a"), there("b"))));
+    assertTrue(copy.receive(batch(3, 1, 1, true, there("a"), there("b"))));
     assertEquals(StandbyReplica.State.FILLING, copy.state());
-    assertTrue(copy.take(batch(3, 1, 3, false, there("c"))));
+    assertTrue(copy.receive(batch(3, 1, 3, false, there("c"))));
     assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertTrue(copy.take(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
+    assertTrue(copy.receive(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
     assertEquals(3, copy.machines().get("m").attempts.size());
     assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertFalse(copy.take(batch(3, 1, 5, false, there("e"))));
+    assertFalse(copy.receive(batch(3, 1, 5, false, there("e"))));
     assertEquals(StandbyReplica.State.EMPTY, copy.state());
-    assertFalse(copy.take(batch(3, 1, 1, false, there("a"))), "an earlier filling");
-    assertTrue(copy.take(batch(3, 2, 1, false)));
+    assertFalse(copy.receive(batch(3, 1, 1, false, there("a"))), "an earlier filling");
+    assertTrue(copy.receive(batch(3, 2, 1, false)));
     assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertFalse(copy.take(batch(2, 9, 1, false)), "an earlier term");
+    assertFalse(copy.receive(batch(2, 9, 1, false)), "an earlier term");
   }
 
   @Example
   void aNodeThatStandsAcknowledgesNothingOfOlderTerms() {
-    assertTrue(copy.take(batch(3, 1, 1, false, there("a"))));
+    assertTrue(copy.receive(batch(3, 1, 1, false, there("a"))));
     copy.freeze();
-    assertFalse(copy.take(batch(3, 1, 2, false, there("b"))));
+    assertFalse(copy.receive(batch(3, 1, 2, false, there("b"))));
     assertEquals(1, copy.machines().get("m").attempts.size());
-    assertTrue(copy.take(batch(4, 1, 1, false)), "another was elected");
+    assertTrue(copy.receive(batch(4, 1, 1, false)), "another was elected");
   }
 
   /** 1,600 machines with 100,000 tasks in pages, mixed with changes. */
@@ -478,7 +478,7 @@
     for (int i = 0; i < 100_000; i++) {
       truth.computeIfAbsent("m" + i % 1600, m -> new HashMap<>()).put("job-" + i, (long) i);
     }
-    leader.leads(
+    leader.startTerm(
         new InstantHost() {
 
           @Override
@@ -504,30 +504,31 @@
     for (int i = 0; !leader.summary().endsWith("in sync"); i++) {
       assertTrue(i < 1000, leader.summary());
       assertTrue(batches.get(0).changes().size() <= 400);
-      ReplicationBatch.Ack ack = standby.take(batches.remove(0), true, now);
+      ReplicationBatch.Ack ack = standby.receive(batches.remove(0), true, now);
       String machine = "m" + i % 1600;
       truth.get(machine).put("new-" + i, 9L);
-      leader.change(new ReplicationBatch.Change(true, machine, 1, "new-" + i, 0, 9));
+      leader.replicate(new ReplicationBatch.Change(true, machine, 1, "new-" + i, 0, 9));
       Long gone = truth.get(machine).remove("job-" + i % 1600);
       if (gone != null) {
-        leader.change(new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
+        leader.replicate(
+            new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
       }
       acks.remove(0).accept(ack);
       leader.tick(++now);
     }
     while (!batches.isEmpty()) {
-      ReplicationBatch.Ack ack = standby.take(batches.remove(0), true, now);
+      ReplicationBatch.Ack ack = standby.receive(batches.remove(0), true, now);
       acks.remove(0).accept(ack);
       leader.tick(++now);
     }
-    standby.stands();
+    standby.stopFollowing();
     Map<String, Object> record = Map.of("node", "b", "run", "b1", "epoch", 3L);
-    Map<String, Standby.Held> held = standby.inherit(9, 9, record);
+    Map<String, RecoveredMachine> held = standby.recover(9, 9, record);
     assertNotNull(held);
     truth.forEach(
         (machine, jobs) ->
             assertEquals(jobs.keySet(), held.get(machine).attempts().keySet(), machine));
-    assertNull(standby.inherit(10, 10, record), "once");
+    assertNull(standby.recover(10, 10, record), "once");
   }
 
   /**
@@ -558,21 +559,22 @@
     List<String> said = new ArrayList<>();
     Standby standby = new Standby("b", "b1", said::add);
     Map<String, Object> record = new LinkedHashMap<>(Map.of("node", "b", "run", "b1", "epoch", 3L));
-    assertNull(standby.inherit(5, 5, record), "no picture");
-    standby.take(batch(3, 1, 1, true, there("a")), true, 1);
-    standby.stands();
-    assertNull(standby.inherit(5, 5, record), "not whole");
-    standby.take(batch(3, 2, 1, false, there("a")), true, 1);
-    assertNull(standby.inherit(5, 4, record), "keys are old");
-    assertNull(standby.inherit(5, 5, null), "struck");
+    assertNull(standby.recover(5, 5, record), "no picture");
+    standby.receive(batch(3, 1, 1, true, there("a")), true, 1);
+    standby.stopFollowing();
+    assertNull(standby.recover(5, 5, record), "not whole");
+    standby.receive(batch(3, 2, 1, false, there("a")), true, 1);
+    assertNull(standby.recover(5, 4, record), "keys are old");
+    assertNull(standby.recover(5, 5, null), "struck");
     assertNull(
-        standby.inherit(5, 5, Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
-    assertFalse(standby.named(Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
-    assertTrue(standby.named(record));
-    assertNull(standby.inherit(5, 5, Map.of("node", "c", "run", "b1", "epoch", 3L)), "another");
+        standby.recover(5, 5, Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
+    assertFalse(
+        standby.namesThisNode(Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
+    assertTrue(standby.namesThisNode(record));
+    assertNull(standby.recover(5, 5, Map.of("node", "c", "run", "b1", "epoch", 3L)), "another");
     assertNull(
-        standby.inherit(5, 5, Map.of("node", "b", "run", "b1", "epoch", 2L)), "another term");
-    assertEquals(Set.of("m"), standby.inherit(5, 5, record).keySet());
+        standby.recover(5, 5, Map.of("node", "b", "run", "b1", "epoch", 2L)), "another term");
+    assertEquals(Set.of("m"), standby.recover(5, 5, record).keySet());
     assertTrue(said.get(said.size() - 1).contains("WHOLE"));
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -20,7 +20,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
-import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.state.StoredRecords;
 
 /**
@@ -228,7 +228,7 @@
 
   private void takeOver() {
     LeaderBench first = leaders.get(0);
-    Map<String, Standby.Held> picture = withPicture ? picture(first) : null;
+    Map<String, RecoveredMachine> picture = withPicture ? picture(first) : null;
     if (!withPicture) {
       now += first.settings.tuning().leaderTtlMicros();
     }
@@ -256,7 +256,7 @@
     }
   }
 
-  private Map<String, Standby.Held> picture(LeaderBench first) {
+  private Map<String, RecoveredMachine> picture(LeaderBench first) {
     Map<Integer, Long> held = new HashMap<>();
     long[] incarnation = new long[1];
     first.workers.snapshot(
@@ -267,7 +267,8 @@
           }
         });
     return Map.of(
-        MACHINE, new Standby.Held(incarnation[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
+        MACHINE,
+        new RecoveredMachine(incarnation[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
   }
 
   private void cancel() {
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -177,7 +177,7 @@
     pass();
     bench.effects.clear();
     bench.workers.close();
-    bench.standby.leaves();
+    bench.standby.endTerm();
     assertEquals(
         List.of(new Answer.Redirect(null)),
         bench.effects.stream()
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -73,7 +73,7 @@
             List.of(
                 new HeartbeatDigest.Change("i-000001", whole, after),
                 new HeartbeatDigest.Change("", !whole, 0)));
-    assertEquals(hearing, PeerMessages.heard(PeerMessages.heard(hearing)).hearing());
+    assertEquals(hearing, PeerMessages.heard(PeerMessages.heard(hearing)).digest());
     assertEquals(
         new Event.MembershipRequested(9, run, after),
         PeerMessages.heardAsked(9, PeerMessages.heardAsk(run, after)));
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -128,8 +128,8 @@
           d.clock.after(9 * SECOND, () -> there[0] = d.rentedIn(zone[0]));
           d.clock.after(69 * SECOND, () -> there[1] = d.rentedIn(zone[0]));
         });
-    assertEquals(1, logged("zone " + zone[0] + " is DARK"));
-    assertEquals(1, logged("zone " + zone[0] + " is SEEN"));
+    assertEquals(1, logged("zone=" + zone[0] + " -> PARTITIONED"));
+    assertEquals(1, logged("zone=" + zone[0] + " -> REACHABLE"));
     assertEquals(there[0], there[1], "rented where nobody sees");
   }
 
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -378,7 +378,7 @@
                           () ->
                               reply.accept(
                                   new Reply.PeerMembership(
-                                      ((Answer.ReachableWorkers) answer).hearing())))));
+                                      ((Answer.ReachableWorkers) answer).digest())))));
     } else if (request instanceof Request.PeerReplicate told) {
       Node peer = nodes[indexOf(told.peer())];
       net.send(
