--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -18,8 +18,12 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.provisioning.DeletionResult;
 import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.provisioning.ProvisioningHost;
 import org.eiderstair.core.provisioning.RentalOption;
+import org.eiderstair.core.provisioning.RentalRequest;
+import org.eiderstair.core.provisioning.RentalResponseHandler;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.RateBudget;
 import org.eiderstair.core.state.Replica;
@@ -113,12 +117,12 @@
    */
   public void takeOver(long nowMicros) {
     now = nowMicros;
-    workers.leaving(duties::leaving);
+    workers.leaving(duties::isReleasing);
     Map<String, Map<String, Object>> records = new TreeMap<>();
     replica.duties.values().forEach(item -> records.put(item.key(), item.value()));
     duties.resume(records, now);
     for (Machine m : workers.machines().values()) {
-      if (duties.leaving(m.id)) {
+      if (duties.isReleasing(m.id)) {
         retirement.leave(m);
       }
     }
@@ -126,7 +130,7 @@
 
   /** The machine is in the roster now, so that a successor knows of it without its rental. */
   public void registered(String machine) {
-    duties.accounted(machine);
+    duties.machineRegistered(machine);
   }
 
   /** Whether some machine has been silent for so long that peers are to be asked for it. */
@@ -191,7 +195,9 @@
         rooms.add(new PlannedRoom(m));
       }
     }
-    duties.awaited(rental -> awaited(rental).forEach(m -> rooms.add(new PlannedRoom(m))));
+    for (RentalRequest rental : duties.pendingRentals()) {
+      awaited(rental).forEach(m -> rooms.add(new PlannedRoom(m)));
+    }
     // Cheap machines serve first, and among equals the busy ones: what is left over is best
     // returned.
     rooms.sort(
@@ -272,17 +278,17 @@
     for (Machine m : workers.machines().values()) {
       count += zone.equals(m.zone) ? 1 : 0;
     }
-    int[] awaitedThere = {0};
-    duties.awaited(
-        rental -> awaitedThere[0] += zone.equals(rental.offer().zone()) ? rental.count() : 0);
-    return count + awaitedThere[0];
+    for (RentalRequest rental : duties.pendingRentals()) {
+      count += zone.equals(rental.option().zone()) ? rental.count() : 0;
+    }
+    return count;
   }
 
   private void rent(RentalOption offer, int count) {
-    if (count < 1 || duties.awaited() >= MAX_RENTALS || !mayCall()) {
+    if (count < 1 || duties.pendingRentals().size() >= MAX_RENTALS || !mayCall()) {
       return;
     }
-    duties.rent(offer, count);
+    duties.scaleOut(offer, count);
     // More may be wanted than one request brings, and the next may go to another zone.
     nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
   }
@@ -292,20 +298,20 @@
    * A rental of an earlier term may be of a type that the cloud no longer has; that must not end
    * one leader after another.
    */
-  private List<Machine> awaited(ProvisioningController.Awaited rental) {
-    if (replica.catalog().stream().noneMatch(t -> t.name().equals(rental.offer().type()))) {
+  private List<Machine> awaited(RentalRequest rental) {
+    if (replica.catalog().stream().noneMatch(t -> t.name().equals(rental.option().type()))) {
       return List.of();
     }
     return awaited.computeIfAbsent(
-        rental.charter(),
+        rental.requestId(),
         charter -> {
           List<Machine> machines = new ArrayList<>(rental.count());
           for (int i = 0; i < rental.count(); i++) {
             Machine m = new Machine(charter + "/" + i, term, Machine.Phase.BOOTING, now);
-            m.typeName = rental.offer().type();
-            m.type = type(rental.offer().type());
-            m.zone = rental.offer().zone();
-            m.spot = rental.offer().spot();
+            m.typeName = rental.option().type();
+            m.type = type(rental.option().type());
+            m.zone = rental.option().zone();
+            m.spot = rental.option().spot();
             machines.add(m);
           }
           return machines;
@@ -316,62 +322,53 @@
    * What the duties need of the leader: its writes, its calls to the cloud, and its picture of the
    * machines.
    */
-  private final class Host implements ProvisioningController.Host {
+  private final class Host implements ProvisioningHost {
     @Override
-    public void put(String key, Map<String, Object> value, Runnable durable) {
-      stateWriter.note(key, value, durable);
+    public void put(String key, Map<String, Object> value, Runnable onDurable) {
+      stateWriter.note(key, value, onDurable);
     }
 
     @Override
-    public void drop(String key, Runnable durable) {
-      stateWriter.note(key, null, durable);
+    public void remove(String key) {
+      stateWriter.note(key, null, () -> {});
     }
 
     @Override
-    public boolean mayCall() {
+    public boolean mayCallCloud() {
       return CapacityManager.this.mayCall() && leadership.mayLaunch(now);
     }
 
     @Override
-    public void rent(
-        String charter,
-        RentalOption offer,
-        int count,
-        Consumer<ProvisioningController.Rental> callback) {
+    public void requestMachines(RentalRequest rental, RentalResponseHandler handler) {
+      RentalOption option = rental.option();
       call(
-          new Request.CloudRent(charter, offer.type(), offer.zone(), offer.spot(), count),
+          new Request.CloudRent(
+              rental.requestId(), option.type(), option.zone(), option.spot(), rental.count()),
           reply -> {
             if (!(reply instanceof Reply.NoResponse)) {
-              awaited.remove(charter);
+              awaited.remove(rental.requestId());
             }
             if (reply instanceof Reply.Rented rented) {
-              callback.accept(
-                  new ProvisioningController.Rental(
-                      ProvisioningController.Rental.Outcome.GRANTED, rented.machines(), ""));
+              handler.granted(rented.machines());
+            } else if (reply instanceof Reply.Refused) {
+              handler.refused(reply.toString());
             } else {
-              callback.accept(
-                  new ProvisioningController.Rental(
-                      reply instanceof Reply.Refused
-                          ? ProvisioningController.Rental.Outcome.REFUSED
-                          : ProvisioningController.Rental.Outcome.NO_ANSWER,
-                      List.of(),
-                      reply.toString()));
+              handler.unanswered(reply.toString());
             }
             nextDecideMicros = Math.min(nextDecideMicros, now);
           });
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> callback) {
-      call(
-          new Request.CloudDelete(machines),
-          reply ->
-              callback.accept(
-                  reply instanceof Reply.Applied
-                      ? ProvisioningController.Deletion.DONE
-                      : reply instanceof Reply.Refused
-                          ? ProvisioningController.Deletion.REFUSED
-                          : ProvisioningController.Deletion.NO_ANSWER));
+    public void deleteMachines(List<String> machines, Consumer<DeletionResult> callback) {
+      call(new Request.CloudDelete(machines), reply -> callback.accept(deletionResult(reply)));
+    }
+
+    private DeletionResult deletionResult(Reply reply) {
+      if (reply instanceof Reply.Applied) {
+        return DeletionResult.CONFIRMED;
+      }
+      return reply instanceof Reply.Refused ? DeletionResult.REFUSED : DeletionResult.NO_ANSWER;
     }
 
     /**
@@ -391,23 +388,24 @@
     }
 
     @Override
-    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
-      awaited.remove(charter);
+    public void machinesBooting(RentalRequest rental, List<String> machines, long ageMicros) {
+      RentalOption option = rental.option();
+      awaited.remove(rental.requestId());
       for (String id : machines) {
         if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
-          workers.expect(id, null, offer.type(), offer.zone(), offer.spot()).sinceMicros =
-              now - ageMicros;
+          Machine m = workers.expect(id, null, option.type(), option.zone(), option.spot());
+          m.sinceMicros = now - ageMicros;
         }
       }
     }
 
     @Override
-    public void shortOf(RentalOption offer, String why) {
-      refusedUntil.put(offer, now + REFUSED_PAUSE_MICROS);
+    public void optionExhausted(RentalOption option) {
+      refusedUntil.put(option, now + REFUSED_PAUSE_MICROS);
     }
 
     @Override
-    public void gone(String machine) {
+    public void machineTerminated(String machine) {
       Machine m = workers.machines().get(machine);
       if (m != null && m.presumedDead) {
         // What was refused for want of room there may be had now. Seen after a zone's cut: 350
@@ -420,7 +418,7 @@
     }
 
     @Override
-    public void kept(String machine) {
+    public void releaseCancelled(String machine) {
       workers.keep(machine);
     }
 
@@ -430,7 +428,7 @@
     }
 
     @Override
-    public boolean onRoster(String machine) {
+    public boolean isRegistered(String machine) {
       return replica.registeredWorkers.containsKey(machine);
     }
 
@@ -494,7 +492,7 @@
     // that the one before had just returned, took each for one that never came up, and returned it
     // again.
     if (workers.isTerminated(listed.id())
-        || duties.leaving(listed.id()) && !workers.machines().containsKey(listed.id())) {
+        || duties.isReleasing(listed.id()) && !workers.machines().containsKey(listed.id())) {
       return;
     }
     Machine m = workers.machines().get(listed.id());
@@ -509,7 +507,7 @@
       }
       retirement.leave(m);
       m.presumedDead = false;
-      duties.giveBack(m.id);
+      duties.scaleIn(m.id);
       return;
     }
     if (m == null) {
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -75,7 +75,7 @@
         if (m.presumedDead && m.lastHeartbeatMicros > now - HEARD_AGAIN_MICROS) {
           // It was taken for dead, and is heard again.
           m.presumedDead = false;
-          duties.takeBack(m.id);
+          duties.cancelScaleIn(m.id);
         }
         continue;
       }
@@ -135,7 +135,7 @@
   void returnNow(Machine m, String why) {
     sink.info("returning machine " + m.id + ": " + why + ", term=" + term);
     leave(m);
-    duties.giveBack(m.id);
+    duties.scaleIn(m.id);
   }
 
   /** Nothing is placed on it any more; what it runs goes on until it is gone. */
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningFields.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningFields.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /**
- * Reads fields of the duties' records; what cannot be read is an IllegalArgumentException that
+ * Reads fields of provisioning records; what cannot be read is an IllegalArgumentException that
  * names the field.
  */
 final class ProvisioningFields {
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
@@ -8,81 +8,95 @@
 import java.util.Set;
 
 /**
- * One rental. It is durable before the cloud is asked, so that a successor asks again under the
- * same name and learns what was rented, instead of capacity it twice. The cloud checks no term: the
- * name is what fences.
+ * One rental. It is durable before the cloud is asked, so that a successor repeats the same
+ * idempotent request and learns what was rented, instead of renting it twice. The cloud checks no
+ * fencing token: the request id is what fences.
  */
 final class RentalIntent {
 
   /**
-   * DECIDED is being written. WRITTEN is durable and may be asked for. ASKED waits for the cloud;
-   * with no answer it is WRITTEN again and asked for under the same name. ANSWERED knows its
-   * machines, which are not all in the roster yet. SETTLED is over: its machines are all rostered
-   * or gone, or the cloud had none.
+   * DECIDED is being written. DURABLE may be requested. REQUESTED waits for the cloud; without an
+   * answer it is DURABLE again and requested under the same id. GRANTED knows its machines, which
+   * are not all registered yet. SETTLED is over: its machines are all registered or terminated, or
+   * the cloud had none.
    */
   enum State {
     DECIDED,
-    WRITTEN,
-    ASKED,
-    ANSWERED,
+    DURABLE,
+    REQUESTED,
+    GRANTED,
     SETTLED
   }
 
-  final String charter;
-
-  /** The epoch that decided it; the one that settles it may be a later one. */
-  final long epoch;
-
-  final RentalOption offer;
-  final int count;
-  final long decidedDayMicros;
+  private final RentalRequest request;
+  private final long term;
+  private final long decidedDayMicros;
   private State state;
+  private long retryAtMicros;
 
-  /**
-   * All machines that the cloud named, and of those the ones that nothing else durable tells of
-   * yet.
-   */
+  /** All machines that the cloud has named. */
   private final List<String> machines = new ArrayList<>();
 
+  /** Those of them that are neither registered nor terminated yet. */
   private final Set<String> unsettled = new LinkedHashSet<>();
-  long notBeforeMicros;
-
-  RentalIntent(
-      String charter,
-      long epoch,
-      RentalOption offer,
-      int count,
-      long decidedDayMicros,
-      State state) {
-    this.charter = charter;
-    this.epoch = epoch;
-    this.offer = offer;
-    this.count = count;
+
+  /**
+   * @param term the term that decided it; the one that settles it may be a later one
+   * @param decidedDayMicros the time of day at which it was decided
+   */
+  RentalIntent(RentalRequest request, long term, long decidedDayMicros, State state) {
+    this.request = request;
+    this.term = term;
     this.decidedDayMicros = decidedDayMicros;
     this.state = state;
   }
 
+  RentalRequest request() {
+    return request;
+  }
+
+  String requestId() {
+    return request.requestId();
+  }
+
+  long term() {
+    return term;
+  }
+
+  long decidedDayMicros() {
+    return decidedDayMicros;
+  }
+
   State state() {
     return state;
   }
 
   /** The one function for every change of state. */
-  void become(State next) {
+  void transition(State next) {
     boolean legal =
         switch (next) {
           case DECIDED -> false;
-          case WRITTEN -> state == State.DECIDED || state == State.ASKED;
-          case ASKED -> state == State.WRITTEN;
-          case ANSWERED -> state == State.ASKED;
-          case SETTLED -> state == State.ASKED || state == State.ANSWERED;
+          case DURABLE -> state == State.DECIDED || state == State.REQUESTED;
+          case REQUESTED -> state == State.DURABLE;
+          case GRANTED -> state == State.REQUESTED;
+          case SETTLED -> state == State.REQUESTED || state == State.GRANTED;
         };
     if (!legal) {
-      throw new IllegalStateException("rental " + charter + ": " + state + " -> " + next);
+      throw new IllegalStateException("rental " + requestId() + ": " + state + " -> " + next);
     }
     state = next;
   }
 
-  void named(List<String> names) {
+  /** Whether the cloud may be asked now. */
+  boolean isDue(long nowMicros) {
+    return state == State.DURABLE && nowMicros >= retryAtMicros;
+  }
+
+  void retryAt(long micros) {
+    retryAtMicros = micros;
+  }
+
+  void addMachines(List<String> names) {
     machines.addAll(names);
     unsettled.addAll(names);
   }
@@ -92,32 +106,46 @@
   }
 
   /**
-   * Something else durable tells of the machine now, or it is gone; true once that holds for all of
-   * them.
+   * The machine is registered or terminated.
+   *
+   * @return whether that now holds for all machines of the rental
    */
-  boolean accounted(String machine) {
+  boolean settle(String machine) {
     unsettled.remove(machine);
-    return state == State.ANSWERED && unsettled.isEmpty();
+    return state == State.GRANTED && unsettled.isEmpty();
+  }
+
+  /** Its fields for the log. */
+  String describe() {
+    RentalOption option = request.option();
+    return "count="
+        + request.count()
+        + " type="
+        + option.type()
+        + " zone="
+        + option.zone()
+        + " spot="
+        + option.spot();
   }
 
-  /** What is written names no machine that is accounted for; what was written before may. */
+  /** Its stored form, which names only machines that are not settled. */
   Map<String, Object> record() {
     Map<String, Object> m = new LinkedHashMap<>();
-    m.put("type", offer.type());
-    m.put("zone", offer.zone());
-    m.put("spot", offer.spot());
-    m.put("n", (long) count);
-    m.put("epoch", epoch);
+    m.put("type", request.option().type());
+    m.put("zone", request.option().zone());
+    m.put("spot", request.option().spot());
+    m.put("n", (long) request.count());
+    m.put("epoch", term);
     m.put("at", decidedDayMicros);
-    if (state == State.ANSWERED) {
+    if (state == State.GRANTED) {
       m.put("ids", List.copyOf(unsettled));
     }
     return m;
   }
 
-  /** Reads what an earlier epoch wrote; unknown fields are ignored, a missing one is refused. */
-  static RentalIntent read(String charter, Map<String, Object> m) {
-    RentalOption offer =
+  /** Reads what an earlier term wrote; unknown fields are ignored, a missing one is refused. */
+  static RentalIntent read(String requestId, Map<String, Object> m) {
+    RentalOption option =
         new RentalOption(
             ProvisioningFields.text(m, "type"),
             ProvisioningFields.text(m, "zone"),
@@ -128,14 +156,12 @@
     }
     RentalIntent intent =
         new RentalIntent(
-            charter,
+            new RentalRequest(requestId, option, count),
             ProvisioningFields.whole(m, "epoch"),
-            offer,
-            count,
             ProvisioningFields.whole(m, "at"),
-            m.containsKey("ids") ? State.ANSWERED : State.WRITTEN);
+            m.containsKey("ids") ? State.GRANTED : State.DURABLE);
     if (m.containsKey("ids")) {
-      intent.named(ProvisioningFields.texts(m, "ids"));
+      intent.addMachines(ProvisioningFields.texts(m, "ids"));
     }
     return intent;
   }
--- a/src/main/java/org/eiderstair/core/provisioning/RentalOption.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalOption.java
@@ -1,4 +1,11 @@
 package org.eiderstair.core.provisioning;
 
-/** A kind of machine in one zone: what a rental names, and what the cloud refuses by. */
+/**
+ * What a rental asks for: a machine type in one zone, spot or on-demand. The cloud grants and
+ * refuses by it.
+ *
+ * @param type the name of the machine type
+ * @param zone the zone the machine runs in
+ * @param spot whether the cloud may preempt the machine
+ */
 public record RentalOption(String type, String zone, boolean spot) {}
--- a/src/main/java/org/eiderstair/core/provisioning/package-info.java
+++ b/src/main/java/org/eiderstair/core/provisioning/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What only the leader may do towards the cloud: capacity machines and giving them back, each
- * durable before it is asked for. {@link org.eiderstair.core.provisioning.ProvisioningController}
- * is the type to enter by.
+ * Rental and release of cloud machines by the leader, each made durable before the cloud is asked.
+ * {@link org.eiderstair.core.provisioning.ProvisioningController} is the type to enter by, {@link
+ * org.eiderstair.core.provisioning.ProvisioningHost} what it needs of the leader.
  */
 package org.eiderstair.core.provisioning;
--- a/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
@@ -8,10 +8,14 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.provisioning.DeletionResult;
 import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.provisioning.ProvisioningHost;
 import org.eiderstair.core.provisioning.RentalOption;
+import org.eiderstair.core.provisioning.RentalRequest;
+import org.eiderstair.core.provisioning.RentalResponseHandler;
 
-/** What a leader writes of rentals and returns, in the order of its writes. */
+/** What a leader writes of rentals and releases, in the order of its writes. */
 final class ProvisioningWrites {
   static final RentalOption SPOT = new RentalOption("g8", "a", true);
   static final RentalOption RELIABLE = new RentalOption("c4", "b", false);
@@ -28,60 +32,54 @@
   /**
    * Keeps what is written, and grants three machines to the first rental and none yet to others.
    */
-  static final class Host implements ProvisioningController.Host {
+  static final class Host implements ProvisioningHost {
     final List<Request.Write> writes = new ArrayList<>();
     final List<Runnable> durable = new ArrayList<>();
     final List<String> errors = new ArrayList<>();
     final List<String> booting = new ArrayList<>();
 
     @Override
-    public void put(String key, Map<String, Object> value, Runnable whenDurable) {
+    public void put(String key, Map<String, Object> value, Runnable onDurable) {
       writes.add(new Request.Write(key, value, 0));
-      durable.add(whenDurable);
+      durable.add(onDurable);
     }
 
     @Override
-    public void drop(String key, Runnable whenDurable) {
+    public void remove(String key) {
       writes.add(new Request.Write(key, null, 0));
     }
 
     @Override
-    public boolean mayCall() {
+    public boolean mayCallCloud() {
       return true;
     }
 
     @Override
-    public void rent(
-        String charter,
-        RentalOption offer,
-        int count,
-        Consumer<ProvisioningController.Rental> callback) {
-      if (offer.equals(SPOT)) {
-        callback.accept(
-            new ProvisioningController.Rental(
-                ProvisioningController.Rental.Outcome.GRANTED, List.of("m-1", "m-2", "m-3"), ""));
+    public void requestMachines(RentalRequest request, RentalResponseHandler handler) {
+      if (request.option().equals(SPOT)) {
+        handler.granted(List.of("m-1", "m-2", "m-3"));
       }
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> callback) {}
+    public void deleteMachines(List<String> machines, Consumer<DeletionResult> callback) {}
 
     @Override
-    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
+    public void machinesBooting(RentalRequest request, List<String> machines, long ageMicros) {
       booting.addAll(machines);
     }
 
     @Override
-    public void shortOf(RentalOption offer, String why) {}
+    public void optionExhausted(RentalOption option) {}
 
     @Override
-    public void gone(String machine) {}
+    public void machineTerminated(String machine) {}
 
     @Override
-    public void kept(String machine) {}
+    public void releaseCancelled(String machine) {}
 
     @Override
-    public boolean onRoster(String machine) {
+    public boolean isRegistered(String machine) {
       return machine.equals("m-1");
     }
 
@@ -104,14 +102,14 @@
     ProvisioningController controller =
         new ProvisioningController(host, 70, 1, 1_764_670_000_000_000L);
     resume(controller, new TreeMap<>(), 1_000_000);
-    controller.rent(SPOT, 3);
-    controller.rent(RELIABLE, 1);
+    controller.scaleOut(SPOT, 3);
+    controller.scaleOut(RELIABLE, 1);
     host.durable.get(0).run();
     controller.tick(2_000_000);
-    controller.giveBack("m-7");
-    controller.giveBack("m-8");
+    controller.scaleIn("m-7");
+    controller.scaleIn("m-8");
     controller.tick(3_000_000);
-    controller.takeBack("m-7");
+    controller.cancelScaleIn("m-7");
     return host.writes;
   }
 
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -21,6 +21,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.provisioning.RentalRequest;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
@@ -229,7 +230,7 @@
   }
 
   @Example
-  void rentalsAndReturnsAreTakenOver() throws MalformedMessageException {
+  void rentalsAndReleasesAreTakenOver() throws MalformedMessageException {
     ProvisioningWrites.Host host = new ProvisioningWrites.Host();
     ProvisioningController next = new ProvisioningController(host, 90, 1, DAY);
     TreeMap<String, Reply.Item> items = new TreeMap<>();
@@ -240,15 +241,13 @@
     }
     ProvisioningWrites.resume(next, items, 0);
     assertEquals(List.of(), host.errors);
-    assertEquals("2 rentals, 1 returns open", next.summary());
-    List<ProvisioningController.Awaited> awaited = new ArrayList<>();
-    next.awaited(awaited::add);
+    assertEquals("rentals=2 releases=1", next.summary());
     assertEquals(
-        List.of(new ProvisioningController.Awaited("r-70-2", ProvisioningWrites.RELIABLE, 1)),
-        awaited);
+        List.of(new RentalRequest("r-70-2", ProvisioningWrites.RELIABLE, 1)),
+        next.pendingRentals());
     assertEquals(List.of("m-2", "m-3"), host.booting);
-    assertTrue(next.leaving("m-8"));
-    assertFalse(next.leaving("m-7"));
+    assertTrue(next.isReleasing("m-8"));
+    assertFalse(next.isReleasing("m-7"));
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -87,7 +87,7 @@
   /** A record that throws in each leader's hands would end one after another. */
   @Example
   void aRentalOfATypeThatIsNoMoreStopsNothing() {
-    String key = ProvisioningController.RENTALS + "r-0-1";
+    String key = ProvisioningController.RENTAL_KEY_PREFIX + "r-0-1";
     bench.replica.apply(
         new Reply.Item(
             key,
@@ -103,7 +103,7 @@
             .count(),
         "it is settled");
     assertTrue(
-        capacity.summary().startsWith("2 rentals"),
+        capacity.summary().startsWith("rentals=2 "),
         "and others are decided: " + capacity.summary());
   }
 }
--- a/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
+++ b/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
@@ -25,7 +25,7 @@
  * nothing twice, nothing lost.
  */
 class ProvisioningControllerTest {
-  private static final RentalOption OFFER = new RentalOption("t", "a", true);
+  private static final RentalOption OPTION = new RentalOption("t", "a", true);
   private static final long SECOND = 1_000_000;
 
   /**
@@ -35,7 +35,7 @@
   private static final class World {
     final TreeMap<String, Map<String, Object>> store = new TreeMap<>();
     final Set<String> everMarked = new HashSet<>();
-    final Map<String, List<String>> charters = new LinkedHashMap<>();
+    final Map<String, List<String>> machinesByRequest = new LinkedHashMap<>();
     final Set<String> running = new HashSet<>();
     final Set<String> registeredWorkers = new HashSet<>();
 
@@ -75,12 +75,12 @@
   }
 
   /** One holder; it may go on after it was replaced, which it then does not know. */
-  private static final class Holder implements ProvisioningController.Host {
+  private static final class Holder implements ProvisioningHost {
     final World world;
     final long epoch;
-    final ProvisioningController duties;
+    final ProvisioningController controller;
     final Set<String> booting = new HashSet<>();
-    final Set<String> gone = new HashSet<>();
+    final Set<String> terminated = new HashSet<>();
     final List<String> errors = new ArrayList<>();
     final ArrayDeque<Runnable> writes = new ArrayDeque<>();
     boolean refusedByCloud;
@@ -88,8 +88,8 @@
     Holder(World world) {
       this.world = world;
       this.epoch = world.epoch += 10;
-      this.duties = new ProvisioningController(this, epoch, 30 * SECOND, 0);
-      duties.resume(new TreeMap<>(world.store), world.now);
+      this.controller = new ProvisioningController(this, epoch, 30 * SECOND, 0);
+      controller.resume(new TreeMap<>(world.store), world.now);
     }
 
     /** Writes of one holder are carried out in their order, as the stateWriter does. */
@@ -102,7 +102,7 @@
                 world.store.remove(key);
               } else {
                 world.store.put(key, value);
-                if (key.startsWith(ProvisioningController.RETURNS)) {
+                if (key.startsWith(ProvisioningController.RELEASE_KEY_PREFIX)) {
                   ((List<?>) value.get("ids")).forEach(id -> world.everMarked.add((String) id));
                 }
               }
@@ -113,56 +113,50 @@
     }
 
     @Override
-    public void put(String key, Map<String, Object> value, Runnable durable) {
-      write(key, value, durable);
+    public void put(String key, Map<String, Object> value, Runnable onDurable) {
+      write(key, value, onDurable);
     }
 
     @Override
-    public void drop(String key, Runnable durable) {
-      write(key, null, durable);
+    public void remove(String key) {
+      write(key, null, () -> {});
     }
 
     @Override
-    public boolean mayCall() {
+    public boolean mayCallCloud() {
       return true;
     }
 
     @Override
-    public void rent(
-        String charter,
-        RentalOption offer,
-        int count,
-        Consumer<ProvisioningController.Rental> callback) {
+    public void requestMachines(RentalRequest request, RentalResponseHandler handler) {
+      String requestId = request.requestId();
       List<String> names = new ArrayList<>();
       world.toCloud(
           () -> {
-            if (!world.store.containsKey(ProvisioningController.RENTALS + charter)
-                && !world.charters.containsKey(charter)) {
-              world.broken.add("asked for " + charter + " before it was durable");
+            if (!world.store.containsKey(ProvisioningController.RENTAL_KEY_PREFIX + requestId)
+                && !world.machinesByRequest.containsKey(requestId)) {
+              world.broken.add("asked for " + requestId + " before it was durable");
             }
             names.clear();
             names.addAll(
-                world.charters.computeIfAbsent(
-                    charter,
-                    c -> {
+                world.machinesByRequest.computeIfAbsent(
+                    requestId,
+                    id -> {
                       List<String> made = new ArrayList<>();
-                      for (int i = 0; i < count; i++) {
-                        made.add(c + "/" + i);
+                      for (int i = 0; i < request.count(); i++) {
+                        made.add(id + "/" + i);
                       }
                       world.running.addAll(made);
                       return made;
                     }));
           },
-          () ->
-              callback.accept(
-                  new ProvisioningController.Rental(
-                      ProvisioningController.Rental.Outcome.GRANTED, List.copyOf(names), "")));
+          () -> handler.granted(List.copyOf(names)));
     }
 
     @Override
-    public void delete(List<String> machines, Consumer<ProvisioningController.Deletion> callback) {
+    public void deleteMachines(List<String> machines, Consumer<DeletionResult> callback) {
       if (refusedByCloud) {
-        world.onTheWay.add(() -> callback.accept(ProvisioningController.Deletion.REFUSED));
+        world.onTheWay.add(() -> callback.accept(DeletionResult.REFUSED));
         return;
       }
       world.toCloud(
@@ -177,36 +171,36 @@
               }
             }
           },
-          () -> callback.accept(ProvisioningController.Deletion.DONE));
+          () -> callback.accept(DeletionResult.CONFIRMED));
     }
 
     @Override
-    public void booting(String charter, RentalOption offer, List<String> machines, long ageMicros) {
+    public void machinesBooting(RentalRequest request, List<String> machines, long ageMicros) {
       booting.addAll(machines);
     }
 
     @Override
-    public void shortOf(RentalOption offer, String why) {}
+    public void optionExhausted(RentalOption option) {}
 
     @Override
-    public void gone(String machine) {
-      gone.add(machine);
+    public void machineTerminated(String machine) {
+      terminated.add(machine);
       world.registeredWorkers.remove(machine);
     }
 
     @Override
-    public void kept(String machine) {
+    public void releaseCancelled(String machine) {
       // It reports, and is found by that.
       booting.add(machine);
     }
 
     @Override
     public boolean isTerminated(String machine) {
-      return gone.contains(machine);
+      return terminated.contains(machine);
     }
 
     @Override
-    public boolean onRoster(String machine) {
+    public boolean isRegistered(String machine) {
       return world.registeredWorkers.contains(machine);
     }
 
@@ -226,25 +220,25 @@
     List<Holder> holders = new ArrayList<>(List.of(new Holder(world)));
     for (int step = 0; step < 150; step++) {
       world.now += random.nextInt(400_000);
-      // A replaced holder goes on until it hears of it; its clock and its duties run.
+      // A replaced holder goes on until it hears of it; its clock and its controller run.
       Holder h = holders.get(random.nextInt(holders.size()));
       Holder latest = holders.get(holders.size() - 1);
       switch (random.nextInt(8)) {
         case 0 -> {
           if (world.decided < 12) {
             world.decided++;
-            h.duties.rent(OFFER, 1 + random.nextInt(3));
+            h.controller.scaleOut(OPTION, 1 + random.nextInt(3));
           }
         }
         case 1 -> {
           List<String> running = new ArrayList<>(world.running);
           if (!running.isEmpty()) {
-            h.duties.giveBack(running.get(random.nextInt(running.size())));
+            h.controller.scaleIn(running.get(random.nextInt(running.size())));
           }
         }
         case 2 -> {
           for (String machine : world.running) {
-            if (latest.booting.contains(machine) && !latest.duties.leaving(machine)) {
+            if (latest.booting.contains(machine) && !latest.controller.isReleasing(machine)) {
               world.usedIn.put(machine, latest.epoch);
             }
           }
@@ -252,7 +246,7 @@
         case 3 -> {
           for (String machine : List.copyOf(world.running)) {
             if (latest.booting.contains(machine) && world.registeredWorkers.add(machine)) {
-              latest.duties.accounted(machine);
+              latest.controller.machineRegistered(machine);
               break;
             }
           }
@@ -260,7 +254,7 @@
         case 4 -> {
           List<String> running = new ArrayList<>(world.running);
           if (!running.isEmpty()) {
-            h.duties.takeBack(running.get(random.nextInt(running.size())));
+            h.controller.cancelScaleIn(running.get(random.nextInt(running.size())));
           }
         }
         case 5 -> {
@@ -276,8 +270,8 @@
       }
       h.refusedByCloud = random.nextInt(10) == 0;
       world.copies = random.nextInt(5) == 0;
-      h.duties.tick(world.now);
-      latest.duties.tick(world.now);
+      h.controller.tick(world.now);
+      latest.controller.tick(world.now);
     }
     assertEquals(List.of(), world.broken);
     // All that was ever written is settled by the last holder, and it knows every machine.
@@ -286,37 +280,37 @@
     world.copies = false;
     for (int i = 0; i < 400; i++) {
       world.now += SECOND / 2;
-      holders.forEach(x -> x.duties.tick(world.now));
+      holders.forEach(x -> x.controller.tick(world.now));
       world.deliverAll();
       // Deleted by a holder that was replaced, and not known to be gone: it never comes up, and is
       // given back.
       last.booting.stream()
-          .filter(m -> !world.running.contains(m) && !last.gone.contains(m))
-          .forEach(last.duties::giveBack);
+          .filter(m -> !world.running.contains(m) && !last.terminated.contains(m))
+          .forEach(last.controller::scaleIn);
       for (String machine : List.copyOf(world.running)) {
         if (last.booting.contains(machine) && world.registeredWorkers.add(machine)) {
-          last.duties.accounted(machine);
+          last.controller.machineRegistered(machine);
         }
       }
     }
     assertEquals(List.of(), world.broken);
     assertTrue(world.store.isEmpty(), "left over: " + world.store);
-    assertEquals(0, last.duties.awaited());
+    assertEquals(List.of(), last.controller.pendingRentals());
   }
 
   @Example
   void theSameRentalAskedForByTwoIsOne() {
     World world = new World();
     Holder first = new Holder(world);
-    first.duties.rent(OFFER, 3);
+    first.controller.scaleOut(OPTION, 3);
     world.deliver(0);
     world.deliver(0);
-    first.duties.tick(SECOND);
+    first.controller.tick(SECOND);
     // The request of the first is on its way when the second takes over.
     Holder second = new Holder(world);
-    second.duties.tick(2 * SECOND);
+    second.controller.tick(2 * SECOND);
     world.deliverAll();
-    assertEquals(1, world.charters.size());
+    assertEquals(1, world.machinesByRequest.size());
     assertEquals(3, second.booting.size());
     assertEquals(3, world.running.size());
   }
@@ -326,19 +320,19 @@
     World world = new World();
     Holder first = new Holder(world);
     world.running.add("m");
-    first.duties.giveBack("m");
-    first.duties.tick(SECOND);
+    first.controller.scaleIn("m");
+    first.controller.tick(SECOND);
     world.deliver(0);
     world.deliver(0);
     // It stands still between the mark and the request, is replaced, and goes on.
     Holder second = new Holder(world);
-    assertTrue(second.duties.leaving("m"), "nothing is placed on it");
-    first.duties.tick(200 * SECOND);
-    second.duties.tick(200 * SECOND);
+    assertTrue(second.controller.isReleasing("m"), "nothing is placed on it");
+    first.controller.tick(200 * SECOND);
+    second.controller.tick(200 * SECOND);
     world.deliverAll();
     assertEquals(List.of(), world.broken);
     assertFalse(world.running.contains("m"));
-    assertTrue(second.gone.contains("m"));
+    assertTrue(second.terminated.contains("m"));
   }
 
   @Example
@@ -346,47 +340,49 @@
     World world = new World();
     Holder holder = new Holder(world);
     world.running.add("m");
-    holder.duties.giveBack("m");
-    assertTrue(holder.duties.takeBack("m"), "not written yet");
-    holder.duties.giveBack("m");
+    holder.controller.scaleIn("m");
+    assertTrue(holder.controller.cancelScaleIn("m"), "not written yet");
+    holder.controller.scaleIn("m");
     holder.refusedByCloud = true;
-    holder.duties.tick(SECOND);
+    holder.controller.tick(SECOND);
     world.deliverAll();
-    holder.duties.tick(2 * SECOND);
-    assertFalse(holder.duties.takeBack("m"), "a request is on its way");
+    holder.controller.tick(2 * SECOND);
+    assertFalse(holder.controller.cancelScaleIn("m"), "a request is on its way");
     world.deliverAll();
-    assertTrue(holder.duties.takeBack("m"), "refused for certain");
-    assertTrue(holder.duties.leaving("m"), "not before that is durable");
+    assertTrue(holder.controller.cancelScaleIn("m"), "refused for certain");
+    assertTrue(holder.controller.isReleasing("m"), "not before that is durable");
     world.deliverAll();
-    assertFalse(holder.duties.leaving("m"));
-    holder.duties.giveBack("m");
+    assertFalse(holder.controller.isReleasing("m"));
+    holder.controller.scaleIn("m");
     holder.refusedByCloud = false;
-    holder.duties.tick(4 * SECOND);
+    holder.controller.tick(4 * SECOND);
     world.deliverAll();
-    assertTrue(new Holder(world).duties.leaving("m"));
-    assertFalse(new Holder(world).duties.takeBack("m"), "what an earlier epoch sent is not known");
+    assertTrue(new Holder(world).controller.isReleasing("m"));
+    assertFalse(
+        new Holder(world).controller.cancelScaleIn("m"), "what an earlier epoch sent is not known");
   }
 
   @Example
   void whatCannotBeReadIsNamedAndStopsNothing() {
     World world = new World();
     world.store.put(
-        ProvisioningController.RENTALS + "r-1-1",
+        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-1",
         Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
     world.store.put(
-        ProvisioningController.RENTALS + "r-1-2",
+        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-2",
         Map.of("type", "t", "zone", "a", "n", 0L, "epoch", 1L, "at", 0L));
-    world.store.put(ProvisioningController.RETURNS + "1-3", Map.of("epoch", 1L, "ids", "m"));
     world.store.put(
-        ProvisioningController.RENTALS + "r-1-4",
+        ProvisioningController.RELEASE_KEY_PREFIX + "1-3", Map.of("epoch", 1L, "ids", "m"));
+    world.store.put(
+        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-4",
         Map.of("type", "t", "zone", "a", "n", 2L, "epoch", 1L, "at", 0L, "later", true));
     Holder holder = new Holder(world);
     assertEquals(3, holder.errors.size());
     assertTrue(
-        holder.errors.get(0).contains(ProvisioningController.RETURNS + "1-3")
+        holder.errors.get(0).contains(ProvisioningController.RELEASE_KEY_PREFIX + "1-3")
             && holder.errors.get(0).contains("ids"));
     assertTrue(holder.errors.get(1).contains("r-1-1") && holder.errors.get(1).contains("zone"));
-    holder.duties.tick(SECOND);
+    holder.controller.tick(SECOND);
     world.deliverAll();
     assertEquals(2, holder.booting.size());
   }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -108,7 +108,7 @@
               d.cutNodeFromCloud(leader, 60 * SECOND);
               d.clock.after(20 * SECOND, () -> d.crash(leader, 3 * SECOND));
             });
-    assertTrue(logged("rentals and") >= 2, "taken over");
+    assertTrue(logged("provisioning RECOVERING, term=") >= 2, "taken over");
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
