--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -10,35 +10,42 @@
 import org.eiderstair.core.state.StoredRecords;
 
 /**
- * Who may command. The leader key hangs on a lease; the revision that created it is the term. Until
- * when what may be done is for {@link LeadershipBounds} to say.
+ * Whether this node leads: the state machine of one node's part in leader election. The leader key
+ * hangs on a lease; the revision that created it is the term. {@link LeaderElection} and {@link
+ * LeaseRenewal} make the requests, {@link ElectionBackoff} says when to campaign, and {@link
+ * LeadershipBounds} until when a leader may do what.
  */
 public final class Leadership {
 
-  /**
-   * LEADING may launch. FADING cannot renew its lease, or its picture is too old to launch by: it
-   * goes on answering workers, so that running work survives a short outage. CATCHING_UP holds its
-   * lease, just elected or renewed after such a spell, but the picture has not been shown to be
-   * current since then: a lease proves nothing of the picture, so nothing is launched yet.
-   */
+  /** This node's part. The last three states hold the leader key, see {@link #isLeader}. */
   enum State {
+    /** Another node leads, or none does. */
     FOLLOWING,
-    GRANTING,
-    CREATING,
+    /** Asks for the lease of the leader key. */
+    ACQUIRING_LEASE,
+    /** Tries to create the leader key on its lease. */
+    CANDIDATE,
+    /** May launch: the lease is held and the replica is current. */
     LEADING,
-    FADING,
-    CATCHING_UP
+    /**
+     * The lease was not renewed in time, or the replica is too old to launch by. It goes on
+     * answering workers, so that running work survives a short outage.
+     */
+    SUSPENDED,
+    /**
+     * Holds its lease, just elected or renewed after a suspension, but the replica has not been
+     * shown to be current since then. A lease proves nothing about the replica, so nothing is
+     * launched yet.
+     */
+    SYNCHRONIZING
   }
 
   /** What the node does when its part in leadership changes. */
   public interface Listener {
-    /** This node asks to lead; nothing that it was told as a follower may change any more. */
+    /** This node campaigns; nothing that it has replicated as a follower may change any more. */
     void campaignStarted();
 
-    /**
-     * Whether another controller than this one holds the last leader's picture, and so should ask
-     * first.
-     */
+    /** Whether another node is the standby in sync, and so should campaign first. */
     boolean anotherNodeInSync();
 
     /** This node leads, in this term. */
@@ -48,37 +55,32 @@
     void leadershipLost(String why);
   }
 
-  private static final long RETRY_MICROS = 400_000;
-  private static final long GIVEN_UP_PAUSE_MICROS = 15_000_000;
-
-  /** About as long as a controller that was just started interprets most of its code. */
-  private static final long COLD_MICROS = 20_000_000;
+  private static final long NOT_HELD = -1;
 
   private final Settings settings;
   private final EffectSink sink;
   private final Replica replica;
   private final Listener listener;
-  private final String runId;
+  private final LeadershipBounds bounds;
+  private final ElectionBackoff backoff;
+  private final LeaderElection election;
+  private final LeaseRenewal renewal;
 
   private State state = State.FOLLOWING;
   private long now;
   private long lease;
   private long term;
-  private final LeadershipBounds bounds;
 
   /**
-   * Since when the lease is held again, 0 while it is not: the picture must be shown to be current
-   * as of then.
+   * Since when the lease is held without a break: the replica must be shown to be current as of
+   * then before anything is launched.
    */
-  private long heldSinceMicros;
-
-  private long nextTouchMicros;
-  private boolean touching;
-  private long standAfterMicros;
-  private long droppedOwnLease;
-  private final IntUnaryOperator random;
-  private long loadedMicros = Long.MAX_VALUE;
+  private long leaseHeldSinceMicros = NOT_HELD;
 
+  /**
+   * @param runId differs for every run of this node
+   * @param random a uniformly random number below its argument
+   */
   public Leadership(
       Settings settings,
       EffectSink sink,
@@ -86,228 +88,160 @@
       String runId,
       IntUnaryOperator random,
       Listener listener) {
-    this.random = random;
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
-    this.runId = runId;
     this.listener = listener;
     this.bounds = new LeadershipBounds(settings, replica);
+    this.backoff = new ElectionBackoff(settings.gatherMicros(), random);
+    this.election = new LeaderElection(settings, sink, replica, runId, new ElectionOutcome());
+    this.renewal =
+        new LeaseRenewal(sink, settings.tuning().leaderRenewMicros(), new RenewalOutcome());
   }
 
-  /** Whether this node neither leads nor asks to. */
+  /** Whether this node neither leads nor campaigns. */
   public boolean isFollower() {
     return state == State.FOLLOWING;
   }
 
+  /** Whether this node holds the leader key, and so answers workers' heartbeats. */
+  public boolean isLeader() {
+    return state == State.LEADING || state == State.SUSPENDED || state == State.SYNCHRONIZING;
+  }
+
   /** Whether launches may be sent at this moment. */
   public boolean mayLaunch(long nowMicros) {
     return state == State.LEADING && nowMicros < bounds.launchEndMicros();
   }
 
   /**
-   * Whether what ends work may be sent to machines: a kill or a question harms nobody, whoever
+   * Whether kills and questions may be sent to machines at this moment: they harm nobody, whoever
    * leads by now.
    */
   public boolean mayKill(long nowMicros) {
     return isLeader() && nowMicros < bounds.answerEndMicros();
   }
 
-  /** Whether workers' reports may be answered. */
-  public boolean isLeader() {
-    return state == State.LEADING || state == State.FADING || state == State.CATCHING_UP;
-  }
-
   /** The term of the leader key that this node holds, or held last. */
   public long term() {
     return term;
   }
 
-  /** Until when it may do what. */
+  /** Until when this node may launch, and answer workers. */
   public LeadershipBounds bounds() {
     return bounds;
   }
 
-  /** The time at which what is told next happened. */
+  /** The time of the events that follow. */
   public void setTime(long nowMicros) {
     now = nowMicros;
   }
 
-  /** Does what time has made due. */
+  /** Does what is due by now. */
   public void tick(long nowMicros) {
     now = nowMicros;
-    if (replica.loaded() && loadedMicros == Long.MAX_VALUE) {
-      loadedMicros = now;
+    if (replica.loaded()) {
+      backoff.replicaLoaded(now);
     }
     switch (state) {
-      case FOLLOWING -> considerStanding();
-      case GRANTING, CREATING -> {}
+      case FOLLOWING -> campaignIfPossible();
+      case ACQUIRING_LEASE, CANDIDATE -> {}
       case LEADING -> {
-        if (now >= bounds.launchEndMicros()) {
-          become(
-              State.FADING,
-              now >= bounds.leaseEndMicros()
-                  ? "lease not renewed"
-                  : "picture not shown to be current");
-        }
-        touchIfDue();
+        suspendIfOutOfBounds();
+        renewal.tick(lease, term, now);
       }
-      case FADING, CATCHING_UP -> {
-        // One that was elected after a long outage has the picture of before; it is about to be
-        // told.
-        boolean begins =
-            state == State.CATCHING_UP
-                && now < heldSinceMicros + settings.tuning().leaderTtlMicros();
-        if (now >= bounds.answerEndMicros() && !begins) {
+      case SUSPENDED, SYNCHRONIZING -> {
+        if (answersEnded()) {
           // Its lease may go on for ever while its watch hangs: then another has to lead.
           deposed(
-              "picture not shown to be current for "
+              "replica not shown to be current for "
                   + (now - bounds.replicaCurrentMicros()) / 1000
-                  + " ms: workers lose their leases, for what may have been cancelled meanwhile");
+                  + " ms: workers' leases expire, since jobs may have been cancelled meanwhile");
           return;
         }
-        catchUp();
-        touchIfDue();
+        resumeIfProven();
+        renewal.tick(lease, term, now);
       }
     }
   }
 
-  /** Out of FADING only by both proofs, the one of the picture sent no earlier than the renewal. */
-  private void catchUp() {
-    if (state == State.FADING && heldSinceMicros > 0 && now < bounds.leaseEndMicros()) {
-      become(State.CATCHING_UP, "renewed again");
+  private void campaignIfPossible() {
+    if (!replica.loaded() || !backoff.mayCampaign(now)) {
+      return;
     }
-    if (state == State.CATCHING_UP && now >= bounds.leaseEndMicros()) {
-      become(State.FADING, "lease not renewed");
+    Replica.Leader leader = replica.leader();
+    if (leader != null) {
+      election.revokeLeaseOfEarlierRun(leader);
+      return;
+    }
+    transitionTo(State.ACQUIRING_LEASE, "no leader");
+    listener.campaignStarted();
+    election.requestLease(now);
+  }
+
+  private void suspendIfOutOfBounds() {
+    if (now < bounds.launchEndMicros()) {
+      return;
+    }
+    transitionTo(
+        State.SUSPENDED,
+        now >= bounds.leaseEndMicros() ? "lease not renewed" : "replica not shown to be current");
+  }
+
+  /** One that was elected after a long outage has the replica of before; it is updated soon. */
+  private boolean answersEnded() {
+    boolean justElected =
+        state == State.SYNCHRONIZING
+            && now < leaseHeldSinceMicros + settings.tuning().leaderTtlMicros();
+    return now >= bounds.answerEndMicros() && !justElected;
+  }
+
+  /**
+   * A suspension ends only by both proofs: a renewed lease, and a current replica shown by a
+   * request sent no earlier than the renewal.
+   */
+  private void resumeIfProven() {
+    if (state == State.SUSPENDED
+        && leaseHeldSinceMicros != NOT_HELD
+        && now < bounds.leaseEndMicros()) {
+      transitionTo(State.SYNCHRONIZING, "lease renewed");
     }
-    if (state == State.CATCHING_UP
-        && bounds.replicaCurrentMicros() >= heldSinceMicros
+    if (state == State.SYNCHRONIZING && now >= bounds.leaseEndMicros()) {
+      transitionTo(State.SUSPENDED, "lease not renewed");
+    }
+    if (state == State.SYNCHRONIZING
+        && bounds.replicaCurrentMicros() >= leaseHeldSinceMicros
         && now < bounds.launchEndMicros()) {
-      become(State.LEADING, "picture current");
+      transitionTo(State.LEADING, "replica current");
     }
   }
 
   /** The one function for every change of state. */
-  private void become(State next, String why) {
+  private void transitionTo(State next, String why) {
     if (next == state) {
       return;
     }
-    boolean was = isLeader();
+    boolean wasLeader = isLeader();
     sink.info("leadership " + state + " -> " + next + " term=" + term + ": " + why);
     state = next;
-    if (next == State.FADING) {
-      heldSinceMicros = 0;
-      nextTouchMicros = Math.min(nextTouchMicros, now);
+    if (next == State.SUSPENDED) {
+      leaseHeldSinceMicros = NOT_HELD;
+      renewal.hasten(now);
     }
-    if (!was && isLeader()) {
+    if (!wasLeader && isLeader()) {
       listener.leadershipGained(term);
-    } else if (was && !isLeader()) {
-      standAfterMicros = now + RETRY_MICROS;
+    } else if (wasLeader && !isLeader()) {
+      backoff.retryLater(now);
       listener.leadershipLost(why);
     }
   }
 
-  private void considerStanding() {
-    if (!replica.loaded() || now < standAfterMicros) {
-      return;
-    }
-    Replica.Leader leader = replica.leader();
-    if (leader != null) {
-      // An earlier run of this very node is certainly dead, so its lease need not run out.
-      if (leader.node().equals(settings.node()) && leader.lease() != droppedOwnLease) {
-        droppedOwnLease = leader.lease();
-        sink.info("giving up the lease of an earlier run, term=" + leader.term());
-        sink.call(
-            new Request.LeaseRevoke(leader.lease()),
-            reply -> {
-              if (!(reply instanceof Reply.Applied)) {
-                droppedOwnLease = 0;
-                standAfterMicros = now + RETRY_MICROS;
-              }
-            });
-      }
-      return;
-    }
-    become(State.GRANTING, "no leader");
-    listener.campaignStarted();
-    long sentMicros = now;
-    sink.call(
-        new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
-        reply -> {
-          if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
-            lease = granted.lease();
-            bounds.renewed(sentMicros);
-            become(State.CREATING, "lease " + lease);
-            create();
-          } else {
-            standAfterMicros = now + RETRY_MICROS;
-            become(State.FOLLOWING, "no lease: " + reply);
-          }
-        });
-  }
-
-  private void create() {
-    var value = StoredRecords.leader(settings.node(), lease, runId);
-    long sentMicros = now;
-    sink.call(
-        new Request.StoreTxn(
-            List.of(new Request.Condition(StoredRecords.LEADER, 0)),
-            List.of(new Request.Write(StoredRecords.LEADER, value, lease))),
-        reply -> {
-          if (reply instanceof Reply.Applied applied) {
-            term = applied.revision();
-            replica.proves(sentMicros, term);
-            nextTouchMicros = bounds.renewedMicros() + settings.tuning().leaderRenewMicros();
-            replica.apply(new Reply.Item(StoredRecords.LEADER, value, term));
-            if (replica.leader() != null && replica.leader().term() == term) {
-              heldSinceMicros = sentMicros;
-              become(State.CATCHING_UP, "elected");
-              return;
-            }
-          }
-          // With no answer the key may yet appear: ending the lease removes it and makes a late
-          // write fail.
-          sink.call(new Request.LeaseRevoke(lease), ignored -> {});
-          standAfterMicros = now + RETRY_MICROS;
-          become(State.FOLLOWING, "not elected: " + reply);
-        });
-  }
-
-  private void touchIfDue() {
-    if (touching || now < nextTouchMicros) {
-      return;
-    }
-    touching = true;
-    long sentMicros = now;
-    long touchedTerm = term;
-    sink.call(
-        new Request.LeaseRenew(lease),
-        reply -> {
-          touching = false;
-          if (!isLeader() || touchedTerm != term) {
-            return;
-          }
-          if (reply instanceof Reply.Applied) {
-            bounds.renewed(sentMicros);
-            nextTouchMicros = sentMicros + settings.tuning().leaderRenewMicros();
-            if (state == State.FADING && heldSinceMicros == 0) {
-              heldSinceMicros = sentMicros;
-            }
-            showCurrent();
-          } else if (reply instanceof Reply.Refused refused && refused.status() == 404) {
-            become(State.FOLLOWING, "lease lost");
-          } else {
-            nextTouchMicros = now + RETRY_MICROS;
-          }
-        });
-  }
-
   /**
-   * Asks which revision the state service is at, unless the picture was shown to be current just
-   * now: on a quiet day no watch is answered for seconds. It compares the leader key, so it tells
-   * too when that is lost.
+   * Asks which revision the state service is at, unless the replica was shown to be current just
+   * now: on a quiet day no watch is answered for seconds. The request compares the leader key, so
+   * it also notices when that is lost.
    */
-  private void showCurrent() {
+  private void confirmReplicaCurrent() {
     if (state == State.LEADING
         && now < bounds.replicaCurrentMicros() + settings.tuning().leaderRenewMicros()) {
       return;
@@ -322,41 +256,89 @@
         });
   }
 
-  /** The leader key was seen to belong to another, or a worker showed a newer token. */
+  /** Another node was seen to lead, or a worker showed a newer fencing token. */
   public void deposed(String why) {
     if (isLeader()) {
-      sink.call(new Request.LeaseRevoke(lease), ignored -> {});
-      become(State.FOLLOWING, why);
+      election.revoke(lease);
+      transitionTo(State.FOLLOWING, why);
     }
   }
 
   /**
-   * This node can renew its lease but is of no use, since it cannot reach the machines: another
-   * may. It stands again only after a pause, so that the others get their turn.
+   * Gives up leadership although the lease can be renewed, because this node is of no use as the
+   * leader, for example when it cannot reach the machines. It campaigns again only after a pause.
    */
   public void resign(String why) {
     deposed(why);
-    standAfterMicros = now + GIVEN_UP_PAUSE_MICROS;
+    backoff.resigned(now);
   }
 
-  /** The replica's leader key changed. */
+  /** The leader key in the replica changed. */
   public void leaderChanged() {
     Replica.Leader leader = replica.leader();
     if (isLeader() && (leader == null || leader.term() != term)) {
-      become(
+      transitionTo(
           State.FOLLOWING,
-          leader == null ? "leader key dropped" : "another leads, term=" + leader.term());
-    } else if (leader == null
-        && state == State.FOLLOWING
-        && loadedMicros != Long.MAX_VALUE
-        && (now < loadedMicros + COLD_MICROS || listener.anotherNodeInSync())) {
-      // A cold leader needs many times the processor time for the same reports. This changes who
-      // asks first, never who may lead; and a key that is not there at the start was left by all
-      // the warm ones, so then nothing waits. One that holds the last leader's picture goes before
-      // both. Twice the time for which a warm one may gather changes before it learns of this one.
-      boolean cold = now < loadedMicros + COLD_MICROS;
-      int pause = (int) ((cold && listener.anotherNodeInSync() ? 4 : 2) * settings.gatherMicros());
-      standAfterMicros = Math.max(standAfterMicros, now + pause + random.applyAsInt(pause));
+          leader == null ? "leader key deleted" : "another node leads, term=" + leader.term());
+    } else if (leader == null && isFollower()) {
+      backoff.leaderKeyDeleted(now, listener.anotherNodeInSync());
+    }
+  }
+
+  /** What the outcome of an election's requests does to the state. */
+  private final class ElectionOutcome implements LeaderElection.Candidate {
+    @Override
+    public void leaseGranted(long granted, long sentMicros) {
+      lease = granted;
+      bounds.renewed(sentMicros);
+      renewal.renewedAt(sentMicros);
+      transitionTo(State.CANDIDATE, "lease " + lease);
+      election.createLeaderKey(lease, now);
+    }
+
+    @Override
+    public void elected(long electedTerm, long sentMicros) {
+      term = electedTerm;
+      leaseHeldSinceMicros = sentMicros;
+      transitionTo(State.SYNCHRONIZING, "elected");
+    }
+
+    @Override
+    public void notElected(String why) {
+      backoff.retryLater(now);
+      transitionTo(State.FOLLOWING, why);
+    }
+
+    @Override
+    public void revocationFailed() {
+      backoff.retryLater(now);
+    }
+  }
+
+  /** What the outcome of a renewal does to the state. */
+  private final class RenewalOutcome implements LeaseRenewal.Holder {
+    @Override
+    public boolean leadsInTerm(long renewedTerm) {
+      return isLeader() && renewedTerm == term;
+    }
+
+    @Override
+    public void renewed(long sentMicros) {
+      bounds.renewed(sentMicros);
+      if (state == State.SUSPENDED && leaseHeldSinceMicros == NOT_HELD) {
+        leaseHeldSinceMicros = sentMicros;
+      }
+      confirmReplicaCurrent();
+    }
+
+    @Override
+    public void leaseExpired() {
+      transitionTo(State.FOLLOWING, "lease expired");
+    }
+
+    @Override
+    public void renewalFailed() {
+      renewal.retryAfter(now);
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -4,30 +4,29 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Until when a leader may launch and until when it may answer reports: the one place for both
- * bounds. They rest on two clocks, which are two things:
+ * Until when a leader may launch and until when it may answer heartbeats: the one place for both
+ * bounds. They rest on two times, neither of which says anything about the other:
  *
  * <ul>
- *   <li><em>authority</em>: when the latest renewal of its lease was sent. No other can lead before
- *       it is over;
- *   <li><em>currency</em>: when the latest request was sent whose answer shows that the picture
- *       holds every change made up to then ({@link Replica#currentMicros}). A renewed lease says
- *       nothing of the picture, nor the other way round.
+ *   <li><em>lease validity</em>: no other node can lead until this node's lease expires, counted
+ *       from when its latest renewal was sent;
+ *   <li><em>replica freshness</em>: the replica holds every change that was made up to the time at
+ *       which the latest request was sent whose answer shows so ({@link Replica#currentMicros}).
  * </ul>
  *
- * A cancellation confirmed at C that this node does not know of was carried out later than its
- * currency. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
- * leader may do with an old picture", has the argument.
+ * A cancellation that this node does not know of was confirmed after the replica was last shown to
+ * be current. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
+ * leader may do with an old replica", has the argument.
  */
 public final class LeadershipBounds {
-  /** For what lies between deciding and sending, beside the drift of clocks. */
+  /** Allows for the time between a decision and its sending. */
   private static final long MARGIN_MICROS = 250_000;
 
-  /** In this time a worker whose lease is over has found that, and has ended its tasks. */
-  private static final long ENDING_MICROS = 3_000_000;
+  /** Within this time a worker notices that its lease has expired, and ends its tasks. */
+  private static final long TASK_END_MICROS = 3_000_000;
 
-  /** Clocks of two machines differ by no more than 0.05%. */
-  private static final long DRIFT_PART = 2_000;
+  /** Clocks of two machines drift apart by at most one part in so many (0.05%). */
+  private static final long DRIFT_PARTS = 2_000;
 
   private final long leaseMicros;
   private final long answerPeriodMicros;
@@ -36,19 +35,19 @@
 
   LeadershipBounds(Settings settings, Replica replica) {
     long ttl = settings.tuning().leaderTtlMicros();
-    this.leaseMicros = ttl - ttl / DRIFT_PART - MARGIN_MICROS;
+    this.leaseMicros = ttl - ttl / DRIFT_PARTS - MARGIN_MICROS;
     this.answerPeriodMicros = Math.max(0, answerPeriodMicros(settings));
     this.replica = replica;
   }
 
   private static long answerPeriodMicros(Settings settings) {
     long cancel = settings.cancelMicros();
-    return cancel - settings.leaseMicros() - cancel / DRIFT_PART - ENDING_MICROS;
+    return cancel - settings.leaseMicros() - cancel / DRIFT_PARTS - TASK_END_MICROS;
   }
 
   /**
-   * Whether the bounds can hold at all: a leader must be able to answer reports for at least as
-   * long as its own lease lasts, else it would stop its workers between two renewals.
+   * Whether the settings leave room for the bounds: a leader must be able to answer heartbeats for
+   * at least as long as its own lease lasts, else it would stop its workers between two renewals.
    */
   public static boolean boundsHold(Settings settings) {
     return answerPeriodMicros(settings) >= settings.tuning().leaderTtlMicros();
@@ -63,13 +62,13 @@
     return renewedMicros;
   }
 
-  /** When the picture was last shown to be current. */
+  /** The replica holds every change made up to this time. */
   long replicaCurrentMicros() {
     return replica.currentMicros();
   }
 
   /**
-   * Until when nobody else can lead: backs what is durable or fenced, such as requests to the
+   * Until when no other node can lead: bounds what is durable or fenced, such as requests to the
    * cloud.
    */
   public long leaseEndMicros() {
@@ -77,19 +76,19 @@
   }
 
   /**
-   * Until when it may launch: while nobody else can lead, and while the picture is no older than a
-   * lease may be. What was cancelled elsewhere longer ago is never started. A launch may ride in an
-   * answer, so no longer than it may answer.
+   * Until when it may launch: while no other node can lead, and while the replica is no older than
+   * the lease may be. What was cancelled elsewhere longer ago is never started. A launch may be
+   * part of an answer, so no longer than answers may be sent.
    */
   public long launchEndMicros() {
-    return Math.min(
-        Math.min(renewedMicros, replicaCurrentMicros()) + leaseMicros, answerEndMicros());
+    long provenMicros = Math.min(renewedMicros, replicaCurrentMicros());
+    return Math.min(provenMicros + leaseMicros, answerEndMicros());
   }
 
   /**
-   * Until when it may answer reports, which renews workers' leases: those that were last answered
-   * without a kill lose them, and with them the tasks of every job cancelled unknown to this node,
-   * within {@code cancel_s} of the cancellation.
+   * Until when it may answer heartbeats, which renews workers' leases: workers that were last
+   * answered without a kill lose them, and with them the tasks of every job cancelled unknown to
+   * this node, within {@code cancel_s} of the cancellation.
    */
   public long answerEndMicros() {
     return replicaCurrentMicros() + answerPeriodMicros;
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -16,7 +16,7 @@
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.StoredRecords;
 
-/** Who asks first when the leader's key is free. */
+/** Who campaigns first when the leader key is free, and what keeps a leader in its term. */
 class LeadershipTest {
   private static final long SECOND = 1_000_000;
   private final Settings settings =
@@ -64,7 +64,7 @@
     throw new AssertionError("no " + kind.getSimpleName() + " in " + calls);
   }
 
-  private boolean stands() {
+  private boolean campaigns() {
     return calls.stream().anyMatch(c -> c.request() instanceof Request.LeaseGrant);
   }
 
@@ -75,11 +75,11 @@
         nowMicros);
   }
 
-  private static Reply.Item key(String node) {
+  private static Reply.Item leaderKey(String node) {
     return new Reply.Item(StoredRecords.LEADER, StoredRecords.leader(node, 3, "other run"), 4);
   }
 
-  private void dropped(long nowMicros) {
+  private void leaderKeyDeleted(long nowMicros) {
     core.handle(
         new Event.ReplyReceived(
             taken(Request.StoreWatch.class),
@@ -88,25 +88,25 @@
   }
 
   @Example
-  void aWarmControllerStandsAtOnceAndAColdOneSoon() {
-    loadedAt(SECOND, List.of(key("n1")));
-    assertFalse(stands());
-    dropped(2 * SECOND);
+  void aWarmControllerCampaignsAtOnceAndOneThatWarmsUpSoon() {
+    loadedAt(SECOND, List.of(leaderKey("n1")));
+    assertFalse(campaigns());
+    leaderKeyDeleted(2 * SECOND);
     core.handle(new Event.Tick(), 2 * SECOND + 100_000);
-    assertFalse(stands(), "a cold one lets a warm one go first");
+    assertFalse(campaigns(), "one that warms up lets a warm one go first");
     core.handle(new Event.Tick(), 2 * SECOND + 600_000);
-    assertTrue(stands(), "alone, it leads soon");
+    assertTrue(campaigns(), "alone, it leads soon");
 
     calls.clear();
     core = core();
-    loadedAt(SECOND, List.of(key("n1")));
-    dropped(60 * SECOND);
-    assertTrue(stands() || standsAfterTick(60 * SECOND), "a warm one waits for nobody");
+    loadedAt(SECOND, List.of(leaderKey("n1")));
+    leaderKeyDeleted(60 * SECOND);
+    assertTrue(campaigns() || campaignsAfterTick(60 * SECOND), "a warm one waits for nobody");
   }
 
-  private boolean standsAfterTick(long nowMicros) {
+  private boolean campaignsAfterTick(long nowMicros) {
     core.handle(new Event.Tick(), nowMicros);
-    return stands();
+    return campaigns();
   }
 
   private void replied(Class<? extends Request> kind, Reply reply, long nowMicros) {
@@ -114,47 +114,47 @@
   }
 
   private void elected(long watchSentMicros, long nowMicros) {
-    loadedAt(watchSentMicros, List.of(key("n1")));
-    dropped(nowMicros);
+    loadedAt(watchSentMicros, List.of(leaderKey("n1")));
+    leaderKeyDeleted(nowMicros);
     core.handle(new Event.Tick(), nowMicros + 1_000);
     replied(Request.LeaseGrant.class, new Reply.LeaseGranted(9), nowMicros + 2_000);
     replied(Request.StoreTxn.class, new Reply.Applied(12), nowMicros + 3_000);
   }
 
-  private String last() {
+  private String lastTransition() {
     return logs.stream().filter(l -> l.startsWith("leadership")).reduce((a, b) -> b).orElseThrow();
   }
 
   /**
    * A watch that stayed open through an outage told of the key's end: what it shows is as old as
-   * its sending. The new leader must neither launch by it nor leave office for it.
+   * its sending. The new leader must neither launch by it nor resign for it.
    */
   @Example
-  void oneElectedAfterALongOutageWaitsForItsPictureAndStays() {
+  void oneElectedAfterALongOutageWaitsForItsReplicaAndStaysLeader() {
     core = core();
     elected(20 * SECOND, 90 * SECOND);
-    assertTrue(last().contains("CREATING -> CATCHING_UP"), last());
+    assertTrue(lastTransition().contains("CANDIDATE -> SYNCHRONIZING"), lastTransition());
     core.handle(new Event.Tick(), 90 * SECOND + 50_000);
-    assertTrue(last().contains("CREATING -> CATCHING_UP"), last());
+    assertTrue(lastTransition().contains("CANDIDATE -> SYNCHRONIZING"), lastTransition());
     core.handle(new Event.Tick(), 90 * SECOND + 300_000);
     replied(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), 90 * SECOND + 310_000);
-    assertTrue(last().contains("CATCHING_UP -> LEADING"), last());
+    assertTrue(lastTransition().contains("SYNCHRONIZING -> LEADING"), lastTransition());
   }
 
   /**
-   * Renewals succeed, and nothing shows that the picture is current: it stops launching, then
+   * Renewals succeed, and nothing shows that the replica is current: it stops launching, then
    * answering, and gives way.
    */
   @Example
-  void renewalsAloneKeepNobodyInOffice() {
+  void renewalsAloneKeepNobodyLeading() {
     core = core();
     elected(60 * SECOND, 90 * SECOND);
     long now = 91 * SECOND;
     core.handle(new Event.Tick(), now);
     replied(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), now);
     assertTrue(core.isLeader());
-    long lastWord = now;
-    boolean dropped = false;
+    long lastProofMicros = now;
+    boolean revoked = false;
     while (core.isLeader() && now < 140 * SECOND) {
       now += 100_000;
       core.handle(new Event.Tick(), now);
@@ -163,25 +163,25 @@
         if (call.request() instanceof Request.LeaseRenew) {
           core.handle(new Event.ReplyReceived(call.call(), new Reply.Applied(0)), now);
         }
-        dropped |= call.request() instanceof Request.LeaseRevoke;
+        revoked |= call.request() instanceof Request.LeaseRevoke;
       }
     }
     assertTrue(
         logs.stream()
-            .anyMatch(l -> l.contains("LEADING -> FADING") && l.contains("picture not shown")));
-    assertTrue(dropped, "another may lead");
+            .anyMatch(l -> l.contains("LEADING -> SUSPENDED") && l.contains("replica not shown")));
+    assertTrue(revoked, "another may lead");
     // cancel_s 40, lease_s 20: with 3 s to end tasks and the clocks' drift.
-    assertEquals(lastWord + 17 * SECOND, now, 200_000.0);
+    assertEquals(lastProofMicros + 17 * SECOND, now, 200_000.0);
   }
 
   /**
-   * No warm one has taken a key that was free already: all controllers are cold, and nobody is to
-   * be waited for.
+   * No warm one has taken a key that was free already: all controllers are warming up, and nobody
+   * is to be waited for.
    */
   @Example
-  void whenAllAreColdNobodyWaits() {
+  void whenAllWarmUpNobodyWaits() {
     loadedAt(SECOND, List.of());
     core.handle(new Event.Tick(), SECOND + 1);
-    assertEquals(true, stands());
+    assertEquals(true, campaigns());
   }
 }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -48,10 +48,10 @@
     return logs.stream().filter(l -> l.contains(what)).count();
   }
 
-  /** From whichever state of an office. */
+  /** From whichever state of a leader. */
   private long leadershipLosses() {
     return logs.stream()
-        .filter(l -> l.matches("leadership (LEADING|FADING|CATCHING_UP) -> FOLLOWING .*"))
+        .filter(l -> l.matches("leadership (LEADING|SUSPENDED|SYNCHRONIZING) -> FOLLOWING .*"))
         .count();
   }
 
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -205,7 +205,7 @@
           condemned.add(log.text().split("[ :]")[2]);
         }
         logs.accept(log.text());
-        if (log.text().contains("-> CATCHING_UP") && log.text().endsWith(": elected")) {
+        if (log.text().contains("-> SYNCHRONIZING") && log.text().endsWith(": elected")) {
           faults.newLeader();
         }
       }
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -151,7 +151,7 @@
       assertEquals(
           1,
           logs.stream()
-              .filter(l -> l.contains("-> FOLLOWING") && l.contains("picture not shown"))
+              .filter(l -> l.contains("-> FOLLOWING") && l.contains("replica not shown"))
               .count());
       after(day, LEASE);
       assertCancelledGoneAndTheRestDone(day);
