--- a/src/main/java/org/eiderstair/core/message/Answer.java
+++ b/src/main/java/org/eiderstair/core/message/Answer.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.message;
 
 import java.util.List;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Order;
 
 /** What a node says to a user, a worker or a health check. */
@@ -21,7 +22,7 @@
   record Failure(int status, String reason, int retryAfterS) implements Answer {}
 
   /** To a worker: stay here, and do this. */
-  record Command(long fencingToken, List<Order> orders) implements Answer {}
+  record Command(FencingToken fencingToken, List<Order> orders) implements Answer {}
 
   /** To a worker: report elsewhere; null when this node knows no better place. */
   record Redirect(String node) implements Answer {}
--- a/src/main/java/org/eiderstair/core/message/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Order;
 
@@ -53,7 +54,8 @@
   record WorkerStatus(String address) implements Request {}
 
   /** Commands for a machine, executed if token and session match. */
-  record WorkerCommands(String address, long fencingToken, long incarnation, List<Order> orders)
+  record WorkerCommands(
+      String address, FencingToken fencingToken, long incarnation, List<Order> orders)
       implements Request {}
 
   /** Asks a peer whether the state service serves it. */
--- a/src/main/java/org/eiderstair/core/model/Heartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/Heartbeat.java
@@ -14,7 +14,7 @@
     boolean spot,
     long incarnation,
     long sequence,
-    long fencingToken,
+    FencingToken fencingToken,
     long noticeMicros,
     List<Entry> tasks) {
 
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -46,8 +46,7 @@
 
   public long incarnation;
   public long sequence;
-  private final long baseToken;
-  private long fence = 1;
+  private FencingToken fencingToken;
 
   /** Everything that may be on the machine, or is meant for it, by task. */
   public final Map<TaskId, Attempt> attempts = new LinkedHashMap<>();
@@ -124,7 +123,7 @@
 
   public Machine(String id, long term, Phase phase, long nowMicros) {
     this.id = id;
-    this.baseToken = Math.multiplyExact(term, 1L << 20);
+    this.fencingToken = FencingToken.first(term);
     this.phase = phase;
     this.sinceMicros = nowMicros;
     this.idleSinceMicros = nowMicros;
@@ -152,13 +151,13 @@
   }
 
   /** The fencing token of commands to this machine. */
-  public long fencingToken() {
-    return baseToken + fence;
+  public FencingToken fencingToken() {
+    return fencingToken;
   }
 
   /** Older commands die at the machine as soon as it has seen the new token. */
   public void raiseFence() {
-    fence++;
+    fencingToken = fencingToken.raise();
   }
 
   /** Whether it may be given work now. */
--- a/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
@@ -14,6 +14,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
@@ -282,7 +283,7 @@
     registry.answered(machine);
     machine.killsPending = false;
     long exchange = machine.pendingHeartbeat.answered();
-    long fencingToken = machine.fencingToken();
+    FencingToken fencingToken = machine.fencingToken();
     if (launches.isEmpty()) {
       respond(exchange, fencingToken, orders);
       return;
@@ -302,7 +303,7 @@
   }
 
   /** Answers a report with what launches nothing. */
-  private void respond(long exchange, long fencingToken, List<Order> orders) {
+  private void respond(long exchange, FencingToken fencingToken, List<Order> orders) {
     if (closed) {
       sink.respond(exchange, new Answer.Redirect(null));
     } else {
@@ -316,7 +317,7 @@
   private void sendLaunches(Machine machine) {
     List<Order> reaps = new ArrayList<>(machine.acknowledgements.values());
     List<Attempt> launches = launch(machine, -1);
-    long fencingToken = machine.fencingToken();
+    FencingToken fencingToken = machine.fencingToken();
     long incarnation = machine.incarnation;
     machine.commandInFlight = true;
     standby.launch(
@@ -415,7 +416,7 @@
     if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(machine.id)) {
       return false;
     }
-    if (answer.report().fencingToken() >> 20 > term) {
+    if (answer.report().fencingToken().term() > term) {
       leadership.deposed(
           "machine " + machine.id + " has seen token " + answer.report().fencingToken());
       return true;
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -8,6 +8,7 @@
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
@@ -75,7 +76,7 @@
    * another message.
    */
   void reported(long exchange, Heartbeat report, boolean relayed) {
-    if (report.fencingToken() >> 20 > term) {
+    if (report.fencingToken().term() > term) {
       sink.respond(exchange, new Answer.Redirect(null));
       leadership.deposed(
           "machine " + report.machine() + " has seen token " + report.fencingToken());
@@ -155,7 +156,7 @@
       drain(machine);
       saveProgress(machine, report.noticeMicros());
     }
-    boolean truth = report.fencingToken() >= machine.fencingToken();
+    boolean truth = report.fencingToken().isAtLeast(machine.fencingToken());
     if (truth && machine.phase != Machine.Phase.CONFIRMED) {
       boolean fenced = machine.phase == Machine.Phase.FENCING;
       registry.become(machine, Machine.Phase.CONFIRMED);
@@ -173,7 +174,9 @@
       return;
     }
     readEntries(machine, report, isReport && truth, settles && truth);
-    if (!truth && machine.phase == Machine.Phase.BOOTING && report.fencingToken() > 0) {
+    if (!truth
+        && machine.phase == Machine.Phase.BOOTING
+        && report.fencingToken().compareTo(FencingToken.NONE) > 0) {
       holdNoLongerThanItsLease(machine);
     }
     tracker.noteChange();
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -11,6 +11,7 @@
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
@@ -71,7 +72,7 @@
                       r.spot(),
                       r.incarnation(),
                       r.sequence(),
-                      r.fencingToken(),
+                      r.fencingToken().value(),
                       r.noticeMicros(),
                       tasks)));
     } catch (IOException e) {
@@ -101,7 +102,7 @@
           r.getSpot(),
           r.getSession(),
           r.getSequence(),
-          r.getToken(),
+          new FencingToken(r.getToken()),
           r.getNoticeMicros(),
           tasks);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
@@ -122,7 +123,7 @@
         long grace = o instanceof Order.Kill kill ? kill.graceMicros() : 0;
         orders.add(new RelayedOrder(verb, o.task().job(), o.task().index(), o.attempt(), grace));
       }
-      a = new RelayedAnswer(200, command.fencingToken(), orders, null, "");
+      a = new RelayedAnswer(200, command.fencingToken().value(), orders, null, "");
     } else if (answer instanceof Answer.Redirect redirect) {
       a = new RelayedAnswer(421, 0L, List.of(), redirect.node(), "");
     } else if (answer instanceof Answer.Failure failure) {
@@ -150,7 +151,7 @@
                 case REAP -> new Order.Acknowledge(task, o.getAttempt());
               });
         }
-        return new Answer.Command(a.getToken(), orders);
+        return new Answer.Command(new FencingToken(a.getToken()), orders);
       }
       return a.getStatus() == 421
           ? new Answer.Redirect(a.getNode())
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -4,6 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Entry;
 import org.eiderstair.core.model.Heartbeat.Exit;
@@ -95,7 +96,7 @@
         f.flag("Driftwood"),
         f.whole("Watch"),
         f.whole("Tally"),
-        f.whole("Baton"),
+        new FencingToken(f.whole("Baton")),
         f.microsOr("WarningS", Heartbeat.NO_NOTICE),
         entries);
   }
@@ -116,17 +117,17 @@
   }
 
   /** The answer to a report. */
-  public static byte[] orders(long fencingToken, List<Order> orders) {
+  public static byte[] orders(FencingToken fencingToken, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", fencingToken);
+    m.put("Baton", fencingToken.value());
     m.put("Orders", write(orders));
     return MessagePackCodec.write(m);
   }
 
   /** A command sent to the worker itself. */
-  public static byte[] command(long fencingToken, long incarnation, List<Order> orders) {
+  public static byte[] command(FencingToken fencingToken, long incarnation, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", fencingToken);
+    m.put("Baton", fencingToken.value());
     m.put("Watch", incarnation);
     m.put("Orders", write(orders));
     return MessagePackCodec.write(m);
--- a/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
@@ -13,6 +13,7 @@
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
@@ -31,12 +32,12 @@
   private static final List<Answer> ANSWERS =
       List.of(
           new Answer.Command(
-              1L << 40,
+              new FencingToken(1L << 40),
               List.of(
                   new Order.Launch(TASK, 2),
                   new Order.Kill(TASK, 3, 5_000_000),
                   new Order.Acknowledge(TASK, 4))),
-          new Answer.Command(1, List.of()),
+          new Answer.Command(new FencingToken(1), List.of()),
           new Answer.Redirect("n1"),
           new Answer.Redirect(null),
           new Answer.Failure(503, "taking over", 0));
@@ -70,11 +71,13 @@
         tasks.add(new Heartbeat.Entry(TASK, tasks.size(), state, exit, tasks.size() % 2 == 0));
       }
     }
-    return new Heartbeat("i-1", "10.0.0.1:80", "t", "a", true, 5, 7, 1L << 40, 30_000_000, tasks);
+    return new Heartbeat(
+        "i-1", "10.0.0.1:80", "t", "a", true, 5, 7, new FencingToken(1L << 40), 30_000_000, tasks);
   }
 
   private static Heartbeat emptyHeartbeat() {
-    return new Heartbeat("i-2", "x", "t", "b", false, 0, 0, 0, Heartbeat.NO_NOTICE, List.of());
+    return new Heartbeat(
+        "i-2", "x", "t", "b", false, 0, 0, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
   }
 
   private static Map<String, byte[]> allWritten() {
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -89,7 +89,7 @@
             "Tally",
             bench.sequences.merge(m.id, 1L, Long::sum),
             "Baton",
-            m.fencingToken(),
+            m.fencingToken().value(),
             "Pieces",
             pieces));
   }
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -12,6 +12,7 @@
 import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.StoredRecords;
@@ -72,7 +73,9 @@
    */
   private static Event broken(long exchange) {
     return new Event.HeartbeatReceived(
-        exchange, new Heartbeat("m", "x", "t", "a", true, 1, 1, 0, -1, null), false);
+        exchange,
+        new Heartbeat("m", "x", "t", "a", true, 1, 1, FencingToken.NONE, -1, null),
+        false);
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/SchedulerTest.java
+++ b/src/test/java/org/eiderstair/core/SchedulerTest.java
@@ -11,6 +11,7 @@
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 
 /** How a term of office begins. */
@@ -56,7 +57,8 @@
             n -> 0);
     scheduler.tick(bench.now);
     Heartbeat report =
-        new Heartbeat("m", "x", "t", "a", false, 1, 1, 0, Heartbeat.NO_NOTICE, List.of());
+        new Heartbeat(
+            "m", "x", "t", "a", false, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
     scheduler.reported(7, report, false, bench.now);
     assertTrue(
         bench.effects.stream()
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/model/FencingTokenTest.java
@@ -0,0 +1,57 @@
+package org.eiderstair.core.model;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import net.jqwik.api.constraints.LongRange;
+
+class FencingTokenTest {
+  private static FencingToken raised(long term, int times) {
+    FencingToken token = FencingToken.first(term);
+    for (int i = 0; i < times; i++) {
+      token = token.raise();
+    }
+    return token;
+  }
+
+  @Property(tries = 200, seed = "11")
+  void aRaisedTokenIsAboveTheOneBeforeAndKeepsItsTerm(
+      @ForAll @LongRange(min = 0, max = 1L << 40) long term,
+      @ForAll @IntRange(max = 1000) int times) {
+    FencingToken token = raised(term, times);
+    assertEquals(term, token.term());
+    assertTrue(token.raise().compareTo(token) > 0);
+    assertTrue(token.raise().isAtLeast(token));
+    assertFalse(token.isAtLeast(token.raise()));
+    assertTrue(token.isAtLeast(token));
+  }
+
+  @Property(tries = 200, seed = "12")
+  void aLaterTermIsAboveEveryTokenOfTheTermBefore(
+      @ForAll @LongRange(min = 0, max = 1L << 40) long term,
+      @ForAll @IntRange(max = 1000) int times) {
+    assertFalse(raised(term, times).isAtLeast(FencingToken.first(term + 1)));
+  }
+
+  @Example
+  void theNumberIsTheTermAboveTwentyBitsOfFence() {
+    assertEquals((3L << 20) + 1, FencingToken.first(3).value());
+    assertEquals("3145730", FencingToken.first(3).raise().toString());
+  }
+
+  @Example
+  void nothingSeenIsBelowEveryToken() {
+    assertFalse(FencingToken.NONE.isAtLeast(FencingToken.first(0)));
+  }
+
+  @Example
+  void aTermThatDoesNotFitIsRefused() {
+    assertThrows(ArithmeticException.class, () -> FencingToken.first(1L << 44));
+  }
+}
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -291,7 +291,7 @@
 
   private void answered() {
     if (report.answer instanceof Answer.Command c
-        && c.fencingToken() >= worker.fencingToken
+        && c.fencingToken().isAtLeast(worker.fencingToken)
         && report.content.incarnation() == worker.incarnation) {
       worker.fencingToken = c.fencingToken();
       worker.answeredSentMicros = report.sentMicros;
@@ -307,7 +307,7 @@
 
   private void arrives(InFlightCommand c) {
     boolean valid =
-        c.request.fencingToken() >= worker.fencingToken
+        c.request.fencingToken().isAtLeast(worker.fencingToken)
             && c.request.incarnation() == worker.incarnation;
     if (valid) {
       worker.fencingToken = c.request.fencingToken();
@@ -377,13 +377,13 @@
             .anyMatch(
                 c ->
                     c.reply == null
-                        && c.request.fencingToken() >= worker.fencingToken
+                        && c.request.fencingToken().isAtLeast(worker.fencingToken)
                         && c.request.incarnation() == worker.incarnation
                         && launches(c.request.orders(), task));
     boolean byAnswer =
         report != null
             && report.answer instanceof Answer.Command c
-            && c.fencingToken() >= worker.fencingToken
+            && c.fencingToken().isAtLeast(worker.fencingToken)
             && launches(c.orders(), task);
     return byCommand || byAnswer;
   }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -12,6 +12,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Entry;
 import org.eiderstair.core.model.Heartbeat.Exit;
@@ -282,7 +283,7 @@
     bench.lead();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
-    long earlierToken = 7;
+    FencingToken earlierToken = new FencingToken(7);
     bench.workers.reported(
         1,
         new Heartbeat(
@@ -314,7 +315,17 @@
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
     bench.workers.reported(
         1,
-        new Heartbeat("m-0", "x", "t", "a", true, 1, 9, 7, Heartbeat.NO_NOTICE, List.of(running)),
+        new Heartbeat(
+            "m-0",
+            "x",
+            "t",
+            "a",
+            true,
+            1,
+            9,
+            new FencingToken(7),
+            Heartbeat.NO_NOTICE,
+            List.of(running)),
         false,
         bench.now);
     Machine m = bench.workers.machines().get("m-0");
@@ -337,7 +348,8 @@
     bench.lead();
     bench.workers.reported(
         1,
-        new Heartbeat("m-new", "x", "t", "a", true, 1, 1, 0, Heartbeat.NO_NOTICE, List.of()),
+        new Heartbeat(
+            "m-new", "x", "t", "a", true, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of()),
         false,
         bench.now);
     pass();
--- a/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
+++ b/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
@@ -7,6 +7,7 @@
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 
 /** When a follower passes a worker's report on, and when it sends the worker to the leader. */
@@ -21,7 +22,7 @@
     effects.clear();
     relay.reported(
         ++exchange,
-        new Heartbeat(machine, "x", "t", "a", true, 1, 1, 0, -1, List.of()),
+        new Heartbeat(machine, "x", "t", "a", true, 1, 1, FencingToken.NONE, -1, List.of()),
         leader,
         nowMicros);
     Effect last = effects.get(effects.size() - 1);
--- a/src/test/java/org/eiderstair/core/workers/SearchWorker.java
+++ b/src/test/java/org/eiderstair/core/workers/SearchWorker.java
@@ -3,6 +3,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Entry;
 import org.eiderstair.core.model.Heartbeat.Exit;
@@ -12,7 +13,7 @@
 
 /** The machine, to the letter of the protocol as far as it matters here. */
 final class SearchWorker {
-  long fencingToken;
+  FencingToken fencingToken = FencingToken.NONE;
   long incarnation = 1;
   long sequence;
   long answeredSentMicros;
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -15,6 +15,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Entry;
 import org.eiderstair.core.model.Heartbeat.Exit;
@@ -139,7 +140,7 @@
   }
 
   private Heartbeat report(
-      long incarnation, long sequence, long fencingToken, long notice, Entry... entries) {
+      long incarnation, long sequence, FencingToken fencingToken, long notice, Entry... entries) {
     return new Heartbeat(
         "m", "x", "t", "a", true, incarnation, sequence, fencingToken, notice, List.of(entries));
   }
@@ -162,7 +163,7 @@
   @Example
   void afterALostCommandOnlyTheRaisedFenceProves() {
     launched(Attempt.Phase.SENT);
-    long before = machine.fencingToken();
+    FencingToken before = machine.fencingToken();
     machine.raiseFence();
     machine.phase = Machine.Phase.FENCING;
     reported(report(1, 1, before, -1), 1_000_000);
@@ -205,12 +206,15 @@
   void whatALeaseAllowedIsNotSentAfterItsEnd() {
     Effect.Respond respond =
         new Effect.Respond(
-            1, new Answer.Command(1, List.of(new Order.Launch(task, 77))), 5_000_000);
+            1,
+            new Answer.Command(new FencingToken(1), List.of(new Order.Launch(task, 77))),
+            5_000_000);
     assertTrue(respond.answerAt(5_000_000) instanceof Answer.Command);
     assertTrue(
         respond.answerAt(5_000_001) instanceof Answer.Failure failure && failure.status() == 503);
     Effect.Call call =
-        new Effect.Call(1, new Request.WorkerCommands("x", 1, 1, List.of()), 5_000_000);
+        new Effect.Call(
+            1, new Request.WorkerCommands("x", new FencingToken(1), 1, List.of()), 5_000_000);
     assertEquals(null, call.tooLate(5_000_000));
     assertTrue(call.tooLate(5_000_001) instanceof Reply.NoResponse);
     // And every answer and command of the leader bears such a time.
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -18,6 +18,7 @@
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.FencingToken;
 
 /** Connections to workers between two commands are bounded, however many machines there are. */
 class HttpClientPoolTest {
@@ -52,7 +53,10 @@
           outbound.send(
               ++call,
               new Request.WorkerCommands(
-                  "127.0.0." + (2 + i) + ":" + server.getLocalPort(), 1, 1, List.of()));
+                  "127.0.0." + (2 + i) + ":" + server.getLocalPort(),
+                  new FencingToken(1),
+                  1,
+                  List.of()));
         }
         assertTrue(round[0].await(20, TimeUnit.SECONDS));
       }
--- a/src/test/java/org/eiderstair/node/FakePlatform.java
+++ b/src/test/java/org/eiderstair/node/FakePlatform.java
@@ -18,6 +18,7 @@
 import org.eclipse.jetty.util.Fields;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.peer.PeerMessages;
 import org.eiderstair.protocol.MalformedMessageException;
@@ -169,7 +170,7 @@
       synchronized (this) {
         relayed++;
       }
-      return PeerMessages.answer(new Answer.Command(1, List.of()));
+      return PeerMessages.answer(new Answer.Command(new FencingToken(1), List.of()));
     }
     return PeerMessages.standing(new Answer.StateServiceStatus(true, "other", 1));
   }
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -10,6 +10,7 @@
 import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.HeartbeatDigest;
 import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
@@ -34,7 +35,7 @@
             spot,
             incarnation,
             7,
-            fencingToken,
+            new FencingToken(fencingToken),
             -1,
             List.of(
                 new Heartbeat.Entry(
@@ -48,7 +49,7 @@
     List<Answer> answers =
         List.of(
             new Answer.Command(
-                1L << 40,
+                new FencingToken(1L << 40),
                 List.of(
                     new Order.Launch(task, 2),
                     new Order.Kill(task, 3, 5_000_000),
--- a/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Entry;
 import org.eiderstair.core.model.Heartbeat.Exit;
@@ -74,7 +75,7 @@
         f.flag("Driftwood"),
         f.whole("Watch"),
         f.whole("Tally"),
-        f.whole("Baton"),
+        new FencingToken(f.whole("Baton")),
         f.microsOr("WarningS", Heartbeat.NO_NOTICE),
         entries);
   }
--- a/src/test/java/org/eiderstair/sim/Worker.java
+++ b/src/test/java/org/eiderstair/sim/Worker.java
@@ -8,6 +8,7 @@
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Heartbeat.Exit;
 import org.eiderstair.core.model.Heartbeat.TaskState;
@@ -40,7 +41,7 @@
   private final Map<TaskId, Running> tasks = new LinkedHashMap<>();
   private long incarnation = 1;
   private long tally;
-  private long baton;
+  private FencingToken baton = FencingToken.NONE;
   private long answeredSentMicros;
   private int node;
   private boolean inFlight;
@@ -159,7 +160,7 @@
           }
           inFlight = false;
           if (answer instanceof Answer.Command command) {
-            if (command.fencingToken() >= baton && sentSession == incarnation) {
+            if (command.fencingToken().isAtLeast(baton) && sentSession == incarnation) {
               see(command.fencingToken());
               answeredSentMicros = sentMicros;
               command.orders().forEach(this::execute);
@@ -186,8 +187,8 @@
         });
   }
 
-  private void see(long fencingToken) {
-    if (fencingToken > baton) {
+  private void see(FencingToken fencingToken) {
+    if (fencingToken.compareTo(baton) > 0) {
       baton = fencingToken;
       reportSoon = true;
     }
@@ -204,7 +205,7 @@
     }
     boolean executed = false;
     if (request instanceof Request.WorkerCommands c
-        && c.fencingToken() >= baton
+        && c.fencingToken().isAtLeast(baton)
         && c.incarnation() == incarnation) {
       see(c.fencingToken());
       c.orders().forEach(this::execute);
