--- /dev/null
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -0,0 +1,119 @@
+package org.eiderstair.core.placement;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.workers.WorkerManager;
+
+/**
+ * Preempts work of teams above their guarantees when a job within its own team's guarantee has
+ * waited for a while. Work is not preempted for priority alone: see docs/design.md for the figures.
+ */
+final class GuaranteePreemption {
+  private static final int MAX_PREEMPTIONS_PER_PASS = 8;
+  private static final long MIN_WAIT_MICROS = 60_000_000;
+
+  /** What is freed must first have had time to arrive. */
+  private static final long REPEAT_AFTER_MICROS = 30_000_000;
+
+  private static final Comparator<Attempt> LEAST_IMPORTANT_THEN_LATEST_STARTED =
+      Comparator.comparing((Attempt attempt) -> attempt.spec.priority())
+          .reversed()
+          .thenComparing(attempt -> -attempt.runningSinceMicros);
+
+  private final EffectSink sink;
+  private final WorkerManager workers;
+  private final TeamQuotas quotas;
+  private final ServiceOrder order;
+  private final long term;
+  private int preemptionsLeft;
+
+  GuaranteePreemption(
+      EffectSink sink, WorkerManager workers, TeamQuotas quotas, ServiceOrder order, long term) {
+    this.sink = sink;
+    this.workers = workers;
+    this.quotas = quotas;
+    this.order = order;
+    this.term = term;
+  }
+
+  /** A pass preempts a bounded number of tasks. */
+  void beginPass() {
+    preemptionsLeft = MAX_PREEMPTIONS_PER_PASS;
+  }
+
+  /** Preempts for a job what it needs and may claim, if it has waited long enough. */
+  void preemptFor(Job job, long nowMicros) {
+    if (preemptionsLeft == 0 || !mayPreempt(job, nowMicros)) {
+      return;
+    }
+    job.preemptedMicros = nowMicros;
+    PlacementConstraints constraints =
+        new PlacementConstraints(job, workers.machines().values(), nowMicros);
+    constraints.chooseZone();
+    double neededCpus = (job.waiting() + job.queued.size()) * job.spec().cpus();
+    List<Attempt> victims = new ArrayList<>();
+    for (Machine machine : workers.machines().values()) {
+      for (Attempt attempt : machine.attempts.values()) {
+        if (attempt.stopRequested && constraints.allows(machine)) {
+          neededCpus -= attempt.spec.cpus();
+        } else if (isPreemptible(attempt, job.spec()) && constraints.allows(machine)) {
+          victims.add(attempt);
+        }
+      }
+    }
+    victims.sort(LEAST_IMPORTANT_THEN_LATEST_STARTED);
+    for (Attempt victim : victims) {
+      if (neededCpus <= 0 || preemptionsLeft == 0) {
+        return;
+      }
+      preempt(victim, job);
+      neededCpus -= victim.spec.cpus();
+    }
+  }
+
+  private boolean mayPreempt(Job job, long nowMicros) {
+    return order.isWithinGuarantee(job)
+        && nowMicros >= job.seenMicros + MIN_WAIT_MICROS
+        && nowMicros >= job.preemptedMicros + REPEAT_AFTER_MICROS
+        && quotas.allowsOneMore(job.spec());
+  }
+
+  /**
+   * A job that is itself within a guarantee is spared: it would be placed again at once, before the
+   * one it was preempted for (seen in an incident: the same tasks were preempted three times in a
+   * second).
+   */
+  private boolean isPreemptible(Attempt attempt, JobSpec waiting) {
+    return attempt.phase == Attempt.Phase.REPORTED
+        && attempt.job.open()
+        && !attempt.stopRequested
+        && !order.isWithinGuarantee(attempt.job)
+        && waiting.priority().compareTo(attempt.spec.priority()) <= 0
+        && !attempt.spec.team().equals(waiting.team())
+        && quotas.beyondGuarantee(attempt.spec.team()) >= attempt.spec.cpus();
+  }
+
+  private void preempt(Attempt victim, Job job) {
+    victim.stopRequested = true;
+    workers.killSoon(victim.machine);
+    preemptionsLeft--;
+    sink.info(
+        "preempting task="
+            + victim.task()
+            + " on machine="
+            + victim.machine.id
+            + " for job="
+            + job.id
+            + " team="
+            + job.spec().team()
+            + ", term="
+            + term);
+  }
+}
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -0,0 +1,78 @@
+package org.eiderstair.core.placement;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.WorkerManager;
+
+/** The leader's status line: what waits and why, what teams use, and how much room is left. */
+final class PlacementDiagnostics {
+  private final Replica replica;
+  private final WorkerManager workers;
+  private final AvailableMachines availableMachines;
+  private final TeamQuotas quotas;
+  private final StarvationGuard starvationGuard;
+
+  PlacementDiagnostics(
+      Replica replica,
+      WorkerManager workers,
+      AvailableMachines availableMachines,
+      TeamQuotas quotas,
+      StarvationGuard starvationGuard) {
+    this.replica = replica;
+    this.workers = workers;
+    this.availableMachines = availableMachines;
+    this.quotas = quotas;
+    this.starvationGuard = starvationGuard;
+  }
+
+  String summary(long nowMicros) {
+    return "machines "
+        + workers.machines().size()
+        + ", unconfirmed "
+        + workers.unconfirmed().size()
+        + ", available machines "
+        + availableMachines.size()
+        + ", free cpus "
+        + Math.round(freeCpus(nowMicros))
+        + ", used by teams "
+        + Math.round(quotas.totalCpus())
+        + ", waiting "
+        + waitingTasks()
+        + starvationGuard.summary();
+  }
+
+  private double freeCpus(long nowMicros) {
+    double cpus = 0;
+    for (Machine machine : availableMachines.all()) {
+      cpus += machine.usable(nowMicros) ? machine.freeCpus() : 0;
+    }
+    return cpus;
+  }
+
+  /** The number of waiting tasks by class and team, and by what holds them back. */
+  private Map<String, Integer> waitingTasks() {
+    Map<String, Integer> waiting = new TreeMap<>();
+    for (Job job : replica.open.values()) {
+      int tasks = job.waiting() + job.queued.size();
+      if (tasks > 0) {
+        JobSpec spec = job.spec();
+        String group = spec.jobClass() + " of " + spec.team() + heldBackBy(spec);
+        waiting.merge(group, tasks, Integer::sum);
+      }
+    }
+    return waiting;
+  }
+
+  private String heldBackBy(JobSpec spec) {
+    if (!quotas.allowsOneMore(spec)) {
+      return " at its limit";
+    }
+    return quotas.leavesReserve(spec) ? "" : " at its reservation";
+  }
+}
--- a/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
+++ b/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
@@ -1,23 +1,28 @@
 package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import org.eiderstair.core.model.Machine;
 
 /**
  * The bounded list of machines that reported free room: the dispatcher's memory of the paper's
- * section 3.1. A machine is stored at most once, and not when the list is full; a later report
- * tries again.
+ * section 3.1, whose entries the paper calls tokens. A machine is listed at most once, and not when
+ * the list is full; a later heartbeat tries again.
  */
 public final class AvailableMachines {
   private final int capacity;
   private final List<Machine> machines = new ArrayList<>();
+  private final List<Machine> view = Collections.unmodifiableList(machines);
 
+  /**
+   * @param capacity the most machines that are listed, the setting {@code token_list_size}
+   */
   public AvailableMachines(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Adds a machine that has room, unless it is there already or the list is full. */
+  /** Adds a machine that has room, unless it is listed already or the list is full. */
   public void offer(Machine machine) {
     if (machine.availableIndex < 0 && machines.size() < capacity) {
       machine.availableIndex = machines.size();
@@ -25,6 +30,7 @@
     }
   }
 
+  /** Removes a machine in constant time: the last one takes its place. */
   void remove(Machine machine) {
     if (machine.availableIndex < 0) {
       return;
@@ -37,8 +43,13 @@
     machine.availableIndex = -1;
   }
 
-  /** The machines of the list. */
+  /** How many machines are listed. */
+  public int size() {
+    return machines.size();
+  }
+
+  /** The listed machines, for reading. */
   public List<Machine> all() {
-    return machines;
+    return view;
   }
 }
