--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -28,7 +28,7 @@
  */
 public final class Core implements Replica.Listener, Leadership.Listener {
   private static final long MAX_TICK_MICROS = 50_000;
-  private static final long CLAIM_AGAIN_MICROS = 2_000_000;
+  private static final long TAKEOVER_RETRY_MICROS = 2_000_000;
 
   private final Settings settings;
   private final EffectSink sink;
@@ -41,8 +41,8 @@
   private final StateServiceHealth reach;
   private final Membership membership;
   private final Standby standby;
-  private boolean claiming;
-  private long nextClaimMicros;
+  private boolean takingOver;
+  private long nextTakeoverMicros;
   private Scheduler scheduler;
   private long now;
 
@@ -170,7 +170,7 @@
       leadership.deposed(
           "a peer that the state service serves follows " + newer + ", term=" + reach.newerTerm());
     }
-    claimIfMissed();
+    takeOverIfLeaderIsSilent();
     leadership.tick(now);
     jobService.tick(now);
     if (scheduler != null) {
@@ -211,16 +211,16 @@
   }
 
   /**
-   * The standby in sync has not heard its leader for a while: it claims the term in the record, so
-   * that the leader, which launches nothing that the standby does not acknowledge, can never launch
-   * again; then it ends that leader's lease instead of waiting for it. A leader that is alive and
-   * merely out of this node's reach has struck it from the record by now.
+   * The standby in sync has had no batch from its leader for a while: it marks the record as taken
+   * over, so that the leader, which launches nothing that the standby does not acknowledge, can
+   * never launch again; then it revokes that leader's lease instead of waiting for its expiry. A
+   * leader that is alive and merely out of this node's reach has removed it from the record by now.
    */
-  private void claimIfMissed() {
+  private void takeOverIfLeaderIsSilent() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
     Replica.Leader leader = replica.leader();
-    if (claiming
-        || now < nextClaimMicros
+    if (takingOver
+        || now < nextTakeoverMicros
         || record == null
         || leader == null
         || !leadership.isFollower()
@@ -229,23 +229,23 @@
         || StoredRecords.whole(record.value(), "epoch", 0) != leader.term()) {
       return;
     }
-    Map<String, Object> claimed = Standby.withTakeover(record.value());
-    claiming = true;
+    Map<String, Object> takenOver = Standby.withTakeover(record.value());
+    takingOver = true;
     standby.stopFollowing();
     sink.info(
-        "claiming the term of " + leader.node() + ", which is not heard, term=" + leader.term());
+        "taking over from leader=" + leader.node() + ", which is silent, term=" + leader.term());
     sink.call(
         new Request.StoreTxn(
             List.of(
                 new Request.Condition(StoredRecords.LEADER, leader.term()),
                 new Request.Condition(Standby.RECORD, record.version())),
-            List.of(new Request.Write(Standby.RECORD, claimed, 0))),
+            List.of(new Request.Write(Standby.RECORD, takenOver, 0))),
         reply -> {
-          claiming = false;
-          nextClaimMicros = now + CLAIM_AGAIN_MICROS;
-          sink.info("claim of term " + leader.term() + ": " + reply);
+          takingOver = false;
+          nextTakeoverMicros = now + TAKEOVER_RETRY_MICROS;
+          sink.info("takeover of term=" + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
-            replica.apply(new Reply.Item(Standby.RECORD, claimed, applied.revision()));
+            replica.apply(new Reply.Item(Standby.RECORD, takenOver, applied.revision()));
             sink.call(new Request.LeaseRevoke(leader.lease()), dropped -> {});
           }
         });
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -3,10 +3,9 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
-import java.util.function.LongConsumer;
 import org.eiderstair.core.capacity.CapacityManager;
 import org.eiderstair.core.capacity.Demand;
 import org.eiderstair.core.leadership.Leadership;
@@ -21,6 +20,8 @@
 import org.eiderstair.core.placement.Placement;
 import org.eiderstair.core.quota.TeamQuotas;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.standby.RecordRead;
+import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
@@ -136,7 +137,7 @@
       }
       started = true;
       replica.jobs.values().forEach(Job::forgetPlaces);
-      inherit();
+      recoverState();
       capacity.takeOver(now);
       membership.startTerm(now);
     }
@@ -185,13 +186,15 @@
 
   /**
    * Begins with what this node holds as the standby of the last term, if all checks hold; else
-   * everything is asked.
+   * every machine is asked.
    */
-  private void inherit() {
+  private void recoverState() {
     Reply.Item record = replica.duties.get(Standby.RECORD);
     workers.takeOver(
         electedMicros,
-        standby.recover(term, replica.revision(), record == null ? null : record.value()),
+        standby
+            .recover(term, replica.revision(), record == null ? null : record.value())
+            .orElse(null),
         now);
     if (record != null || settings.keepsStandby()) {
       standby.startTerm(
@@ -211,10 +214,7 @@
         .toList();
   }
 
-  /**
-   * The leader's side of the standby: its picture, the peer link, and the record under the leader
-   * key.
-   */
+  /** What the standby's replication needs: this leader's state, the peer link, and the record. */
   private final class StandbyHost implements Standby.Host {
     @Override
     public boolean hasCompleteState() {
@@ -227,15 +227,19 @@
     }
 
     @Override
-    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
+    public void send(
+        String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback) {
       sink.call(
           new Request.PeerReplicate(peer, batch),
           reply ->
-              callback.accept(reply instanceof Reply.ReplicationAck acked ? acked.ack() : null));
+              callback.accept(
+                  reply instanceof Reply.ReplicationAck acked
+                      ? Optional.of(acked.ack())
+                      : Optional.empty()));
     }
 
     @Override
-    public void write(long version, Map<String, Object> record, LongConsumer callback) {
+    public void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
       sink.call(
           new Request.StoreTxn(
               List.of(
@@ -245,31 +249,36 @@
           reply -> {
             if (reply instanceof Reply.Applied applied) {
               replica.apply(new Reply.Item(Standby.RECORD, record, applied.revision()));
-              callback.accept(applied.revision());
+              callback.accept(new RecordWrite.Written(applied.revision()));
             } else {
-              callback.accept(reply instanceof Reply.Refused ? 0 : -1);
+              callback.accept(
+                  reply instanceof Reply.Refused
+                      ? new RecordWrite.NotWritten()
+                      : new RecordWrite.Uncertain());
             }
           });
     }
 
     @Override
-    public void read(BiConsumer<Long, Map<String, Object>> callback) {
+    public void read(Consumer<RecordRead> callback) {
       sink.call(
           new Request.StoreGet(Standby.RECORD),
           reply -> {
             if (reply instanceof Reply.Found found) {
               Reply.Item item = found.item();
               callback.accept(
-                  item == null ? 0L : item.version(), item == null ? null : item.value());
+                  item == null
+                      ? new RecordRead.Absent()
+                      : new RecordRead.Found(item.version(), item.value()));
             } else {
-              callback.accept(-1L, null);
+              callback.accept(new RecordRead.Unknown());
             }
           });
     }
 
     @Override
     public void termTakenOver() {
-      leadership.deposed("its standby has claimed the term");
+      leadership.deposed("its standby has taken over the term");
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/standby/RecordRead.java
@@ -0,0 +1,15 @@
+package org.eiderstair.core.standby;
+
+import java.util.Map;
+
+/** What came of reading the in-sync record. */
+public sealed interface RecordRead {
+  /** It is there. */
+  record Found(long version, Map<String, Object> record) implements RecordRead {}
+
+  /** There is none. */
+  record Absent() implements RecordRead {}
+
+  /** No answer came. */
+  record Unknown() implements RecordRead {}
+}
--- a/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -1,126 +1,100 @@
 package org.eiderstair.core.standby;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import org.eiderstair.core.message.ReplicationBatch;
 
 /**
- * The leader's side: sends changes to one peer at a time, names it in the record once it has all,
- * and from before that lets a launch go only after it has been acknowledged.
+ * The leader's side: who is in sync. It replicates to one peer at a time, names it in the record
+ * once it has all changes, and from before that lets a launch go only after its acknowledgement.
  */
-final class ReplicationPrimary {
-  /** Fits well into what a peer takes at once. */
-  private static final int MAX_CHANGES = 400;
-
-  private static final long HEARTBEAT_MICROS = 300_000;
-
-  /** Longer than a healthy standby takes, shorter than anyone notices that launches wait. */
-  private static final long SLOW_MICROS = 400_000;
-
+final class ReplicationPrimary implements ReplicationStream.Listener {
   private static final long RETRY_MICROS = 2_000_000;
-  private static final long TXN_RETRY_MICROS = 200_000;
-  private static final int MAX_QUEUED = 200_000;
 
-  /**
-   * CLEARING takes the name out of the record of an earlier term; nothing is launched until then,
-   * since its standby knows nothing of it. ALONE has no standby. FILLING sends all that is known;
-   * launches are free. ENLISTING holds launches until they are acknowledged, and writes the record
-   * once all before them is. IN_SYNC has it. STRIKING takes the name out; nothing is launched until
-   * then. ENDED.
-   */
+  /** Retries come at most this many times two slower. */
+  private static final int MAX_BACKOFF_SHIFT = 4;
+
+  /** The state of the in-sync record, and with it whether launches may leave. */
   enum State {
-    CLEARING,
-    ALONE,
-    FILLING,
-    ENLISTING,
+    /**
+     * The record of an earlier term names a standby, which knows nothing of this one: it is taken
+     * out, and nothing is launched until then.
+     */
+    REMOVING_PREVIOUS,
+    /** There is no standby; launches are free. */
+    UNREPLICATED,
+    /** All that is known is being sent to a peer; launches are free. */
+    TRANSFERRING_SNAPSHOT,
+    /** The record is being written; launches await acknowledgements. */
+    ADDING,
+    /** The record names the standby; launches await acknowledgements. */
     IN_SYNC,
-    STRIKING,
+    /** The standby is being taken out of the record; nothing is launched until then. */
+    REMOVING,
+    /** The term is over. */
     ENDED
   }
 
   private final Standby.Host host;
   private final long term;
   private final List<String> peers;
+  private final ReplicationStream stream;
+  private final InSyncRecordWriter recordWriter;
+  private final HeldLaunches heldLaunches = new HeldLaunches();
   private State state;
-  private long now;
-  private int peer;
-  private String run = "";
-  private long fillings;
-  private final ArrayDeque<ReplicationBatch.Change> queue = new ArrayDeque<>();
-
-  /** Numbers of the last change made, and of the last that was acknowledged. */
-  private long made;
-
-  private long acked;
-  private long snapshotEnd;
-  private boolean sending;
-  private long sentMicros;
-  private long nextTryMicros;
+  private int peerIndex;
   private int failures;
-  private boolean writing;
-  private long nextWriteMicros;
-
-  /** The record's version as this leader knows it; 0 when there is none. */
-  private long recordVersion;
-
-  private final ArrayDeque<Held> held = new ArrayDeque<>();
+  private long nextTryMicros;
+  private long now;
 
   /**
-   * Something that launches, the number that must have been acknowledged before, and what to do
-   * when it may not leave.
+   * @param recordVersion of the record as this leader knows it; 0 when there is none
    */
-  private record Held(long number, Runnable launch, Runnable withhold) {}
-
   ReplicationPrimary(Standby.Host host, long term, List<String> peers, long recordVersion) {
     this.host = host;
     this.term = term;
     this.peers = peers;
-    this.recordVersion = recordVersion;
-    this.state = recordVersion == 0 ? State.ALONE : State.CLEARING;
+    this.stream = new ReplicationStream(host, term, this);
+    this.recordWriter = new InSyncRecordWriter(host, term, recordVersion, this::takenOver);
+    this.state = recordVersion == 0 ? State.UNREPLICATED : State.REMOVING_PREVIOUS;
   }
 
-  State state() {
-    return state;
+  /** For the leader's log line: who is in sync, or the state. */
+  String summary() {
+    return state == State.IN_SYNC ? peer() + " in sync" : state.toString();
   }
 
-  String standby() {
-    return state == State.IN_SYNC ? peers.get(peer) : null;
+  private String peer() {
+    return peers.isEmpty() ? "none" : peers.get(peerIndex);
   }
 
   /** The one function for every change of state. */
-  private void become(State next, String why) {
+  private void become(State next, String reason) {
     if (state == State.ENDED) {
       return;
     }
     host.info(
-        "standby "
-            + state
-            + " -> "
-            + next
-            + ", term="
-            + term
-            + ", "
-            + (peers.isEmpty() ? "no peer" : peers.get(peer))
-            + ": "
-            + why);
+        "standby " + state + " -> " + next + " term=" + term + " peer=" + peer() + ": " + reason);
     state = next;
-    if (next == State.ALONE) {
-      queue.clear();
-      // Where no peer can follow, the whole picture must not be made every two seconds for nothing.
-      nextTryMicros = now + (RETRY_MICROS << Math.min(failures, 4));
-      failures++;
-      peer = peers.isEmpty() ? 0 : (peer + 1) % peers.size();
+    if (!isReplicating()) {
+      stream.stop();
+    }
+    if (next == State.UNREPLICATED) {
+      tryNextPeerLater();
     }
     if (!admitsLaunches()) {
-      withholdAll();
+      heldLaunches.withholdAll();
     }
   }
 
-  void end() {
-    become(State.ENDED, "out of office");
+  /** Where no peer can follow, a snapshot must not be made every two seconds for nothing. */
+  private void tryNextPeerLater() {
+    nextTryMicros = now + (RETRY_MICROS << Math.min(failures, MAX_BACKOFF_SHIFT));
+    failures++;
+    peerIndex = peers.isEmpty() ? 0 : (peerIndex + 1) % peers.size();
+  }
+
+  void endTerm() {
+    become(State.ENDED, "the term is over");
   }
 
   /**
@@ -130,23 +104,21 @@
    */
   boolean admitsLaunches() {
     return switch (state) {
-      case ALONE, FILLING, ENLISTING, IN_SYNC -> true;
-      case CLEARING, STRIKING, ENDED -> false;
+      case UNREPLICATED, TRANSFERRING_SNAPSHOT, ADDING, IN_SYNC -> true;
+      case REMOVING_PREVIOUS, REMOVING, ENDED -> false;
     };
   }
 
   private boolean awaitsAcknowledgements() {
-    return state == State.ENLISTING || state == State.IN_SYNC;
+    return state == State.ADDING || state == State.IN_SYNC;
+  }
+
+  private boolean isReplicating() {
+    return state == State.TRANSFERRING_SNAPSHOT || awaitsAcknowledgements();
   }
 
   void replicate(ReplicationBatch.Change change) {
-    if (state == State.FILLING || awaitsAcknowledgements()) {
-      queue.add(change);
-      made++;
-      if (queue.size() > MAX_QUEUED) {
-        fail("too far behind");
-      }
-    }
+    stream.add(change);
   }
 
   /**
@@ -158,182 +130,96 @@
     if (!admitsLaunches()) {
       withhold.run();
     } else if (awaitsAcknowledgements()) {
-      held.add(new Held(made, launch, withhold));
+      heldLaunches.hold(stream.lastSequence(), launch, withhold);
     } else {
       launch.run();
     }
   }
 
-  private void withholdAll() {
-    while (!held.isEmpty()) {
-      held.poll().withhold().run();
-    }
-  }
-
-  private void release(long upTo) {
-    while (!held.isEmpty() && held.peek().number() <= upTo) {
-      held.poll().launch().run();
-    }
-  }
-
   void tick(long nowMicros) {
     now = nowMicros;
+    stream.at(now);
+    recordWriter.at(now);
     switch (state) {
-      case CLEARING, STRIKING -> unregister();
-      case ALONE -> {
-        if (!peers.isEmpty() && now >= nextTryMicros && host.hasCompleteState()) {
-          fill();
-        }
+      case REMOVING_PREVIOUS, REMOVING -> nameNobody();
+      case UNREPLICATED -> startIfDue();
+      case TRANSFERRING_SNAPSHOT -> {
+        addIfCaughtUp();
+        stream.send();
       }
-      case FILLING -> {
-        // An answer first, even where there is nothing to tell: it says which run of the peer the
-        // record is to name. Seen on the bench: a record written before it named none, and nobody
-        // could inherit.
-        if (!run.isEmpty() && acked >= snapshotEnd && made - acked <= MAX_CHANGES) {
-          snapshotEnd = made;
-          become(State.ENLISTING, "has all but " + (made - acked));
+      case ADDING -> {
+        stream.send();
+        if (stream.snapshotAcknowledged()) {
+          namePeer();
         }
-        send();
       }
-      case ENLISTING -> {
-        send();
-        if (acked >= snapshotEnd) {
-          enlist();
-        }
-      }
-      case IN_SYNC -> send();
+      case IN_SYNC -> stream.send();
       case ENDED -> {}
     }
   }
 
-  private void fill() {
-    queue.clear();
-    host.snapshot(queue::add);
-    fillings++;
-    acked = 0;
-    made = queue.size();
-    snapshotEnd = made;
-    run = "";
-    sending = false;
-    become(State.FILLING, made + " changes");
-    send();
+  private void startIfDue() {
+    if (!peers.isEmpty() && now >= nextTryMicros && host.hasCompleteState()) {
+      stream.start(peer());
+      become(State.TRANSFERRING_SNAPSHOT, stream.lastSequence() + " changes");
+      stream.send();
+    }
   }
 
-  private void send() {
-    if (sending) {
-      if (now > sentMicros + SLOW_MICROS) {
-        fail("no answer for " + (now - sentMicros) / 1000 + " ms");
-      }
-      return;
-    }
-    if (queue.isEmpty() && now < sentMicros + HEARTBEAT_MICROS) {
-      return;
-    }
-    List<ReplicationBatch.Change> changes = new ArrayList<>(Math.min(queue.size(), MAX_CHANGES));
-    while (changes.size() < MAX_CHANGES && !queue.isEmpty()) {
-      changes.add(queue.poll());
+  /**
+   * An answer must have come first, even where there is nothing to send: it says which run of the
+   * peer the record is to name. A record that names none lets nobody recover.
+   */
+  private void addIfCaughtUp() {
+    if (!stream.peerRunId().isEmpty()
+        && stream.snapshotAcknowledged()
+        && stream.unacknowledged() <= ReplicationStream.MAX_BATCH_CHANGES) {
+      stream.extendSnapshot();
+      become(State.ADDING, "has all but " + stream.unacknowledged());
     }
-    ReplicationBatch batch =
-        new ReplicationBatch(
-            term, fillings, acked + 1, acked + changes.size() < snapshotEnd, changes);
-    sending = true;
-    sentMicros = now;
-    long filling = fillings;
-    host.send(peers.get(peer), batch, ack -> answered(filling, batch, ack));
   }
 
-  private void answered(long filling, ReplicationBatch batch, ReplicationBatch.Ack ack) {
-    if (filling != fillings || !(state == State.FILLING || awaitsAcknowledgements())) {
-      return;
-    }
-    sending = false;
-    boolean same = ack != null && (run.isEmpty() || run.equals(ack.run()));
-    if (ack == null || !ack.accepted() || !same || ack.upTo() < batch.last()) {
-      fail(ack == null ? "no answer" : same ? "not accepted" : "it was restarted");
-      return;
-    }
-    run = ack.run();
-    acked = batch.last();
+  @Override
+  public void acknowledged() {
     if (awaitsAcknowledgements()) {
-      release(acked);
+      heldLaunches.release(stream.acknowledgedSequence());
     }
   }
 
-  private void fail(String why) {
-    sending = false;
-    if (state == State.FILLING) {
-      become(State.ALONE, why);
+  @Override
+  public void failed(String reason) {
+    if (state == State.TRANSFERRING_SNAPSHOT) {
+      become(State.UNREPLICATED, reason);
     } else {
-      queue.clear();
-      become(State.STRIKING, why);
-      unregister();
+      become(State.REMOVING, reason);
+      nameNobody();
     }
   }
 
-  private void enlist() {
-    write(
-        peers.get(peer),
-        () -> {
-          if (state == State.ENLISTING) {
-            failures = 0;
-            become(State.IN_SYNC, "named in the record");
-          }
-        });
+  private void namePeer() {
+    recordWriter.write(peer(), stream.peerRunId(), this::named);
+  }
+
+  private void named() {
+    if (state == State.ADDING) {
+      failures = 0;
+      become(State.IN_SYNC, "named in the record");
+    }
   }
 
   /**
    * Writes a record that names nobody; only then may launches go that no standby has acknowledged.
-   * Found by the search of small cases: that the record is not there proves nothing, since a newer
-   * leader may have dropped it, or a write of this leader that names a standby may yet arrive. A
-   * newer version, under this leader's key, makes both fail.
+   * A missing record proves nothing, since a newer leader may have dropped it, or a write of this
+   * leader that names a standby may yet arrive. A newer version, under this leader's key, makes
+   * both fail. The search in StandbyTest finds the harm otherwise.
    */
-  private void unregister() {
-    write("", () -> become(State.ALONE, "the record names nobody"));
-  }
-
-  private void write(String name, Runnable written) {
-    if (writing || now < nextWriteMicros) {
-      return;
-    }
-    writing = true;
-    Map<String, Object> record = new LinkedHashMap<>();
-    record.put("epoch", term);
-    record.put("node", name);
-    record.put("run", run);
-    host.write(
-        recordVersion,
-        record,
-        version -> {
-          writing = false;
-          if (version > 0) {
-            recordVersion = version;
-            written.run();
-            return;
-          }
-          nextWriteMicros = now + TXN_RETRY_MICROS;
-          if (version < 0) {
-            reread();
-          }
-        });
+  private void nameNobody() {
+    recordWriter.write(
+        "", stream.peerRunId(), () -> become(State.UNREPLICATED, "the record names nobody"));
   }
 
-  /** A write failed on a version, or its fate is not known. */
-  private void reread() {
-    writing = true;
-    host.read(
-        (version, record) -> {
-          writing = false;
-          if (version >= 0) {
-            if (record != null && Boolean.TRUE.equals(record.get("claimed"))) {
-              // The standby has taken this term for over: nothing may be launched any more,
-              // whatever the lease says.
-              end();
-              host.termTakenOver();
-              return;
-            }
-            recordVersion = version;
-          }
-          nextWriteMicros = now;
-        });
+  private void takenOver() {
+    endTerm();
+    host.termTakenOver();
   }
 }
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -3,101 +3,107 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
 import org.eiderstair.core.message.ReplicationBatch;
 
 /**
- * A warm standby: one controller that holds the leader's picture of what may be on every machine,
- * and is named for it in a record under the leader key. While it is named, a launch leaves only
+ * A hot standby: one controller that holds the leader's state of what may be on every machine, and
+ * is named as in sync in a record under the leader key. While it is named, a launch leaves only
  * after the standby has acknowledged it; so when the standby is elected and the record still names
  * it, what it does not hold is nowhere. docs/standby.md has the argument.
+ *
+ * <p>Each node has one: it follows while the node is a follower, and replicates while it leads.
  */
 public final class Standby {
-  /** The record's key. */
+  /** The key of the record that names the standby in sync. */
   public static final String RECORD = "e/duty/standby";
 
-  private static final long MISSED_MICROS = 1_500_000;
+  /** A leader that sent nothing for so long is looked for; it sends five batches in that time. */
+  private static final long LEADER_TIMEOUT_MICROS = 1_500_000;
 
-  /** What the leader's side needs. */
+  /** What the leader's side needs of its node. */
   public interface Host {
-    /** Whether the leader's own picture is whole: no machine may hold what it does not know. */
+    /** Whether the leader knows the state of every machine, so that a snapshot is complete. */
     boolean hasCompleteState();
 
-    /** All that may be on any machine, and the machines whose session is known. */
+    /** Hands over all that may be on any machine, and the machines whose incarnation is known. */
     void snapshot(Consumer<ReplicationBatch.Change> each);
 
-    /** Sends a batch; null when no answer came. */
-    void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback);
+    /** Sends a batch; the callback gets the acknowledgement, empty when no answer came. */
+    void send(
+        String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback);
 
-    /**
-     * Writes the record if it has that version and this leader's key is there. Told the new
-     * version; 0 when it was certainly not written and may be tried again; -1 when the version
-     * differs or its fate is not known.
-     */
-    void write(long version, Map<String, Object> record, LongConsumer callback);
+    /** Writes the record by compare-and-swap on its version and this leader's key. */
+    void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback);
 
-    /** Reads the record: its version, 0 when there is none, -1 when that is not known. */
-    void read(BiConsumer<Long, Map<String, Object>> callback);
+    /** Reads the record. */
+    void read(Consumer<RecordRead> callback);
 
-    /** The standby has claimed the term: leave office. */
+    /** The standby has taken over the term: leave office. */
     void termTakenOver();
 
     /** Logs a line. */
     void info(String text);
   }
 
-  /**
-   * What a new leader must check before it decides on what it holds, in this order; REFUSED asks
-   * every machine instead.
-   */
-  public enum Check {
+  /** What a new leader must check before it decides on what it holds, in this order. */
+  private enum RecoveryStep {
+    /** This node was elected. */
     ELECTED,
+    /** Its replica of the stored keys reaches its own election. */
     CAUGHT_UP,
+    /** The record names this node, and this run of it. */
     NAMED,
-    WHOLE,
+    /** Its state is complete, and of the term that the record names. */
+    COMPLETE,
+    /** A check failed: every machine is asked instead. */
     REFUSED
   }
 
   private final String node;
-  private final String run;
+  private final String runId;
   private final Consumer<String> log;
-  private final StandbyReplica copy = new StandbyReplica();
+  private final StandbyReplica replica = new StandbyReplica();
   private ReplicationPrimary primary;
-  private long lastHeartbeatMicros = Long.MIN_VALUE / 2;
+  private long lastBatchMicros = Long.MIN_VALUE / 2;
 
-  public Standby(String node, String run, Consumer<String> log) {
+  /**
+   * @param runId differs for every run of the node
+   * @param log takes lines for the log
+   */
+  public Standby(String node, String runId, Consumer<String> log) {
     this.node = node;
-    this.run = run;
+    this.runId = runId;
     this.log = log;
   }
 
-  // The standby's side.
-
-  /** A batch of the leader's; {@code mayFollow} while this node neither stands nor leads. */
+  /**
+   * Takes a batch from the leader.
+   *
+   * @param mayFollow whether this node neither leads nor asks to
+   */
   public ReplicationBatch.Ack receive(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
-    boolean accepted = mayFollow && copy.receive(batch);
+    boolean accepted = mayFollow && replica.receive(batch);
     if (accepted) {
-      lastHeartbeatMicros = nowMicros;
+      lastBatchMicros = nowMicros;
     }
-    return new ReplicationBatch.Ack(run, accepted, accepted ? batch.last() : 0);
+    return new ReplicationBatch.Ack(runId, accepted, accepted ? batch.lastSequence() : 0);
   }
 
-  /** This node stands: nothing of older terms is acknowledged from now on. */
+  /** This node asks to lead: from now on it acknowledges nothing of older terms. */
   public void stopFollowing() {
-    copy.freeze();
+    replica.freeze();
   }
 
-  /** Whether the record names this run of this node, for the term whose picture it holds whole. */
+  /** Whether the record names this run of this node, for the term whose state it holds. */
   public boolean namesThisNode(Map<String, Object> record) {
     return record != null
         && node.equals(record.get("node"))
-        && run.equals(record.get("run"))
+        && runId.equals(record.get("run"))
         && record.get("epoch") instanceof Number epoch
-        && epoch.longValue() == copy.term()
-        && (copy.state() == StandbyReplica.State.FOLLOWING
-            || copy.state() == StandbyReplica.State.FROZEN);
+        && epoch.longValue() == replica.term()
+        && replica.isComplete();
   }
 
   /** Whether the record names any standby. */
@@ -105,71 +111,63 @@
     return record != null && record.get("node") instanceof String name && !name.isEmpty();
   }
 
-  /** Whether the leader has not been heard for so long that its standby looks for it. */
+  /** Whether the leader that this node follows has sent nothing for too long. */
   public boolean leaderTimedOut(long nowMicros) {
-    return copy.state() == StandbyReplica.State.FOLLOWING
-        && nowMicros > lastHeartbeatMicros + MISSED_MICROS;
+    return replica.state() == StandbyReplica.State.FOLLOWING
+        && nowMicros > lastBatchMicros + LEADER_TIMEOUT_MICROS;
   }
 
-  /** The record with the claim, which its leader can neither drop nor launch beside. */
+  /**
+   * The record with the mark that its standby has taken over the term: the term's leader can
+   * neither remove the standby nor launch without its acknowledgement any more.
+   */
   public static Map<String, Object> withTakeover(Map<String, Object> record) {
     Map<String, Object> claimed = new LinkedHashMap<>(record);
     claimed.put("claimed", true);
     return claimed;
   }
 
-  /** How far the checks have come. */
-  private void reached(Check next, String why) {
-    log.accept("inherits: " + next + ": " + why);
+  private void reached(RecoveryStep step, String detail) {
+    log.accept("standby recovery -> " + step + ": " + detail);
   }
 
   /**
-   * What this node inherits as the leader of a new term, by machine; null when a check fails, and
-   * every machine must be asked.
+   * What this node as the leader of a new term knows from the last one, by machine; what it does
+   * not name is nowhere. Can be recovered once only.
    *
-   * @param record as of this term's beginning
+   * @param record as of this term's beginning; null when there is none
+   * @return empty when a check fails, and every machine must be asked
    */
-  public Map<String, RecoveredMachine> recover(
+  public Optional<Map<String, RecoveredMachine>> recover(
       long term, long revision, Map<String, Object> record) {
-    reached(Check.ELECTED, "term=" + term);
+    reached(RecoveryStep.ELECTED, "term=" + term);
     if (revision < term) {
-      reached(Check.REFUSED, "its keys are of revision " + revision);
-      return null;
+      reached(RecoveryStep.REFUSED, "its keys are of revision " + revision);
+      return Optional.empty();
     }
-    reached(Check.CAUGHT_UP, "revision " + revision);
-    if (record == null || !node.equals(record.get("node")) || !run.equals(record.get("run"))) {
+    reached(RecoveryStep.CAUGHT_UP, "revision " + revision);
+    if (record == null || !node.equals(record.get("node")) || !runId.equals(record.get("run"))) {
       reached(
-          Check.REFUSED,
+          RecoveryStep.REFUSED,
           namesAnyNode(record)
               ? "the record names " + record.get("node")
               : "no standby was in sync");
-      return null;
+      return Optional.empty();
     }
-    reached(Check.NAMED, "by term " + record.get("epoch"));
+    reached(RecoveryStep.NAMED, "term=" + record.get("epoch"));
     if (!namesThisNode(record)) {
-      reached(Check.REFUSED, "its picture is " + copy.state() + " of term " + copy.term());
-      return null;
+      reached(RecoveryStep.REFUSED, "its state is " + replica.state() + ", term=" + replica.term());
+      return Optional.empty();
     }
-    reached(Check.WHOLE, copy.machines().size() + " machines");
-    Map<String, RecoveredMachine> all = new LinkedHashMap<>();
-    copy.machines()
-        .forEach(
-            (machine, held) -> {
-              Map<String, Map<Integer, Long>> attempts = new LinkedHashMap<>();
-              held.attempts.forEach(
-                  (task, attempt) ->
-                      attempts
-                          .computeIfAbsent(task.job(), j -> new LinkedHashMap<>())
-                          .put(task.index(), attempt));
-              all.put(machine, new RecoveredMachine(held.incarnation, attempts));
-            });
-    copy.forget();
-    return all;
-  }
-
-  // The leader's side.
+    reached(RecoveryStep.COMPLETE, replica.machineCount() + " machines");
+    Map<String, RecoveredMachine> machines = replica.recoveredMachines();
+    replica.clear();
+    return Optional.of(machines);
+  }
 
   /**
+   * This node leads from now on, and keeps one of its peers in sync.
+   *
    * @param recordVersion of the record as it was when the term began; 0 when there was none
    */
   public void startTerm(Host host, long term, List<String> peers, long recordVersion) {
@@ -179,12 +177,12 @@
   /** This node leads no longer; launches that wait are withheld. */
   public void endTerm() {
     if (primary != null) {
-      primary.end();
+      primary.endTerm();
       primary = null;
     }
   }
 
-  /** Something changed in the leader's picture. */
+  /** Replicates a change of the leader's state. */
   public void replicate(ReplicationBatch.Change change) {
     if (primary != null) {
       primary.replicate(change);
@@ -209,17 +207,15 @@
     }
   }
 
-  /** Time passes. */
+  /** Does what time has made due. */
   public void tick(long nowMicros) {
     if (primary != null) {
       primary.tick(nowMicros);
     }
   }
 
-  /** For the leader's line: who is in sync. */
+  /** For the leader's log line: who is in sync. */
   public String summary() {
-    return primary == null
-        ? "off"
-        : primary.standby() == null ? primary.state().toString() : primary.standby() + " in sync";
+    return primary == null ? "off" : primary.summary();
   }
 }
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -5,46 +5,70 @@
 import java.util.Map;
 import org.eiderstair.core.message.ReplicationBatch;
 
-/** The standby's side: a leader's picture, as far as it was acknowledged. */
+/** The follower's side: a leader's state, as far as it was acknowledged. */
 final class StandbyReplica {
 
-  /**
-   * EMPTY has nothing of use. FILLING has the beginning of a picture. FOLLOWING has a whole one,
-   * and acknowledges. FROZEN has a whole one that does not change any more: this node stands, so it
-   * acknowledges nothing of older terms.
-   */
+  /** What the replica is good for. */
   enum State {
+    /** It has nothing of use. */
     EMPTY,
-    FILLING,
+    /** It has the beginning of a snapshot. */
+    RECEIVING_SNAPSHOT,
+    /** It has a complete snapshot, follows the changes, and acknowledges them. */
     FOLLOWING,
+    /**
+     * It is complete and does not change any more: this node asks to lead, so it acknowledges
+     * nothing of this or older terms.
+     */
     FROZEN
   }
 
-  /** A task on a machine. */
-  record Task(String job, int index) {}
+  private record Task(String job, int index) {}
 
-  /** What may be on a machine in its latest session. */
-  static final class Held {
+  /** What may be on a machine in its latest incarnation. */
+  private static final class MachineState {
     long incarnation;
     final Map<Task, Long> attempts = new LinkedHashMap<>();
+
+    RecoveredMachine recovered() {
+      Map<String, Map<Integer, Long>> byJob = new LinkedHashMap<>();
+      attempts.forEach(
+          (task, attempt) ->
+              byJob
+                  .computeIfAbsent(task.job(), job -> new LinkedHashMap<>())
+                  .put(task.index(), attempt));
+      return new RecoveredMachine(incarnation, byJob);
+    }
   }
 
   private State state = State.EMPTY;
   private long term;
-  private long filling;
-  private long last;
-  private final Map<String, Held> machines = new HashMap<>();
+  private long snapshot;
+  private long lastSequence;
+  private final Map<String, MachineState> machines = new HashMap<>();
 
   State state() {
     return state;
   }
 
+  /** The term of the leader that it follows, or followed last. */
   long term() {
     return term;
   }
 
-  Map<String, Held> machines() {
-    return machines;
+  boolean isComplete() {
+    return state == State.FOLLOWING || state == State.FROZEN;
+  }
+
+  int machineCount() {
+    return machines.size();
+  }
+
+  /** All that may be anywhere, by machine. */
+  Map<String, RecoveredMachine> recoveredMachines() {
+    Map<String, RecoveredMachine> recovered = new LinkedHashMap<>();
+    machines.forEach((id, machine) -> recovered.put(id, machine.recovered()));
+    return recovered;
   }
 
   /** The one function for every change of state. */
@@ -52,72 +76,94 @@
     state = next;
   }
 
-  /** Takes a batch; true when all up to its end is here now. */
+  /**
+   * Takes a batch.
+   *
+   * @return whether all changes up to its end are here now
+   */
   boolean receive(ReplicationBatch batch) {
-    boolean newer = batch.term() > term || batch.term() == term && batch.filling() > filling;
-    if (!newer
-        && (batch.term() < term
-            || batch.filling() < filling
-            || state == State.EMPTY
-            || state == State.FROZEN)) {
-      return false;
-    }
-    if (newer) {
-      if (batch.first() != 1) {
+    if (beginsAnew(batch)) {
+      if (batch.firstSequence() != 1) {
         return false;
       }
-      term = batch.term();
-      filling = batch.filling();
-      last = 0;
-      machines.clear();
-      become(State.FILLING);
+      startSnapshot(batch);
+    } else if (isOutdated(batch) || state == State.EMPTY || state == State.FROZEN) {
+      return false;
     }
-    if (batch.first() > last + 1) {
-      // A gap: what is missing may be on a machine, so this picture is worth nothing.
-      forget();
+    if (batch.firstSequence() > lastSequence + 1) {
+      // A gap: what is missing may be on a machine, so the rest is worth nothing.
+      clear();
       return false;
     }
-    long number = batch.first();
+    applyNew(batch);
+    boolean repeated = batch.lastSequence() < lastSequence;
+    lastSequence = Math.max(lastSequence, batch.lastSequence());
+    if (!batch.snapshotIncomplete() && !repeated && state == State.RECEIVING_SNAPSHOT) {
+      become(State.FOLLOWING);
+    }
+    return true;
+  }
+
+  private boolean beginsAnew(ReplicationBatch batch) {
+    return batch.term() > term || batch.term() == term && batch.snapshot() > snapshot;
+  }
+
+  private boolean isOutdated(ReplicationBatch batch) {
+    return batch.term() < term || batch.snapshot() < snapshot;
+  }
+
+  private void startSnapshot(ReplicationBatch batch) {
+    term = batch.term();
+    snapshot = batch.snapshot();
+    lastSequence = 0;
+    machines.clear();
+    become(State.RECEIVING_SNAPSHOT);
+  }
+
+  private void applyNew(ReplicationBatch batch) {
+    long sequence = batch.firstSequence();
     for (ReplicationBatch.Change change : batch.changes()) {
-      if (number++ > last) {
+      if (sequence > lastSequence) {
         apply(change);
       }
+      sequence++;
     }
-    boolean repeated = batch.last() < last;
-    last = Math.max(last, batch.last());
-    if (!batch.more() && !repeated && state == State.FILLING) {
-      become(State.FOLLOWING);
+  }
+
+  private void apply(ReplicationBatch.Change change) {
+    if (change.job().isEmpty() && !change.present()) {
+      machines.remove(change.machine());
+      return;
+    }
+    MachineState machine = machines.computeIfAbsent(change.machine(), id -> new MachineState());
+    if (change.present()) {
+      machine.incarnation = Math.max(machine.incarnation, change.incarnation());
+    }
+    if (!change.job().isEmpty()) {
+      applyAttempt(machine, change);
     }
-    return true;
   }
 
-  private void apply(ReplicationBatch.Change c) {
-    Held held = machines.computeIfAbsent(c.machine(), m -> new Held());
-    if (c.job().isEmpty()) {
-      if (c.there()) {
-        held.incarnation = Math.max(held.incarnation, c.incarnation());
-      } else {
-        machines.remove(c.machine());
-      }
-    } else if (c.there()) {
-      held.incarnation = Math.max(held.incarnation, c.incarnation());
-      held.attempts.put(new Task(c.job(), c.index()), c.attempt());
+  private static void applyAttempt(MachineState machine, ReplicationBatch.Change change) {
+    Task task = new Task(change.job(), change.index());
+    if (change.present()) {
+      machine.attempts.put(task, change.attempt());
     } else {
-      held.attempts.remove(new Task(c.job(), c.index()), c.attempt());
+      machine.attempts.remove(task, change.attempt());
     }
   }
 
-  /** This node stands: from now on nothing of this or an older term is acknowledged. */
+  /** From now on nothing of this or an older term is acknowledged. */
   void freeze() {
     if (state == State.FOLLOWING) {
       become(State.FROZEN);
-    } else if (state == State.FILLING) {
-      forget();
+    } else if (state == State.RECEIVING_SNAPSHOT) {
+      clear();
     }
   }
 
-  /** Nothing of it is of use any more; a later filling begins anew. */
-  void forget() {
+  /** Nothing of it is of use any more; a later snapshot begins anew. */
+  void clear() {
     machines.clear();
     become(State.EMPTY);
   }
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -242,14 +242,18 @@
     for (ReplicationBatch.Change c : batch.changes()) {
       changes.add(
           new StandbyChange(
-              c.there(), c.machine(), c.incarnation(), c.job(), c.index(), c.attempt()));
+              c.present(), c.machine(), c.incarnation(), c.job(), c.index(), c.attempt()));
     }
     try {
       return bytes(
           StandbyBatch.getEncoder()
               .encode(
                   new StandbyBatch(
-                      batch.term(), batch.filling(), batch.first(), batch.more(), changes)));
+                      batch.term(),
+                      batch.snapshot(),
+                      batch.firstSequence(),
+                      batch.snapshotIncomplete(),
+                      changes)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
@@ -280,7 +284,8 @@
   public static byte[] standbyAck(ReplicationBatch.Ack ack) {
     try {
       return bytes(
-          StandbyAck.getEncoder().encode(new StandbyAck(ack.run(), ack.accepted(), ack.upTo())));
+          StandbyAck.getEncoder()
+              .encode(new StandbyAck(ack.runId(), ack.accepted(), ack.throughSequence())));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -3,12 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.standby.RecordRead;
+import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.standby.Standby;
 
@@ -38,19 +39,24 @@
     }
 
     @Override
-    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
-      callback.accept(acknowledges ? new ReplicationBatch.Ack("run-b", true, batch.last()) : null);
+    public void send(
+        String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback) {
+      callback.accept(
+          acknowledges
+              ? Optional.of(new ReplicationBatch.Ack("run-b", true, batch.lastSequence()))
+              : Optional.empty());
     }
 
     @Override
-    public void write(long version, Map<String, Object> value, LongConsumer callback) {
+    public void write(long version, Map<String, Object> value, Consumer<RecordWrite> callback) {
       writes.add(new Request.Write(Standby.RECORD, value, 0));
-      callback.accept(stored == null ? version + 1 : -1);
+      callback.accept(
+          stored == null ? new RecordWrite.Written(version + 1) : new RecordWrite.Uncertain());
     }
 
     @Override
-    public void read(BiConsumer<Long, Map<String, Object>> callback) {
-      callback.accept(stored.version(), stored.value());
+    public void read(Consumer<RecordRead> callback) {
+      callback.accept(new RecordRead.Found(stored.version(), stored.value()));
     }
 
     @Override
@@ -99,7 +105,7 @@
       standby.receive(new ReplicationBatch(TERM, 1, 1, false, CHANGES), true, 0);
     }
 
-    Map<String, RecoveredMachine> inherit(Reply.Item item) {
+    Optional<Map<String, RecoveredMachine>> recover(Reply.Item item) {
       return standby.recover(90, 90, item.value());
     }
   }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -10,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import net.jqwik.api.Example;
 import org.eiderstair.core.LeaderBench;
@@ -260,7 +260,9 @@
     assertFalse(StandbyWrites.endsTheTerm(read("standby-1:e/duty/standby", 11).get(0)));
     StandbyWrites.Follower follower = new StandbyWrites.Follower();
     Reply.Item named = read("standby-1:e/duty/standby", 11).get(0);
-    assertEquals(1, follower.inherit(named).size());
-    assertNull(new StandbyWrites.Follower().inherit(read("standby-2:e/duty/standby", 11).get(0)));
+    assertEquals(1, follower.recover(named).orElseThrow().size());
+    assertEquals(
+        Optional.empty(),
+        new StandbyWrites.Follower().recover(read("standby-2:e/duty/standby", 11).get(0)));
   }
 }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
 import org.eiderstair.core.capacity.Demand;
@@ -25,6 +25,7 @@
 import org.eiderstair.core.quota.TeamQuotas;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.InstantHost;
+import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
@@ -195,21 +196,24 @@
 
           @Override
           public void send(
-              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
+              String peer,
+              ReplicationBatch batch,
+              Consumer<Optional<ReplicationBatch.Ack>> callback) {
             ReplicationBatch.Ack ack = other.receive(batch, true, now);
             if (defersAcknowledgements) {
-              acknowledgements.add(() -> callback.accept(ack));
+              acknowledgements.add(() -> callback.accept(Optional.of(ack)));
             } else {
-              callback.accept(ack);
+              callback.accept(Optional.of(ack));
             }
           }
 
           @Override
-          public void write(long version, Map<String, Object> record, LongConsumer callback) {
+          public void write(
+              long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
             if (defersRecords) {
-              records.add(() -> callback.accept(version + 1));
+              records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
             } else {
-              callback.accept(version + 1);
+              callback.accept(new RecordWrite.Written(version + 1));
             }
           }
         },
@@ -232,11 +236,14 @@
 
           @Override
           public void send(
-              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {}
+              String peer,
+              ReplicationBatch batch,
+              Consumer<Optional<ReplicationBatch.Ack>> callback) {}
 
           @Override
-          public void write(long version, Map<String, Object> record, LongConsumer callback) {
-            records.add(() -> callback.accept(version + 1));
+          public void write(
+              long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+            records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
           }
         },
         TERM,
--- a/src/test/java/org/eiderstair/core/standby/InstantHost.java
+++ b/src/test/java/org/eiderstair/core/standby/InstantHost.java
@@ -1,12 +1,11 @@
 package org.eiderstair.core.standby;
 
 import java.util.Map;
-import java.util.function.BiConsumer;
-import java.util.function.LongConsumer;
+import java.util.function.Consumer;
 
 /**
- * A leader whose picture is whole and whose records are written at once; what it tells whom is for
- * the test to say.
+ * A leader whose state is complete and whose records are written at once; what it replicates to
+ * whom is for the test to say.
  */
 public abstract class InstantHost implements Standby.Host {
   @Override
@@ -15,12 +14,12 @@
   }
 
   @Override
-  public void write(long version, Map<String, Object> record, LongConsumer callback) {
-    callback.accept(version + 1);
+  public void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+    callback.accept(new RecordWrite.Written(version + 1));
   }
 
   @Override
-  public void read(BiConsumer<Long, Map<String, Object>> callback) {}
+  public void read(Consumer<RecordRead> callback) {}
 
   @Override
   public void termTakenOver() {}
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -2,8 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayDeque;
@@ -13,17 +11,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import java.util.function.LongConsumer;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.ReplicationBatch;
 
 /**
- * The record, the acknowledgements and the election, in every order: whoever inherits a picture
- * inherits all that was ever launched and may still be somewhere.
+ * The record, the acknowledgements and the election, in every order: whoever recovers the state of
+ * the term before recovers all that was ever launched and may still be somewhere.
  */
 class StandbyTest {
   private static final int LAUNCHES = 3;
@@ -94,8 +91,8 @@
           all.put("slow at " + n.name, () -> n.tick(500_000));
         }
         if (n.term == 0 && elections < 3) {
-          // The lease of another has run out, by which that one has stopped; or a claim has ended
-          // it, of which it knows nothing.
+          // The lease of another has expired, by which that one has stopped; or a takeover has
+          // revoked it, of which it knows nothing.
           all.put(
               "elect " + n.name,
               () -> {
@@ -106,7 +103,7 @@
               });
         }
         if (n.term == 0 && leader != null && elections < 3) {
-          all.put("claim by " + n.name, n::claim);
+          all.put("begin takeover by " + n.name, n::takeOver);
         }
         if (restarts < 1) {
           all.put("restart " + n.name, n::restart);
@@ -134,7 +131,7 @@
             .append(n.standby.summary())
             .append(n.known)
             .append(n.held())
-            .append(n.stands)
+            .append(n.campaigning)
             .append(n.authority);
       }
       return s.toString();
@@ -149,7 +146,7 @@
     Standby standby;
     long term;
     long now;
-    boolean stands;
+    boolean campaigning;
 
     /** Whether its own clock still allows it to launch. */
     boolean authority;
@@ -168,7 +165,7 @@
       standby = new Standby(name, run, text -> {});
       term = 0;
       known.clear();
-      stands = false;
+      campaigning = false;
     }
 
     void restart() {
@@ -188,12 +185,13 @@
       world.leader = name;
       world.leaderTerm = ++world.revision;
       term = world.leaderTerm;
-      Map<String, RecoveredMachine> inherited = standby.recover(term, world.revision, world.record);
+      Optional<Map<String, RecoveredMachine>> recovered =
+          standby.recover(term, world.revision, world.record);
       known.clear();
-      if (inherited != null) {
-        inherited.values().forEach(h -> known.addAll(h.attempts().keySet()));
+      if (recovered.isPresent()) {
+        recovered.get().values().forEach(machine -> known.addAll(machine.attempts().keySet()));
         if (!known.containsAll(world.launched)) {
-          world.broken.add(name + " inherited " + known + " of " + world.launched);
+          world.broken.add(name + " recovered " + known + " of " + world.launched);
         }
       } else {
         // Every machine is asked, and fenced.
@@ -207,20 +205,20 @@
       tick(10_000_000);
     }
 
-    void claim() {
+    void takeOver() {
       if (world.record != null
           && standby.namesThisNode(world.record)
           && Long.valueOf(world.leaderTerm).equals(world.record.get("epoch"))) {
         standby.stopFollowing();
         world.record = Standby.withTakeover(world.record);
         world.recordVersion = ++world.revision;
-        // Its lease is ended soon; whoever is elected next, the old leader's clock still allows it
-        // everything.
-        long claimed = world.leaderTerm;
+        // Its lease is revoked soon; whoever is elected next, the old leader's clock still allows
+        // it everything.
+        long takenOver = world.leaderTerm;
         world.send(
-            "end lease " + claimed,
+            "end lease " + takenOver,
             () -> {
-              if (world.leaderTerm == claimed) {
+              if (world.leaderTerm == takenOver) {
                 world.leader = null;
               }
             });
@@ -268,12 +266,13 @@
     }
 
     @Override
-    public void send(String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
+    public void send(
+        String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback) {
       String ofRun = run;
       if (!batch.changes().isEmpty() && world.copied < 2) {
         world.copied++;
         world.copies.put(
-            name + batch.term() + "." + batch.filling() + "." + batch.first(),
+            name + batch.term() + "." + batch.snapshot() + "." + batch.firstSequence(),
             () -> {
               Node to = world.node(peer);
               to.standby.receive(batch, to.term == 0, 0);
@@ -284,9 +283,9 @@
               + name
               + batch.term()
               + "."
-              + batch.filling()
+              + batch.snapshot()
               + "."
-              + batch.first()
+              + batch.firstSequence()
               + "+"
               + batch.changes().size(),
           () -> {
@@ -297,13 +296,13 @@
                     + name
                     + batch.term()
                     + "."
-                    + batch.filling()
+                    + batch.snapshot()
                     + "."
-                    + batch.first()
+                    + batch.firstSequence()
                     + ack.accepted(),
                 () -> {
                   if (run.equals(ofRun)) {
-                    callback.accept(ack);
+                    callback.accept(Optional.of(ack));
                     tick(1);
                   }
                 });
@@ -311,7 +310,7 @@
     }
 
     @Override
-    public void write(long version, Map<String, Object> value, LongConsumer callback) {
+    public void write(long version, Map<String, Object> value, Consumer<RecordWrite> callback) {
       String ofRun = run;
       long ofTerm = term;
       world.send(
@@ -325,7 +324,8 @@
               world.record = value == null ? null : new LinkedHashMap<>(value);
               world.recordVersion = ++world.revision;
             }
-            long result = holds ? world.recordVersion : -1;
+            RecordWrite result =
+                holds ? new RecordWrite.Written(world.recordVersion) : new RecordWrite.Uncertain();
             world.send(
                 "written " + name + ofTerm,
                 () -> {
@@ -338,19 +338,21 @@
     }
 
     @Override
-    public void read(BiConsumer<Long, Map<String, Object>> callback) {
+    public void read(Consumer<RecordRead> callback) {
       String ofRun = run;
       long ofTerm = term;
       world.send(
           "read " + name + ofTerm,
           () -> {
-            long version = world.record == null ? 0 : world.recordVersion;
-            Map<String, Object> value = world.record;
+            RecordRead result =
+                world.record == null
+                    ? new RecordRead.Absent()
+                    : new RecordRead.Found(world.recordVersion, world.record);
             world.send(
                 "found " + name + ofTerm,
                 () -> {
                   if (run.equals(ofRun)) {
-                    callback.accept(version, value);
+                    callback.accept(result);
                     tick(200_000);
                   }
                 });
@@ -393,8 +395,9 @@
     }
     assertTrue(explore(List.of(), true) > 100, "in sync");
     assertTrue(explore(inSync, true) > 100, "in sync");
-    // A claim, and a leader that knows nothing of it: its strike fails, and it must see why.
-    inSync.add("claim by b");
+    // A takeover, and a leader that knows nothing of it: it cannot remove the standby from the
+    // record, and must see why.
+    inSync.add("begin takeover by b");
     explore(inSync, false);
   }
 
@@ -430,11 +433,15 @@
 
   private static final int MAX_STATES = Integer.getInteger("standby.states", 40_000);
 
-  private final StandbyReplica copy = new StandbyReplica();
+  private final StandbyReplica replica = new StandbyReplica();
 
   private static ReplicationBatch batch(
-      long term, long filling, long first, boolean more, ReplicationBatch.Change... changes) {
-    return new ReplicationBatch(term, filling, first, more, List.of(changes));
+      long term,
+      long snapshot,
+      long first,
+      boolean incomplete,
+      ReplicationBatch.Change... changes) {
+    return new ReplicationBatch(term, snapshot, first, incomplete, List.of(changes));
   }
 
   private static ReplicationBatch.Change there(String job) {
@@ -443,37 +450,37 @@
 
   @Example
   void aGapIsNotFollowedAndARepeatChangesNothing() {
-    assertTrue(copy.receive(batch(3, 1, 1, true, there("a"), there("b"))));
-    assertEquals(StandbyReplica.State.FILLING, copy.state());
-    assertTrue(copy.receive(batch(3, 1, 3, false, there("c"))));
-    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertTrue(copy.receive(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
-    assertEquals(3, copy.machines().get("m").attempts.size());
-    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertFalse(copy.receive(batch(3, 1, 5, false, there("e"))));
-    assertEquals(StandbyReplica.State.EMPTY, copy.state());
-    assertFalse(copy.receive(batch(3, 1, 1, false, there("a"))), "an earlier filling");
-    assertTrue(copy.receive(batch(3, 2, 1, false)));
-    assertEquals(StandbyReplica.State.FOLLOWING, copy.state());
-    assertFalse(copy.receive(batch(2, 9, 1, false)), "an earlier term");
+    assertTrue(replica.receive(batch(3, 1, 1, true, there("a"), there("b"))));
+    assertEquals(StandbyReplica.State.RECEIVING_SNAPSHOT, replica.state());
+    assertTrue(replica.receive(batch(3, 1, 3, false, there("c"))));
+    assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
+    assertTrue(replica.receive(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
+    assertEquals(3, replica.recoveredMachines().get("m").attempts().size());
+    assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
+    assertFalse(replica.receive(batch(3, 1, 5, false, there("e"))));
+    assertEquals(StandbyReplica.State.EMPTY, replica.state());
+    assertFalse(replica.receive(batch(3, 1, 1, false, there("a"))), "an earlier snapshot");
+    assertTrue(replica.receive(batch(3, 2, 1, false)));
+    assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
+    assertFalse(replica.receive(batch(2, 9, 1, false)), "an earlier term");
   }
 
   @Example
-  void aNodeThatStandsAcknowledgesNothingOfOlderTerms() {
-    assertTrue(copy.receive(batch(3, 1, 1, false, there("a"))));
-    copy.freeze();
-    assertFalse(copy.receive(batch(3, 1, 2, false, there("b"))));
-    assertEquals(1, copy.machines().get("m").attempts.size());
-    assertTrue(copy.receive(batch(4, 1, 1, false)), "another was elected");
+  void aNodeThatAsksToLeadAcknowledgesNothingOfOlderTerms() {
+    assertTrue(replica.receive(batch(3, 1, 1, false, there("a"))));
+    replica.freeze();
+    assertFalse(replica.receive(batch(3, 1, 2, false, there("b"))));
+    assertEquals(1, replica.recoveredMachines().get("m").attempts().size());
+    assertTrue(replica.receive(batch(4, 1, 1, false)), "another was elected");
   }
 
   /** 1,600 machines with 100,000 tasks in pages, mixed with changes. */
   @Example
-  void aLargePictureInPagesWithChangesBetween() {
+  void aLargeSnapshotInBatchesWithChangesBetween() {
     Standby standby = new Standby("b", "b1", text -> {});
     Map<String, Map<String, Long>> truth = new HashMap<>();
     List<ReplicationBatch> batches = new ArrayList<>();
-    List<Consumer<ReplicationBatch.Ack>> acks = new ArrayList<>();
+    List<Consumer<Optional<ReplicationBatch.Ack>>> acks = new ArrayList<>();
     Standby leader = new Standby("a", "a1", text -> {});
     for (int i = 0; i < 100_000; i++) {
       truth.computeIfAbsent("m" + i % 1600, m -> new HashMap<>()).put("job-" + i, (long) i);
@@ -491,7 +498,9 @@
 
           @Override
           public void send(
-              String peer, ReplicationBatch batch, Consumer<ReplicationBatch.Ack> callback) {
+              String peer,
+              ReplicationBatch batch,
+              Consumer<Optional<ReplicationBatch.Ack>> callback) {
             batches.add(batch);
             acks.add(callback);
           }
@@ -513,22 +522,21 @@
         leader.replicate(
             new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
       }
-      acks.remove(0).accept(ack);
+      acks.remove(0).accept(Optional.of(ack));
       leader.tick(++now);
     }
     while (!batches.isEmpty()) {
       ReplicationBatch.Ack ack = standby.receive(batches.remove(0), true, now);
-      acks.remove(0).accept(ack);
+      acks.remove(0).accept(Optional.of(ack));
       leader.tick(++now);
     }
     standby.stopFollowing();
     Map<String, Object> record = Map.of("node", "b", "run", "b1", "epoch", 3L);
-    Map<String, RecoveredMachine> held = standby.recover(9, 9, record);
-    assertNotNull(held);
+    Map<String, RecoveredMachine> recovered = standby.recover(9, 9, record).orElseThrow();
     truth.forEach(
         (machine, jobs) ->
-            assertEquals(jobs.keySet(), held.get(machine).attempts().keySet(), machine));
-    assertNull(standby.recover(10, 10, record), "once");
+            assertEquals(jobs.keySet(), recovered.get(machine).attempts().keySet(), machine));
+    assertEquals(Optional.empty(), standby.recover(10, 10, record), "once");
   }
 
   /**
@@ -559,22 +567,29 @@
     List<String> said = new ArrayList<>();
     Standby standby = new Standby("b", "b1", said::add);
     Map<String, Object> record = new LinkedHashMap<>(Map.of("node", "b", "run", "b1", "epoch", 3L));
-    assertNull(standby.recover(5, 5, record), "no picture");
+    assertEquals(Optional.empty(), standby.recover(5, 5, record), "no state");
     standby.receive(batch(3, 1, 1, true, there("a")), true, 1);
     standby.stopFollowing();
-    assertNull(standby.recover(5, 5, record), "not whole");
+    assertEquals(Optional.empty(), standby.recover(5, 5, record), "not complete");
     standby.receive(batch(3, 2, 1, false, there("a")), true, 1);
-    assertNull(standby.recover(5, 4, record), "keys are old");
-    assertNull(standby.recover(5, 5, null), "struck");
-    assertNull(
-        standby.recover(5, 5, Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
+    assertEquals(Optional.empty(), standby.recover(5, 4, record), "keys are old");
+    assertEquals(Optional.empty(), standby.recover(5, 5, null), "removed");
+    assertEquals(
+        Optional.empty(),
+        standby.recover(5, 5, Map.of("node", "b", "run", "b0", "epoch", 3L)),
+        "an earlier run");
     assertFalse(
         standby.namesThisNode(Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
     assertTrue(standby.namesThisNode(record));
-    assertNull(standby.recover(5, 5, Map.of("node", "c", "run", "b1", "epoch", 3L)), "another");
-    assertNull(
-        standby.recover(5, 5, Map.of("node", "b", "run", "b1", "epoch", 2L)), "another term");
-    assertEquals(Set.of("m"), standby.recover(5, 5, record).keySet());
-    assertTrue(said.get(said.size() - 1).contains("WHOLE"));
+    assertEquals(
+        Optional.empty(),
+        standby.recover(5, 5, Map.of("node", "c", "run", "b1", "epoch", 3L)),
+        "another");
+    assertEquals(
+        Optional.empty(),
+        standby.recover(5, 5, Map.of("node", "b", "run", "b1", "epoch", 2L)),
+        "another term");
+    assertEquals(Set.of("m"), standby.recover(5, 5, record).orElseThrow().keySet());
+    assertTrue(said.get(said.size() - 1).contains("standby recovery -> COMPLETE"));
   }
 }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -217,25 +217,25 @@
    */
   @Example
   void aLeaderThatStandsStillIsReplacedByItsStandbyAndDoesNoHarm() {
-    long[] claims = new long[2];
-    long[] inherited = new long[2];
+    long[] takeovers = new long[2];
+    long[] recoveries = new long[2];
     SimulatedCluster day =
         play(
             SimulatedCluster.Size.GROWN,
             d -> {
-              claims[0] = logged("claim of term");
-              inherited[0] = logged("inherits: WHOLE");
+              takeovers[0] = logged("takeover of term=");
+              recoveries[0] = logged("standby recovery -> COMPLETE");
               d.stall(d.leader(), 8 * SECOND);
               d.clock.after(
                   4 * SECOND,
                   () -> {
-                    claims[1] = logged("claim of term");
-                    inherited[1] = logged("inherits: WHOLE");
+                    takeovers[1] = logged("takeover of term=");
+                    recoveries[1] = logged("standby recovery -> COMPLETE");
                   });
             });
     // Before its lease could be over.
-    assertEquals(1, claims[1] - claims[0]);
-    assertEquals(1, inherited[1] - inherited[0]);
+    assertEquals(1, takeovers[1] - takeovers[0]);
+    assertEquals(1, recoveries[1] - recoveries[0]);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
@@ -246,7 +246,7 @@
   @Example
   void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
     play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
-    assertTrue(logged("IN_SYNC -> STRIKING") > 0);
+    assertTrue(logged("IN_SYNC -> REMOVING") > 0);
     assertEquals(0, leadershipLosses());
   }
 
@@ -260,11 +260,11 @@
                 d.clock.after(i * 3_300_000L, () -> d.crash(d.leader(), SECOND));
               }
             });
-    assertTrue(logged("inherits: ELECTED") >= 4);
+    assertTrue(logged("standby recovery -> ELECTED") >= 4);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 
-  /** Nobody can claim or be elected then; and nobody launches. */
+  /** Nobody can take over or be elected then; and nobody launches. */
   @Example
   void theStateServiceIsOutDuringATakeOver() {
     SimulatedCluster day =
@@ -274,7 +274,7 @@
               d.crash(d.leader(), 3 * SECOND);
               d.stateOutage(12 * SECOND);
             });
-    assertTrue(logged("inherits: ELECTED") >= 2);
+    assertTrue(logged("standby recovery -> ELECTED") >= 2);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
   }
 }
