--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -204,20 +204,21 @@
         Comparator.comparing((PlannedRoom r) -> !r.machine.spot)
             .thenComparing(r -> r.machine.attempts.isEmpty()));
     Map<RentalOption, Double> wanted = new LinkedHashMap<>();
-    List<Demand.Wish> wishes = demand.measure(now);
+    List<Demand.Estimate> estimates = demand.measure(now);
     // Where some work may use dear machines only, those are kept by all demand: a burst of it
     // cannot wait for a boot.
-    boolean sparing = wishes.stream().allMatch(w -> w.spec().spotAllowed());
-    for (Demand.Wish wish : wishes) {
-      JobSpec spec = wish.spec();
+    boolean sparing = estimates.stream().allMatch(w -> w.spec().spotAllowed());
+    for (Demand.Estimate estimate : estimates) {
+      JobSpec spec = estimate.spec();
       double got = 0;
       for (PlannedRoom room : rooms) {
         // Work that may use cheap machines gets dear ones only for what is at hand.
-        double most = sparing && !room.machine.spot ? wish.pressing() : wish.tasks();
+        double most = sparing && !room.machine.spot ? estimate.currentTasks() : estimate.tasks();
         got += room.take(spec, Math.max(0, most - got));
       }
       RentalOption offer = choose(spec);
-      double most = sparing && offer != null && !offer.spot() ? wish.pressing() : wish.tasks();
+      double most =
+          sparing && offer != null && !offer.spot() ? estimate.currentTasks() : estimate.tasks();
       if (offer != null && most - got > 1e-3) {
         boolean nowhere = rooms.stream().noneMatch(r -> r.machine.allows(spec));
         double machines = (most - got) * PlannedRoom.share(spec, type(offer.type()));
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -14,32 +14,83 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * How many tasks of each class should run at once for its jobs to be in time. A job's remaining
- * work is spread over the time until it is due, so work with slack waits for machines that are
- * there rather than for new ones; the highest recent demand is held for a while, since a new
- * machine takes a while to come.
+ * Estimates for each class of jobs how many of its tasks should run at once for its jobs to be in
+ * time. A job's remaining work is spread over the time until it is due, so work with slack waits
+ * for machines that are there rather than for new ones. The highest recent estimate decays slowly,
+ * since a new machine takes a while to come.
  */
 public final class Demand {
-  private static final double HOLD_MICROS = 90e6;
-  private static final double EARLY = 0.7;
-  private static final double NO_AIM_FACTOR = 4;
-  private static final long NO_AIM_MICROS = 60_000_000;
+  private static final double PEAK_DECAY_MICROS = 90e6;
+
+  /** Fewer tasks than this are no demand. */
+  private static final double MIN_TASKS = 0.05;
+
+  private static final double MIN_CPUS = 1e-3;
+  private static final double MIN_ESTIMATE_MICROS = 1e6;
+
+  /** However long a task has run, it is taken to need this part of its estimate still. */
+  private static final double MIN_REMAINING_DIVISOR = 5;
+
+  /** A job without an objective is planned to end in this part of the time it has. */
+  private static final double PLANNED_SHARE_OF_DEADLINE = 0.7;
+
+  /** The time of a job with neither objective nor deadline, by its estimate. */
+  private static final double DEFAULT_DEADLINE_ESTIMATES = 4;
+
+  private static final long DEFAULT_DEADLINE_MICROS = 60_000_000;
 
   /**
-   * So many tasks like this one should run at once. {@code pressing} of them are wanted by the work
-   * at hand; the rest was lately wanted, and is not worth a dear machine.
+   * So many tasks like those of {@code spec} should run at once.
+   *
+   * @param currentTasks how many of them the work at hand needs; the rest was needed lately, and is
+   *     not worth an on-demand machine
    */
-  record Wish(JobSpec spec, double tasks, double pressing) {}
+  record Estimate(JobSpec spec, double tasks, double currentTasks) {}
 
-  private static final class Held {
-    JobSpec spec;
-    double now;
-    double peak;
+  /** Jobs of one key need machines of the same kinds and use the same limit. */
+  private record ClassKey(String jobClass, String team, List<String> machineTypes, String zone) {
+    static ClassKey of(JobSpec spec) {
+      return new ClassKey(spec.jobClass(), spec.team(), spec.machineTypes(), spec.zone());
+    }
+  }
+
+  /** The demand of one class: what its open jobs need now, and the highest of late. */
+  private static final class ClassDemand {
+    private JobSpec spec;
+    private double currentTasks;
+    private double peakTasks;
+
+    void beginMeasurement() {
+      currentTasks = 0;
+    }
+
+    void add(JobSpec latestSpec, double tasks) {
+      spec = latestSpec;
+      currentTasks += tasks;
+    }
+
+    void endMeasurement(double decay) {
+      peakTasks = Math.max(currentTasks, peakTasks * decay);
+    }
+
+    /** However much slack there is, work needs at least one place to run. */
+    double wantedTasks() {
+      return currentTasks > 0 ? Math.max(1, peakTasks) : peakTasks;
+    }
+
+    Estimate estimate(double tasks) {
+      double current = currentTasks > 0 ? Math.max(1, currentTasks) : 0;
+      return new Estimate(spec, tasks, Math.min(tasks, current));
+    }
+
+    double peakCpus() {
+      return peakTasks * spec.cpus();
+    }
   }
 
   private final Settings settings;
   private final Replica replica;
-  private final Map<String, Held> classes = new LinkedHashMap<>();
+  private final Map<ClassKey, ClassDemand> classes = new LinkedHashMap<>();
   private long measuredMicros;
 
   public Demand(Settings settings, Replica replica) {
@@ -47,114 +98,130 @@
     this.replica = replica;
   }
 
-  /** Work that may use fewer kinds of machines comes first, so that it gets those. */
-  public List<Wish> measure(long nowMicros) {
-    double fade = Math.exp(-(nowMicros - measuredMicros) / HOLD_MICROS);
+  /**
+   * Measures the demand of the open jobs and estimates what should run at once, within the teams'
+   * limits. Work that may not use spot machines comes first, so that it gets the others.
+   */
+  public List<Estimate> measure(long nowMicros) {
+    double decay = Math.exp(-(nowMicros - measuredMicros) / PEAK_DECAY_MICROS);
     measuredMicros = nowMicros;
-    classes.values().forEach(h -> h.now = 0);
+    classes.values().forEach(ClassDemand::beginMeasurement);
     for (Job job : replica.open.values()) {
-      JobSpec spec = job.spec();
-      if (job.failedOn.size() >= 3) {
-        continue;
+      if (job.failedOn.size() < 3) {
+        classes
+            .computeIfAbsent(ClassKey.of(job.spec()), key -> new ClassDemand())
+            .add(job.spec(), tasksAtOnce(job, nowMicros));
       }
-      String key =
-          spec.jobClass() + " " + spec.team() + " " + spec.machineTypes() + " " + spec.zone();
-      Held held = classes.computeIfAbsent(key, k -> new Held());
-      held.spec = spec;
-      held.now += atOnce(job, work(job, nowMicros), planned(spec) - (nowMicros - job.seenMicros));
     }
-    List<Wish> wishes = new ArrayList<>();
-    Map<String, Double> teams = new LinkedHashMap<>();
-    for (Held held : classes.values()) {
-      held.peak = Math.max(held.now, held.peak * fade);
-      Settings.Team team = settings.teams().get(held.spec.team());
-      double limit = team == null || team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax();
-      double used = teams.getOrDefault(held.spec.team(), 0.0);
-      // However much slack there is, work needs at least one place to run.
-      double wanted = held.now > 0 ? Math.max(1, held.peak) : held.peak;
-      double tasks = Math.min(wanted, (limit - used) / Math.max(held.spec.cpus(), 1e-3));
-      teams.put(held.spec.team(), used + tasks * held.spec.cpus());
-      if (tasks > 0.05) {
-        double pressing = held.now > 0 ? Math.max(1, held.now) : 0;
-        wishes.add(new Wish(held.spec, tasks, Math.min(tasks, pressing)));
+    classes.values().forEach(demand -> demand.endMeasurement(decay));
+    List<Estimate> estimates = estimatesWithinLimits();
+    estimates.sort(Comparator.comparing((Estimate estimate) -> estimate.spec().spotAllowed()));
+    return estimates;
+  }
+
+  private List<Estimate> estimatesWithinLimits() {
+    List<Estimate> estimates = new ArrayList<>();
+    Map<String, Double> cpusByTeam = new LinkedHashMap<>();
+    for (ClassDemand demand : classes.values()) {
+      JobSpec spec = demand.spec;
+      double teamCpus = cpusByTeam.getOrDefault(spec.team(), 0.0);
+      double allowed = (cpuLimit(spec.team()) - teamCpus) / Math.max(spec.cpus(), MIN_CPUS);
+      double tasks = Math.min(demand.wantedTasks(), allowed);
+      cpusByTeam.put(spec.team(), teamCpus + tasks * spec.cpus());
+      if (tasks > MIN_TASKS) {
+        estimates.add(demand.estimate(tasks));
       }
     }
-    wishes.sort(Comparator.comparing((Wish w) -> w.spec().spotAllowed()));
-    return wishes;
+    return estimates;
+  }
+
+  private double cpuLimit(String name) {
+    Settings.Team team = settings.teams().get(name);
+    return team == null || team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax();
   }
 
   /**
-   * What each class lately wanted at once, for its team to keep from less urgent work. Only classes
-   * whose start is waited for: for the others their priority is enough. Seen after a burst: 2,400
-   * tasks of low priority stood still beside 950 free processors, since ordinary work that found no
-   * fitting machine kept half of the team's limit.
+   * Reserves for each class what it lately needed at once, so that its team keeps it from less
+   * urgent work. Only classes whose wait for a start has an objective: for the others their
+   * priority is enough. Seen after a burst: 2,400 tasks of low priority waited beside 950 free
+   * processors, since ordinary work that found no fitting machine kept half of the team's limit.
    */
-  public void reserve(TeamQuotas teams) {
-    for (Held held : classes.values()) {
-      if (!startIsWaitedFor(held.spec)) {
-        continue;
+  public void reserve(TeamQuotas quotas) {
+    for (ClassDemand demand : classes.values()) {
+      JobSpec spec = demand.spec;
+      if (hasWaitObjective(spec)) {
+        quotas.addReservation(spec.team(), spec.priority(), demand.peakCpus());
       }
-      teams.reserve(held.spec.team(), held.spec.priority(), held.peak * held.spec.cpus());
     }
   }
 
-  private boolean startIsWaitedFor(JobSpec spec) {
-    return settings.objectives().stream()
-        .anyMatch(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()));
-  }
-
-  /** What is left to be run of a job, as its owner estimates it. */
-  private static double work(Job job, long nowMicros) {
-    double estimate = Math.max(job.spec().estimateMicros(), 1e6);
-    double work = job.waiting() * estimate;
-    for (Attempt a : job.active.values()) {
-      boolean runs = a.reportedState == Heartbeat.TaskState.RUNNING;
-      double left = runs ? estimate - (nowMicros - a.runningSinceMicros) : estimate;
-      work += Math.max(left, estimate / 5);
+  private boolean hasWaitObjective(JobSpec spec) {
+    for (Settings.Objective objective : settings.objectives()) {
+      if (objective.kind().equals("wait") && objective.jobClass().equals(spec.jobClass())) {
+        return true;
+      }
     }
-    return work;
+    return false;
   }
 
-  private static double atOnce(Job job, double work, double windowMicros) {
+  private double tasksAtOnce(Job job, long nowMicros) {
     JobSpec spec = job.spec();
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       return spec.tasks();
     }
-    // Work that may not use cheap machines cannot borrow their room: what it wants at once is kept
+    double timeLeftMicros = plannedMicros(spec) - (nowMicros - job.seenMicros);
+    // Work that may not use spot machines can't borrow their room: what it needs at once is kept
     // there for it.
-    double window = spec.spotAllowed() ? windowMicros : 0;
+    double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
     return Math.min(
-        job.unfinished(), work / Math.max(window, Math.max(spec.estimateMicros(), 1e6)));
+        job.unfinished(),
+        remainingMicros(job, nowMicros) / Math.max(windowMicros, estimateMicros(spec)));
+  }
+
+  private static double estimateMicros(JobSpec spec) {
+    return Math.max(spec.estimateMicros(), MIN_ESTIMATE_MICROS);
+  }
+
+  /** The remaining running time of all tasks of a job, as its owner estimates it. */
+  private static double remainingMicros(Job job, long nowMicros) {
+    double estimate = estimateMicros(job.spec());
+    double remaining = job.waiting() * estimate;
+    for (Attempt attempt : job.active.values()) {
+      boolean running = attempt.reportedState == Heartbeat.TaskState.RUNNING;
+      double left = running ? estimate - (nowMicros - attempt.runningSinceMicros) : estimate;
+      remaining += Math.max(left, estimate / MIN_REMAINING_DIVISOR);
+    }
+    return remaining;
   }
 
   /**
-   * How long after its submission a job's work is planned to be over: early enough for its first
-   * aim. Estimates are often too low and room is not always where it is needed, so the fewer jobs
-   * may be late, the earlier.
+   * How long after its submission a job is planned to be done: early enough for its most pressing
+   * objective. Estimates are often too low and room is not always where it is needed, so the fewer
+   * jobs may be late, the earlier.
    */
-  private double planned(JobSpec spec) {
+  private double plannedMicros(JobSpec spec) {
     double planned = Double.MAX_VALUE;
-    for (Settings.Objective o : settings.objectives()) {
-      if (!o.jobClass().equals(spec.jobClass())) {
-        continue;
-      }
-      double within =
-          switch (o.kind()) {
-            case "deadline" ->
-                spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
-            case "wait" -> o.withinMicros() + spec.estimateMicros();
-            default -> o.withinMicros();
-          };
+    for (Settings.Objective objective : settings.objectives()) {
+      double within = objective.jobClass().equals(spec.jobClass()) ? within(objective, spec) : 0;
       if (within > 0) {
-        planned = Math.min(planned, within * (1 - o.share() / 2));
+        planned = Math.min(planned, within * (1 - objective.share() / 2));
       }
     }
-    if (planned < Double.MAX_VALUE) {
-      return planned;
-    }
-    return EARLY
-        * (spec.deadlineMicros() != JobSpec.NO_DEADLINE
-            ? spec.deadlineMicros()
-            : NO_AIM_FACTOR * spec.estimateMicros() + NO_AIM_MICROS);
+    return planned < Double.MAX_VALUE ? planned : PLANNED_SHARE_OF_DEADLINE * deadlineMicros(spec);
+  }
+
+  /** The time that the objective gives a job from submission to end; 0 if none. */
+  private static double within(Settings.Objective objective, JobSpec spec) {
+    return switch (objective.kind()) {
+      case "deadline" -> spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
+      case "wait" -> objective.withinMicros() + spec.estimateMicros();
+      default -> objective.withinMicros();
+    };
+  }
+
+  private static double deadlineMicros(JobSpec spec) {
+    return spec.deadlineMicros() != JobSpec.NO_DEADLINE
+        ? spec.deadlineMicros()
+        : DEFAULT_DEADLINE_ESTIMATES * spec.estimateMicros() + DEFAULT_DEADLINE_MICROS;
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -115,7 +115,7 @@
     if (!settings.teams().containsKey(spec.team())) {
       return "unknown team " + spec.team();
     }
-    if (!limits.canEverHold(spec)) {
+    if (!limits.limitAllowsAtAll(spec)) {
       return "more than the team's limit";
     }
     if (spec.zone() != null && !settings.zones().contains(spec.zone())) {
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -82,7 +82,7 @@
     return order.isWithinGuarantee(job)
         && nowMicros >= job.seenMicros + MIN_WAIT_MICROS
         && nowMicros >= job.preemptedMicros + REPEAT_AFTER_MICROS
-        && quotas.allowsOneMore(job.spec());
+        && quotas.limitAllowsOneMore(job.spec());
   }
 
   /**
@@ -97,7 +97,7 @@
         && !order.isWithinGuarantee(attempt.job)
         && waiting.priority().compareTo(attempt.spec.priority()) <= 0
         && !attempt.spec.team().equals(waiting.team())
-        && quotas.beyondGuarantee(attempt.spec.team()) >= attempt.spec.cpus();
+        && quotas.cpusAboveGuarantee(attempt.spec.team()) >= attempt.spec.cpus();
   }
 
   private void preempt(Attempt victim, Job job) {
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -41,7 +41,7 @@
         + ", free cpus "
         + Math.round(freeCpus(nowMicros))
         + ", used by teams "
-        + Math.round(quotas.totalCpus())
+        + Math.round(quotas.totalCpusInUse())
         + ", waiting "
         + waitingTasks()
         + starvationGuard.summary();
@@ -70,9 +70,9 @@
   }
 
   private String heldBackBy(JobSpec spec) {
-    if (!quotas.allowsOneMore(spec)) {
+    if (!quotas.limitAllowsOneMore(spec)) {
       return " at its limit";
     }
-    return quotas.leavesReserve(spec) ? "" : " at its reservation";
+    return quotas.reservationsAllowOneMore(spec) ? "" : " at its reservation";
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -40,7 +40,7 @@
     if (!workers.unconfirmed().isEmpty()) {
       countUnconfirmed(nowMicros);
     }
-    quotas.forgetReserves();
+    quotas.clearReservations();
     demand.reserve(quotas);
   }
 
@@ -53,11 +53,11 @@
   private void countUnconfirmed(long nowMicros) {
     for (Job job : replica.open.values()) {
       if (job.version() < term) {
-        quotas.unconfirmed(job.spec(), job.waiting());
+        quotas.addUnconfirmed(job.spec(), job.waiting());
       }
     }
     for (Job job : replica.cancelledLately(nowMicros)) {
-      quotas.unconfirmed(job.spec(), job.tasks());
+      quotas.addUnconfirmed(job.spec(), job.tasks());
     }
     double cpus = 0;
     double accelerators = 0;
@@ -70,7 +70,7 @@
 
   /** Whether one more task keeps the limit, and the reservations unless the job is boosted. */
   boolean admitsOneMore(Job job) {
-    return quotas.allowsOneMore(job.spec())
-        && (quotas.leavesReserve(job.spec()) || starvationGuard.isBoosted(job));
+    return quotas.limitAllowsOneMore(job.spec())
+        && (quotas.reservationsAllowOneMore(job.spec()) || starvationGuard.isBoosted(job));
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -106,7 +106,7 @@
       leaveQueue(attempt);
       attempt.phase = Attempt.Phase.PLANNED;
     }
-    teams.add(attempt.spec, 1);
+    teams.acquire(attempt.spec);
     attempt.machine.reserve(attempt.spec);
     if (!attempt.job.begun) {
       attempt.job.begun = true;
@@ -135,7 +135,7 @@
     if (attempt.phase == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
     } else {
-      teams.add(attempt.spec, -1);
+      teams.release(attempt.spec);
       attempt.machine.release(attempt.spec);
       if (attempt.phase == Attempt.Phase.PLANNED) {
         attempt.machine.toLaunch.remove(attempt);
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -173,7 +173,8 @@
           m.queue.size());
     }
     for (String team : bench.settings.teams().keySet()) {
-      assertEquals(use.getOrDefault(team, 0.0), bench.teams.cpus(team), 1e-6, "use of " + team);
+      assertEquals(
+          use.getOrDefault(team, 0.0), bench.teams.cpusInUse(team), 1e-6, "use of " + team);
     }
     for (Job job : bench.replica.open.values()) {
       assertEquals(
