--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -107,7 +107,7 @@
     measuredMicros = nowMicros;
     classes.values().forEach(ClassDemand::beginMeasurement);
     for (Job job : replica.open.values()) {
-      if (job.failedOn.size() < 3) {
+      if (!job.isLikelyFaulty()) {
         classes
             .computeIfAbsent(ClassKey.of(job.spec()), key -> new ClassDemand())
             .add(job.spec(), tasksAtOnce(job, nowMicros));
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -2,7 +2,6 @@
 
 import java.util.BitSet;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
@@ -12,6 +11,7 @@
  * attempt that may be alive; only when that attempt is proven gone does the task become free again.
  */
 public final class Job {
+  private static final int LIKELY_FAULTY_MACHINES = 3;
 
   /** OPEN until its tasks are done or its user cancels it; the other two are final. */
   public enum State {
@@ -44,11 +44,10 @@
 
   public final Map<Integer, Attempt> active = new HashMap<>();
 
-  /** The order of service as of the last pass, the smallest first. */
-  public int rank;
-
-  /** Whether any of its tasks has ever been placed, as far as this leader knows. */
-  public boolean begun;
+  private int effectivePriority;
+  private boolean started;
+  private final FailureBackoff failures = new FailureBackoff();
+  private long lastPreemptionMicros;
 
   /**
    * Those of them that wait at the leader for a machine's room, the one that has waited longest in
@@ -62,20 +61,6 @@
   /** When it was cancelled, as far as that is known; never later than when this node saw it. */
   public long cancelledMicros;
 
-  /**
-   * Machines on which a task failed since the last success; each one more makes the next pause
-   * longer.
-   */
-  public final Set<String> failedOn = new HashSet<>();
-
-  /**
-   * When work of others was last stopped for this job: what that frees must first have had time to
-   * arrive.
-   */
-  public long preemptedMicros;
-
-  public int failedRounds;
-  public long notBeforeMicros;
   private int firstFree;
 
   public Job(String id) {
@@ -165,10 +150,79 @@
     done = (BitSet) durable.clone();
     firstFree = 0;
     queued.clear();
-    begun = !durable.isEmpty() || shownRunning > 0;
-    failedOn.clear();
-    failedRounds = 0;
-    notBeforeMicros = 0;
+    started = !durable.isEmpty() || shownRunning > 0;
+    failures.reset();
+  }
+
+  /** Sets in which order the job is served; jobs of the smallest value are served first. */
+  public void setEffectivePriority(int priority) {
+    effectivePriority = priority;
+  }
+
+  /** The order of service as of the last pass: jobs of the smallest value are served first. */
+  public int effectivePriority() {
+    return effectivePriority;
+  }
+
+  /** Whether the other job was to be served first as of the last pass. */
+  public boolean isLessUrgentThan(Job other) {
+    return effectivePriority > other.effectivePriority;
+  }
+
+  /** Whether any of its tasks has ever been placed, as far as this leader knows. */
+  public boolean hasStarted() {
+    return started;
+  }
+
+  /**
+   * A task has been placed.
+   *
+   * @return whether it is the first one of the job
+   */
+  public boolean markStarted() {
+    boolean first = !started;
+    started = true;
+    return first;
+  }
+
+  /** Tasks of other teams have been preempted for this job. */
+  public void recordPreemption(long nowMicros) {
+    lastPreemptionMicros = nowMicros;
+  }
+
+  /** When tasks were last preempted for this job; 0 if never. */
+  public long lastPreemptionMicros() {
+    return lastPreemptionMicros;
+  }
+
+  /** One of its tasks has failed on a machine. */
+  public void recordFailure(String machineId, long nowMicros) {
+    failures.recordFailure(machineId, nowMicros);
+  }
+
+  /** One of its tasks has succeeded: earlier failures no longer count. */
+  public void recordSuccess() {
+    failures.recordSuccess();
+  }
+
+  /** Whether its tasks may be placed, or are delayed after failures. */
+  public boolean mayRetry(long nowMicros) {
+    return failures.mayRetry(nowMicros);
+  }
+
+  /** Whether a task has failed on the machine since the last success. */
+  public boolean hasFailedOn(String machineId) {
+    return failures.hasFailedOn(machineId);
+  }
+
+  /** On how many machines a task has failed since the last success. */
+  public int failedMachines() {
+    return failures.failedMachines();
+  }
+
+  /** Whether its tasks have failed on so many machines that the job itself is likely at fault. */
+  public boolean isLikelyFaulty() {
+    return failures.failedMachines() >= LIKELY_FAULTY_MACHINES;
   }
 
   /** How many tasks machines show as running. */
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -53,7 +53,7 @@
     if (preemptionsLeft == 0 || !mayPreempt(job, nowMicros)) {
       return;
     }
-    job.preemptedMicros = nowMicros;
+    job.recordPreemption(nowMicros);
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
     constraints.chooseZone();
@@ -81,7 +81,7 @@
   private boolean mayPreempt(Job job, long nowMicros) {
     return order.isWithinGuarantee(job)
         && nowMicros >= job.seenMicros + MIN_WAIT_MICROS
-        && nowMicros >= job.preemptedMicros + REPEAT_AFTER_MICROS
+        && nowMicros >= job.lastPreemptionMicros() + REPEAT_AFTER_MICROS
         && quotas.limitAllowsOneMore(job.spec());
   }
 
--- a/src/main/java/org/eiderstair/core/placement/JobPlacer.java
+++ b/src/main/java/org/eiderstair/core/placement/JobPlacer.java
@@ -8,9 +8,6 @@
 
 /** Places the waiting tasks of one job: on available machines, else in short queues. */
 final class JobPlacer {
-  /** A job that has failed on so many machines tries one task at a time. */
-  private static final int MAX_FAILED_MACHINES = 3;
-
   private final WorkerManager workers;
   private final QuotaAdmission admission;
   private final MachineSelector selector;
@@ -36,7 +33,7 @@
   }
 
   private void placeWaiting(Job job, PlacementConstraints constraints, long nowMicros) {
-    int maxActive = job.failedOn.size() >= MAX_FAILED_MACHINES ? 1 : Integer.MAX_VALUE;
+    int maxActive = job.isLikelyFaulty() ? 1 : Integer.MAX_VALUE;
     Candidates candidates = null;
     for (int index = job.nextFree(0); index >= 0; index = job.nextFree(index + 1)) {
       if (job.active.size() >= maxActive || !admission.admitsOneMore(job)) {
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -38,20 +38,20 @@
   /**
    * Gives queued attempts the room that their machines have got.
    *
-   * @param maxRank only attempts of jobs that rank no later than this one
+   * @param maxPriority only attempts of jobs whose effective priority is at most this value
    */
-  void serve(int maxRank, long nowMicros) {
+  void serve(int maxPriority, long nowMicros) {
     for (Machine machine : workers.queuesToServe()) {
-      serve(machine, maxRank, nowMicros);
+      serve(machine, maxPriority, nowMicros);
     }
   }
 
-  private void serve(Machine machine, int maxRank, long nowMicros) {
+  private void serve(Machine machine, int maxPriority, long nowMicros) {
     for (Attempt attempt : new ArrayList<>(machine.queue)) {
       steps.add(1);
       if (!attempt.job.open()) {
         workers.remove(attempt);
-      } else if (attempt.job.rank > maxRank
+      } else if (attempt.job.effectivePriority() > maxPriority
           || !machine.usable(nowMicros)
           || !machine.fits(attempt.spec)) {
         // Nothing later in the queue overtakes: room may be accumulating for this one.
@@ -88,11 +88,12 @@
   private boolean canJoin(Machine machine, Job job, PlacementConstraints constraints) {
     return isShort(machine.queue, job)
         && constraints.allows(machine)
-        && !job.failedOn.contains(machine.id);
+        && !job.hasFailedOn(machine.id);
   }
 
   private boolean isShort(List<Attempt> queue, Job job) {
-    return queue.size() < maxQueueLength || maxQueueLength > 0 && last(queue).job.rank > job.rank;
+    return queue.size() < maxQueueLength
+        || maxQueueLength > 0 && last(queue).job.isLessUrgentThan(job);
   }
 
   private static Attempt last(List<Attempt> queue) {
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -20,6 +20,7 @@
  * GuaranteePreemption} frees room for jobs within their team's guarantee.
  */
 public final class Placement {
+  private static final int ALL_PRIORITIES = Integer.MAX_VALUE;
   private static final long ORDER_UPDATE_MICROS = 500_000;
 
   private final Replica replica;
@@ -80,7 +81,8 @@
     preemption.beginPass();
     List<Job> jobs = order.jobsToPlace(nowMicros);
     // A machine's own queue goes first, but never before waiting work that is more urgent.
-    queues.serve(jobs.isEmpty() ? Integer.MAX_VALUE : jobs.get(0).rank, nowMicros);
+    int highestPriority = jobs.isEmpty() ? ALL_PRIORITIES : jobs.get(0).effectivePriority();
+    queues.serve(highestPriority, nowMicros);
     for (Job job : jobs) {
       placer.place(job, nowMicros);
       if (job.waiting() > 0 || job.hasQueued()) {
@@ -88,7 +90,7 @@
       }
     }
     // Queued attempts that yielded to more urgent work take the room that is left.
-    queues.serve(Integer.MAX_VALUE, nowMicros);
+    queues.serve(ALL_PRIORITIES, nowMicros);
     workers.queuesToServe().clear();
   }
 
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -18,7 +18,7 @@
  * within their team's guarantee, then by age.
  */
 final class ServiceOrder {
-  private static final int BOOSTED_RANK = -1;
+  private static final int BOOSTED_PRIORITY = -1;
 
   private final Settings settings;
   private final Replica replica;
@@ -69,22 +69,22 @@
   }
 
   /**
-   * Ranks all open jobs and returns those that have something to place now, in the order of
-   * service. While a machine is unconfirmed, tasks of older jobs may be running there, so these
-   * jobs wait.
+   * Updates the effective priority of all open jobs and returns those that have something to place
+   * now, in the order of service. While a machine is unconfirmed, tasks of older jobs may be
+   * running there, so these jobs wait.
    */
   List<Job> jobsToPlace(long nowMicros) {
     boolean someUnconfirmed = !workers.unconfirmed().isEmpty();
     List<Job> jobs = new ArrayList<>();
     steps.add(replica.open.size());
     for (Job job : replica.open.values()) {
-      job.rank = rank(job);
+      job.setEffectivePriority(effectivePriority(job));
       boolean mayBeRunning = someUnconfirmed && job.version() < term;
-      if (!mayBeRunning && nowMicros >= job.notBeforeMicros && hasTaskToPlace(job)) {
+      if (!mayBeRunning && job.mayRetry(nowMicros) && hasTaskToPlace(job)) {
         jobs.add(job);
       }
     }
-    jobs.sort(Comparator.comparingInt((Job job) -> job.rank).thenComparing(Job::version));
+    jobs.sort(Comparator.comparingInt(Job::effectivePriority).thenComparing(Job::version));
     return jobs;
   }
 
@@ -97,9 +97,9 @@
    * ordinary work that is within one, since a guarantee holds against what other teams borrow,
    * whatever its priority.
    */
-  private int rank(Job job) {
+  private int effectivePriority(Job job) {
     if (starvationGuard.isBoosted(job)) {
-      return BOOSTED_RANK;
+      return BOOSTED_PRIORITY;
     }
     JobSpec.Priority priority = job.spec().priority();
     if (!isWithinGuarantee(job)) {
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -127,9 +127,9 @@
   }
 
   private static boolean waitsForLong(Job job, long nowMicros) {
-    return !job.begun
+    return !job.hasStarted()
         && nowMicros >= job.seenMicros + LONG_WAIT_MICROS
-        && nowMicros >= job.notBeforeMicros;
+        && job.mayRetry(nowMicros);
   }
 
   private void updateStarving() {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -90,7 +90,7 @@
     if (attempt.phase == Attempt.Phase.QUEUED) {
       List<Attempt> queue = attempt.machine.queue;
       int at = queue.size();
-      while (at > 0 && queue.get(at - 1).job.rank > attempt.job.rank) {
+      while (at > 0 && queue.get(at - 1).job.isLessUrgentThan(attempt.job)) {
         at--;
       }
       queue.add(at, attempt);
@@ -108,8 +108,7 @@
     }
     teams.acquire(attempt.spec);
     attempt.machine.reserve(attempt.spec);
-    if (!attempt.job.begun) {
-      attempt.job.begun = true;
+    if (attempt.job.markStarted()) {
       jobStartedListener.accept(attempt.job);
     }
     if (attempt.phase == Attempt.Phase.PLANNED) {
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -26,8 +26,6 @@
  */
 final class HeartbeatHandler {
   private static final long SAVE_MARGIN_MICROS = 1_500_000;
-  private static final long FAILURE_PAUSE_MICROS = 1_000_000;
-  private static final long MAX_PAUSE_MICROS = 60_000_000;
 
   private final EffectSink sink;
   private final EventTime time;
@@ -306,8 +304,7 @@
         && task.index() < job.tasks()) {
       if (!job.done.get(task.index())) {
         job.done.set(task.index());
-        job.failedOn.clear();
-        job.failedRounds = 0;
+        job.recordSuccess();
         machine.errorsInRow = 0;
         machine.failedJobs.clear();
         boolean all =
@@ -343,21 +340,16 @@
   /** Tells a machine that fails everything from a job that fails everywhere. */
   private void failed(Machine machine, Job job, TaskId task) {
     sink.info("task " + task + " failed on " + machine.id + ", term=" + term);
-    boolean again = !job.failedOn.add(machine.id);
-    if ((again || job.failedOn.size() > 1) && time.nowMicros() >= job.notBeforeMicros) {
-      job.failedRounds++;
-      long pause = FAILURE_PAUSE_MICROS << Math.min(job.failedRounds, 6);
-      job.notBeforeMicros = time.nowMicros() + Math.min(MAX_PAUSE_MICROS, pause);
-    }
+    job.recordFailure(machine.id, time.nowMicros());
     machine.errorsInRow++;
-    if (!job.done.isEmpty() || job.failedOn.size() == 1) {
+    if (!job.done.isEmpty() || job.failedMachines() == 1) {
       machine.failedJobs.add(job.id);
     }
     // A job with a mistake fails wherever it goes: it alone may cost one machine, never one after
     // another.
     boolean faulty =
         machine.failedJobs.size() >= 2 && machine.errorsInRow >= 3
-            || job.failedOn.size() == 1 && machine.errorsInRow >= 6;
+            || job.failedMachines() == 1 && machine.errorsInRow >= 6;
     if (faulty && machine.plan == Machine.Plan.ACTIVE) {
       sink.info(
           "machine "
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -49,7 +49,7 @@
   }
 
   private void start(Job job) {
-    job.begun = true;
+    job.markStarted();
     starvationGuard.noteStarted(job);
   }
 
