--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -1,7 +1,6 @@
 package org.eiderstair.core;
 
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
 import org.eiderstair.core.jobs.CancellationBroadcast;
@@ -15,11 +14,12 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Job;
+import org.eiderstair.core.record.StandbyRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateServiceHealth;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.core.workers.HeartbeatRelay;
 
 /**
@@ -217,7 +217,7 @@
    * leader that is alive and merely out of this node's reach has removed it from the record by now.
    */
   private void takeOverIfLeaderIsSilent() {
-    Reply.Item record = replica.duties.get(Standby.RECORD);
+    Replica.StoredStandby record = replica.standby();
     Replica.Leader leader = replica.leader();
     if (takingOver
         || now < nextTakeoverMicros
@@ -226,10 +226,10 @@
         || !leadership.isFollower()
         || !standby.leaderTimedOut(now)
         || !standby.namesThisNode(record.value())
-        || StoredRecords.whole(record.value(), "epoch", 0) != leader.term()) {
+        || record.value().term() != leader.term()) {
       return;
     }
-    Map<String, Object> takenOver = Standby.withTakeover(record.value());
+    StandbyRecord takenOver = record.value().withTakeover();
     takingOver = true;
     standby.stopFollowing();
     sink.info(
@@ -237,15 +237,15 @@
     sink.call(
         new Request.StoreTxn(
             List.of(
-                new Request.Condition(StoredRecords.LEADER, leader.term()),
-                new Request.Condition(Standby.RECORD, record.version())),
-            List.of(new Request.Write(Standby.RECORD, takenOver, 0))),
+                new Request.Condition(StateKeys.LEADER, leader.term()),
+                new Request.Condition(StateKeys.STANDBY, record.version())),
+            List.of(new Request.Write(StateKeys.STANDBY, takenOver, 0))),
         reply -> {
           takingOver = false;
           nextTakeoverMicros = now + TAKEOVER_RETRY_MICROS;
           sink.info("takeover of term=" + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
-            replica.apply(new Reply.Item(Standby.RECORD, takenOver, applied.revision()));
+            replica.apply(new Reply.Item(StateKeys.STANDBY, takenOver, applied.revision()));
             sink.call(new Request.LeaseRevoke(leader.lease()), dropped -> {});
           }
         });
@@ -258,7 +258,7 @@
 
   @Override
   public boolean anotherNodeInSync() {
-    Reply.Item record = replica.duties.get(Standby.RECORD);
+    Replica.StoredStandby record = replica.standby();
     return record != null
         && Standby.namesAnyNode(record.value())
         && !standby.namesThisNode(record.value());
--- a/src/main/java/org/eiderstair/core/Scheduler.java
+++ b/src/main/java/org/eiderstair/core/Scheduler.java
@@ -19,13 +19,14 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.placement.Placement;
 import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.record.StandbyRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.RecordRead;
 import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.core.workers.AvailableMachines;
 import org.eiderstair.core.workers.WorkerManager;
 
@@ -189,7 +190,7 @@
    * every machine is asked.
    */
   private void recoverState() {
-    Reply.Item record = replica.duties.get(Standby.RECORD);
+    Replica.StoredStandby record = replica.standby();
     workers.takeOver(
         electedMicros,
         standby
@@ -239,16 +240,16 @@
     }
 
     @Override
-    public void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+    public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
       sink.call(
           new Request.StoreTxn(
               List.of(
-                  new Request.Condition(StoredRecords.LEADER, term),
-                  new Request.Condition(Standby.RECORD, version)),
-              List.of(new Request.Write(Standby.RECORD, record, 0))),
+                  new Request.Condition(StateKeys.LEADER, term),
+                  new Request.Condition(StateKeys.STANDBY, version)),
+              List.of(new Request.Write(StateKeys.STANDBY, record, 0))),
           reply -> {
             if (reply instanceof Reply.Applied applied) {
-              replica.apply(new Reply.Item(Standby.RECORD, record, applied.revision()));
+              replica.apply(new Reply.Item(StateKeys.STANDBY, record, applied.revision()));
               callback.accept(new RecordWrite.Written(applied.revision()));
             } else {
               callback.accept(
@@ -262,14 +263,14 @@
     @Override
     public void read(Consumer<RecordRead> callback) {
       sink.call(
-          new Request.StoreGet(Standby.RECORD),
+          new Request.StoreGet(StateKeys.STANDBY),
           reply -> {
             if (reply instanceof Reply.Found found) {
               Reply.Item item = found.item();
               callback.accept(
                   item == null
                       ? new RecordRead.Absent()
-                      : new RecordRead.Found(item.version(), item.value()));
+                      : new RecordRead.Found(item.version(), (StandbyRecord) item.value()));
             } else {
               callback.accept(new RecordRead.Unknown());
             }
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -24,6 +24,7 @@
 import org.eiderstair.core.provisioning.RentalOption;
 import org.eiderstair.core.provisioning.RentalRequest;
 import org.eiderstair.core.provisioning.RentalResponseHandler;
+import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.RateBudget;
 import org.eiderstair.core.state.Replica;
@@ -118,7 +119,7 @@
   public void takeOver(long nowMicros) {
     now = nowMicros;
     workers.leaving(duties::isReleasing);
-    Map<String, Map<String, Object>> records = new TreeMap<>();
+    Map<String, StoredValue> records = new TreeMap<>();
     replica.duties.values().forEach(item -> records.put(item.key(), item.value()));
     duties.resume(records, now);
     for (Machine m : workers.machines().values()) {
@@ -325,7 +326,7 @@
    */
   private final class Host implements ProvisioningHost {
     @Override
-    public void put(String key, Map<String, Object> value, Runnable onDurable) {
+    public void put(String key, StoredValue value, Runnable onDurable) {
       stateWriter.note(key, value, onDurable);
     }
 
--- a/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
+++ b/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
@@ -1,12 +1,12 @@
 package org.eiderstair.core.capacity;
 
 import java.util.List;
-import java.util.Map;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.core.workers.WorkerManager;
 
 /** Asks the cloud for the types of machines now and then, and keeps them in the state service. */
@@ -59,16 +59,16 @@
           }
           // Kept in the state service so that every node can judge jobs, also while the cloud does
           // not answer.
-          Map<String, Object> value = StoredRecords.catalog(catalog.types());
+          CatalogRecord value = new CatalogRecord(catalog.types());
           sink.call(
               new Request.StoreTxn(
                   List.of(
-                      new Request.Condition(StoredRecords.LEADER, term),
-                      new Request.Condition(StoredRecords.CATALOG, replica.catalogVersion())),
-                  List.of(new Request.Write(StoredRecords.CATALOG, value, 0))),
+                      new Request.Condition(StateKeys.LEADER, term),
+                      new Request.Condition(StateKeys.CATALOG, replica.catalogVersion())),
+                  List.of(new Request.Write(StateKeys.CATALOG, value, 0))),
               written -> {
                 if (written instanceof Reply.Applied applied) {
-                  replica.apply(new Reply.Item(StoredRecords.CATALOG, value, applied.revision()));
+                  replica.apply(new Reply.Item(StateKeys.CATALOG, value, applied.revision()));
                   workers.typesChanged();
                 } else {
                   nextMicros = now + RETRY_MICROS;
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -14,9 +14,10 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 
 /**
  * Serves users on every node. Final states never change and are told from the replica; anything
@@ -136,9 +137,8 @@
   }
 
   private void create(long exchange, JobSpec spec) {
-    Map<String, Object> value = StoredRecords.openJob(spec);
-    value.put("at", replica.dayMicros(now));
-    String key = StoredRecords.jobKey(spec.id());
+    JobRecord value = JobRecord.open(spec, replica.dayMicros(now));
+    String key = StateKeys.job(spec.id());
     sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, value, 0))),
@@ -206,9 +206,9 @@
       sink.respond(exchange, view(job, 200));
       return;
     }
-    String key = StoredRecords.jobKey(id);
-    Map<String, Object> value =
-        StoredRecords.cancelledJob(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
+    String key = StateKeys.job(id);
+    JobRecord value =
+        JobRecord.cancelled(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
     sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, job.version())),
@@ -268,7 +268,7 @@
     nextConfirmMicros = now + settings.gatherMicros();
     List<Request.Condition> conditions = new ArrayList<>();
     versions.forEach(
-        (id, version) -> conditions.add(new Request.Condition(StoredRecords.jobKey(id), version)));
+        (id, version) -> conditions.add(new Request.Condition(StateKeys.job(id), version)));
     sink.call(
         new Request.StoreTxn(conditions, List.of()),
         reply -> {
@@ -279,7 +279,7 @@
             // Reads answer for the old ones. The others are asked again: a failed list need not be
             // complete.
             for (Waiting w : batch) {
-              if (conflict.failed().contains(StoredRecords.jobKey(w.id()))) {
+              if (conflict.failed().contains(StateKeys.job(w.id()))) {
                 read(w.id(), w.current(), w.unavailable());
               } else {
                 waiting.add(w);
@@ -293,7 +293,7 @@
 
   /** Reads the job's key itself; what it shows is current. */
   private void read(String id, Consumer<Job> current, Runnable unavailable) {
-    String key = StoredRecords.jobKey(id);
+    String key = StateKeys.job(id);
     sink.call(
         new Request.StoreGet(key),
         reply -> {
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -4,9 +4,10 @@
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 
 /**
  * The requests of an election: a lease, then the leader key on that lease by compare-and-swap. The
@@ -63,16 +64,16 @@
 
   /** Creates the leader key if it does not exist. */
   void createLeaderKey(long lease, long nowMicros) {
-    var value = StoredRecords.leader(settings.node(), lease, runId);
+    var value = new LeaderRecord(settings.node(), lease, runId);
     sink.call(
         new Request.StoreTxn(
-            List.of(new Request.Condition(StoredRecords.LEADER, 0)),
-            List.of(new Request.Write(StoredRecords.LEADER, value, lease))),
+            List.of(new Request.Condition(StateKeys.LEADER, 0)),
+            List.of(new Request.Write(StateKeys.LEADER, value, lease))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             long term = applied.revision();
             replica.proves(nowMicros, term);
-            replica.apply(new Reply.Item(StoredRecords.LEADER, value, term));
+            replica.apply(new Reply.Item(StateKeys.LEADER, value, term));
             if (replica.leader() != null && replica.leader().term() == term) {
               candidate.elected(term, nowMicros);
               return;
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -5,9 +5,9 @@
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 
 /**
  * Whether this node leads: the state machine of one node's part in leader election. The leader key
@@ -248,7 +248,7 @@
     }
     long sentMicros = now;
     sink.call(
-        new Request.StoreTxn(List.of(new Request.Condition(StoredRecords.LEADER, term)), List.of()),
+        new Request.StoreTxn(List.of(new Request.Condition(StateKeys.LEADER, term)), List.of()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.proves(sentMicros, applied.revision());
--- a/src/main/java/org/eiderstair/core/message/Reply.java
+++ b/src/main/java/org/eiderstair/core/message/Reply.java
@@ -1,15 +1,15 @@
 package org.eiderstair.core.message;
 
 import java.util.List;
-import java.util.Map;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.record.StoredValue;
 
 /** What came of a {@link Request}. */
 public sealed interface Reply {
 
   /** A key's value as of a revision. */
-  record Item(String key, Map<String, Object> value, long version) {}
+  record Item(String key, StoredValue value, long version) {}
 
   /** Done; the revision after it where the state service gave one. */
   record Applied(long revision) implements Reply {}
--- a/src/main/java/org/eiderstair/core/message/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -1,11 +1,11 @@
 package org.eiderstair.core.message;
 
 import java.util.List;
-import java.util.Map;
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Order;
+import org.eiderstair.core.record.StoredValue;
 
 /** What the core asks of the world. Each gets exactly one {@link Reply}. */
 public sealed interface Request {
@@ -14,7 +14,7 @@
   record Condition(String key, long version) {}
 
   /** Puts a value, or drops the key when the value is null. Lease 0 means none. */
-  record Write(String key, Map<String, Object> value, long lease) {}
+  record Write(String key, StoredValue value, long lease) {}
 
   /** A transaction: all writes if all conditions hold, else none. */
   record StoreTxn(List<Condition> conditions, List<Write> writes) implements Request {}
--- a/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
+++ b/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
@@ -1,11 +1,10 @@
 package org.eiderstair.core.provisioning;
 
 import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import org.eiderstair.core.record.ReleaseRecord;
 
 /**
  * Machines that are released together. The record that names them is durable before the cloud is
@@ -134,24 +133,18 @@
     cancelling = false;
   }
 
-  Map<String, Object> record() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("epoch", term);
-    m.put("ids", List.copyOf(machines));
-    return m;
+  /** Its stored form. */
+  ReleaseRecord record() {
+    return new ReleaseRecord(term, List.copyOf(machines));
   }
 
   /**
-   * Reads the record of an earlier term. Whether its request was sent is not known, so it is
+   * Takes over the record of an earlier term. Whether its request was sent is not known, so it is
    * finished in any case.
    */
-  static MachineRelease read(String name, Map<String, Object> m) {
+  static MachineRelease of(String name, ReleaseRecord record) {
     MachineRelease release =
-        new MachineRelease(
-            name,
-            ProvisioningFields.whole(m, "epoch"),
-            ProvisioningFields.texts(m, "ids"),
-            State.DURABLE);
+        new MachineRelease(name, record.term(), record.machines(), State.DURABLE);
     release.neverRequested = false;
     return release;
   }
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
+import org.eiderstair.core.record.StoredValue;
 
 /**
  * Rents and releases machines; only the leader may. The cloud knows no fencing tokens, so what
@@ -10,12 +11,6 @@
  * machine to be deleted. docs/duties.md weighs the alternatives.
  */
 public final class ProvisioningController {
-  /** Keys of open rentals; what follows is the request id. */
-  public static final String RENTAL_KEY_PREFIX = "e/duty/rent/";
-
-  /** Keys of open releases; what follows is their name. */
-  public static final String RELEASE_KEY_PREFIX = "e/duty/leave/";
-
   private final ProvisioningTerm term;
   private final ProvisioningHost host;
   private final ProvisioningRecords records;
@@ -45,7 +40,7 @@
    *
    * @param stored their records by key; one that cannot be read is passed over
    */
-  public void resume(Map<String, Map<String, Object>> stored, long nowMicros) {
+  public void resume(Map<String, StoredValue> stored, long nowMicros) {
     term.begin(nowMicros);
     records.read(stored, rentals, releases);
     host.info("provisioning RECOVERING, term=" + term.number() + ": of earlier terms " + summary());
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningHost.java
@@ -1,8 +1,8 @@
 package org.eiderstair.core.provisioning;
 
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
+import org.eiderstair.core.record.StoredValue;
 
 /** What {@link ProvisioningController} needs of the leader: state service, cloud, machines, log. */
 public interface ProvisioningHost {
@@ -11,7 +11,7 @@
    *
    * @param onDurable runs once the record is written; never if this node has been replaced
    */
-  void put(String key, Map<String, Object> value, Runnable onDurable);
+  void put(String key, StoredValue value, Runnable onDurable);
 
   /** Removes a record, on the same condition. */
   void remove(String key);
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
@@ -2,6 +2,12 @@
 
 import java.util.Map;
 import java.util.TreeMap;
+import org.eiderstair.core.record.ReleaseRecord;
+import org.eiderstair.core.record.RentalIntentRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.UnreadableValue;
+import org.eiderstair.core.record.UnreadableValueException;
 
 /** The records of open rentals and releases in the state service. */
 final class ProvisioningRecords {
@@ -19,20 +25,12 @@
    * Gives each record to its reader, in the order of keys. One that cannot be read is logged and
    * left unchanged, as a newer version may have written it.
    */
-  void read(
-      Map<String, Map<String, Object>> records, RentalIntents rentals, MachineReleases releases) {
+  void read(Map<String, StoredValue> records, RentalIntents rentals, MachineReleases releases) {
     new TreeMap<>(records)
         .forEach(
             (key, value) -> {
               try {
-                if (key.startsWith(ProvisioningController.RENTAL_KEY_PREFIX)) {
-                  String requestId =
-                      key.substring(ProvisioningController.RENTAL_KEY_PREFIX.length());
-                  rentals.resume(RentalIntent.read(requestId, value));
-                } else if (key.startsWith(ProvisioningController.RELEASE_KEY_PREFIX)) {
-                  String name = key.substring(ProvisioningController.RELEASE_KEY_PREFIX.length());
-                  releases.resume(MachineRelease.read(name, value));
-                }
+                read(key, value, rentals, releases);
               } catch (RuntimeException e) {
                 host.error(
                     "unreadable provisioning record key="
@@ -45,25 +43,34 @@
             });
   }
 
+  private static void read(
+      String key, StoredValue value, RentalIntents rentals, MachineReleases releases) {
+    if (value instanceof RentalIntentRecord rental) {
+      rentals.resume(RentalIntent.of(StateKeys.Kind.RENTAL.idOf(key), rental));
+    } else if (value instanceof ReleaseRecord release) {
+      releases.resume(MachineRelease.of(StateKeys.Kind.RELEASE.idOf(key), release));
+    } else if (value instanceof UnreadableValue unreadable) {
+      throw new UnreadableValueException(unreadable.problem());
+    }
+  }
+
   void write(RentalIntent rental) {
     write(rental, NOTHING);
   }
 
   void write(RentalIntent rental, Runnable onDurable) {
-    host.put(
-        ProvisioningController.RENTAL_KEY_PREFIX + rental.requestId(), rental.record(), onDurable);
+    host.put(StateKeys.rental(rental.requestId()), rental.record(), onDurable);
   }
 
   void remove(RentalIntent rental) {
-    host.remove(ProvisioningController.RENTAL_KEY_PREFIX + rental.requestId());
+    host.remove(StateKeys.rental(rental.requestId()));
   }
 
   void write(MachineRelease release, Runnable onDurable) {
-    host.put(
-        ProvisioningController.RELEASE_KEY_PREFIX + release.name(), release.record(), onDurable);
+    host.put(StateKeys.release(release.name()), release.record(), onDurable);
   }
 
   void remove(MachineRelease release) {
-    host.remove(ProvisioningController.RELEASE_KEY_PREFIX + release.name());
+    host.remove(StateKeys.release(release.name()));
   }
 }
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
@@ -1,11 +1,10 @@
 package org.eiderstair.core.provisioning;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
+import org.eiderstair.core.record.RentalIntentRecord;
 
 /**
  * One rental. It is durable before the cloud is asked, so that a successor repeats the same
@@ -129,39 +128,29 @@
   }
 
   /** Its stored form, which names only machines that are not settled. */
-  Map<String, Object> record() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("type", request.option().type());
-    m.put("zone", request.option().zone());
-    m.put("spot", request.option().spot());
-    m.put("n", (long) request.count());
-    m.put("epoch", term);
-    m.put("at", decidedDayMicros);
-    if (state == State.GRANTED) {
-      m.put("ids", List.copyOf(unsettled));
-    }
-    return m;
-  }
-
-  /** Reads what an earlier term wrote; unknown fields are ignored, a missing one is refused. */
-  static RentalIntent read(String requestId, Map<String, Object> m) {
-    RentalOption option =
-        new RentalOption(
-            ProvisioningFields.text(m, "type"),
-            ProvisioningFields.text(m, "zone"),
-            Boolean.TRUE.equals(m.get("spot")));
-    int count = (int) ProvisioningFields.whole(m, "n");
-    if (count < 1) {
-      throw new IllegalArgumentException("n: " + count);
-    }
+  RentalIntentRecord record() {
+    RentalOption option = request.option();
+    return new RentalIntentRecord(
+        option.type(),
+        option.zone(),
+        option.spot(),
+        request.count(),
+        term,
+        decidedDayMicros,
+        state == State.GRANTED ? List.copyOf(unsettled) : null);
+  }
+
+  /** Takes over what an earlier term wrote. */
+  static RentalIntent of(String requestId, RentalIntentRecord record) {
+    RentalOption option = new RentalOption(record.type(), record.zone(), record.spot());
     RentalIntent intent =
         new RentalIntent(
-            new RentalRequest(requestId, option, count),
-            ProvisioningFields.whole(m, "epoch"),
-            ProvisioningFields.whole(m, "at"),
-            m.containsKey("ids") ? State.GRANTED : State.DURABLE);
-    if (m.containsKey("ids")) {
-      intent.addMachines(ProvisioningFields.texts(m, "ids"));
+            new RentalRequest(requestId, option, record.count()),
+            record.term(),
+            record.decidedDayMicros(),
+            record.granted() ? State.GRANTED : State.DURABLE);
+    if (record.granted()) {
+      intent.addMachines(record.machines());
     }
     return intent;
   }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/record/StandbyRecord.java
@@ -0,0 +1,43 @@
+package org.eiderstair.core.record;
+
+/**
+ * The standby that holds all of the leader's state.
+ *
+ * @param term of the leader that wrote it; 0 when it names none
+ * @param node the standby, or empty when there is none
+ * @param run identifies the standby's process
+ * @param takenOver whether the standby has ended the term
+ * @param unknownFields what a newer version has added
+ */
+public record StandbyRecord(
+    long term, String node, String run, boolean takenOver, UnknownFields unknownFields)
+    implements StoredValue {
+
+  /** A record that the standby has not ended. */
+  public StandbyRecord(long term, String node, String run) {
+    this(term, node, run, false, UnknownFields.NONE);
+  }
+
+  /** Whether it names a standby. */
+  public boolean namesStandby() {
+    return node != null && !node.isEmpty();
+  }
+
+  /** Whether it names that process of that node. */
+  public boolean names(String otherNode, String otherRun) {
+    return otherNode.equals(node) && otherRun.equals(run);
+  }
+
+  /**
+   * The same record, with which the standby takes over: its leader can neither drop it nor launch
+   * beside it.
+   */
+  public StandbyRecord withTakeover() {
+    return new StandbyRecord(term, node, run, true, unknownFields);
+  }
+
+  @Override
+  public <T> T accept(Visitor<T> visitor) {
+    return visitor.standby(this);
+  }
+}
--- a/src/main/java/org/eiderstair/core/standby/InSyncRecordWriter.java
+++ b/src/main/java/org/eiderstair/core/standby/InSyncRecordWriter.java
@@ -1,7 +1,6 @@
 package org.eiderstair.core.standby;
 
-import java.util.LinkedHashMap;
-import java.util.Map;
+import org.eiderstair.core.record.StandbyRecord;
 
 /**
  * Writes the record that names the standby in sync, by compare-and-swap on its version and this
@@ -44,10 +43,7 @@
       return;
     }
     busy = true;
-    Map<String, Object> record = new LinkedHashMap<>();
-    record.put("epoch", term);
-    record.put("node", node);
-    record.put("run", runId);
+    StandbyRecord record = new StandbyRecord(term, node, runId);
     host.write(version, record, outcome -> finished(outcome, written));
   }
 
@@ -68,7 +64,7 @@
   private void readAgain(RecordRead outcome) {
     busy = false;
     if (outcome instanceof RecordRead.Found found) {
-      if (Boolean.TRUE.equals(found.record().get("claimed"))) {
+      if (found.record().takenOver()) {
         // Nothing may be launched any more, whatever the lease says.
         takenOver.run();
         return;
--- a/src/main/java/org/eiderstair/core/standby/RecordRead.java
+++ b/src/main/java/org/eiderstair/core/standby/RecordRead.java
@@ -1,11 +1,11 @@
 package org.eiderstair.core.standby;
 
-import java.util.Map;
+import org.eiderstair.core.record.StandbyRecord;
 
 /** What came of reading the in-sync record. */
 public sealed interface RecordRead {
   /** It is there. */
-  record Found(long version, Map<String, Object> record) implements RecordRead {}
+  record Found(long version, StandbyRecord record) implements RecordRead {}
 
   /** There is none. */
   record Absent() implements RecordRead {}
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -1,11 +1,11 @@
 package org.eiderstair.core.standby;
 
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.record.StandbyRecord;
 
 /**
  * A hot standby: one controller that holds the leader's state of what may be on every machine, and
@@ -16,9 +16,6 @@
  * <p>Each node has one: it follows while the node is a follower, and replicates while it leads.
  */
 public final class Standby {
-  /** The key of the record that names the standby in sync. */
-  public static final String RECORD = "e/duty/standby";
-
   /** A leader that sent nothing for so long is looked for; it sends five batches in that time. */
   private static final long LEADER_TIMEOUT_MICROS = 1_500_000;
 
@@ -35,7 +32,7 @@
         String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback);
 
     /** Writes the record by compare-and-swap on its version and this leader's key. */
-    void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback);
+    void write(long version, StandbyRecord record, Consumer<RecordWrite> callback);
 
     /** Reads the record. */
     void read(Consumer<RecordRead> callback);
@@ -97,18 +94,16 @@
   }
 
   /** Whether the record names this run of this node, for the term whose state it holds. */
-  public boolean namesThisNode(Map<String, Object> record) {
+  public boolean namesThisNode(StandbyRecord record) {
     return record != null
-        && node.equals(record.get("node"))
-        && runId.equals(record.get("run"))
-        && record.get("epoch") instanceof Number epoch
-        && epoch.longValue() == replica.term()
+        && record.names(node, runId)
+        && record.term() == replica.term()
         && replica.isComplete();
   }
 
   /** Whether the record names any standby. */
-  public static boolean namesAnyNode(Map<String, Object> record) {
-    return record != null && record.get("node") instanceof String name && !name.isEmpty();
+  public static boolean namesAnyNode(StandbyRecord record) {
+    return record != null && record.namesStandby();
   }
 
   /** Whether the leader that this node follows has sent nothing for too long. */
@@ -117,16 +112,6 @@
         && nowMicros > lastBatchMicros + LEADER_TIMEOUT_MICROS;
   }
 
-  /**
-   * The record with the mark that its standby has taken over the term: the term's leader can
-   * neither remove the standby nor launch without its acknowledgement any more.
-   */
-  public static Map<String, Object> withTakeover(Map<String, Object> record) {
-    Map<String, Object> claimed = new LinkedHashMap<>(record);
-    claimed.put("claimed", true);
-    return claimed;
-  }
-
   private void reached(RecoveryStep step, String detail) {
     log.accept("standby recovery -> " + step + ": " + detail);
   }
@@ -139,22 +124,20 @@
    * @return empty when a check fails, and every machine must be asked
    */
   public Optional<Map<String, RecoveredMachine>> recover(
-      long term, long revision, Map<String, Object> record) {
+      long term, long revision, StandbyRecord record) {
     reached(RecoveryStep.ELECTED, "term=" + term);
     if (revision < term) {
       reached(RecoveryStep.REFUSED, "its keys are of revision " + revision);
       return Optional.empty();
     }
     reached(RecoveryStep.CAUGHT_UP, "revision " + revision);
-    if (record == null || !node.equals(record.get("node")) || !runId.equals(record.get("run"))) {
+    if (record == null || !record.names(node, runId)) {
       reached(
           RecoveryStep.REFUSED,
-          namesAnyNode(record)
-              ? "the record names " + record.get("node")
-              : "no standby was in sync");
+          namesAnyNode(record) ? "the record names " + record.node() : "no standby was in sync");
       return Optional.empty();
     }
-    reached(RecoveryStep.NAMED, "term=" + record.get("epoch"));
+    reached(RecoveryStep.NAMED, "term=" + record.term());
     if (!namesThisNode(record)) {
       reached(RecoveryStep.REFUSED, "its state is " + replica.state() + ", term=" + replica.term());
       return Optional.empty();
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -14,9 +14,17 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.Job;
-import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.MachineType;
-import org.eiderstair.core.model.TaskSet;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.ProgressRecord;
+import org.eiderstair.core.record.StandbyRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.UnreadableValue;
+import org.eiderstair.core.record.UnreadableValueException;
+import org.eiderstair.core.record.WorkerRecord;
 import org.eiderstair.core.settings.Settings;
 
 /**
@@ -116,6 +124,15 @@
     this.listener = listener;
   }
 
+  /** The standby's record and its version. */
+  public record StoredStandby(StandbyRecord value, long version) {}
+
+  /** The standby's record, or null when there is none. */
+  public StoredStandby standby() {
+    Reply.Item item = duties.get(StateKeys.STANDBY);
+    return item == null ? null : new StoredStandby((StandbyRecord) item.value(), item.version());
+  }
+
   /** Whether all keys have been read. */
   public boolean loaded() {
     return everLoaded;
@@ -222,7 +239,7 @@
 
   private void loadPage(String after) {
     sink.call(
-        new Request.StoreList(StoredRecords.ROOT, after, PAGE),
+        new Request.StoreList(StateKeys.ROOT, after, PAGE),
         reply -> {
           if (!(reply instanceof Reply.Listed listed)) {
             become(State.IDLE, now);
@@ -264,13 +281,11 @@
 
   /** After a gap in the watch, keys that the list no longer holds were dropped meanwhile. */
   private void dropUnlisted() {
-    if (leader != null
-        && !loading.contains(StoredRecords.LEADER)
-        && leaderVersion <= loadRevision) {
-      apply(new Reply.Item(StoredRecords.LEADER, null, loadRevision));
+    if (leader != null && !loading.contains(StateKeys.LEADER) && leaderVersion <= loadRevision) {
+      apply(new Reply.Item(StateKeys.LEADER, null, loadRevision));
     }
     for (RegisteredWorker entry : new ArrayList<>(registeredWorkers.values())) {
-      String key = StoredRecords.registeredWorkerKey(entry.machine());
+      String key = StateKeys.worker(entry.machine());
       if (!loading.contains(key) && entry.version() <= loadRevision) {
         apply(new Reply.Item(key, null, loadRevision));
       }
@@ -287,7 +302,7 @@
     long sentMicros = now;
     watchSentMicros = now;
     sink.call(
-        new Request.StoreWatch(StoredRecords.ROOT, revision, HOLD_MICROS),
+        new Request.StoreWatch(StateKeys.ROOT, revision, HOLD_MICROS),
         reply -> {
           if (number != watchNumber) {
             return;
@@ -325,27 +340,36 @@
    */
   public void apply(Reply.Item item) {
     String key = item.key();
+    StateKeys.Kind kind = StateKeys.kindOf(key);
     try {
-      if (key.startsWith(StoredRecords.JOB)) {
-        applyJob(key.substring(StoredRecords.JOB.length()), item);
-      } else if (key.startsWith(StoredRecords.PROGRESS)) {
-        applyProgress(key.substring(StoredRecords.PROGRESS.length()), item);
-      } else if (key.startsWith(StoredRecords.REGISTERED_WORKERS)) {
-        applyRoster(key.substring(StoredRecords.REGISTERED_WORKERS.length()), item);
-      } else if (key.startsWith(StoredRecords.DUTY)) {
-        applyDuty(item);
-      } else if (key.equals(StoredRecords.LEADER)) {
-        applyLeader(item);
-      } else if (key.equals(StoredRecords.CATALOG)
-          && item.value() != null
-          && item.version() > catalogVersion) {
-        catalogVersion = item.version();
-        catalog = StoredRecords.catalog(item.value());
+      switch (kind) {
+        case JOB -> applyJob(kind.idOf(key), item);
+        case PROGRESS -> applyProgress(kind.idOf(key), item);
+        case WORKER -> applyWorker(kind.idOf(key), item);
+        case BARRIER, STANDBY, RENTAL, RELEASE, OTHER_DUTY -> applyDuty(item);
+        case LEADER -> applyLeader(item);
+        case CATALOG -> applyCatalog(item);
+        case FOREIGN -> {}
       }
     } catch (RuntimeException e) {
       // Guards against a value written by a broken or much newer version: one bad key must not stop
       // the node.
-      sink.error("unreadable value of " + key + ": " + e);
+      sink.error("unreadable value key=" + key + ": " + e);
+    }
+  }
+
+  /** The value of an item in the form that its key demands. */
+  private static <T extends StoredValue> T read(Reply.Item item, Class<T> type) {
+    if (item.value() instanceof UnreadableValue unreadable) {
+      throw new UnreadableValueException(unreadable.problem());
+    }
+    return type.cast(item.value());
+  }
+
+  private void applyCatalog(Reply.Item item) {
+    if (item.value() != null && item.version() > catalogVersion) {
+      catalogVersion = item.version();
+      catalog = read(item, CatalogRecord.class).types();
     }
   }
 
@@ -361,11 +385,11 @@
    * take-over would not have asked that machine.
    */
   void missing(String key, long atRevision) {
-    if (!key.startsWith(StoredRecords.PROGRESS)) {
+    if (StateKeys.kindOf(key) != StateKeys.Kind.PROGRESS) {
       apply(new Reply.Item(key, null, atRevision));
       return;
     }
-    Job job = jobs.get(key.substring(StoredRecords.PROGRESS.length()));
+    Job job = jobs.get(StateKeys.Kind.PROGRESS.idOf(key));
     if (job != null && job.progressVersion <= atRevision) {
       job.progressVersion = 0;
     }
@@ -379,25 +403,19 @@
     if (job != null && item.version() <= job.version()) {
       return;
     }
-    Job.State next = StoredRecords.jobState(item.value());
-    JobSpec spec = next == Job.State.DONE ? null : StoredRecords.spec(id, item.value());
+    JobRecord record = read(item, JobRecord.class);
     boolean isNew = job == null;
     if (isNew) {
       job = new Job(id);
       // A node that was not there when the job came must not take it for new. Days differ a little
       // between nodes.
-      long atDay = StoredRecords.whole(item.value(), "at", 0);
+      long atDay = record.createdDayMicros();
       job.seenMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
       jobs.put(id, job);
     }
-    long cancelledDay = StoredRecords.whole(item.value(), "c", 0);
+    long cancelledDay = record.cancelledDayMicros();
     job.cancelledMicros = cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros);
-    job.become(
-        next,
-        item.version(),
-        (int) StoredRecords.whole(item.value(), "n", 0),
-        spec,
-        (int) StoredRecords.whole(item.value(), "d", 0));
+    job.become(record.state(), item.version(), record.tasks(), record.spec(), record.done());
     changed(job, isNew);
   }
 
@@ -454,8 +472,9 @@
       return;
     }
     job.progressVersion = item.version();
-    job.durable = TaskSet.read(StoredRecords.text(item.value(), "done"));
-    job.shownRunning = (int) StoredRecords.whole(item.value(), "run", 0);
+    ProgressRecord record = read(item, ProgressRecord.class);
+    job.durable = record.done();
+    job.shownRunning = record.running();
   }
 
   private void applyDuty(Reply.Item item) {
@@ -480,7 +499,7 @@
     }
   }
 
-  private void applyRoster(String machine, Reply.Item item) {
+  private void applyWorker(String machine, Reply.Item item) {
     RegisteredWorker known = registeredWorkers.get(machine);
     if (known != null && item.version() <= known.version()
         || item.version() <= dropped.getOrDefault(machine, 0L)) {
@@ -491,14 +510,15 @@
       droppedAt(machine, item.version());
       return;
     }
+    WorkerRecord record = read(item, WorkerRecord.class);
     registeredWorkers.put(
         machine,
         new RegisteredWorker(
             machine,
-            StoredRecords.text(item.value(), "addr"),
-            StoredRecords.text(item.value(), "type"),
-            StoredRecords.text(item.value(), "zone"),
-            StoredRecords.flag(item.value(), "spot"),
+            record.address(),
+            record.type(),
+            record.zone(),
+            record.spot(),
             item.version()));
   }
 
@@ -507,14 +527,12 @@
       return;
     }
     leaderVersion = item.version();
-    leader =
-        item.value() == null
-            ? null
-            : new Leader(
-                StoredRecords.text(item.value(), "node"),
-                StoredRecords.text(item.value(), "run"),
-                StoredRecords.whole(item.value(), "lease", 0),
-                item.version());
+    leader = item.value() == null ? null : leader(item);
     listener.leaderChanged();
   }
+
+  private static Leader leader(Reply.Item item) {
+    LeaderRecord record = read(item, LeaderRecord.class);
+    return new Leader(record.node(), record.run(), record.lease(), item.version());
+  }
 }
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -4,6 +4,7 @@
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 
 /**
@@ -103,7 +104,7 @@
     }
     if (now >= nextProbeMicros) {
       nextProbeMicros = now + PROBE_AFTER_MICROS;
-      sink.call(new Request.StoreGet(StoredRecords.LEADER), reply -> {});
+      sink.call(new Request.StoreGet(StateKeys.LEADER), reply -> {});
     }
     if (now < servedMicros + DOUBT_AFTER_MICROS) {
       return;
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -11,6 +11,12 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.record.BarrierRecord;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.ProgressRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.WorkerRecord;
 import org.eiderstair.core.settings.Settings;
 
 /**
@@ -89,7 +95,7 @@
   private final Map<String, Note> notes = new LinkedHashMap<>();
 
   /** A value to be written, null to drop the key, and who waits for that. */
-  private record Note(Map<String, Object> value, List<Runnable> durable) {}
+  private record Note(StoredValue value, List<Runnable> durable) {}
 
   public StateWriter(
       Settings settings, EffectSink sink, Replica replica, long term, Listener listener) {
@@ -134,7 +140,7 @@
   }
 
   /** Writes a key of the duties, or drops it when the value is null; the latest value counts. */
-  public void note(String key, Map<String, Object> value, Runnable durable) {
+  public void note(String key, StoredValue value, Runnable durable) {
     Note earlier = notes.remove(key);
     List<Runnable> waiting = earlier == null ? new ArrayList<>() : earlier.durable();
     waiting.add(durable);
@@ -154,7 +160,7 @@
     List<Request.Condition> conditions = new ArrayList<>();
     List<Request.Write> changes = new ArrayList<>();
     List<Runnable> after = new ArrayList<>();
-    conditions.add(new Request.Condition(StoredRecords.LEADER, term));
+    conditions.add(new Request.Condition(StateKeys.LEADER, term));
     conditions.add(barrier());
     notBeforeMicros = now + GATHER_MICROS;
     int room = (int) Math.min(settings.stateTxnOps(), writes.available(now));
@@ -189,8 +195,8 @@
   }
 
   private Request.Condition barrier() {
-    Reply.Item known = replica.duties.get(StoredRecords.BARRIER);
-    return new Request.Condition(StoredRecords.BARRIER, known == null ? 0 : known.version());
+    Reply.Item known = replica.duties.get(StateKeys.BARRIER);
+    return new Request.Condition(StateKeys.BARRIER, known == null ? 0 : known.version());
   }
 
   /**
@@ -199,23 +205,23 @@
    */
   private void bar() {
     become(State.BARRING);
-    Map<String, Object> value = Map.of("term", term);
+    BarrierRecord value = new BarrierRecord(term);
     send(
-        List.of(new Request.Condition(StoredRecords.LEADER, term), barrier()),
-        List.of(new Request.Write(StoredRecords.BARRIER, value, 0)),
+        List.of(new Request.Condition(StateKeys.LEADER, term), barrier()),
+        List.of(new Request.Write(StateKeys.BARRIER, value, 0)),
         reply -> {
           if (closed) {
             return;
           }
           if (reply instanceof Reply.Applied applied) {
-            replica.apply(new Reply.Item(StoredRecords.BARRIER, value, applied.revision()));
+            replica.apply(new Reply.Item(StateKeys.BARRIER, value, applied.revision()));
             List<String> keys = doubted;
             doubted = List.of();
             refresh(keys);
             return;
           }
           notBeforeMicros = now + RETRY_MICROS;
-          refresh(reply instanceof Reply.Refused ? List.of() : List.of(StoredRecords.BARRIER));
+          refresh(reply instanceof Reply.Refused ? List.of() : List.of(StateKeys.BARRIER));
         });
   }
 
@@ -268,13 +274,11 @@
       if (room < 2) {
         return 0;
       }
-      conditions.add(new Request.Condition(StoredRecords.jobKey(job.id), job.version()));
-      changes.add(
-          new Request.Write(StoredRecords.jobKey(job.id), StoredRecords.doneJob(job.tasks()), 0));
+      conditions.add(new Request.Condition(StateKeys.job(job.id), job.version()));
+      changes.add(new Request.Write(StateKeys.job(job.id), JobRecord.done(job.tasks()), 0));
       if (job.progressVersion > 0) {
-        conditions.add(
-            new Request.Condition(StoredRecords.progressKey(job.id), job.progressVersion));
-        changes.add(new Request.Write(StoredRecords.progressKey(job.id), null, 0));
+        conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion));
+        changes.add(new Request.Write(StateKeys.progress(job.id), null, 0));
       }
       room -= 2;
       after.add(
@@ -297,13 +301,10 @@
       }
       var known = replica.registeredWorkers.get(m.id);
       conditions.add(
-          new Request.Condition(
-              StoredRecords.registeredWorkerKey(m.id), known == null ? 0 : known.version()));
+          new Request.Condition(StateKeys.worker(m.id), known == null ? 0 : known.version()));
       changes.add(
           new Request.Write(
-              StoredRecords.registeredWorkerKey(m.id),
-              StoredRecords.registeredWorkers(m.address, m.typeName, m.zone, m.spot),
-              0));
+              StateKeys.worker(m.id), new WorkerRecord(m.address, m.typeName, m.zone, m.spot), 0));
       room--;
       after.add(
           () -> {
@@ -320,8 +321,8 @@
       if (room < 1) {
         return 0;
       }
-      conditions.add(new Request.Condition(StoredRecords.registeredWorkerKey(id), known.version()));
-      changes.add(new Request.Write(StoredRecords.registeredWorkerKey(id), null, 0));
+      conditions.add(new Request.Condition(StateKeys.worker(id), known.version()));
+      changes.add(new Request.Write(StateKeys.worker(id), null, 0));
       room--;
       after.add(() -> unregister.remove(id));
     }
@@ -349,11 +350,11 @@
       }
       BitSet done = (BitSet) job.done.clone();
       int running = job.runningCount();
-      Map<String, Object> value = StoredRecords.progress(done, running);
-      bytes += StoredRecords.text(value, "done").length() + 200;
-      conditions.add(new Request.Condition(StoredRecords.progressKey(job.id), job.progressVersion));
-      conditions.add(new Request.Condition(StoredRecords.jobKey(job.id), job.version()));
-      changes.add(new Request.Write(StoredRecords.progressKey(job.id), value, 0));
+      ProgressRecord value = ProgressRecord.of(done, running);
+      bytes += value.doneTasks().length() + 200;
+      conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion));
+      conditions.add(new Request.Condition(StateKeys.job(job.id), job.version()));
+      changes.add(new Request.Write(StateKeys.progress(job.id), value, 0));
       room--;
       after.add(
           () -> {
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StoredValueCodec;
 
 /** What the state service gets and sends. */
 public final class StoreMessages {
@@ -27,7 +28,7 @@
         m.put("Drop", w.key());
       } else {
         m.put("Put", w.key());
-        m.put("Data", w.value());
+        m.put("Data", StoredValueCodec.encode(w.value()));
         if (w.lease() != 0) {
           m.put("Tenure", w.lease());
         }
@@ -65,7 +66,7 @@
   public static Reply found(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     long version = f.whole("Stamp");
-    return new Reply.Found(new Reply.Item(f.text("K"), data(f), version), version);
+    return new Reply.Found(item(f.text("K"), f, version), version);
   }
 
   /** A key that does not exist, and as of when. */
@@ -79,7 +80,7 @@
     List<Reply.Item> items = new ArrayList<>();
     for (Object item : f.list("Entries")) {
       Fields i = Fields.of(item, "Entries");
-      items.add(new Reply.Item(i.text("K"), data(i), i.whole("Stamp")));
+      items.add(item(i.text("K"), i, i.whole("Stamp")));
     }
     return new Reply.Listed(items, Boolean.TRUE.equals(f.raw("Truncated")), f.whole("LedgerRev"));
   }
@@ -92,15 +93,18 @@
       Fields i = Fields.of(item, "News");
       boolean put = i.has("Put");
       items.add(
-          new Reply.Item(
-              put ? i.text("Put") : i.text("Drop"), put ? data(i) : null, i.whole("Stamp")));
+          put
+              ? item(i.text("Put"), i, i.whole("Stamp"))
+              : new Reply.Item(i.text("Drop"), null, i.whole("Stamp")));
     }
     return new Reply.Changed(items, f.whole("LedgerRev"));
   }
 
   /** Keys of others may hold anything; what is not a map reads as an empty one. */
   @SuppressWarnings("unchecked")
-  private static Map<String, Object> data(Fields f) {
-    return f.raw("Data") instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+  private static Reply.Item item(String key, Fields f, long version) {
+    Map<String, Object> data =
+        f.raw("Data") instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+    return new Reply.Item(key, StoredValueCodec.decode(key, data), version);
   }
 }
--- a/src/test/java/org/eiderstair/architecture/PackageDependencyTest.java
+++ b/src/test/java/org/eiderstair/architecture/PackageDependencyTest.java
@@ -41,6 +41,19 @@
         new String[] {
           "core", "core.leadership", "core.jobs", "core.workers", "core.placement", "core.capacity"
         });
+    users.put(
+        "core.record",
+        new String[] {
+          "core",
+          "core.message",
+          "core.state",
+          "core.leadership",
+          "core.jobs",
+          "core.capacity",
+          "core.provisioning",
+          "core.standby",
+          "protocol"
+        });
     users.put("protocol", new String[] {"http", "peer", "cli"});
     users.put("peer", new String[] {"http"});
     users.put("http", new String[] {"node"});
@@ -55,6 +68,7 @@
     layers = layers.layer("core").definedBy("org.eiderstair.core");
     layers = layers.layer("cli").definedBy(ROOT + "cli..");
     layers = layers.layer("config").definedBy(ROOT + "config..");
+    layers = layers.layer("core.message").definedBy(ROOT + "core.message..");
     for (String name : USERS.keySet()) {
       layers = layers.layer(name).definedBy(ROOT + name + "..");
     }
@@ -125,7 +139,15 @@
         .resideInAPackage(ROOT + "core.message")
         .should()
         .dependOnClassesThat()
-        .resideOutsideOfPackages("java..", ROOT + "core.model", ROOT + "core.message")
+        .resideOutsideOfPackages(
+            "java..", ROOT + "core.model", ROOT + "core.record", ROOT + "core.message")
+        .check(CLASSES);
+    ArchRuleDefinition.noClasses()
+        .that()
+        .resideInAPackage(ROOT + "core.record")
+        .should()
+        .dependOnClassesThat()
+        .resideOutsideOfPackages("java..", ROOT + "core.model", ROOT + "core.record")
         .check(CLASSES);
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -8,7 +8,8 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.MachineType;
-import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.StateKeys;
 
 /** The write with which a submission creates its job. */
 final class CreatedJob {
@@ -23,8 +24,7 @@
     LeaderBench bench = new LeaderBench();
     bench.replica.tick(bench.now);
     Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-    Reply.Item catalog =
-        new Reply.Item(StoredRecords.CATALOG, StoredRecords.catalog(List.of(LARGE)), 2);
+    Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
     bench.sink.replied(list.call(), new Reply.Listed(List.of(catalog), false, 2));
     JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     service.tick(AT_MICROS);
--- a/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.Consumer;
@@ -14,6 +13,7 @@
 import org.eiderstair.core.provisioning.RentalOption;
 import org.eiderstair.core.provisioning.RentalRequest;
 import org.eiderstair.core.provisioning.RentalResponseHandler;
+import org.eiderstair.core.record.StoredValue;
 
 /** What a leader writes of rentals and releases, in the order of its writes. */
 final class ProvisioningWrites {
@@ -39,7 +39,7 @@
     final List<String> booting = new ArrayList<>();
 
     @Override
-    public void put(String key, Map<String, Object> value, Runnable onDurable) {
+    public void put(String key, StoredValue value, Runnable onDurable) {
       writes.add(new Request.Write(key, value, 0));
       durable.add(onDurable);
     }
@@ -115,7 +115,7 @@
 
   static void resume(
       ProvisioningController controller, SortedMap<String, Reply.Item> items, long nowMicros) {
-    TreeMap<String, Map<String, Object>> values = new TreeMap<>();
+    TreeMap<String, StoredValue> values = new TreeMap<>();
     items.forEach((key, item) -> values.put(key, item.value()));
     controller.resume(values, nowMicros);
   }
--- a/src/test/java/org/eiderstair/compatibility/RecordedBytes.java
+++ b/src/test/java/org/eiderstair/compatibility/RecordedBytes.java
@@ -37,6 +37,10 @@
     }
   }
 
+  List<String> names() {
+    return List.copyOf(messages.keySet());
+  }
+
   byte[] get(String name) {
     return messages.get(name).clone();
   }
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -8,6 +8,8 @@
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StandbyRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.standby.RecordRead;
 import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.RecoveredMachine;
@@ -48,15 +50,15 @@
     }
 
     @Override
-    public void write(long version, Map<String, Object> value, Consumer<RecordWrite> callback) {
-      writes.add(new Request.Write(Standby.RECORD, value, 0));
+    public void write(long version, StandbyRecord value, Consumer<RecordWrite> callback) {
+      writes.add(new Request.Write(StateKeys.STANDBY, value, 0));
       callback.accept(
           stored == null ? new RecordWrite.Written(version + 1) : new RecordWrite.Uncertain());
     }
 
     @Override
     public void read(Consumer<RecordRead> callback) {
-      callback.accept(new RecordRead.Found(stored.version(), stored.value()));
+      callback.accept(new RecordRead.Found(stored.version(), value(stored)));
     }
 
     @Override
@@ -79,12 +81,13 @@
     leader.tick(30_000_000);
     List<Request.Write> writes = new ArrayList<>(host.writes);
     writes.add(
-        new Request.Write(Standby.RECORD, Standby.withTakeover(host.writes.get(0).value()), 0));
+        new Request.Write(
+            StateKeys.STANDBY, ((StandbyRecord) host.writes.get(0).value()).withTakeover(), 0));
     return writes;
   }
 
-  static Map<String, Object> value(Reply.Item item) {
-    return item.value();
+  static StandbyRecord value(Reply.Item item) {
+    return (StandbyRecord) item.value();
   }
 
   /** Whether a leader that reads this record leaves office. */
@@ -106,7 +109,7 @@
     }
 
     Optional<Map<String, RecoveredMachine>> recover(Reply.Item item) {
-      return standby.recover(90, 90, item.value());
+      return standby.recover(90, 90, StandbyWrites.value(item));
     }
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -22,10 +22,15 @@
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.provisioning.RentalRequest;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.ProgressRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
 import org.eiderstair.protocol.StoreMessages;
@@ -95,18 +100,16 @@
   private static List<Request.Write> samples() {
     List<Request.Write> writes = new ArrayList<>();
     writes.add(
-        new Request.Write(
-            StoredRecords.LEADER, StoredRecords.leader("n1", 1L << 40, "run-7"), 1L << 40));
-    writes.add(new Request.Write(StoredRecords.CATALOG, StoredRecords.catalog(CATALOG), 0));
-    writes.add(new Request.Write(StoredRecords.CATALOG, StoredRecords.catalog(List.of()), 0));
+        new Request.Write(StateKeys.LEADER, new LeaderRecord("n1", 1L << 40, "run-7"), 1L << 40));
+    writes.add(new Request.Write(StateKeys.CATALOG, new CatalogRecord(CATALOG), 0));
+    writes.add(new Request.Write(StateKeys.CATALOG, new CatalogRecord(List.of()), 0));
     for (JobSpec spec : specs()) {
-      String key = StoredRecords.jobKey(spec.id());
-      writes.add(new Request.Write(key, StoredRecords.openJob(spec), 0));
-      writes.add(new Request.Write(key, StoredRecords.cancelledJob(spec, 2, DAY), 0));
+      String key = StateKeys.job(spec.id());
+      writes.add(new Request.Write(key, JobRecord.open(spec, 0), 0));
+      writes.add(new Request.Write(key, JobRecord.cancelled(spec, 2, DAY), 0));
     }
     writes.add(
-        new Request.Write(
-            "e/prog/job-1", StoredRecords.progress(new BitSet(), Integer.MAX_VALUE), 0));
+        new Request.Write("e/prog/job-1", ProgressRecord.of(new BitSet(), Integer.MAX_VALUE), 0));
     return writes;
   }
 
@@ -161,6 +164,25 @@
     return ((Reply.Listed) StoreMessages.listed(MessagePackCodec.readMap(page))).items();
   }
 
+  /** What was read is the very record that was written, and is written again in the same bytes. */
+  @Example
+  void everyRecordedValueIsTheRecordThatWasWritten() throws MalformedMessageException {
+    int compared = 0;
+    List<Request.Write> writes = new ArrayList<>(samples());
+    writes.add(CreatedJob.write(SampleSpecs.full("job-9")));
+    leaderTransactions().forEach(transaction -> writes.addAll(transaction.writes()));
+    writes.addAll(ProvisioningWrites.make());
+    writes.addAll(StandbyWrites.make());
+    List<StoredValue> written =
+        writes.stream().map(Request.Write::value).filter(value -> value != null).toList();
+    for (String name : RECORDED.names()) {
+      for (Reply.Item item : read(name, 11)) {
+        assertEquals(written.get(compared++), item.value(), name);
+      }
+    }
+    assertEquals(written.size(), compared);
+  }
+
   private static Replica replicaOf(String... names) throws MalformedMessageException {
     Replica replica = new LeaderBench().replica;
     long version = 10;
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -18,7 +18,10 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
-import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.ProgressRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValueCodec;
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
 import org.eiderstair.protocol.StoreMessages;
@@ -200,7 +203,7 @@
                           "Put",
                           "e/prog/" + firstJob(bench).id,
                           "Data",
-                          StoredRecords.progress(firstJob(bench).done, 3),
+                          StoredValueCodec.encode(ProgressRecord.of(firstJob(bench).done, 3)),
                           "Stamp",
                           100L + i)))));
     }
@@ -230,7 +233,7 @@
   private static void aSubmissionAndAPoll(int machines) throws MalformedMessageException {
     LeaderBench bench = busy(machines);
     bench.replica.apply(
-        new Reply.Item(StoredRecords.CATALOG, StoredRecords.catalog(List.of(LeaderBench.TYPE)), 2));
+        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 2));
     bench.load();
     JobService jobService = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     List<byte[]> bodies = new ArrayList<>();
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -14,8 +14,8 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
-import org.eiderstair.core.state.StoredRecords;
 
 /**
  * An event that throws half-way leaves a picture that nobody knows: a leader must not go on with
@@ -93,7 +93,7 @@
                         && log.text().contains("HeartbeatReceived")));
     reply(
         Request.StoreWatch.class,
-        new Reply.Changed(List.of(new Reply.Item(StoredRecords.LEADER, null, 9)), 9));
+        new Reply.Changed(List.of(new Reply.Item(StateKeys.LEADER, null, 9)), 9));
     now += 5 * SECOND;
     core.handle(new Event.Tick(), now);
     assertTrue(
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -19,7 +19,9 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
-import org.eiderstair.core.state.StoredRecords;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.WorkerRecord;
 
 /**
  * What an event costs must not grow with the workers, and what is kept by increments must equal a
@@ -67,10 +69,7 @@
       LeaderBench bench = new LeaderBench();
       for (int i = 0; i < machines; i++) {
         bench.replica.apply(
-            new Reply.Item(
-                StoredRecords.registeredWorkerKey("m-" + i),
-                StoredRecords.registeredWorkers("x", "t", "a", false),
-                1));
+            new Reply.Item(StateKeys.worker("m-" + i), new WorkerRecord("x", "t", "a", false), 1));
       }
       bench.workers.takeOver(bench.now, null, bench.now);
       assertEquals(machines, bench.workers.unconfirmed().size());
@@ -86,9 +85,7 @@
     for (int i = 0; i < 60; i++) {
       bench.replica.apply(
           new Reply.Item(
-              StoredRecords.registeredWorkerKey("m-" + i),
-              StoredRecords.registeredWorkers("x" + i, "t", "a", false),
-              1));
+              StateKeys.worker("m-" + i), new WorkerRecord("x" + i, "t", "a", false), 1));
     }
     bench.workers.takeOver(bench.now, null, bench.now);
     // None of them answers, for less than a time limit.
@@ -127,8 +124,8 @@
             Job job = bench.replica.open.values().iterator().next();
             bench.replica.apply(
                 new Reply.Item(
-                    StoredRecords.jobKey(job.id),
-                    StoredRecords.cancelledJob(job.spec(), 0, 0),
+                    StateKeys.job(job.id),
+                    JobRecord.cancelled(job.spec(), 0, 0),
                     ++bench.versions));
             bench.workers.jobOver(job);
           }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -23,13 +23,15 @@
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.placement.Placement;
 import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StandbyRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.InstantHost;
 import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.core.workers.AvailableMachines;
 import org.eiderstair.core.workers.WorkerManager;
 
@@ -208,8 +210,7 @@
           }
 
           @Override
-          public void write(
-              long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+          public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
             if (defersRecords) {
               records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
             } else {
@@ -241,8 +242,7 @@
               Consumer<Optional<ReplicationBatch.Ack>> callback) {}
 
           @Override
-          public void write(
-              long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+          public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
             records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
           }
         },
@@ -304,8 +304,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    replica.apply(
-        new Reply.Item(StoredRecords.jobKey(spec.id()), StoredRecords.openJob(spec), ++versions));
+    replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     Job job = replica.jobs.get(spec.id());
     job.shownRunning = 1;
     return job;
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -12,9 +12,10 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.JobSpec;
-import org.eiderstair.core.provisioning.ProvisioningController;
+import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.RentalIntentRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.state.StateWriter;
-import org.eiderstair.core.state.StoredRecords;
 
 /** What the leader makes of rentals, its own and those it finds. */
 class CapacityManagerTest {
@@ -34,8 +35,7 @@
   private void begin() {
     bench.lead();
     bench.replica.apply(
-        new Reply.Item(
-            StoredRecords.CATALOG, StoredRecords.catalog(List.of(LeaderBench.TYPE)), 50));
+        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 50));
     stateWriter =
         new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, null);
     capacity =
@@ -87,12 +87,9 @@
   /** A record that throws in each leader's hands would end one after another. */
   @Example
   void aRentalOfATypeThatIsNoMoreStopsNothing() {
-    String key = ProvisioningController.RENTAL_KEY_PREFIX + "r-0-1";
+    String key = StateKeys.rental("r-0-1");
     bench.replica.apply(
-        new Reply.Item(
-            key,
-            Map.of("type", "gone", "zone", "a", "spot", true, "n", 5L, "epoch", 0L, "at", 0L),
-            40));
+        new Reply.Item(key, new RentalIntentRecord("gone", "a", true, 5, 0, 0, null), 40));
     begin();
     bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -13,8 +13,9 @@
 import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
-import org.eiderstair.core.state.StoredRecords;
 
 /** Who campaigns first when the leader key is free, and what keeps a leader in its term. */
 class LeadershipTest {
@@ -76,14 +77,14 @@
   }
 
   private static Reply.Item leaderKey(String node) {
-    return new Reply.Item(StoredRecords.LEADER, StoredRecords.leader(node, 3, "other run"), 4);
+    return new Reply.Item(StateKeys.LEADER, new LeaderRecord(node, 3, "other run"), 4);
   }
 
   private void leaderKeyDeleted(long nowMicros) {
     core.handle(
         new Event.ReplyReceived(
             taken(Request.StoreWatch.class),
-            new Reply.Changed(List.of(new Reply.Item(StoredRecords.LEADER, null, 9)), 9)),
+            new Reply.Changed(List.of(new Reply.Item(StateKeys.LEADER, null, 9)), 9)),
         nowMicros);
   }
 
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -17,10 +17,11 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 import org.eiderstair.core.workers.AvailableMachines;
 import org.eiderstair.core.workers.WorkerManager;
 
@@ -107,8 +108,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    replica.apply(
-        new Reply.Item(StoredRecords.jobKey(spec.id()), StoredRecords.openJob(spec), ++versions));
+    replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     return replica.jobs.get(spec.id());
   }
 
@@ -180,10 +180,7 @@
     Job gone = job(1, "red", Priority.NORMAL, 6, 1);
     replica.at(NOW);
     replica.apply(
-        new Reply.Item(
-            StoredRecords.jobKey(gone.id),
-            StoredRecords.cancelledJob(gone.spec(), 0, 0),
-            ++versions));
+        new Reply.Item(StateKeys.job(gone.id), JobRecord.cancelled(gone.spec(), 0, 0), ++versions));
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
@@ -337,8 +334,7 @@
             0,
             JobSpec.NO_DEADLINE);
     for (JobSpec spec : List.of(one, spread)) {
-      replica.apply(
-          new Reply.Item(StoredRecords.jobKey(spec.id()), StoredRecords.openJob(spec), ++versions));
+      replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     }
     machine("a1", "a", true);
     machine("b1", "b", true);
--- a/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
+++ b/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
@@ -19,6 +19,10 @@
 import net.jqwik.api.Property;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
+import org.eiderstair.core.record.ReleaseRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.StoredValueCodec;
 
 /**
  * Holders replaced in the middle of everything, requests and answers that come minutes late:
@@ -33,7 +37,7 @@
    * test says.
    */
   private static final class World {
-    final TreeMap<String, Map<String, Object>> store = new TreeMap<>();
+    final TreeMap<String, StoredValue> store = new TreeMap<>();
     final Set<String> everMarked = new HashSet<>();
     final Map<String, List<String>> machinesByRequest = new LinkedHashMap<>();
     final Set<String> running = new HashSet<>();
@@ -52,6 +56,11 @@
     long epoch;
     long now;
 
+    /** The state service holds a record in this form. */
+    void read(String key, Map<String, Object> fields) {
+      store.put(key, StoredValueCodec.decode(key, fields));
+    }
+
     void toCloud(Runnable request, Runnable answer) {
       onTheWay.add(
           () -> {
@@ -93,7 +102,7 @@
     }
 
     /** Writes of one holder are carried out in their order, as the stateWriter does. */
-    private void write(String key, Map<String, Object> value, Runnable durable) {
+    private void write(String key, StoredValue value, Runnable durable) {
       writes.add(
           () -> {
             // Conditioned on the leader key: a replaced holder's write fails, and it hears nothing.
@@ -102,8 +111,8 @@
                 world.store.remove(key);
               } else {
                 world.store.put(key, value);
-                if (key.startsWith(ProvisioningController.RELEASE_KEY_PREFIX)) {
-                  ((List<?>) value.get("ids")).forEach(id -> world.everMarked.add((String) id));
+                if (value instanceof ReleaseRecord release) {
+                  world.everMarked.addAll(release.machines());
                 }
               }
               world.onTheWay.add(durable);
@@ -113,7 +122,7 @@
     }
 
     @Override
-    public void put(String key, Map<String, Object> value, Runnable onDurable) {
+    public void put(String key, StoredValue value, Runnable onDurable) {
       write(key, value, onDurable);
     }
 
@@ -133,7 +142,7 @@
       List<String> names = new ArrayList<>();
       world.toCloud(
           () -> {
-            if (!world.store.containsKey(ProvisioningController.RENTAL_KEY_PREFIX + requestId)
+            if (!world.store.containsKey(StateKeys.rental(requestId))
                 && !world.machinesByRequest.containsKey(requestId)) {
               world.broken.add("asked for " + requestId + " before it was durable");
             }
@@ -365,21 +374,19 @@
   @Example
   void whatCannotBeReadIsNamedAndStopsNothing() {
     World world = new World();
-    world.store.put(
-        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-1",
-        Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
-    world.store.put(
-        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-2",
+    world.read(
+        StateKeys.rental("r-1-1"), Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
+    world.read(
+        StateKeys.rental("r-1-2"),
         Map.of("type", "t", "zone", "a", "n", 0L, "epoch", 1L, "at", 0L));
-    world.store.put(
-        ProvisioningController.RELEASE_KEY_PREFIX + "1-3", Map.of("epoch", 1L, "ids", "m"));
-    world.store.put(
-        ProvisioningController.RENTAL_KEY_PREFIX + "r-1-4",
+    world.read(StateKeys.release("1-3"), Map.of("epoch", 1L, "ids", "m"));
+    world.read(
+        StateKeys.rental("r-1-4"),
         Map.of("type", "t", "zone", "a", "n", 2L, "epoch", 1L, "at", 0L, "later", true));
     Holder holder = new Holder(world);
     assertEquals(3, holder.errors.size());
     assertTrue(
-        holder.errors.get(0).contains(ProvisioningController.RELEASE_KEY_PREFIX + "1-3")
+        holder.errors.get(0).contains(StateKeys.release("1-3"))
             && holder.errors.get(0).contains("ids"));
     assertTrue(holder.errors.get(1).contains("r-1-1") && holder.errors.get(1).contains("zone"));
     holder.controller.tick(SECOND);
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/record/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.record}. */
+package org.eiderstair.core.record;
--- a/src/test/java/org/eiderstair/core/standby/InstantHost.java
+++ b/src/test/java/org/eiderstair/core/standby/InstantHost.java
@@ -1,7 +1,7 @@
 package org.eiderstair.core.standby;
 
-import java.util.Map;
 import java.util.function.Consumer;
+import org.eiderstair.core.record.StandbyRecord;
 
 /**
  * A leader whose state is complete and whose records are written at once; what it replicates to
@@ -14,7 +14,7 @@
   }
 
   @Override
-  public void write(long version, Map<String, Object> record, Consumer<RecordWrite> callback) {
+  public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
     callback.accept(new RecordWrite.Written(version + 1));
   }
 
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -17,6 +16,7 @@
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.record.StandbyRecord;
 
 /**
  * The record, the acknowledgements and the election, in every order: whoever recovers the state of
@@ -42,7 +42,7 @@
     long revision;
     String leader;
     long leaderTerm;
-    Map<String, Object> record;
+    StandbyRecord record;
     long recordVersion;
     final Set<String> launched = new HashSet<>();
     final Node[] nodes = {new Node(this, "a"), new Node(this, "b")};
@@ -208,9 +208,9 @@
     void takeOver() {
       if (world.record != null
           && standby.namesThisNode(world.record)
-          && Long.valueOf(world.leaderTerm).equals(world.record.get("epoch"))) {
+          && world.record.term() == world.leaderTerm) {
         standby.stopFollowing();
-        world.record = Standby.withTakeover(world.record);
+        world.record = world.record.withTakeover();
         world.recordVersion = ++world.revision;
         // Its lease is revoked soon; whoever is elected next, the old leader's clock still allows
         // it everything.
@@ -310,7 +310,7 @@
     }
 
     @Override
-    public void write(long version, Map<String, Object> value, Consumer<RecordWrite> callback) {
+    public void write(long version, StandbyRecord value, Consumer<RecordWrite> callback) {
       String ofRun = run;
       long ofTerm = term;
       world.send(
@@ -321,7 +321,7 @@
                     && world.leaderTerm == ofTerm
                     && (world.record == null ? 0 : world.recordVersion) == version;
             if (holds) {
-              world.record = value == null ? null : new LinkedHashMap<>(value);
+              world.record = value;
               world.recordVersion = ++world.revision;
             }
             RecordWrite result =
@@ -531,7 +531,7 @@
       leader.tick(++now);
     }
     standby.stopFollowing();
-    Map<String, Object> record = Map.of("node", "b", "run", "b1", "epoch", 3L);
+    StandbyRecord record = new StandbyRecord(3, "b", "b1");
     Map<String, RecoveredMachine> recovered = standby.recover(9, 9, record).orElseThrow();
     truth.forEach(
         (machine, jobs) ->
@@ -559,14 +559,14 @@
       }
       world.nodes[0].tick(10_000);
     }
-    assertEquals("b1", world.record.get("run"));
+    assertEquals("b1", world.record.run());
   }
 
   @Example
   void eachCheckRefuses() {
     List<String> said = new ArrayList<>();
     Standby standby = new Standby("b", "b1", said::add);
-    Map<String, Object> record = new LinkedHashMap<>(Map.of("node", "b", "run", "b1", "epoch", 3L));
+    StandbyRecord record = new StandbyRecord(3, "b", "b1");
     assertEquals(Optional.empty(), standby.recover(5, 5, record), "no state");
     standby.receive(batch(3, 1, 1, true, there("a")), true, 1);
     standby.stopFollowing();
@@ -575,20 +575,13 @@
     assertEquals(Optional.empty(), standby.recover(5, 4, record), "keys are old");
     assertEquals(Optional.empty(), standby.recover(5, 5, null), "removed");
     assertEquals(
-        Optional.empty(),
-        standby.recover(5, 5, Map.of("node", "b", "run", "b0", "epoch", 3L)),
-        "an earlier run");
-    assertFalse(
-        standby.namesThisNode(Map.of("node", "b", "run", "b0", "epoch", 3L)), "an earlier run");
+        Optional.empty(), standby.recover(5, 5, new StandbyRecord(3, "b", "b0")), "an earlier run");
+    assertFalse(standby.namesThisNode(new StandbyRecord(3, "b", "b0")), "an earlier run");
     assertTrue(standby.namesThisNode(record));
     assertEquals(
-        Optional.empty(),
-        standby.recover(5, 5, Map.of("node", "c", "run", "b1", "epoch", 3L)),
-        "another");
+        Optional.empty(), standby.recover(5, 5, new StandbyRecord(3, "c", "b1")), "another");
     assertEquals(
-        Optional.empty(),
-        standby.recover(5, 5, Map.of("node", "b", "run", "b1", "epoch", 2L)),
-        "another term");
+        Optional.empty(), standby.recover(5, 5, new StandbyRecord(2, "b", "b1")), "another term");
     assertEquals(Set.of("m"), standby.recover(5, 5, record).orElseThrow().keySet());
     assertTrue(said.get(said.size() - 1).contains("standby recovery -> COMPLETE"));
   }
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -17,6 +17,11 @@
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.RentalIntentRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValueCodec;
+import org.eiderstair.core.record.WorkerRecord;
 
 /** What makes this node's copy newer, what shows that it is current, and what does neither. */
 class ReplicaTest {
@@ -50,9 +55,7 @@
 
   private static Reply.Item rosterItem(String machine, long version) {
     return new Reply.Item(
-        StoredRecords.registeredWorkerKey(machine),
-        StoredRecords.registeredWorkers("x", "t", "a", true),
-        version);
+        StateKeys.worker(machine), new WorkerRecord("x", "t", "a", true), version);
   }
 
   /**
@@ -68,33 +71,30 @@
         new Reply.Changed(
             List.of(
                 rosterItem("i-1", 12),
-                new Reply.Item(StoredRecords.DUTY + "rent/r-1-1", Map.of("n", 1L), 12),
-                new Reply.Item(StoredRecords.LEADER, StoredRecords.leader("n1", 3, "run"), 12)),
+                new Reply.Item(
+                    StateKeys.rental("r-1-1"),
+                    new RentalIntentRecord("t", "a", true, 1, 1, 1, null),
+                    12),
+                new Reply.Item(StateKeys.LEADER, new LeaderRecord("n1", 3, "run"), 12)),
             12));
     for (String key :
-        List.of(
-            StoredRecords.registeredWorkerKey("i-1"),
-            StoredRecords.DUTY + "rent/r-1-1",
-            StoredRecords.LEADER)) {
+        List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
       replica.missing(key, 11);
     }
     assertTrue(replica.registeredWorkers.containsKey("i-1"));
-    assertTrue(replica.duties.containsKey(StoredRecords.DUTY + "rent/r-1-1"));
+    assertTrue(replica.duties.containsKey(StateKeys.rental("r-1-1")));
     assertEquals(12, replica.leader().term());
     for (String key :
-        List.of(
-            StoredRecords.registeredWorkerKey("i-1"),
-            StoredRecords.DUTY + "rent/r-1-1",
-            StoredRecords.LEADER)) {
+        List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
       replica.missing(key, 13);
     }
     assertFalse(replica.registeredWorkers.containsKey("i-1"));
-    assertFalse(replica.duties.containsKey(StoredRecords.DUTY + "rent/r-1-1"));
+    assertFalse(replica.duties.containsKey(StateKeys.rental("r-1-1")));
     assertNull(replica.leader());
     // A late list of the time before brings nothing back; a new leader is learnt again.
     replica.apply(rosterItem("i-1", 12));
     assertFalse(replica.registeredWorkers.containsKey("i-1"));
-    replica.apply(new Reply.Item(StoredRecords.LEADER, StoredRecords.leader("n2", 4, "run"), 15));
+    replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n2", 4, "run"), 15));
     assertEquals(15, replica.leader().term());
   }
 
@@ -166,4 +166,38 @@
     replica.cancelledElsewhere(new Cancellation("job-unknown", 99, 0));
     assertFalse(replica.jobs.containsKey("job-unknown"));
   }
+
+  private static Reply.Item read(String key, Map<String, Object> fields, long version) {
+    return new Reply.Item(key, StoredValueCodec.decode(key, fields), version);
+  }
+
+  /** Its version counts, so that the same change is not looked at again; what was known stays. */
+  @Example
+  void aValueOfUnknownFormLeavesWhatIsKnownAndIsLogged() {
+    watching(10);
+    Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
+    replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n1", 3, "run"), 12));
+    replica.apply(rosterItem("i-1", 12));
+    String progress = StateKeys.progress(job.id);
+    bench.effects.clear();
+    replica.apply(read(progress, Map.of("done", "x:1", "run", 2L), 20));
+    replica.apply(read(progress, Map.of("run", 2L), 21));
+    replica.apply(read(StateKeys.LEADER, Map.of("node", 1L), 22));
+    replica.apply(read(StateKeys.worker("i-1"), Map.of("addr", 1L), 23));
+    replica.apply(read(StateKeys.job(job.id), Map.of("s", "later"), 24));
+    replica.apply(read(StateKeys.CATALOG, Map.of("types", 1L), 25));
+    List<String> logged =
+        bench.effects.stream().map(effect -> ((Effect.Log) effect).text()).toList();
+    assertEquals(6, logged.size());
+    for (String line : logged) {
+      assertTrue(line.startsWith("unreadable value key=e/"), line);
+    }
+    assertTrue(job.open());
+    assertTrue(job.durable.isEmpty());
+    assertEquals(21, job.progressVersion);
+    assertEquals("n1", replica.leader().node());
+    assertEquals("x", replica.registeredWorkers.get("i-1").address());
+    assertEquals(25, replica.catalogVersion());
+    assertTrue(replica.catalog().isEmpty());
+  }
 }
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -5,7 +5,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Function;
 import net.jqwik.api.Example;
 import org.eiderstair.core.LeaderBench;
@@ -15,6 +14,10 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.record.LeaderRecord;
+import org.eiderstair.core.record.ReleaseRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.StoredValue;
 
 /** In which order the leader's writes go, and what becomes of those that are written twice. */
 class StateWriterTest {
@@ -37,6 +40,10 @@
           });
   private long now = 1_000_000;
 
+  private static StoredValue release(long epoch) {
+    return new ReleaseRecord(epoch, List.of("i-1"));
+  }
+
   /** The next transaction, carried out. */
   private List<Request.Write> next() {
     bench.effects.clear();
@@ -45,7 +52,7 @@
     Effect.Call call = (Effect.Call) bench.effects.get(0);
     Request.StoreTxn txn = (Request.StoreTxn) call.request();
     assertEquals(
-        new Request.Condition(StoredRecords.LEADER, LeaderBench.TERM), txn.conditions().get(0));
+        new Request.Condition(StateKeys.LEADER, LeaderBench.TERM), txn.conditions().get(0));
     bench.sink.replied(call.call(), new Reply.Applied(++bench.versions));
     return txn.writes();
   }
@@ -54,7 +61,7 @@
   void hundredsOfNotesHoldUpNoCompletionAndWaitForNone() {
     int[] durable = new int[1];
     for (int i = 0; i < 300; i++) {
-      stateWriter.note(StoredRecords.DUTY + "rent/r-1-" + i, Map.of("n", 1L), () -> durable[0]++);
+      stateWriter.note(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
       stateWriter.finished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
@@ -88,31 +95,28 @@
     Machine machine = new Machine("i-1", LeaderBench.TERM, Machine.Phase.CONFIRMED, now);
     stateWriter.register(machine);
     Request.StoreTxn lost = (Request.StoreTxn) answered(r -> new Reply.NoResponse("timeout"));
-    assertTrue(
-        lost.conditions()
-            .contains(new Request.Condition(StoredRecords.registeredWorkerKey("i-1"), 0)));
+    assertTrue(lost.conditions().contains(new Request.Condition(StateKeys.worker("i-1"), 0)));
     long before =
         lost.conditions().stream()
-            .filter(c -> c.key().equals(StoredRecords.BARRIER))
+            .filter(c -> c.key().equals(StateKeys.BARRIER))
             .findFirst()
             .orElseThrow()
             .version();
     Request.StoreTxn barrier =
         (Request.StoreTxn) answered(r -> new Reply.Applied(++bench.versions));
-    assertEquals(StoredRecords.BARRIER, barrier.writes().get(0).key());
-    assertTrue(barrier.conditions().contains(new Request.Condition(StoredRecords.BARRIER, before)));
+    assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
+    assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
-        barrier
-            .conditions()
-            .contains(new Request.Condition(StoredRecords.LEADER, LeaderBench.TERM)));
+        barrier.conditions().contains(new Request.Condition(StateKeys.LEADER, LeaderBench.TERM)));
     // Read only now, when nothing of before can change it any more.
     while (!bench.effects.isEmpty()) {
       Request read =
           answered(
               r ->
                   new Reply.Found(
-                      ((Request.StoreGet) r).key().equals(StoredRecords.LEADER)
-                          ? new Reply.Item(StoredRecords.LEADER, Map.of(), LeaderBench.TERM)
+                      ((Request.StoreGet) r).key().equals(StateKeys.LEADER)
+                          ? new Reply.Item(
+                              StateKeys.LEADER, new LeaderRecord("n0", 1, "run"), LeaderBench.TERM)
                           : null,
                       bench.versions));
       assertTrue(read instanceof Request.StoreGet);
@@ -120,19 +124,19 @@
     Request.StoreTxn again = (Request.StoreTxn) answered(r -> new Reply.Applied(++bench.versions));
     assertTrue(
         again.conditions().stream()
-            .anyMatch(c -> c.key().equals(StoredRecords.BARRIER) && c.version() > before));
+            .anyMatch(c -> c.key().equals(StateKeys.BARRIER) && c.version() > before));
   }
 
   @Example
   void theLatestValueCountsAndEveryoneIsTold() {
     List<String> told = new ArrayList<>();
-    String key = StoredRecords.DUTY + "leave/1-1";
-    stateWriter.note(key, Map.of("v", 1L), () -> told.add("first"));
-    stateWriter.note(key, Map.of("v", 2L), () -> told.add("second"));
-    assertEquals(Map.of("v", 2L), next().get(0).value());
+    String key = StateKeys.release("1-1");
+    stateWriter.note(key, release(1), () -> told.add("first"));
+    stateWriter.note(key, release(2), () -> told.add("second"));
+    assertEquals(release(2), next().get(0).value());
     assertEquals(List.of("first", "second"), told);
     // One that comes while another value is on its way waits for its own.
-    stateWriter.note(key, Map.of("v", 3L), () -> told.add("third"));
+    stateWriter.note(key, release(3), () -> told.add("third"));
     bench.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -20,8 +20,10 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StateKeys;
+import org.eiderstair.core.record.WorkerRecord;
 import org.eiderstair.core.standby.RecoveredMachine;
-import org.eiderstair.core.state.StoredRecords;
 
 /**
  * One machine, a leader and perhaps the next one, and all messages between them. What breaks a rule
@@ -93,7 +95,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    leader.replica.apply(new Reply.Item(StoredRecords.jobKey(JOB), StoredRecords.openJob(spec), 5));
+    leader.replica.apply(new Reply.Item(StateKeys.job(JOB), JobRecord.open(spec, 0), 5));
     leader.replica.jobs.get(JOB).shownRunning = 1;
   }
 
@@ -240,10 +242,7 @@
       second.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
     }
     second.replica.apply(
-        new Reply.Item(
-            StoredRecords.registeredWorkerKey(MACHINE),
-            StoredRecords.registeredWorkers("x", "t", "a", false),
-            4));
+        new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
     second.workers.takeOver(now, picture, now);
     Machine m = second.workers.machines().get(MACHINE);
     m.type = LeaderBench.TYPE;
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -27,10 +27,11 @@
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
 import org.eiderstair.core.quota.TeamQuotas;
+import org.eiderstair.core.record.JobRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
-import org.eiderstair.core.state.StoredRecords;
 
 /** What a report may and may not prove. */
 class WorkerManagerTest {
@@ -118,7 +119,7 @@
             30_000_000,
             4_000_000,
             JobSpec.NO_DEADLINE);
-    replica.apply(new Reply.Item(StoredRecords.jobKey("job-1"), StoredRecords.openJob(spec), 5));
+    replica.apply(new Reply.Item(StateKeys.job("job-1"), JobRecord.open(spec, 0), 5));
     job = replica.jobs.get("job-1");
     job.shownRunning = 1;
     machine.type = TYPE;
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -1,7 +1,12 @@
 package org.eiderstair.sim;
 
+import java.util.List;
+import java.util.Map;
 import java.util.regex.Pattern;
 import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.StoredValueCodec;
 
 /**
  * A digest of everything that controllers decided on a day, with who and when. Names of types and
@@ -12,6 +17,12 @@
   private static final Pattern NAMES = Pattern.compile("[A-Za-z]+(?=[\\[=])");
   private static final long PRIME = 0x100000001b3L;
 
+  private record StoredWrite(String key, Map<String, Object> value, long lease) {}
+
+  private record Transaction(List<Request.Condition> conditions, List<StoredWrite> writes) {}
+
+  private record TransactionCall(long call, Transaction request, long notAfterMicros) {}
+
   private long digest = 0xcbf29ce484222325L;
   private long count;
 
@@ -20,7 +31,25 @@
       return;
     }
     count++;
-    add(node + " " + nowMicros + " " + NAMES.matcher(effect.toString()).replaceAll(""));
+    add(node + " " + nowMicros + " " + NAMES.matcher(text(effect)).replaceAll(""));
+  }
+
+  /** A write counts with the fields and in the order in which it goes to the state service. */
+  private static String text(Effect effect) {
+    if (!(effect instanceof Effect.Call call
+        && call.request() instanceof Request.StoreTxn transaction)) {
+      return effect.toString();
+    }
+    List<StoredWrite> writes =
+        transaction.writes().stream()
+            .map(write -> new StoredWrite(write.key(), fields(write.value()), write.lease()))
+            .toList();
+    Transaction stored = new Transaction(transaction.conditions(), writes);
+    return new TransactionCall(call.call(), stored, call.notAfterMicros()).toString();
+  }
+
+  private static Map<String, Object> fields(StoredValue value) {
+    return value == null ? null : StoredValueCodec.encode(value);
   }
 
   private void add(String text) {
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -23,6 +23,8 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.model.TaskId;
+import org.eiderstair.core.record.ReleaseRecord;
+import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 
 /**
@@ -516,15 +518,14 @@
   private Map<String, Long> marksOf(Request request) {
     Map<String, Long> marks = new HashMap<>();
     if (request instanceof Request.CloudRent rent) {
-      if (!state.ever.containsKey("e/duty/rent/" + rent.request())) {
+      if (!state.ever.containsKey(StateKeys.rental(rent.request()))) {
         breaks("unwritten: " + rent.request());
       }
     } else if (request instanceof Request.CloudDelete delete) {
       state.ever.forEach(
           (key, value) -> {
-            if (key.startsWith("e/duty/leave/")) {
-              ((List<?>) value.get("ids"))
-                  .forEach(id -> marks.merge((String) id, (Long) value.get("epoch"), Math::max));
+            if (value instanceof ReleaseRecord release) {
+              release.machines().forEach(id -> marks.merge(id, release.term(), Math::max));
             }
           });
       for (String id : delete.machines()) {
--- a/src/test/java/org/eiderstair/sim/StateService.java
+++ b/src/test/java/org/eiderstair/sim/StateService.java
@@ -12,6 +12,8 @@
 import java.util.function.Function;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.StoredValueCodec;
 
 /** A stand-in for the state service, to the letter of its contract as far as the core uses it. */
 final class StateService {
@@ -50,7 +52,7 @@
   int maxWrites;
 
   /** Every key that was ever there: what must be durable before it is acted on. */
-  final Map<String, Map<String, Object>> ever = new HashMap<>();
+  final Map<String, StoredValue> ever = new HashMap<>();
 
   StateService(SimulatedClock clock, Random random) {
     this.clock = clock;
@@ -201,9 +203,11 @@
           drop(w.key());
           continue;
         }
-        Reply.Item item = new Reply.Item(w.key(), w.value(), revision);
+        Map<String, Object> stored = StoredValueCodec.encode(w.value());
+        Reply.Item item =
+            new Reply.Item(w.key(), StoredValueCodec.decode(w.key(), stored), revision);
         items.put(w.key(), item);
-        ever.put(w.key(), w.value());
+        ever.put(w.key(), item.value());
         log.add(item);
         attached.remove(w.key());
         if (w.lease() != 0) {
