--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -1,6 +1,5 @@
 package org.eiderstair.core;
 
-import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
 import org.eiderstair.core.jobs.CancellationBroadcast;
@@ -14,40 +13,41 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Job;
-import org.eiderstair.core.record.StandbyRecord;
-import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateServiceHealth;
-import org.eiderstair.core.workers.HeartbeatRelay;
 
 /**
  * One controller without input, output, clock or thread: events come in with the time, effects go
  * out. Given the same events, times and random numbers it does the same again.
  */
-public final class Core implements Replica.Listener, Leadership.Listener {
+public final class Core {
   private static final long MAX_TICK_MICROS = 50_000;
-  private static final long TAKEOVER_RETRY_MICROS = 2_000_000;
+  private static final int NOT_SUPPORTED = 404;
 
   private final Settings settings;
   private final EffectSink sink;
   private final IntUnaryOperator random;
   private final Replica replica;
   private final JobService jobService;
-  private final CancellationBroadcast news;
+  private final CancellationBroadcast cancellationBroadcast;
   private final Leadership leadership;
-  private final HeartbeatRelay relay;
-  private final StateServiceHealth reach;
+  private final StateServiceHealth stateServiceHealth;
   private final Membership membership;
   private final Standby standby;
-  private boolean takingOver;
-  private long nextTakeoverMicros;
-  private Scheduler scheduler;
+  private final StandbyTakeover standbyTakeover;
+  private final FollowerHeartbeats followerHeartbeats;
+  private final PeerRequestHandler peerRequests;
+  private final Event.Handler eventHandler = new EventHandler();
+
+  /** Null while this node does not lead. */
+  private LeaderTerm leaderTerm;
+
   private long now;
 
   /**
-   * @param incarnation differs for every run of a node, so that it can tell its own earlier runs
+   * @param runId differs for every run of a node, so that it can tell its own earlier runs
    * @param dayOffsetMicros the time of day less the steady time, to tell other nodes and later runs
    *     how old a job is
    * @param random a uniformly random number below its argument
@@ -61,12 +61,11 @@
     this.settings = settings;
     this.random = random;
     this.sink = new EffectSink(effects);
-    this.replica = new Replica(settings, sink, this, dayOffsetMicros);
-    this.news = new CancellationBroadcast(settings.node(), sink);
-    this.jobService = new JobService(settings, sink, replica, news::committed);
-    this.relay = new HeartbeatRelay(sink);
-    this.reach = new StateServiceHealth(settings, sink, replica);
-    sink.watch(reach::replied);
+    this.replica = new Replica(settings, sink, new ReplicaChanges(), dayOffsetMicros);
+    this.cancellationBroadcast = new CancellationBroadcast(settings.node(), sink);
+    this.jobService = new JobService(settings, sink, replica, cancellationBroadcast::committed);
+    this.stateServiceHealth = new StateServiceHealth(settings, sink, replica);
+    sink.watch(stateServiceHealth::replied);
     this.membership =
         new Membership(
             settings.node(),
@@ -74,229 +73,223 @@
             settings.nodeZones(),
             runId,
             settings.reportMicros(),
-            this::askHeard,
+            this::requestMembership,
             sink::info);
     this.standby = new Standby(settings.node(), runId, sink::info);
-    this.leadership = new Leadership(settings, sink, replica, runId, random, this);
+    this.leadership =
+        new Leadership(settings, sink, replica, runId, random, new LeadershipChanges());
+    this.standbyTakeover = new StandbyTakeover(sink, replica, leadership, standby, () -> now);
+    this.followerHeartbeats =
+        new FollowerHeartbeats(settings, sink, replica, stateServiceHealth, membership);
+    this.peerRequests =
+        new PeerRequestHandler(sink, replica, leadership, stateServiceHealth, membership, standby);
   }
 
-  /** One event, and what time has made due. */
+  /** Takes one event and does what is due by now. */
   public void handle(Event event, long nowMicros) {
     take(event, nowMicros);
     tick(nowMicros);
   }
 
   /**
-   * One event of several at hand: what is decided for all of them together waits for {@link #tick}.
+   * Takes one event of several at hand: what is decided for all of them together waits for {@link
+   * #tick}.
    */
   public void take(Event event, long nowMicros) {
-    guarded("event " + event.getClass().getSimpleName(), () -> takeWhole(event, nowMicros));
+    now = nowMicros;
+    try {
+      replica.at(now);
+      leadership.setTime(now);
+      event.dispatchTo(eventHandler);
+    } catch (RuntimeException | StackOverflowError e) {
+      recoverFrom(e, "event " + event.getClass().getSimpleName());
+    }
   }
 
-  /**
-   * What may be on a machine is not known any more after half an event. A leader leaves office and
-   * lets another begin its term anew; it must never go on. What else fails concerns one request,
-   * and the node goes on without it.
-   */
-  private void guarded(String what, Runnable step) {
+  /** Decides what is due by now, once for all events that were taken. */
+  public void tick(long nowMicros) {
+    now = nowMicros;
     try {
-      step.run();
+      runDue();
     } catch (RuntimeException | StackOverflowError e) {
-      StackTraceElement[] at = e.getStackTrace();
-      sink.error(what + " failed: " + e + (at.length == 0 ? "" : " at " + at[0]));
-      if (leadership.isLeader()) {
-        leadership.resign("half an event was taken");
-      }
+      recoverFrom(e, "tick");
     }
   }
 
-  private void takeWhole(Event event, long nowMicros) {
-    now = nowMicros;
-    replica.at(now);
-    leadership.setTime(now);
-    if (event instanceof Event.ReplyReceived replied) {
-      sink.replied(replied.call(), replied.reply());
-    } else if (event instanceof Event.HeartbeatReceived reported) {
-      reported(reported);
-    } else if (event instanceof Event.Poll poll) {
-      jobService.poll(poll.exchange(), poll.id());
-    } else if (event instanceof Event.Submit submit) {
-      jobService.submit(submit.exchange(), submit.id(), submit.spec(), submit.fault());
-    } else if (event instanceof Event.Cancel cancel) {
-      jobService.cancel(cancel.exchange(), cancel.id());
-    } else if (event instanceof Event.StateServiceStatusRequested asked) {
-      sink.respond(asked.exchange(), reach.standing());
-    } else if (event instanceof Event.MembershipRequested asked) {
-      sink.respond(
-          asked.exchange(),
-          new Answer.ReachableWorkers(membership.digestAfter(asked.run(), asked.after(), now)));
-    } else if (event instanceof Event.ReplicationReceived told) {
-      // A leader that is known to have been replaced is not followed.
-      boolean mayFollow =
-          leadership.isFollower()
-              && (replica.leader() == null || told.batch().term() >= replica.leader().term());
-      sink.respond(
-          told.exchange(),
-          new Answer.ReplicationAck(standby.receive(told.batch(), mayFollow, now)));
-    } else if (event instanceof Event.CancellationsReceived told) {
-      told.cancellations().forEach(replica::cancelledElsewhere);
-      sink.respond(told.exchange(), new Answer.Acknowledged());
-    } else if (event instanceof Event.ReadyProbe probe) {
-      sink.respond(probe.exchange(), new Answer.Ready(replica.loaded() && !reach.alone()));
+  /**
+   * What may be on a machine is not known any more after half an event. A leader resigns and lets
+   * another begin a new term; it must never go on. What else fails concerns one request, and the
+   * node goes on without it.
+   */
+  private void recoverFrom(Throwable failure, String what) {
+    StackTraceElement[] trace = failure.getStackTrace();
+    String where = trace.length == 0 ? "" : " at " + trace[0];
+    sink.error(what + " failed: " + failure + where);
+    if (leadership.isLeader()) {
+      leadership.resign("an event was only half handled");
     }
   }
 
   /** When the next tick is needed at the latest, if nothing happens before. */
   public long dueMicros() {
-    long due = now + MAX_TICK_MICROS;
-    if (scheduler != null) {
-      due = Math.min(due, scheduler.passDueMicros());
-    }
-    return Math.min(due, jobService.dueMicros());
+    long due = Math.min(now + MAX_TICK_MICROS, jobService.dueMicros());
+    return leaderTerm == null ? due : Math.min(due, leaderTerm.passDueMicros());
   }
 
-  /** Decides what is due now, once for all events that were taken. */
-  public void tick(long nowMicros) {
-    guarded("tick", () -> tickWhole(nowMicros));
+  /** Whether this node holds the leader key. */
+  public boolean isLeader() {
+    return leadership.isLeader();
   }
 
-  private void tickWhole(long nowMicros) {
-    now = nowMicros;
+  private void runDue() {
     replica.at(now);
     replica.tick(now);
-    reach.tick(now);
-    String newer = reach.newerLeader(leadership.term());
-    if (newer != null && leadership.isLeader()) {
-      leadership.deposed(
-          "a peer that the state service serves follows " + newer + ", term=" + reach.newerTerm());
-    }
-    takeOverIfLeaderIsSilent();
+    stateServiceHealth.tick(now);
+    stepDownForNewerLeader();
+    standbyTakeover.tick();
     leadership.tick(now);
     jobService.tick(now);
-    if (scheduler != null) {
-      scheduler.tick(now);
+    if (leaderTerm != null) {
+      leaderTerm.tick(now);
     }
   }
 
-  private void reported(Event.HeartbeatReceived event) {
-    if (scheduler != null && leadership.isLeader()) {
-      scheduler.reported(event.exchange(), event.report(), event.relayed(), now);
-      return;
-    }
-    if (!event.relayed()) {
-      membership.heartbeatReceived(event.report().machine(), now);
-    }
-    Replica.Leader leader = replica.leader();
-    // While the state service refuses this node alone, its own picture of the leader is old.
-    String newer = reach.newerLeader(leader == null ? 0 : leader.term());
-    String target = newer != null ? newer : leader == null ? null : leader.node();
-    if (event.relayed()) {
-      sink.respond(event.exchange(), new Answer.Redirect(null));
-    } else {
-      relay.reported(
-          event.exchange(), event.report(), settings.node().equals(target) ? null : target, now);
+  private void stepDownForNewerLeader() {
+    String newer = stateServiceHealth.newerLeader(leadership.term());
+    if (newer != null && leadership.isLeader()) {
+      leadership.deposed(
+          "a peer that the state service serves follows "
+              + newer
+              + ", term="
+              + stateServiceHealth.newerTerm());
     }
   }
 
-  private void askHeard(String peer, String run, long after, Consumer<Membership.Answer> callback) {
+  private void requestMembership(
+      String peer, String run, long after, Consumer<Membership.Answer> callback) {
     sink.call(
         new Request.PeerMembership(peer, run, after),
-        reply ->
-            callback.accept(
-                reply instanceof Reply.PeerMembership told
-                    ? new Membership.Answer(told.digest())
-                    : reply instanceof Reply.Refused refused && refused.status() == 404
-                        ? new Membership.Answer(null)
-                        : null));
+        reply -> callback.accept(membershipAnswer(reply)));
   }
 
-  /**
-   * The standby in sync has had no batch from its leader for a while: it marks the record as taken
-   * over, so that the leader, which launches nothing that the standby does not acknowledge, can
-   * never launch again; then it revokes that leader's lease instead of waiting for its expiry. A
-   * leader that is alive and merely out of this node's reach has removed it from the record by now.
-   */
-  private void takeOverIfLeaderIsSilent() {
-    Replica.StoredStandby record = replica.standby();
-    Replica.Leader leader = replica.leader();
-    if (takingOver
-        || now < nextTakeoverMicros
-        || record == null
-        || leader == null
-        || !leadership.isFollower()
-        || !standby.leaderTimedOut(now)
-        || !standby.namesThisNode(record.value())
-        || record.value().term() != leader.term()) {
-      return;
+  /** Null without a usable answer. */
+  private static Membership.Answer membershipAnswer(Reply reply) {
+    if (reply instanceof Reply.PeerMembership membership) {
+      return new Membership.Answer(membership.digest());
     }
-    StandbyRecord takenOver = record.value().withTakeover();
-    takingOver = true;
-    standby.stopFollowing();
-    sink.info(
-        "taking over from leader=" + leader.node() + ", which is silent, term=" + leader.term());
-    sink.call(
-        new Request.StoreTxn(
-            List.of(
-                new Request.Condition(StateKeys.LEADER, leader.term()),
-                new Request.Condition(StateKeys.STANDBY, record.version())),
-            List.of(new Request.Write(StateKeys.STANDBY, takenOver, 0))),
-        reply -> {
-          takingOver = false;
-          nextTakeoverMicros = now + TAKEOVER_RETRY_MICROS;
-          sink.info("takeover of term=" + leader.term() + ": " + reply);
-          if (reply instanceof Reply.Applied applied) {
-            replica.apply(new Reply.Item(StateKeys.STANDBY, takenOver, applied.revision()));
-            sink.call(new Request.LeaseRevoke(leader.lease()), dropped -> {});
-          }
-        });
+    boolean unsupported =
+        reply instanceof Reply.Refused refused && refused.status() == NOT_SUPPORTED;
+    return unsupported ? new Membership.Answer(null) : null;
   }
 
-  @Override
-  public void campaignStarted() {
-    standby.stopFollowing();
-  }
+  /** Hands each type of event to the part that it is for. */
+  private final class EventHandler implements Event.Handler {
+    @Override
+    public void tick() {}
 
-  @Override
-  public boolean anotherNodeInSync() {
-    Replica.StoredStandby record = replica.standby();
-    return record != null
-        && Standby.namesAnyNode(record.value())
-        && !standby.namesThisNode(record.value());
-  }
+    @Override
+    public void replyReceived(Event.ReplyReceived event) {
+      sink.replied(event.call(), event.reply());
+    }
 
-  /** Whether this node holds the office of leader. */
-  public boolean isLeader() {
-    return leadership.isLeader();
-  }
+    @Override
+    public void submit(Event.Submit event) {
+      jobService.submit(event.exchange(), event.id(), event.spec(), event.fault());
+    }
 
-  @Override
-  public void leaderChanged() {
-    news.leader(replica.leader());
-    leadership.leaderChanged();
-  }
+    @Override
+    public void poll(Event.Poll event) {
+      jobService.poll(event.exchange(), event.id());
+    }
 
-  @Override
-  public void jobChanged(Job job, boolean isNew) {
-    if (scheduler != null) {
-      scheduler.jobChanged(job);
+    @Override
+    public void cancel(Event.Cancel event) {
+      jobService.cancel(event.exchange(), event.id());
+    }
+
+    @Override
+    public void stateServiceStatusRequested(Event.StateServiceStatusRequested event) {
+      peerRequests.stateServiceStatus(event);
+    }
+
+    @Override
+    public void membershipRequested(Event.MembershipRequested event) {
+      peerRequests.membership(event, now);
+    }
+
+    @Override
+    public void replicationReceived(Event.ReplicationReceived event) {
+      peerRequests.replication(event, now);
+    }
+
+    @Override
+    public void cancellationsReceived(Event.CancellationsReceived event) {
+      peerRequests.cancellations(event);
+    }
+
+    @Override
+    public void readyProbe(Event.ReadyProbe event) {
+      boolean ready = replica.loaded() && !stateServiceHealth.alone();
+      sink.respond(event.exchange(), new Answer.Ready(ready));
     }
-  }
 
-  @Override
-  public void loaded() {
-    sink.info("node " + settings.node() + " ready");
+    @Override
+    public void heartbeatReceived(Event.HeartbeatReceived event) {
+      if (leaderTerm == null) {
+        followerHeartbeats.received(event, now);
+      } else {
+        leaderTerm.heartbeatReceived(event.exchange(), event.report(), event.relayed(), now);
+      }
+    }
   }
 
-  @Override
-  public void leadershipGained(long term) {
-    scheduler =
-        new Scheduler(settings, sink, replica, leadership, membership, standby, term, random);
+  /** What changes in the replica. */
+  private final class ReplicaChanges implements Replica.Listener {
+    @Override
+    public void leaderChanged() {
+      cancellationBroadcast.leader(replica.leader());
+      leadership.leaderChanged();
+    }
+
+    @Override
+    public void jobChanged(Job job, boolean isNew) {
+      if (leaderTerm != null) {
+        leaderTerm.jobChanged(job);
+      }
+    }
+
+    @Override
+    public void loaded() {
+      sink.info("node " + settings.node() + " ready");
+    }
   }
 
-  @Override
-  public void leadershipLost(String why) {
-    Scheduler ended = scheduler;
-    scheduler = null;
-    ended.close();
+  /** What changes in this node's leadership. */
+  private final class LeadershipChanges implements Leadership.Listener {
+    @Override
+    public void campaignStarted() {
+      standby.stopFollowing();
+    }
+
+    @Override
+    public boolean anotherNodeInSync() {
+      Replica.StoredStandby record = replica.standby();
+      return record != null
+          && Standby.namesAnyNode(record.value())
+          && !standby.namesThisNode(record.value());
+    }
+
+    @Override
+    public void leadershipGained(long term) {
+      leaderTerm =
+          new LeaderTerm(settings, sink, replica, leadership, membership, standby, term, random);
+    }
+
+    @Override
+    public void leadershipLost(String why) {
+      LeaderTerm ended = leaderTerm;
+      leaderTerm = null;
+      ended.close();
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -0,0 +1,63 @@
+package org.eiderstair.core;
+
+import org.eiderstair.core.leadership.Leadership;
+import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateServiceHealth;
+
+/** Answers what other controllers ask and tell. */
+final class PeerRequestHandler {
+  private final EffectSink sink;
+  private final Replica replica;
+  private final Leadership leadership;
+  private final StateServiceHealth stateServiceHealth;
+  private final Membership membership;
+  private final Standby standby;
+
+  PeerRequestHandler(
+      EffectSink sink,
+      Replica replica,
+      Leadership leadership,
+      StateServiceHealth stateServiceHealth,
+      Membership membership,
+      Standby standby) {
+    this.sink = sink;
+    this.replica = replica;
+    this.leadership = leadership;
+    this.stateServiceHealth = stateServiceHealth;
+    this.membership = membership;
+    this.standby = standby;
+  }
+
+  void stateServiceStatus(Event.StateServiceStatusRequested event) {
+    sink.respond(event.exchange(), stateServiceHealth.standing());
+  }
+
+  void membership(Event.MembershipRequested event, long nowMicros) {
+    sink.respond(
+        event.exchange(),
+        new Answer.ReachableWorkers(membership.digestAfter(event.run(), event.after(), nowMicros)));
+  }
+
+  void replication(Event.ReplicationReceived event, long nowMicros) {
+    ReplicationBatch.Ack ack =
+        standby.receive(event.batch(), mayFollow(event.batch().term()), nowMicros);
+    sink.respond(event.exchange(), new Answer.ReplicationAck(ack));
+  }
+
+  /** A leader that is known to have been replaced is not followed. */
+  private boolean mayFollow(long term) {
+    Replica.Leader leader = replica.leader();
+    return leadership.isFollower() && (leader == null || term >= leader.term());
+  }
+
+  void cancellations(Event.CancellationsReceived event) {
+    event.cancellations().forEach(replica::cancelledElsewhere);
+    sink.respond(event.exchange(), new Answer.Acknowledged());
+  }
+}
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -5,45 +5,139 @@
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.JobSpec;
 
-/** What happens to the core. */
+/** What happens to the core: a request of a user, a worker or a peer, a reply, or passing time. */
 public sealed interface Event {
 
+  /** Calls the handler's method for this type of event. */
+  void dispatchTo(Handler handler);
+
+  /** One method for each type of event: a new type does not compile until it is handled. */
+  interface Handler {
+    /** Time has passed. */
+    void tick();
+
+    /** Continues what waits for the reply. */
+    void replyReceived(ReplyReceived event);
+
+    /** Accepts or refuses a job. */
+    void submit(Submit event);
+
+    /** Answers with the state of a job. */
+    void poll(Poll event);
+
+    /** Cancels a job. */
+    void cancel(Cancel event);
+
+    /** Answers a peer whether the state service serves this node. */
+    void stateServiceStatusRequested(StateServiceStatusRequested event);
+
+    /** Answers a peer which machines reach this node. */
+    void membershipRequested(MembershipRequested event);
+
+    /** Takes a part of the leader's state as its standby. */
+    void replicationReceived(ReplicationReceived event);
+
+    /** Takes cancellations that a peer has committed. */
+    void cancellationsReceived(CancellationsReceived event);
+
+    /** Answers whether this node takes requests. */
+    void readyProbe(ReadyProbe event);
+
+    /** Answers, redirects or relays a worker's heartbeat. */
+    void heartbeatReceived(HeartbeatReceived event);
+  }
+
   /** Time passes. */
-  record Tick() implements Event {}
+  record Tick() implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.tick();
+    }
+  }
 
   /** The outcome of an earlier request. */
-  record ReplyReceived(long call, Reply reply) implements Event {}
+  record ReplyReceived(long call, Reply reply) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.replyReceived(this);
+    }
+  }
 
   /**
    * A user submits; {@code spec} is null and {@code fault} set when the body is malformed but its
    * id is not.
    */
-  record Submit(long exchange, String id, JobSpec spec, String fault) implements Event {}
+  record Submit(long exchange, String id, JobSpec spec, String fault) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.submit(this);
+    }
+  }
 
   /** A user asks for the state of a job. */
-  record Poll(long exchange, String id) implements Event {}
+  record Poll(long exchange, String id) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.poll(this);
+    }
+  }
 
   /** A user cancels a job. */
-  record Cancel(long exchange, String id) implements Event {}
+  record Cancel(long exchange, String id) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.cancel(this);
+    }
+  }
 
   /** A peer asks whether the state service serves this node. */
-  record StateServiceStatusRequested(long exchange) implements Event {}
+  record StateServiceStatusRequested(long exchange) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.stateServiceStatusRequested(this);
+    }
+  }
 
   /**
    * A peer asks which machines this node hears, as changes after what a run of this node has told
    * it already.
    */
-  record MembershipRequested(long exchange, String run, long after) implements Event {}
+  record MembershipRequested(long exchange, String run, long after) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.membershipRequested(this);
+    }
+  }
 
   /** A leader tells what changed in its picture. */
-  record ReplicationReceived(long exchange, ReplicationBatch batch) implements Event {}
+  record ReplicationReceived(long exchange, ReplicationBatch batch) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.replicationReceived(this);
+    }
+  }
 
   /** A peer tells of cancellations that it has committed. */
-  record CancellationsReceived(long exchange, List<Cancellation> cancellations) implements Event {}
+  record CancellationsReceived(long exchange, List<Cancellation> cancellations) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.cancellationsReceived(this);
+    }
+  }
 
   /** The load balancer asks whether this node takes requests. */
-  record ReadyProbe(long exchange) implements Event {}
+  record ReadyProbe(long exchange) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.readyProbe(this);
+    }
+  }
 
   /** A worker reports; {@code relayed} when it came through another node. */
-  record HeartbeatReceived(long exchange, Heartbeat report, boolean relayed) implements Event {}
+  record HeartbeatReceived(long exchange, Heartbeat report, boolean relayed) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.heartbeatReceived(this);
+    }
+  }
 }
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -18,8 +18,7 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * An event that throws half-way leaves a picture that nobody knows: a leader must not go on with
- * it.
+ * An event that throws half-way leaves a state that nobody knows: a leader must not go on with it.
  */
 class CoreFailureTest {
   private static final long SECOND = 1_000_000;
@@ -79,7 +78,7 @@
   }
 
   @Example
-  void aLeaderLeavesOfficeAndStandsAgainOnlyAfterOthersCould() {
+  void aLeaderResignsAndCampaignsAgainOnlyAfterOthersCould() {
     lead();
     core.handle(broken(1), now);
     assertFalse(core.isLeader());
--- a/src/test/java/org/eiderstair/core/SchedulerTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -14,8 +14,8 @@
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 
-/** How a term of office begins. */
-class SchedulerTest {
+/** How a leader's term begins. */
+class LeaderTermTest {
   private final LeaderBench bench = new LeaderBench();
 
   private Effect.Call watch() {
@@ -28,11 +28,11 @@
 
   /**
    * A leader between the last one that this node saw and itself may have used machines that its
-   * picture does not show yet: it must have read up to its own election before it decides what is
+   * replica does not show yet: it must have read up to its own election before it decides what is
    * where.
    */
   @Example
-  void nothingIsTakenOverBeforeThePictureReachesTheElection() {
+  void nothingIsRecoveredBeforeTheReplicaReachesTheElection() {
     bench.load();
     bench.replica.tick(bench.now);
     long term = bench.replica.revision() + 50;
@@ -45,8 +45,8 @@
             3_000_000,
             (peer, run, after, callback) -> {},
             text -> {});
-    Scheduler scheduler =
-        new Scheduler(
+    LeaderTerm leaderTerm =
+        new LeaderTerm(
             bench.settings,
             bench.sink,
             bench.replica,
@@ -55,11 +55,11 @@
             bench.standby,
             term,
             n -> 0);
-    scheduler.tick(bench.now);
+    leaderTerm.tick(bench.now);
     Heartbeat report =
         new Heartbeat(
             "m", "x", "t", "a", false, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
-    scheduler.reported(7, report, false, bench.now);
+    leaderTerm.heartbeatReceived(7, report, false, bench.now);
     assertTrue(
         bench.effects.stream()
             .anyMatch(
@@ -71,8 +71,8 @@
 
     bench.sink.replied(watch().call(), new Reply.Changed(List.of(), term));
     assertEquals(term, bench.replica.revision());
-    scheduler.tick(bench.now);
-    scheduler.reported(8, report, false, bench.now);
+    leaderTerm.tick(bench.now);
+    leaderTerm.heartbeatReceived(8, report, false, bench.now);
     assertTrue(
         bench.effects.stream().noneMatch(e -> e instanceof Effect.Respond),
         "answered in the next pass");
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -249,7 +249,7 @@
     m.recomputeFreeResources();
     leaders.add(second);
     if (withPicture) {
-      // Its standby has claimed the term: it never launches again.
+      // Its standby has taken over the term: it never launches again.
       first.workers.close();
       first.leadership.deposed("claimed");
     }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -71,7 +71,7 @@
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
-    assertEquals(1, logged("no machine reaches this node while peers hear"));
+    assertEquals(1, logged("no machine reaches this node while peers receive heartbeats of"));
   }
 
   @Example
