--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -123,7 +123,7 @@
     replica.duties.values().forEach(item -> records.put(item.key(), item.value()));
     duties.resume(records, now);
     for (Machine m : workers.machines().values()) {
-      if (duties.isReleasing(m.id)) {
+      if (duties.isReleasing(m.id())) {
         retirement.leave(m);
       }
     }
@@ -177,10 +177,10 @@
   }
 
   private boolean isIdle(Machine m) {
-    return m.phase == Machine.Phase.CONFIRMED
-        && m.attempts.isEmpty()
-        && now > m.idleSinceMicros + settings.tuning().idleReturnMicros()
-        && now > m.sinceMicros + CHEAPEST_LIFE_MICROS;
+    return m.phase() == Machine.Phase.CONFIRMED
+        && m.attempts().isEmpty()
+        && now > m.idleSinceMicros() + settings.tuning().idleReturnMicros()
+        && now > m.sinceMicros() + CHEAPEST_LIFE_MICROS;
   }
 
   /**
@@ -191,8 +191,8 @@
     List<PlannedRoom> rooms = new ArrayList<>();
     for (Machine m : workers.machines().values()) {
       // What nobody sees is asked for elsewhere; it is not given back for it.
-      m.excess = false;
-      if (m.plan == Machine.Plan.ACTIVE && m.type != null && !m.partitioned) {
+      m.setExcess(false);
+      if (m.plan() == Machine.Plan.ACTIVE && m.type() != null && !m.isPartitioned()) {
         rooms.add(new PlannedRoom(m));
       }
     }
@@ -202,8 +202,8 @@
     // Cheap machines serve first, and among equals the busy ones: what is left over is best
     // returned.
     rooms.sort(
-        Comparator.comparing((PlannedRoom r) -> !r.machine.spot)
-            .thenComparing(r -> r.machine.attempts.isEmpty()));
+        Comparator.comparing((PlannedRoom r) -> !r.machine.isSpot())
+            .thenComparing(r -> r.machine.attempts().isEmpty()));
     Map<RentalOption, Double> wanted = new LinkedHashMap<>();
     List<Demand.Estimate> estimates = demand.measure(now);
     // Where some work may use dear machines only, those are kept by all demand: a burst of it
@@ -214,7 +214,8 @@
       double got = 0;
       for (PlannedRoom room : rooms) {
         // Work that may use cheap machines gets dear ones only for what is at hand.
-        double most = sparing && !room.machine.spot ? estimate.currentTasks() : estimate.tasks();
+        double most =
+            sparing && !room.machine.isSpot() ? estimate.currentTasks() : estimate.tasks();
         got += room.take(spec, Math.max(0, most - got));
       }
       RentalOption offer = choose(spec);
@@ -230,9 +231,10 @@
         (offer, machines) ->
             rent(offer, Math.min(settings.tuning().rentBatch(), (int) Math.ceil(machines - 0.1))));
     for (PlannedRoom room : rooms) {
-      room.machine.excess = room.left > 0.999;
-      room.machine.reservedForOnDemand = sparing && room.machine.excess && !room.machine.spot;
-      if (room.machine.excess && isIdle(room.machine)) {
+      room.machine.setExcess(room.left > 0.999);
+      room.machine.setReservedForOnDemand(
+          sparing && room.machine.isExcess() && !room.machine.isSpot());
+      if (room.machine.isExcess() && isIdle(room.machine)) {
         retirement.returnNow(room.machine, "idle");
       }
     }
@@ -278,7 +280,7 @@
   private int inZone(String zone) {
     int count = 0;
     for (Machine m : workers.machines().values()) {
-      count += zone.equals(m.zone) ? 1 : 0;
+      count += zone.equals(m.zone()) ? 1 : 0;
     }
     for (RentalRequest rental : duties.pendingRentals()) {
       count += zone.equals(rental.option().zone()) ? rental.count() : 0;
@@ -310,10 +312,9 @@
           List<Machine> machines = new ArrayList<>(rental.count());
           for (int i = 0; i < rental.count(); i++) {
             Machine m = new Machine(charter + "/" + i, term, Machine.Phase.BOOTING, now);
-            m.typeName = rental.option().type();
-            m.type = type(rental.option().type());
-            m.zone = rental.option().zone();
-            m.spot = rental.option().spot();
+            RentalOption option = rental.option();
+            m.describe(null, option.type(), option.zone(), option.spot());
+            m.assignType(type(option.type()));
             machines.add(m);
           }
           return machines;
@@ -396,7 +397,7 @@
       for (String id : machines) {
         if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
           Machine m = workers.expect(id, null, option.type(), option.zone(), option.spot());
-          m.sinceMicros = now - ageMicros;
+          m.setSince(now - ageMicros);
         }
       }
     }
@@ -409,11 +410,11 @@
     @Override
     public void machineTerminated(String machine) {
       Machine m = workers.machines().get(machine);
-      if (m != null && m.presumedDead) {
+      if (m != null && m.isPresumedDead()) {
         // What was refused for want of room there may be had now. Seen after a zone's cut: 350
         // machines were given back, and none rented for them until the last refusal was 15 s old.
         // One that was idle is not missed.
-        refusedUntil.remove(new RentalOption(m.typeName, m.zone, m.spot));
+        refusedUntil.remove(new RentalOption(m.typeName(), m.zone(), m.isSpot()));
         nextDecideMicros = Math.min(nextDecideMicros, now + RENT_GAP_MICROS);
       }
       workers.deleted(machine);
@@ -480,10 +481,10 @@
    */
   private void returnUnlisted() {
     for (Machine m : workers.machines().values()) {
-      if (m.phase == Machine.Phase.UNCONFIRMED
-          && m.plan != Machine.Plan.TERMINATE
-          && !listed.contains(m.id)
-          && now > m.sinceMicros + 2_000_000) {
+      if (m.phase() == Machine.Phase.UNCONFIRMED
+          && m.plan() != Machine.Plan.TERMINATE
+          && !listed.contains(m.id())
+          && now > m.sinceMicros() + 2_000_000) {
         retirement.returnNow(m, "neither heard nor listed");
       }
     }
@@ -499,7 +500,7 @@
     }
     Machine m = workers.machines().get(listed.id());
     if (listed.state().equals("failed")) {
-      if (m == null || m.plan != Machine.Plan.TERMINATE) {
+      if (m == null || m.plan() != Machine.Plan.TERMINATE) {
         sink.info("machine " + listed.id() + " failed, term=" + term);
       }
       if (m == null) {
@@ -508,8 +509,8 @@
                 listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
       }
       retirement.leave(m);
-      m.presumedDead = false;
-      duties.scaleIn(m.id);
+      m.setPresumedDead(false);
+      duties.scaleIn(m.id());
       return;
     }
     if (m == null) {
@@ -517,7 +518,7 @@
       m =
           workers.expect(
               listed.id(), listed.address(), listed.type(), listed.zone(), listed.spot());
-      m.sinceMicros = now - listed.ageMicros();
+      m.setSince(now - listed.ageMicros());
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -187,8 +187,8 @@
     double estimate = estimateMicros(job.spec());
     double remaining = job.waiting() * estimate;
     for (Attempt attempt : job.active.values()) {
-      boolean running = attempt.reportedState == Heartbeat.TaskState.RUNNING;
-      double left = running ? estimate - (nowMicros - attempt.runningSinceMicros) : estimate;
+      boolean running = attempt.reportedState() == Heartbeat.TaskState.RUNNING;
+      double left = running ? estimate - (nowMicros - attempt.runningSinceMicros()) : estimate;
       remaining += Math.max(left, estimate / MIN_REMAINING_DIVISOR);
     }
     return remaining;
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -71,33 +71,33 @@
     returnOverdue();
     int spared = 0;
     for (Machine m : workers.machines().values()) {
-      if (m.plan == Machine.Plan.TERMINATE) {
-        if (m.presumedDead && m.lastHeartbeatMicros > now - HEARD_AGAIN_MICROS) {
+      if (m.plan() == Machine.Plan.TERMINATE) {
+        if (m.isPresumedDead() && m.lastContactMicros() > now - HEARD_AGAIN_MICROS) {
           // It was taken for dead, and is heard again.
-          m.presumedDead = false;
-          duties.cancelScaleIn(m.id);
+          m.setPresumedDead(false);
+          duties.cancelScaleIn(m.id());
         }
         continue;
       }
       ReachabilityClassifier.Verdict verdict = survey.verdictOf(m);
-      m.partitioned = verdict == ReachabilityClassifier.Verdict.ZONE_PARTITIONED;
+      m.setPartitioned(verdict == ReachabilityClassifier.Verdict.ZONE_PARTITIONED);
       String why = null;
-      if (m.phase == Machine.Phase.BOOTING) {
-        long boot = m.type == null ? 60_000_000L : m.type.bootMicros();
+      if (m.phase() == Machine.Phase.BOOTING) {
+        long boot = m.type() == null ? 60_000_000L : m.type().bootMicros();
         why =
-            now > m.sinceMicros + boot * BOOT_PATIENCE && !membership.isReachableByPeer(m.id)
+            now > m.sinceMicros() + boot * BOOT_PATIENCE && !membership.isReachableByPeer(m.id())
                 ? "never came up"
                 : null;
       } else if (verdict == ReachabilityClassifier.Verdict.UNREACHABLE) {
         why = survey.evidence(m);
-      } else if (m.plan == Machine.Plan.DRAIN
-          && m.attempts.isEmpty()
-          && m.phase == Machine.Phase.CONFIRMED) {
+      } else if (m.plan() == Machine.Plan.DRAIN
+          && m.attempts().isEmpty()
+          && m.phase() == Machine.Phase.CONFIRMED) {
         why = "drained";
       }
       if (why != null) {
-        m.presumedDead = verdict == ReachabilityClassifier.Verdict.UNREACHABLE;
-        returnNow(m, m.presumedDead ? "silent: " + why : why);
+        m.setPresumedDead(verdict == ReachabilityClassifier.Verdict.UNREACHABLE);
+        returnNow(m, m.isPresumedDead() ? "silent: " + why : why);
       } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.REACHABLE_BY_PEER.ordinal()) {
         spared++;
       }
@@ -118,9 +118,9 @@
     for (Job job : replica.cancelledLately(now)) {
       if (job.cancelledMicros < since) {
         for (Attempt a : new ArrayList<>(job.active.values())) {
-          if (a.mayBeOnMachine() && a.machine.plan != Machine.Plan.TERMINATE) {
+          if (a.mayBeOnMachine() && a.machine().plan() != Machine.Plan.TERMINATE) {
             returnNow(
-                a.machine,
+                a.machine(),
                 "not shown to have ended "
                     + a.task()
                     + ", cancelled "
@@ -133,14 +133,14 @@
   }
 
   void returnNow(Machine m, String why) {
-    sink.info("returning machine " + m.id + ": " + why + ", term=" + term);
+    sink.info("returning machine " + m.id() + ": " + why + ", term=" + term);
     leave(m);
-    duties.scaleIn(m.id);
+    duties.scaleIn(m.id());
   }
 
   /** Nothing is placed on it any more; what it runs goes on until it is gone. */
   void leave(Machine m) {
     workers.drain(m);
-    m.plan = Machine.Plan.TERMINATE;
+    m.terminate();
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/PlannedRoom.java
+++ b/src/main/java/org/eiderstair/core/capacity/PlannedRoom.java
@@ -20,7 +20,7 @@
     if (!machine.allows(spec)) {
       return 0;
     }
-    double each = share(spec, machine.type);
+    double each = share(spec, machine.type());
     double taken = Math.min(tasks, left / each);
     left -= taken * each;
     return taken;
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -229,8 +229,8 @@
   public int runningCount() {
     int running = 0;
     for (Attempt a : active.values()) {
-      if (a.reportedState == Heartbeat.TaskState.RUNNING
-          || a.reportedState == Heartbeat.TaskState.SAVING) {
+      if (a.reportedState() == Heartbeat.TaskState.RUNNING
+          || a.reportedState() == Heartbeat.TaskState.SAVING) {
         running++;
       }
     }
--- a/src/main/java/org/eiderstair/core/placement/Candidates.java
+++ b/src/main/java/org/eiderstair/core/placement/Candidates.java
@@ -57,10 +57,10 @@
   }
 
   private int preference(Machine machine) {
-    return (machine.excess ? 0 : IN_DEMAND)
-        + (machine.spot ? SPOT : 0)
+    return (machine.isExcess() ? 0 : IN_DEMAND)
+        + (machine.isSpot() ? SPOT : 0)
         + (machine.hasImage(spec) ? HAS_IMAGE : 0)
-        + (machine.attempts.isEmpty() ? 0 : IN_USE);
+        + (machine.attempts().isEmpty() ? 0 : IN_USE);
   }
 
   boolean isEmpty() {
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -23,9 +23,9 @@
   private static final long REPEAT_AFTER_MICROS = 30_000_000;
 
   private static final Comparator<Attempt> LEAST_IMPORTANT_THEN_LATEST_STARTED =
-      Comparator.comparing((Attempt attempt) -> attempt.spec.priority())
+      Comparator.comparing((Attempt attempt) -> attempt.spec().priority())
           .reversed()
-          .thenComparing(attempt -> -attempt.runningSinceMicros);
+          .thenComparing(attempt -> -attempt.runningSinceMicros());
 
   private final EffectSink sink;
   private final WorkerManager workers;
@@ -60,9 +60,9 @@
     double neededCpus = (job.waiting() + job.queued.size()) * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
     for (Machine machine : workers.machines().values()) {
-      for (Attempt attempt : machine.attempts.values()) {
-        if (attempt.stopRequested && constraints.allows(machine)) {
-          neededCpus -= attempt.spec.cpus();
+      for (Attempt attempt : machine.attempts()) {
+        if (attempt.isStopRequested() && constraints.allows(machine)) {
+          neededCpus -= attempt.spec().cpus();
         } else if (isPreemptible(attempt, job.spec()) && constraints.allows(machine)) {
           victims.add(attempt);
         }
@@ -74,7 +74,7 @@
         return;
       }
       preempt(victim, job);
-      neededCpus -= victim.spec.cpus();
+      neededCpus -= victim.spec().cpus();
     }
   }
 
@@ -91,24 +91,24 @@
    * second).
    */
   private boolean isPreemptible(Attempt attempt, JobSpec waiting) {
-    return attempt.phase == Attempt.Phase.REPORTED
-        && attempt.job.open()
-        && !attempt.stopRequested
-        && !order.isWithinGuarantee(attempt.job)
-        && waiting.priority().compareTo(attempt.spec.priority()) <= 0
-        && !attempt.spec.team().equals(waiting.team())
-        && quotas.cpusAboveGuarantee(attempt.spec.team()) >= attempt.spec.cpus();
+    return attempt.phase() == Attempt.Phase.REPORTED
+        && attempt.job().open()
+        && !attempt.isStopRequested()
+        && !order.isWithinGuarantee(attempt.job())
+        && waiting.priority().compareTo(attempt.spec().priority()) <= 0
+        && !attempt.spec().team().equals(waiting.team())
+        && quotas.cpusAboveGuarantee(attempt.spec().team()) >= attempt.spec().cpus();
   }
 
   private void preempt(Attempt victim, Job job) {
-    victim.stopRequested = true;
-    workers.killSoon(victim.machine);
+    victim.requestStop();
+    workers.killSoon(victim.machine());
     preemptionsLeft--;
     sink.info(
         "preempting task="
             + victim.task()
             + " on machine="
-            + victim.machine.id
+            + victim.machine().id()
             + " for job="
             + job.id
             + " team="
--- a/src/main/java/org/eiderstair/core/placement/JobPlacer.java
+++ b/src/main/java/org/eiderstair/core/placement/JobPlacer.java
@@ -79,23 +79,23 @@
       if (!admission.admitsOneMore(job)) {
         return;
       }
-      constraints.taskRemoved(attempt.machine);
+      constraints.taskRemoved(attempt.machine());
       if (constraints.hasZoneRule()) {
         constraints.chooseZone();
         candidates = selector.candidates(job, constraints);
       }
       Machine machine = selector.draw(candidates);
       if (machine == null) {
-        constraints.taskAdded(attempt.machine);
+        constraints.taskAdded(attempt.machine());
         return;
       }
       workers.remove(attempt);
-      attach(job, attempt.index, machine, Attempt.Phase.PLANNED, nowMicros);
+      attach(job, attempt.index(), machine, Attempt.Phase.PLANNED, nowMicros);
       constraints.taskAdded(machine);
     }
   }
 
   private void attach(Job job, int index, Machine machine, Attempt.Phase phase, long nowMicros) {
-    workers.attach(new Attempt(job, index, workers.nextAttempt(), machine, phase, nowMicros));
+    workers.attach(new Attempt(job, index, workers.nextAttempt(), machine, phase));
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -47,16 +47,16 @@
   }
 
   private void serve(Machine machine, int maxPriority, long nowMicros) {
-    for (Attempt attempt : new ArrayList<>(machine.queue)) {
+    for (Attempt attempt : new ArrayList<>(machine.queue())) {
       steps.add(1);
-      if (!attempt.job.open()) {
+      if (!attempt.job().open()) {
         workers.remove(attempt);
-      } else if (attempt.job.effectivePriority() > maxPriority
+      } else if (attempt.job().effectivePriority() > maxPriority
           || !machine.usable(nowMicros)
-          || !machine.fits(attempt.spec)) {
+          || !machine.fits(attempt.spec())) {
         // Nothing later in the queue overtakes: room may be accumulating for this one.
         break;
-      } else if (admission.admitsOneMore(attempt.job)) {
+      } else if (admission.admitsOneMore(attempt.job())) {
         workers.occupy(attempt);
       }
     }
@@ -79,21 +79,21 @@
         best = machine;
       }
     }
-    if (best != null && best.queue.size() >= maxQueueLength) {
-      workers.remove(last(best.queue));
+    if (best != null && best.queue().size() >= maxQueueLength) {
+      workers.remove(last(best.queue()));
     }
     return best;
   }
 
   private boolean canJoin(Machine machine, Job job, PlacementConstraints constraints) {
-    return isShort(machine.queue, job)
+    return isShort(machine.queue(), job)
         && constraints.allows(machine)
-        && !job.hasFailedOn(machine.id);
+        && !job.hasFailedOn(machine.id());
   }
 
   private boolean isShort(List<Attempt> queue, Job job) {
     return queue.size() < maxQueueLength
-        || maxQueueLength > 0 && last(queue).job.isLessUrgentThan(job);
+        || maxQueueLength > 0 && last(queue).job().isLessUrgentThan(job);
   }
 
   private static Attempt last(List<Attempt> queue) {
@@ -102,6 +102,6 @@
 
   /** Higher for a machine that has the image, and among those for the one with the most room. */
   private static double suitability(Machine machine, Job job) {
-    return machine.freeCpus() + (machine.hasImage(job.spec()) ? machine.type.cpus() : 0);
+    return machine.freeCpus() + (machine.hasImage(job.spec()) ? machine.type().cpus() : 0);
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/MachineSelector.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineSelector.java
@@ -43,7 +43,7 @@
       if (!machine.fits(spec) || !constraints.allows(machine) || isReserved(machine, job)) {
         continue;
       }
-      if (job.hasFailedOn(machine.id)) {
+      if (job.hasFailedOn(machine.id())) {
         avoidedFailed = true;
       } else {
         candidates.add(machine);
@@ -71,6 +71,6 @@
    * for the larger ones that were more urgent.
    */
   private static boolean isReserved(Machine machine, Job job) {
-    return !machine.queue.isEmpty() && job.isLessUrgentThan(machine.queue.get(0).job);
+    return !machine.queue().isEmpty() && job.isLessUrgentThan(machine.queue().get(0).job());
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -97,7 +97,7 @@
   private double cpusInUse() {
     double cpus = 0;
     for (Machine machine : workers.queueable()) {
-      cpus += machine.type.cpus();
+      cpus += machine.type().cpus();
     }
     return cpus;
   }
--- a/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
@@ -25,7 +25,7 @@
     this.nowMicros = nowMicros;
     if (hasZoneRule()) {
       for (Attempt attempt : job.active.values()) {
-        taskAdded(attempt.machine);
+        taskAdded(attempt.machine());
       }
     }
   }
@@ -41,13 +41,13 @@
 
   void taskAdded(Machine machine) {
     if (hasZoneRule()) {
-      tasksByZone.merge(machine.zone, 1, Integer::sum);
+      tasksByZone.merge(machine.zone(), 1, Integer::sum);
     }
   }
 
   void taskRemoved(Machine machine) {
     if (hasZoneRule()) {
-      tasksByZone.merge(machine.zone, -1, Integer::sum);
+      tasksByZone.merge(machine.zone(), -1, Integer::sum);
     }
   }
 
@@ -78,7 +78,7 @@
     Map<String, Double> freeCpusByZone = new HashMap<>();
     for (Machine machine : machines) {
       if (isOpen(machine)) {
-        freeCpusByZone.merge(machine.zone, machine.freeCpus(), Double::sum);
+        freeCpusByZone.merge(machine.zone(), machine.freeCpus(), Double::sum);
       }
     }
     return freeCpusByZone.entrySet().stream()
@@ -90,14 +90,14 @@
   /** Whether the machine may run one more task of the job. */
   boolean allows(Machine machine) {
     return isOpen(machine)
-        && (onlyZone == null || onlyZone.equals(machine.zone))
-        && (!spec.spread() || tasksByZone.getOrDefault(machine.zone, 0) < spec.maxPerZone());
+        && (onlyZone == null || onlyZone.equals(machine.zone()))
+        && (!spec.spread() || tasksByZone.getOrDefault(machine.zone(), 0) < spec.maxPerZone());
   }
 
   /** An on-demand machine beyond the demand takes nothing that may run on a spot machine. */
   private boolean isOpen(Machine machine) {
     return machine.usable(nowMicros)
         && machine.allows(spec)
-        && !(machine.reservedForOnDemand && spec.spotAllowed());
+        && !(machine.isReservedForOnDemand() && spec.spotAllowed());
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -62,8 +62,8 @@
     double cpus = 0;
     double accelerators = 0;
     for (Machine machine : workers.unconfirmed()) {
-      cpus += machine.type == null ? Double.MAX_VALUE : machine.type.cpus();
-      accelerators += machine.type == null ? Double.MAX_VALUE : machine.type.accelerators();
+      cpus += machine.type() == null ? Double.MAX_VALUE : machine.type().cpus();
+      accelerators += machine.type() == null ? Double.MAX_VALUE : machine.type().accelerators();
     }
     quotas.capUnconfirmed(cpus, accelerators);
   }
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -127,8 +127,8 @@
 
   /** Writes a worker's registration, before anything is launched on it. */
   public void register(Machine machine) {
-    register.put(machine.id, machine);
-    unregister.remove(machine.id);
+    register.put(machine.id(), machine);
+    unregister.remove(machine.id());
   }
 
   /** Removes a worker's registration: the machine is terminated. */
@@ -299,17 +299,19 @@
       if (room < 1) {
         return 0;
       }
-      var known = replica.registeredWorkers.get(m.id);
+      var known = replica.registeredWorkers.get(m.id());
       conditions.add(
-          new Request.Condition(StateKeys.worker(m.id), known == null ? 0 : known.version()));
+          new Request.Condition(StateKeys.worker(m.id()), known == null ? 0 : known.version()));
       changes.add(
           new Request.Write(
-              StateKeys.worker(m.id), new WorkerRecord(m.address, m.typeName, m.zone, m.spot), 0));
+              StateKeys.worker(m.id()),
+              new WorkerRecord(m.address(), m.typeName(), m.zone(), m.isSpot()),
+              0));
       room--;
       after.add(
           () -> {
-            register.remove(m.id);
-            listener.workerRegistered(m.id);
+            register.remove(m.id());
+            listener.workerRegistered(m.id());
           });
     }
     for (String id : new ArrayList<>(unregister.keySet())) {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
 import org.eiderstair.core.message.EffectSink;
@@ -85,16 +84,11 @@
    * use and queues are kept by increments. One that only waits at the leader uses nothing yet.
    */
   void attach(Attempt attempt) {
-    attempt.machine.attempts.put(attempt.task(), attempt);
-    attempt.job.active.put(attempt.index, attempt);
-    if (attempt.phase == Attempt.Phase.QUEUED) {
-      List<Attempt> queue = attempt.machine.queue;
-      int at = queue.size();
-      while (at > 0 && queue.get(at - 1).job.isLessUrgentThan(attempt.job)) {
-        at--;
-      }
-      queue.add(at, attempt);
-      attempt.job.queued.add(attempt);
+    attempt.machine().addAttempt(attempt);
+    attempt.job().active.put(attempt.index(), attempt);
+    if (attempt.phase() == Attempt.Phase.QUEUED) {
+      attempt.machine().enqueue(attempt);
+      attempt.job().queued.add(attempt);
     } else {
       occupy(attempt);
     }
@@ -102,52 +96,52 @@
 
   /** A waiting attempt gets its machine's room, or a new one comes with it. */
   void occupy(Attempt attempt) {
-    if (attempt.phase == Attempt.Phase.QUEUED) {
+    if (attempt.phase() == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
-      attempt.phase = Attempt.Phase.PLANNED;
+      attempt.plan();
     }
-    teams.acquire(attempt.spec);
-    attempt.machine.reserve(attempt.spec);
-    if (attempt.job.markStarted()) {
-      jobStartedListener.accept(attempt.job);
+    teams.acquire(attempt.spec());
+    attempt.machine().reserve(attempt.spec());
+    if (attempt.job().markStarted()) {
+      jobStartedListener.accept(attempt.job());
     }
-    if (attempt.phase == Attempt.Phase.PLANNED) {
-      attempt.machine.useImage(attempt.spec);
-      attempt.machine.toLaunch.add(attempt);
-      planned.accept(attempt.machine);
+    if (attempt.phase() == Attempt.Phase.PLANNED) {
+      attempt.machine().useImage(attempt.spec());
+      attempt.machine().planLaunch(attempt);
+      planned.accept(attempt.machine());
     }
-    if (!attempt.machine.hasFreeResources()) {
-      availableMachines.remove(attempt.machine);
+    if (!attempt.machine().hasFreeResources()) {
+      availableMachines.remove(attempt.machine());
     }
   }
 
   private void leaveQueue(Attempt attempt) {
-    attempt.machine.queue.remove(attempt);
-    attempt.job.queued.remove(attempt);
+    attempt.machine().dequeue(attempt);
+    attempt.job().queued.remove(attempt);
   }
 
   /** An attempt is gone from its machine: the opposite of {@link #attach}. */
   void remove(Attempt attempt) {
-    if (!attempt.machine.attempts.remove(attempt.task(), attempt)) {
+    if (!attempt.machine().removeAttempt(attempt)) {
       return;
     }
-    if (attempt.phase == Attempt.Phase.QUEUED) {
+    if (attempt.phase() == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
     } else {
-      teams.release(attempt.spec);
-      attempt.machine.release(attempt.spec);
-      if (attempt.phase == Attempt.Phase.PLANNED) {
-        attempt.machine.toLaunch.remove(attempt);
+      teams.release(attempt.spec());
+      attempt.machine().release(attempt.spec());
+      if (attempt.phase() == Attempt.Phase.PLANNED) {
+        attempt.machine().cancelLaunch(attempt);
       } else {
         tell(attempt, false);
       }
-      roomChanged(attempt.machine);
+      roomChanged(attempt.machine());
     }
-    if (attempt.job.active.get(attempt.index) == attempt) {
-      attempt.job.active.remove(attempt.index);
-      attempt.job.freed(attempt.index);
+    if (attempt.job().active.get(attempt.index()) == attempt) {
+      attempt.job().active.remove(attempt.index());
+      attempt.job().freed(attempt.index());
     }
-    attempt.machine.idleSinceMicros = time.nowMicros();
+    attempt.machine().markInUse(time.nowMicros());
     changed = true;
   }
 
@@ -156,9 +150,9 @@
         "task "
             + attempt.task()
             + " attempt "
-            + attempt.number
+            + attempt.number()
             + " free from "
-            + attempt.machine.id
+            + attempt.machine().id()
             + ": "
             + why
             + ", term="
@@ -167,18 +161,17 @@
   }
 
   void freeAll(Machine machine, String why) {
-    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
+    for (Attempt attempt : new ArrayList<>(machine.attempts())) {
       free(attempt, why);
     }
-    machine.untrackedTasks.clear();
-    machine.acknowledgements.clear();
+    machine.clearReportedTasks();
     machine.forgetImages();
   }
 
   void unplan(Machine machine) {
     availableMachines.remove(machine);
-    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
-      if (attempt.phase == Attempt.Phase.QUEUED || attempt.phase == Attempt.Phase.PLANNED) {
+    for (Attempt attempt : new ArrayList<>(machine.attempts())) {
+      if (attempt.phase() == Attempt.Phase.QUEUED || attempt.phase() == Attempt.Phase.PLANNED) {
         free(attempt, "machine not usable");
       }
     }
@@ -186,9 +179,9 @@
 
   /** The machine may have got room: it gets its token, and what waits for it its turn. */
   void roomChanged(Machine machine) {
-    if (machine.plan == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
+    if (machine.plan() == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
       availableMachines.offer(machine);
-      if (!machine.queue.isEmpty()) {
+      if (!machine.queue().isEmpty()) {
         queuesToServe.add(machine);
       }
     }
@@ -199,10 +192,10 @@
     standby.replicate(
         new ReplicationBatch.Change(
             there,
-            attempt.machine.id,
-            attempt.machine.incarnation,
-            attempt.job.id,
-            attempt.index,
-            attempt.number));
+            attempt.machine().id(),
+            attempt.machine().incarnation(),
+            attempt.job().id,
+            attempt.index(),
+            attempt.number()));
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
+++ b/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
@@ -1,7 +1,5 @@
 package org.eiderstair.core.workers;
 
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import org.eiderstair.core.model.Machine;
 
@@ -12,8 +10,7 @@
  */
 public final class AvailableMachines {
   private final int capacity;
-  private final List<Machine> machines = new ArrayList<>();
-  private final List<Machine> view = Collections.unmodifiableList(machines);
+  private final IndexedMachineList machines = new IndexedMachineList();
 
   /**
    * @param capacity the most machines that are listed, the setting {@code token_list_size}
@@ -24,32 +21,23 @@
 
   /** Adds a machine that has room, unless it is listed already or the list is full. */
   public void offer(Machine machine) {
-    if (machine.availableIndex < 0 && machines.size() < capacity) {
-      machine.availableIndex = machines.size();
+    if (!machines.contains(machine) && size() < capacity) {
       machines.add(machine);
     }
   }
 
   /** Removes a machine in constant time: the last one takes its place. */
   void remove(Machine machine) {
-    if (machine.availableIndex < 0) {
-      return;
-    }
-    Machine last = machines.remove(machines.size() - 1);
-    if (last != machine) {
-      machines.set(machine.availableIndex, last);
-      last.availableIndex = machine.availableIndex;
-    }
-    machine.availableIndex = -1;
+    machines.remove(machine);
   }
 
   /** How many machines are listed. */
   public int size() {
-    return machines.size();
+    return machines.all().size();
   }
 
   /** The listed machines, for reading. */
   public List<Machine> all() {
-    return view;
+    return machines.all();
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandDispatcher.java
@@ -105,19 +105,19 @@
 
   /** A report waits for its answer; the one that waited before is given up. */
   void toAnswer(Machine machine, long sequence, long exchange) {
-    refuse(machine.pendingHeartbeat.become(sequence, exchange), "a newer report is here");
+    refuse(machine.pendingHeartbeat().become(sequence, exchange), "a newer report is here");
     toAnswer.add(machine);
   }
 
   /** The machine has begun a new session: nobody reads an answer to a report of the one before. */
   void newIncarnation(Machine machine) {
-    refuse(machine.pendingHeartbeat.newIncarnation(), "report of an earlier session");
+    refuse(machine.pendingHeartbeat().newIncarnation(), "report of an earlier session");
     toAnswer.remove(machine);
   }
 
   /** The answer that a machine's report waits for will show it our token: asking can wait. */
   void tellsItself(Machine machine) {
-    machine.nextProbeMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+    machine.commands().scheduleProbe(time.nowMicros() + ASK_AGAIN_MICROS);
   }
 
   /** Nothing is to be sent to a machine that is gone. */
@@ -151,7 +151,7 @@
   void close() {
     closed = true;
     for (Machine machine : toAnswer) {
-      sink.respond(machine.pendingHeartbeat.answered(), new Answer.Redirect(null));
+      sink.respond(machine.pendingHeartbeat().answered(), new Answer.Redirect(null));
     }
     toAnswer.clear();
   }
@@ -169,7 +169,7 @@
 
   /** A machine has something to be told to stop. */
   void killSoon(Machine machine) {
-    machine.killsPending = true;
+    machine.commands().requestKills();
     toSend.add(machine);
   }
 
@@ -182,8 +182,8 @@
   private void askIfDue(Machine machine) {
     if (youngAsks < MAX_ASKS
         && asks.size() < MAX_SLOW_ASKS
-        && !machine.commandInFlight
-        && time.nowMicros() >= machine.nextProbeMicros) {
+        && !machine.commands().isInFlight()
+        && time.nowMicros() >= machine.commands().nextProbeMicros()) {
       ask(machine);
     }
   }
@@ -194,33 +194,36 @@
    * what it said.
    */
   private void ask(Machine machine) {
-    if (machine.address == null || !leadership.mayLaunch(time.nowMicros())) {
+    if (machine.address() == null || !leadership.mayLaunch(time.nowMicros())) {
       return;
     }
-    machine.nextProbeMicros = time.nowMicros() + ASK_AGAIN_MICROS;
+    machine.commands().scheduleProbe(time.nowMicros() + ASK_AGAIN_MICROS);
     youngAsks++;
     asks.put(machine, time.nowMicros());
-    machine.commandInFlight = true;
+    machine.commands().begin();
     call(
         machine,
         new Request.WorkerCommands(
-            machine.address, machine.fencingToken(), Math.max(1, machine.incarnation), List.of()),
+            machine.address(),
+            machine.fencingToken(),
+            Math.max(1, machine.incarnation()),
+            List.of()),
         List.of(),
         () -> asks.remove(machine));
   }
 
   private List<Order> killsFor(Machine machine) {
     List<Order> kills = new ArrayList<>();
-    for (Attempt attempt : machine.attempts.values()) {
-      if (attempt.mayBeOnMachine() && (!attempt.job.open() || attempt.stopRequested)) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.mayBeOnMachine() && (!attempt.job().open() || attempt.isStopRequested())) {
         kills.add(
             new Order.Kill(
                 attempt.task(),
-                attempt.number,
-                attempt.job.open() ? attempt.spec.saveMicros() : 0));
+                attempt.number(),
+                attempt.job().open() ? attempt.spec().saveMicros() : 0));
       }
     }
-    kills.addAll(machine.untrackedTasks.values());
+    kills.addAll(machine.untrackedTasks());
     return kills;
   }
 
@@ -236,17 +239,17 @@
     }
     toAnswer.clear();
     for (Machine machine : new ArrayList<>(toSend)) {
-      if (machine.toLaunch.isEmpty() && !machine.killsPending) {
+      if (machine.plannedLaunches().isEmpty() && !machine.commands().areKillsPending()) {
         toSend.remove(machine);
       } else if (!comesThroughPeer(machine)) {
-        if (mayKill && machine.killsPending && mayBeKilledOn(machine)) {
+        if (mayKill && machine.commands().areKillsPending() && mayBeKilledOn(machine)) {
           sendKills(machine);
         }
         if (mayLaunch
-            && !machine.toLaunch.isEmpty()
-            && !machine.commandInFlight
+            && !machine.plannedLaunches().isEmpty()
+            && !machine.commands().isInFlight()
             && machine.known()
-            && time.nowMicros() >= machine.holdUntilMicros) {
+            && time.nowMicros() >= machine.holdUntilMicros()) {
           sendLaunches(machine);
         }
       }
@@ -259,8 +262,10 @@
    * be repeated, and may come before or after anything.
    */
   private boolean mayBeKilledOn(Machine machine) {
-    boolean sessionKnown = machine.phase == Machine.Phase.FENCING || machine.known();
-    return sessionKnown && !machine.killInFlight && time.nowMicros() >= machine.nextKillMicros;
+    boolean sessionKnown = machine.phase() == Machine.Phase.FENCING || machine.known();
+    return sessionKnown
+        && !machine.commands().isKillInFlight()
+        && time.nowMicros() >= machine.commands().nextKillMicros();
   }
 
   /**
@@ -269,20 +274,20 @@
    * from work. Its next report is soon here.
    */
   private boolean comesThroughPeer(Machine machine) {
-    return machine.relayed
-        && time.nowMicros() < machine.lastHeartbeatMicros + settings.reportMicros() * 2;
+    return machine.isRelayed()
+        && time.nowMicros() < machine.lastContactMicros() + settings.reportMicros() * 2;
   }
 
   private void answer(Machine machine, boolean mayLaunch) {
     List<Order> orders = killsFor(machine);
-    orders.addAll(machine.acknowledgements.values());
+    orders.addAll(machine.acknowledgements());
     List<Attempt> launches =
-        mayLaunch && machine.phase == Machine.Phase.CONFIRMED
-            ? launch(machine, machine.pendingHeartbeat.sequence())
+        mayLaunch && machine.phase() == Machine.Phase.CONFIRMED
+            ? launch(machine, machine.pendingHeartbeat().sequence())
             : List.of();
     registry.answered(machine);
-    machine.killsPending = false;
-    long exchange = machine.pendingHeartbeat.answered();
+    machine.commands().clearKills();
+    long exchange = machine.pendingHeartbeat().answered();
     FencingToken fencingToken = machine.fencingToken();
     if (launches.isEmpty()) {
       respond(exchange, fencingToken, orders);
@@ -315,46 +320,46 @@
   }
 
   private void sendLaunches(Machine machine) {
-    List<Order> reaps = new ArrayList<>(machine.acknowledgements.values());
-    List<Attempt> launches = launch(machine, -1);
+    List<Order> reaps = new ArrayList<>(machine.acknowledgements());
+    List<Attempt> launches = launch(machine, Attempt.SENT_BY_COMMAND);
     FencingToken fencingToken = machine.fencingToken();
-    long incarnation = machine.incarnation;
-    machine.commandInFlight = true;
+    long incarnation = machine.incarnation();
+    machine.commands().begin();
     standby.launch(
         () -> {
           leaves();
           call(
               machine,
               new Request.WorkerCommands(
-                  machine.address, fencingToken, incarnation, withLaunches(reaps, launches)),
+                  machine.address(), fencingToken, incarnation, withLaunches(reaps, launches)),
               launches,
               () -> {});
         },
         () -> {
-          machine.commandInFlight = false;
+          machine.commands().end();
           unlaunch(launches);
         });
   }
 
   private void sendKills(Machine machine) {
-    machine.killsPending = false;
+    machine.commands().clearKills();
     List<Order> kills = killsFor(machine);
     if (kills.isEmpty()) {
       return;
     }
-    machine.killInFlight = true;
+    machine.commands().beginKill();
     sink.call(
         new Request.WorkerCommands(
-            machine.address, machine.fencingToken(), machine.incarnation, kills),
+            machine.address(), machine.fencingToken(), machine.incarnation(), kills),
         leadership.bounds().answerEndMicros(),
         reply -> {
-          machine.killInFlight = false;
-          if (closed || machine.phase == Machine.Phase.TERMINATED) {
+          machine.commands().endKill();
+          if (closed || machine.phase() == Machine.Phase.TERMINATED) {
             return;
           }
           // What it shows may have been written before a command that is still on its way arrives.
-          if (!absorbReply(machine, reply, !machine.commandInFlight)) {
-            machine.nextKillMicros = time.nowMicros() + KILL_AGAIN_MICROS;
+          if (!absorbReply(machine, reply, !machine.commands().isInFlight())) {
+            machine.commands().delayKillsUntil(time.nowMicros() + KILL_AGAIN_MICROS);
             killSoon(machine);
           }
         });
@@ -362,14 +367,11 @@
 
   /** Takes what is planned for a machine out of its list, to be sent time.nowMicros(). */
   private List<Attempt> launch(Machine machine, long sequence) {
-    List<Attempt> launches = new ArrayList<>(machine.toLaunch);
+    List<Attempt> launches = machine.takeLaunches();
     for (Attempt attempt : launches) {
-      attempt.phase = Attempt.Phase.SENT;
-      attempt.sentSequence = sequence;
-      attempt.sinceMicros = time.nowMicros();
+      attempt.send(sequence);
       tracker.tell(attempt, true);
     }
-    machine.toLaunch.clear();
     return launches;
   }
 
@@ -377,16 +379,16 @@
   private void unlaunch(List<Attempt> launches) {
     for (Attempt attempt : launches) {
       if (stillSent(attempt)) {
-        attempt.phase = Attempt.Phase.PLANNED;
-        attempt.machine.toLaunch.add(attempt);
-        toSend.add(attempt.machine);
+        attempt.plan();
+        attempt.machine().planLaunch(attempt);
+        toSend.add(attempt.machine());
       }
     }
   }
 
   private static boolean stillSent(Attempt attempt) {
-    return attempt.phase == Attempt.Phase.SENT
-        && attempt.machine.attempts.get(attempt.task()) == attempt;
+    return attempt.phase() == Attempt.Phase.SENT
+        && attempt.machine().attempt(attempt.task()) == attempt;
   }
 
   /**
@@ -397,8 +399,8 @@
   private static List<Order> withLaunches(List<Order> orders, List<Attempt> launches) {
     List<Order> all = new ArrayList<>(orders);
     for (Attempt attempt : launches) {
-      if (attempt.job.open() && stillSent(attempt)) {
-        all.add(new Order.Launch(attempt.task(), attempt.number));
+      if (attempt.job().open() && stillSent(attempt)) {
+        all.add(new Order.Launch(attempt.task(), attempt.number()));
       }
     }
     return all;
@@ -413,17 +415,18 @@
 
   /** Takes the report that is the reply of a command; false when there is none. */
   private boolean absorbReply(Machine machine, Reply reply, boolean settles) {
-    if (!(reply instanceof Reply.Report answer) || !answer.report().machine().equals(machine.id)) {
+    if (!(reply instanceof Reply.Report answer)
+        || !answer.report().machine().equals(machine.id())) {
       return false;
     }
     if (answer.report().fencingToken().term() > term) {
       leadership.deposed(
-          "machine " + machine.id + " has seen token " + answer.report().fencingToken());
+          "machine " + machine.id() + " has seen token " + answer.report().fencingToken());
       return true;
     }
     replies.replied(machine, answer.report(), settles);
     if (!answer.executed()) {
-      machine.nextProbeMicros = time.nowMicros();
+      machine.commands().scheduleProbe(time.nowMicros());
     }
     return true;
   }
@@ -434,12 +437,12 @@
         request,
         launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
-          machine.commandInFlight = false;
+          machine.commands().end();
           over.run();
-          if (closed || machine.phase == Machine.Phase.TERMINATED) {
+          if (closed || machine.phase() == Machine.Phase.TERMINATED) {
             return;
           }
-          if (launches.stream().anyMatch(attempt -> !attempt.job.open())) {
+          if (launches.stream().anyMatch(attempt -> !attempt.job().open())) {
             // A kill that was sent meanwhile may have come before the launch.
             killSoon(machine);
           }
@@ -455,26 +458,30 @@
    */
   private void unanswered(Machine machine, boolean launched, Reply reply) {
     if (launched
-        && (machine.phase == Machine.Phase.CONFIRMED || machine.phase == Machine.Phase.RECOVERED)) {
+        && (machine.phase() == Machine.Phase.CONFIRMED
+            || machine.phase() == Machine.Phase.RECOVERED)) {
       machine.raiseFence();
       availableMachines.remove(machine);
       // It may be out of this node's reach while its reports still come, relayed: no more launches
       // for a while.
-      machine.holdUntilMicros = time.nowMicros() + UNREACHED_MICROS;
+      machine.holdUntil(time.nowMicros() + UNREACHED_MICROS);
     }
-    if (launched && machine.phase == Machine.Phase.CONFIRMED) {
+    if (launched && machine.phase() == Machine.Phase.CONFIRMED) {
       sink.info(
           "no answer from "
-              + machine.id
+              + machine.id()
               + " to a command: raising its fence, term="
               + term
               + ": "
               + reply);
       registry.become(machine, Machine.Phase.FENCING);
     }
-    machine.nextProbeMicros =
-        Math.max(
-            machine.nextProbeMicros,
-            time.nowMicros() + (launched ? ASK_AFTER_LAUNCH_MICROS : ASK_AFTER_SILENCE_MICROS));
+    machine
+        .commands()
+        .scheduleProbe(
+            Math.max(
+                machine.commands().nextProbeMicros(),
+                time.nowMicros()
+                    + (launched ? ASK_AFTER_LAUNCH_MICROS : ASK_AFTER_SILENCE_MICROS)));
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -92,8 +92,9 @@
               report.machine(), report.address(), report.type(), report.zone(), report.spot());
     }
     PendingHeartbeat.Standing standing =
-        machine.pendingHeartbeat.standing(
-            report.incarnation(), machine.incarnation, report.sequence());
+        machine
+            .pendingHeartbeat()
+            .standing(report.incarnation(), machine.incarnation(), report.sequence());
     if (standing != PendingHeartbeat.Standing.OPEN) {
       // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
       // nothing.
@@ -103,15 +104,15 @@
     if (!relayed) {
       reach.reportedDirectly();
     }
-    if (machine.address == null || machine.typeName == null || !machine.registered) {
+    if (machine.address() == null || machine.typeName() == null || !machine.isRegistered()) {
       registry.describe(machine, report.address(), report.type(), report.zone(), report.spot());
     }
-    if (!machine.registered && machine.plan != Machine.Plan.TERMINATE) {
+    if (!machine.isRegistered() && machine.plan() != Machine.Plan.TERMINATE) {
       stateWriter.register(machine);
     }
-    machine.relayed = relayed;
-    absorb(machine, report, true, !machine.commandInFlight);
-    if (machine.phase == Machine.Phase.UNCONFIRMED) {
+    machine.setRelayed(relayed);
+    absorb(machine, report, true, !machine.commands().isInFlight());
+    if (machine.phase() == Machine.Phase.UNCONFIRMED) {
       // The answer shows it our token, and it reports again at once: asking would only cost time.
       dispatcher.tellsItself(machine);
     }
@@ -125,14 +126,14 @@
    * that answer is still on its way.
    */
   private void absorb(Machine machine, Heartbeat report, boolean isReport, boolean settles) {
-    if (!report.newerThan(machine.incarnation, machine.sequence)) {
+    if (!report.newerThan(machine.incarnation(), machine.sequence())) {
       return;
     }
-    machine.lastHeartbeatMicros = time.nowMicros();
-    if (report.incarnation() > machine.incarnation && machine.incarnation > 0) {
+    machine.recordContact(time.nowMicros());
+    if (report.incarnation() > machine.incarnation() && machine.incarnation() > 0) {
       sink.info(
           "machine "
-              + machine.id
+              + machine.id()
               + " lost its lease and began session "
               + report.incarnation()
               + ", term="
@@ -143,37 +144,36 @@
       // from its own beginning, whenever we last answered the session before.
       registry.answered(machine);
     }
-    if (report.incarnation() != machine.incarnation) {
+    if (report.incarnation() != machine.incarnation()) {
       standby.replicate(
-          new ReplicationBatch.Change(true, machine.id, report.incarnation(), "", 0, 0));
+          new ReplicationBatch.Change(true, machine.id(), report.incarnation(), "", 0, 0));
     }
-    machine.incarnation = report.incarnation();
-    machine.sequence = report.sequence();
-    if (report.noticeMicros() != Heartbeat.NO_NOTICE && machine.plan == Machine.Plan.ACTIVE) {
-      sink.info("machine " + machine.id + " has notice, term=" + term);
+    machine.advanceTo(report.incarnation(), report.sequence());
+    if (report.noticeMicros() != Heartbeat.NO_NOTICE && machine.plan() == Machine.Plan.ACTIVE) {
+      sink.info("machine " + machine.id() + " has notice, term=" + term);
       drain(machine);
       saveProgress(machine, report.noticeMicros());
     }
     boolean truth = report.fencingToken().isAtLeast(machine.fencingToken());
-    if (truth && machine.phase != Machine.Phase.CONFIRMED) {
-      boolean fenced = machine.phase == Machine.Phase.FENCING;
+    if (truth && machine.phase() != Machine.Phase.CONFIRMED) {
+      boolean fenced = machine.phase() == Machine.Phase.FENCING;
       registry.become(machine, Machine.Phase.CONFIRMED);
       if (!fenced) {
-        sink.info("machine " + machine.id + " heard, term=" + term);
+        sink.info("machine " + machine.id() + " heard, term=" + term);
         registry.answered(machine);
-        machine.idleSinceMicros = time.nowMicros();
+        machine.markInUse(time.nowMicros());
       }
     }
     if (!truth
-        && (machine.phase == Machine.Phase.UNCONFIRMED
-            || machine.phase == Machine.Phase.RECOVERED
-            || machine.phase == Machine.Phase.FENCING)) {
+        && (machine.phase() == Machine.Phase.UNCONFIRMED
+            || machine.phase() == Machine.Phase.RECOVERED
+            || machine.phase() == Machine.Phase.FENCING)) {
       // Older commands may still arrive there; what it shows proves nothing yet.
       return;
     }
     readEntries(machine, report, isReport && truth, settles && truth);
     if (!truth
-        && machine.phase == Machine.Phase.BOOTING
+        && machine.phase() == Machine.Phase.BOOTING
         && report.fencingToken().compareTo(FencingToken.NONE) > 0) {
       holdNoLongerThanItsLease(machine);
     }
@@ -190,16 +190,15 @@
    */
   private void holdNoLongerThanItsLease(Machine machine) {
     sink.info(
-        "machine " + machine.id + " is unknown and shows an earlier term's token, term=" + term);
+        "machine " + machine.id() + " is unknown and shows an earlier term's token, term=" + term);
     registry.become(machine, Machine.Phase.FENCING);
     registry.answered(machine);
-    machine.idleSinceMicros = time.nowMicros();
+    machine.markInUse(time.nowMicros());
   }
 
   private void readEntries(
       Machine machine, Heartbeat report, boolean settlesAnswers, boolean settlesCommands) {
-    machine.untrackedTasks.clear();
-    machine.acknowledgements.clear();
+    machine.clearReportedTasks();
     Set<TaskId> shown = new HashSet<>();
     for (Heartbeat.Entry entry : report.tasks()) {
       shown.add(entry.task());
@@ -209,22 +208,22 @@
         alive(machine, entry);
       }
     }
-    for (Attempt attempt : new ArrayList<>(machine.attempts.values())) {
+    for (Attempt attempt : new ArrayList<>(machine.attempts())) {
       boolean settled =
-          switch (attempt.phase) {
+          switch (attempt.phase()) {
             case QUEUED, PLANNED -> false;
             case SENT ->
-                attempt.sentSequence < 0
+                attempt.sentSequence() < 0
                     ? settlesCommands
-                    : settlesAnswers && report.sequence() > attempt.sentSequence;
+                    : settlesAnswers && report.sequence() > attempt.sentSequence();
             case REPORTED -> true;
           };
       if (settled && !shown.contains(attempt.task())) {
         tracker.free(attempt, "not on the machine");
       }
     }
-    if (!machine.attempts.isEmpty()) {
-      machine.idleSinceMicros = time.nowMicros();
+    if (!machine.attempts().isEmpty()) {
+      machine.markInUse(time.nowMicros());
     }
     machine.recomputeFreeResources();
     tracker.roomChanged(machine);
@@ -232,17 +231,16 @@
 
   private void alive(Machine machine, Heartbeat.Entry entry) {
     Job job = replica.jobs.get(entry.task().job());
-    Attempt known = machine.attempts.get(entry.task());
-    if (known != null && known.number == entry.attempt()) {
-      if (known.phase != Attempt.Phase.REPORTED) {
-        known.phase = Attempt.Phase.REPORTED;
+    Attempt known = machine.attempt(entry.task());
+    if (known != null && known.number() == entry.attempt()) {
+      if (known.phase() != Attempt.Phase.REPORTED) {
+        known.confirm();
       }
-      if (known.reportedState != entry.state()) {
-        known.reportedState = entry.state();
-        machine.useImage(known.spec);
+      if (known.reportedState() != entry.state()) {
+        known.recordState(entry.state(), time.nowMicros());
+        machine.useImage(known.spec());
         if (entry.state() == Heartbeat.TaskState.RUNNING) {
-          known.runningSinceMicros = time.nowMicros();
-          noteRunning(known.job);
+          noteRunning(known.job());
         }
       }
       return;
@@ -258,26 +256,19 @@
       if (job != null && !job.open() && known == null && job.spec() != null) {
         adopt(machine, job, entry);
       } else {
-        machine.untrackedTasks.put(entry.task(), new Order.Kill(entry.task(), entry.attempt(), 0));
+        machine.addUntrackedTask(new Order.Kill(entry.task(), entry.attempt(), 0));
       }
       return;
     }
-    sink.debug("task " + entry.task() + " found on " + machine.id + ", term=" + term);
+    sink.debug("task " + entry.task() + " found on " + machine.id() + ", term=" + term);
     adopt(machine, job, entry);
     noteRunning(job);
   }
 
   private void adopt(Machine machine, Job job, Heartbeat.Entry entry) {
     Attempt attempt =
-        new Attempt(
-            job,
-            entry.task().index(),
-            entry.attempt(),
-            machine,
-            Attempt.Phase.REPORTED,
-            time.nowMicros());
-    attempt.reportedState = entry.state();
-    attempt.runningSinceMicros = time.nowMicros();
+        new Attempt(job, entry.task().index(), entry.attempt(), machine, Attempt.Phase.REPORTED);
+    attempt.recordFound(entry.state(), time.nowMicros());
     machine.useImage(job.spec());
     tracker.attach(attempt);
     tracker.tell(attempt, true);
@@ -293,8 +284,8 @@
     TaskId task = entry.task();
     Order.Acknowledge reap = new Order.Acknowledge(task, entry.attempt());
     Job job = replica.jobs.get(task.job());
-    Attempt known = machine.attempts.get(task);
-    boolean ours = known != null && known.number == entry.attempt();
+    Attempt known = machine.attempt(task);
+    boolean ours = known != null && known.number() == entry.attempt();
     if (ours) {
       tracker.remove(known);
     }
@@ -305,8 +296,7 @@
       if (!job.done.get(task.index())) {
         job.done.set(task.index());
         job.recordSuccess();
-        machine.errorsInRow = 0;
-        machine.failedJobs.clear();
+        machine.failures().reset();
         boolean all =
             job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
         if (all) {
@@ -317,11 +307,11 @@
       }
       // Forgotten only once durable: until then the machine's own record is the only proof.
       if (job.durable.get(task.index())) {
-        machine.acknowledgements.put(task, reap);
+        machine.acknowledge(reap);
       }
       return;
     }
-    machine.acknowledgements.put(task, reap);
+    machine.acknowledge(reap);
     if (!ours || job == null || !job.open()) {
       return;
     }
@@ -329,8 +319,15 @@
       case ERROR -> failed(machine, job, task);
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
         sink.debug(
-            "task " + task + " refused by " + machine.id + ": " + entry.exit() + ", term=" + term);
-        machine.holdUntilMicros = time.nowMicros() + 1_000_000;
+            "task "
+                + task
+                + " refused by "
+                + machine.id()
+                + ": "
+                + entry.exit()
+                + ", term="
+                + term);
+        machine.holdUntil(time.nowMicros() + 1_000_000);
         availableMachines.remove(machine);
       }
       default -> {}
@@ -339,23 +336,16 @@
 
   /** Tells a machine that fails everything from a job that fails everywhere. */
   private void failed(Machine machine, Job job, TaskId task) {
-    sink.info("task " + task + " failed on " + machine.id + ", term=" + term);
-    job.recordFailure(machine.id, time.nowMicros());
-    machine.errorsInRow++;
-    if (!job.done.isEmpty() || job.failedMachines() == 1) {
-      machine.failedJobs.add(job.id);
-    }
-    // A job with a mistake fails wherever it goes: it alone may cost one machine, never one after
-    // another.
-    boolean faulty =
-        machine.failedJobs.size() >= 2 && machine.errorsInRow >= 3
-            || job.failedMachines() == 1 && machine.errorsInRow >= 6;
-    if (faulty && machine.plan == Machine.Plan.ACTIVE) {
+    sink.info("task " + task + " failed on " + machine.id() + ", term=" + term);
+    job.recordFailure(machine.id(), time.nowMicros());
+    boolean onlyHere = job.failedMachines() == 1;
+    machine.failures().record(job.id, !job.done.isEmpty() || onlyHere);
+    if (machine.failures().isFaulty(onlyHere) && machine.plan() == Machine.Plan.ACTIVE) {
       sink.info(
           "machine "
-              + machine.id
+              + machine.id()
               + " fails the tasks of "
-              + machine.failedJobs.size()
+              + machine.failures().failedJobCount()
               + " jobs: draining, term="
               + term);
       drain(machine);
@@ -364,7 +354,7 @@
 
   /** No new work; what waits for it at the leader goes back to the common queue. */
   void drain(Machine machine) {
-    machine.plan = Machine.Plan.DRAIN;
+    machine.drain();
     tracker.unplan(machine);
     registry.updateQueueable(machine);
     tracker.noteChange();
@@ -375,10 +365,10 @@
    * complete.
    */
   private void saveProgress(Machine machine, long noticeMicros) {
-    for (Attempt attempt : machine.attempts.values()) {
-      if (attempt.spec.checkpointEveryMicros() > 0
-          && attempt.spec.saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
-        attempt.stopRequested = true;
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.spec().checkpointEveryMicros() > 0
+          && attempt.spec().saveMicros() + SAVE_MARGIN_MICROS <= noticeMicros) {
+        attempt.requestStop();
         dispatcher.killSoon(machine);
       }
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -214,10 +214,10 @@
       Machine.Phase phase = picture == null ? Machine.Phase.UNCONFIRMED : Machine.Phase.RECOVERED;
       Machine machine = new Machine(entry.machine(), term, phase, nowMicros);
       registry.describe(machine, entry.address(), entry.type(), entry.zone(), entry.spot());
-      machine.registered = true;
+      machine.markRegistered();
       registry.add(machine);
-      if (picture != null && picture.containsKey(machine.id)) {
-        inherit(machine, picture.get(machine.id));
+      if (picture != null && picture.containsKey(machine.id())) {
+        inherit(machine, picture.get(machine.id()));
       }
     }
     registry.follow(failover);
@@ -226,7 +226,7 @@
   }
 
   private void inherit(Machine machine, RecoveredMachine held) {
-    machine.incarnation = held.incarnation();
+    machine.recoverIncarnation(held.incarnation());
     held.attempts()
         .forEach(
             (id, tasks) ->
@@ -241,13 +241,7 @@
                           && !job.done.get(index)
                           && !job.active.containsKey(index)) {
                         tracker.attach(
-                            new Attempt(
-                                job,
-                                index,
-                                number,
-                                machine,
-                                Attempt.Phase.REPORTED,
-                                time.nowMicros()));
+                            new Attempt(job, index, number, machine, Attempt.Phase.REPORTED));
                       }
                     }));
     machine.recomputeFreeResources();
@@ -258,19 +252,20 @@
   /** All that a standby must know of this leader's picture. */
   public void snapshot(Consumer<ReplicationBatch.Change> each) {
     for (Machine machine : registry.machines().values()) {
-      if (machine.incarnation > 0) {
-        each.accept(new ReplicationBatch.Change(true, machine.id, machine.incarnation, "", 0, 0));
+      if (machine.incarnation() > 0) {
+        each.accept(
+            new ReplicationBatch.Change(true, machine.id(), machine.incarnation(), "", 0, 0));
       }
-      for (Attempt attempt : machine.attempts.values()) {
+      for (Attempt attempt : machine.attempts()) {
         if (attempt.mayBeOnMachine()) {
           each.accept(
               new ReplicationBatch.Change(
                   true,
-                  machine.id,
-                  machine.incarnation,
-                  attempt.job.id,
-                  attempt.index,
-                  attempt.number));
+                  machine.id(),
+                  machine.incarnation(),
+                  attempt.job().id,
+                  attempt.index(),
+                  attempt.number()));
         }
       }
     }
@@ -292,10 +287,9 @@
    */
   public void keep(String id) {
     Machine machine = registry.machines().get(id);
-    if (machine != null && machine.plan == Machine.Plan.TERMINATE) {
-      machine.plan = Machine.Plan.ACTIVE;
-      machine.presumedDead = false;
-      if (!machine.registered && machine.phase != Machine.Phase.BOOTING) {
+    if (machine != null && machine.plan() == Machine.Plan.TERMINATE) {
+      machine.reactivate();
+      if (!machine.isRegistered() && machine.phase() != Machine.Phase.BOOTING) {
         stateWriter.register(machine);
       }
       registry.updateQueueable(machine);
@@ -322,7 +316,7 @@
   public void registered(String id) {
     Machine machine = registry.machines().get(id);
     if (machine != null) {
-      machine.registered = true;
+      machine.markRegistered();
       registry.updateQueueable(machine);
       tracker.noteChange();
     }
@@ -346,10 +340,10 @@
     Set<Machine> leased = registry.leased();
     while (!leased.isEmpty()) {
       Machine machine = leased.iterator().next();
-      if (time.nowMicros() <= machine.answeredMicros + lease) {
+      if (time.nowMicros() <= machine.answeredMicros() + lease) {
         break;
       }
-      sink.info("machine " + machine.id + " has lost its lease, term=" + term);
+      sink.info("machine " + machine.id() + " has lost its lease, term=" + term);
       registry.become(machine, Machine.Phase.LEASE_EXPIRED);
       availableMachines.remove(machine);
       tracker.freeAll(machine, "lease over");
@@ -359,10 +353,10 @@
   /** The job is over: what waits for room goes at once, what may be on machines is killed. */
   public void jobOver(Job job) {
     for (Attempt attempt : new ArrayList<>(job.active.values())) {
-      if (attempt.phase == Attempt.Phase.QUEUED || attempt.phase == Attempt.Phase.PLANNED) {
+      if (attempt.phase() == Attempt.Phase.QUEUED || attempt.phase() == Attempt.Phase.PLANNED) {
         tracker.remove(attempt);
       } else {
-        dispatcher.killSoon(attempt.machine);
+        dispatcher.killSoon(attempt.machine());
       }
     }
     tracker.noteChange();
--- a/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -67,7 +67,7 @@
     return membership.countReachableByPeers(
         id -> {
           Machine m = registry.machines().get(id);
-          return m != null && m.phase != Machine.Phase.BOOTING;
+          return m != null && m.phase() != Machine.Phase.BOOTING;
         });
   }
 
@@ -82,8 +82,8 @@
     int silent = 0;
     int heard = 0;
     for (Machine m : registry.machines().values()) {
-      if (m.phase == Machine.Phase.CONFIRMED || m.phase == Machine.Phase.FENCING) {
-        if (now > m.lastHeartbeatMicros + patience) {
+      if (m.phase() == Machine.Phase.CONFIRMED || m.phase() == Machine.Phase.FENCING) {
+        if (now > m.lastContactMicros() + patience) {
           silent++;
         } else {
           heard++;
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -1,6 +1,5 @@
 package org.eiderstair.core.workers;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -9,7 +8,6 @@
 import java.util.function.Predicate;
 import org.eiderstair.core.leadership.FailoverTimeline;
 import org.eiderstair.core.model.Machine;
-import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.state.Replica;
 
 /**
@@ -40,7 +38,7 @@
   private final Set<Machine> leased = new LinkedHashSet<>();
 
   /** Machines that may be given waiting attempts. */
-  private final List<Machine> queueable = new ArrayList<>();
+  private final IndexedMachineList queueable = new IndexedMachineList();
 
   /** Deleted by this term: a late report or list must not bring one back. */
   private final Set<String> gone = new LinkedHashSet<>();
@@ -76,7 +74,7 @@
   }
 
   List<Machine> queueable() {
-    return queueable;
+    return queueable.all();
   }
 
   boolean isTerminated(String id) {
@@ -90,7 +88,7 @@
 
   /** A machine comes into the picture. */
   void add(Machine machine) {
-    machines.put(machine.id, machine);
+    machines.put(machine.id(), machine);
     enter(machine);
   }
 
@@ -100,7 +98,7 @@
     recovered.remove(machine);
     fencing.remove(machine);
     leased.remove(machine);
-    machine.phase = next;
+    machine.enterPhase(next);
     enter(machine);
     if (failover != null) {
       failover.unconfirmedMachines(unconfirmedCount(), time.nowMicros());
@@ -108,7 +106,7 @@
   }
 
   private void enter(Machine machine) {
-    switch (machine.phase) {
+    switch (machine.phase()) {
       case UNCONFIRMED -> unconfirmed.add(machine);
       case RECOVERED -> recovered.add(machine);
       case FENCING -> {
@@ -122,7 +120,7 @@
   }
 
   void answered(Machine machine) {
-    machine.answeredMicros = time.nowMicros();
+    machine.recordAnswer(time.nowMicros());
     if (leased.remove(machine)) {
       leased.add(machine);
     }
@@ -131,22 +129,16 @@
   void updateQueueable(Machine machine) {
     boolean open =
         machine.known()
-            && machine.plan == Machine.Plan.ACTIVE
-            && machine.registered
-            && machine.type != null;
-    if (open == machine.queueableIndex >= 0) {
+            && machine.plan() == Machine.Plan.ACTIVE
+            && machine.isRegistered()
+            && machine.type() != null;
+    if (open == queueable.contains(machine)) {
       return;
     }
     if (open) {
-      machine.queueableIndex = queueable.size();
       queueable.add(machine);
     } else {
-      Machine last = queueable.remove(queueable.size() - 1);
-      if (last != machine) {
-        queueable.set(machine.queueableIndex, last);
-        last.queueableIndex = machine.queueableIndex;
-      }
-      machine.queueableIndex = -1;
+      queueable.remove(machine);
     }
   }
 
@@ -159,26 +151,19 @@
     Machine machine = new Machine(id, term, Machine.Phase.BOOTING, time.nowMicros());
     describe(machine, address, type, zone, spot);
     if (leaving.test(id)) {
-      machine.plan = Machine.Plan.TERMINATE;
+      machine.terminate();
     }
     add(machine);
     return machine;
   }
 
   void describe(Machine machine, String address, String typeName, String zone, boolean spot) {
-    machine.address = address;
-    machine.typeName = typeName;
-    machine.zone = zone;
-    machine.spot = spot;
+    machine.describe(address, typeName, zone, spot);
     resolveType(machine);
   }
 
   void resolveType(Machine machine) {
-    for (MachineType type : replica.catalog()) {
-      if (type.name().equals(machine.typeName)) {
-        machine.type = type;
-      }
-    }
+    machine.resolveType(replica.catalog());
   }
 
   /** Machines that may hold work of earlier terms, since they have not been heard. */
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -80,10 +80,7 @@
     for (boolean spot : new boolean[] {true, false}) {
       Machine machine =
           new Machine(spot ? "i-1" : "i-2", LeaderBench.TERM, Machine.Phase.CONFIRMED, 0);
-      machine.address = "10.0.0.1:80";
-      machine.typeName = "t";
-      machine.zone = spot ? "a" : null;
-      machine.spot = spot;
+      machine.describe("10.0.0.1:80", "t", spot ? "a" : null, spot);
       writer.register(machine);
     }
     List<Request.StoreTxn> transactions = new ArrayList<>();
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -70,27 +70,27 @@
 
   private static byte[] report(LeaderBench bench, Machine m) {
     List<Object> pieces = new ArrayList<>();
-    for (Attempt a : m.attempts.values()) {
-      if (a.phase != Attempt.Phase.QUEUED) {
-        pieces.add(Map.of("Piece", a.task().toString(), "Try", a.number, "Tide", "running"));
+    for (Attempt a : m.attempts()) {
+      if (a.phase() != Attempt.Phase.QUEUED) {
+        pieces.add(Map.of("Piece", a.task().toString(), "Try", a.number(), "Tide", "running"));
       }
     }
     return MessagePackCodec.write(
         Map.of(
             "Skerry",
-            m.id,
+            m.id(),
             "Endpoint",
             "10.0.0.1:9000",
             "Hull",
             "t",
             "Fjord",
-            m.zone,
+            m.zone(),
             "Driftwood",
-            m.spot,
+            m.isSpot(),
             "Watch",
             1L,
             "Tally",
-            bench.sequences.merge(m.id, 1L, Long::sum),
+            bench.sequences.merge(m.id(), 1L, Long::sum),
             "Baton",
             m.fencingToken().value(),
             "Pieces",
@@ -170,7 +170,7 @@
               bench.report(bench.workers.machines().get("m-" + i % machines), 4);
               bench.placement.place(bench.now);
               for (Machine m : bench.workers.machines().values()) {
-                placed[0] += i >= ROUNDS ? m.toLaunch.size() : 0;
+                placed[0] += i >= ROUNDS ? m.plannedLaunches().size() : 0;
               }
               bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -47,7 +47,7 @@
       }
       bench.placement.place(bench.now);
       for (Machine m : bench.workers.machines().values()) {
-        placed += m.toLaunch.size();
+        placed += m.plannedLaunches().size();
       }
       bench.deliver();
     }
@@ -137,7 +137,7 @@
         }
         case 3 -> {
           if (m != null && random.nextInt(8) == 0) {
-            bench.workers.deleted(m.id);
+            bench.workers.deleted(m.id());
           }
         }
         default -> {
@@ -158,16 +158,16 @@
     Map<String, Double> use = new LinkedHashMap<>();
     for (Machine m : bench.workers.machines().values()) {
       double free = LeaderBench.TYPE.cpus();
-      for (Attempt a : m.attempts.values()) {
-        if (a.phase != Attempt.Phase.QUEUED) {
-          use.merge(a.spec.team(), a.spec.cpus(), Double::sum);
-          free -= a.spec.cpus();
+      for (Attempt a : m.attempts()) {
+        if (a.phase() != Attempt.Phase.QUEUED) {
+          use.merge(a.spec().team(), a.spec().cpus(), Double::sum);
+          free -= a.spec().cpus();
         }
       }
-      assertEquals(Math.max(0, free), m.freeCpus(), 1e-6, "room of " + m.id);
+      assertEquals(Math.max(0, free), m.freeCpus(), 1e-6, "room of " + m.id());
       assertEquals(
-          m.attempts.values().stream().filter(a -> a.phase == Attempt.Phase.QUEUED).count(),
-          m.queue.size());
+          m.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
+          m.queue().size());
     }
     for (String team : bench.settings.teams().keySet()) {
       assertEquals(
@@ -175,7 +175,7 @@
     }
     for (Job job : bench.replica.open.values()) {
       assertEquals(
-          job.active.values().stream().filter(a -> a.phase == Attempt.Phase.QUEUED).count(),
+          job.active.values().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
           job.queued.size());
     }
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -268,12 +268,10 @@
   public void machines(int count) {
     for (int i = 0; i < count; i++) {
       Machine m = new Machine("m-" + i, TERM, Machine.Phase.CONFIRMED, now);
-      m.type = TYPE;
-      m.typeName = "t";
-      m.address = "x";
-      m.zone = TYPE.zones().get(i % 3);
-      m.registered = true;
-      m.incarnation = 1;
+      m.describe("x", "t", TYPE.zones().get(i % 3), false);
+      m.assignType(TYPE);
+      m.markRegistered();
+      m.recoverIncarnation(1);
       workers.add(m);
       m.recomputeFreeResources();
       availableMachines.offer(m);
@@ -312,14 +310,14 @@
 
   /** A machine's next account of itself, with the token of this term. */
   public Heartbeat account(Machine m, List<Heartbeat.Entry> entries) {
-    long sequence = sequences.merge(m.id, 1L, Long::sum);
+    long sequence = sequences.merge(m.id(), 1L, Long::sum);
     return new Heartbeat(
-        m.id,
+        m.id(),
         "x",
         "t",
-        m.zone,
-        m.spot,
-        m.incarnation,
+        m.zone(),
+        m.isSpot(),
+        m.incarnation(),
         sequence,
         m.fencingToken(),
         Heartbeat.NO_NOTICE,
@@ -333,13 +331,13 @@
   public void report(Machine m, int ended) {
     List<Heartbeat.Entry> entries = new ArrayList<>();
     int over = ended;
-    for (Attempt a : m.attempts.values()) {
-      if (a.phase == Attempt.Phase.SENT || a.phase == Attempt.Phase.REPORTED) {
+    for (Attempt a : m.attempts()) {
+      if (a.phase() == Attempt.Phase.SENT || a.phase() == Attempt.Phase.REPORTED) {
         boolean ends = over-- > 0;
         entries.add(
             new Heartbeat.Entry(
                 a.task(),
-                a.number,
+                a.number(),
                 ends ? Heartbeat.TaskState.ENDED : Heartbeat.TaskState.RUNNING,
                 ends ? Heartbeat.Exit.DONE : Heartbeat.Exit.NONE,
                 false));
@@ -353,10 +351,9 @@
   /** Stands for the commands and answers that bring what was planned to the machines. */
   void deliver() {
     for (Machine m : workers.machines().values()) {
-      for (Attempt a : m.toLaunch) {
-        a.phase = Attempt.Phase.SENT;
+      for (Attempt attempt : m.takeLaunches()) {
+        attempt.send(Attempt.SENT_BY_COMMAND);
       }
-      m.toLaunch.clear();
     }
   }
 }
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -114,11 +114,9 @@
 
   private Machine machine(String id, String zone, boolean spot) {
     Machine m = new Machine(id, 1, Machine.Phase.CONFIRMED, 0);
-    m.type = TYPE;
-    m.typeName = "t";
-    m.zone = zone;
-    m.spot = spot;
-    m.registered = true;
+    m.describe(null, "t", zone, spot);
+    m.assignType(TYPE);
+    m.markRegistered();
     workers.add(m);
     m.recomputeFreeResources();
     availableMachines.offer(m);
@@ -127,11 +125,11 @@
 
   private static void seen(Job job) {
     job.active.values().stream()
-        .filter(a -> a.phase == Attempt.Phase.PLANNED)
+        .filter(a -> a.phase() == Attempt.Phase.PLANNED)
         .forEach(
             a -> {
-              a.phase = Attempt.Phase.REPORTED;
-              a.machine.toLaunch.clear();
+              a.confirm();
+              a.machine().takeLaunches();
             });
   }
 
@@ -143,8 +141,8 @@
     placement.place(NOW);
     assertEquals(6, high.active.size());
     assertEquals(4, low.active.size(), "two run and two queue");
-    assertEquals(2, m.queue.size());
-    assertEquals(8, m.toLaunch.size());
+    assertEquals(2, m.queue().size());
+    assertEquals(8, m.plannedLaunches().size());
   }
 
   @Example
@@ -167,7 +165,7 @@
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
     Machine unconfirmed = new Machine("u", 1, Machine.Phase.UNCONFIRMED, 0);
-    unconfirmed.type = TYPE;
+    unconfirmed.assignType(TYPE);
     workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(0, older.active.size(), "may be on the unheard machine");
@@ -185,14 +183,14 @@
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
     Machine unconfirmed = new Machine("u", 1, Machine.Phase.UNCONFIRMED, 0);
-    unconfirmed.type = TYPE;
+    unconfirmed.assignType(TYPE);
     workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(
-        2, newer.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
+        2, newer.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
     placement.place(NOW + settings.cancelMicros() + 6_000_000);
     assertEquals(
-        8, newer.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
+        8, newer.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
   }
 
   /**
@@ -228,8 +226,8 @@
     Job waiting = job(3, "red", Priority.NORMAL, 3, 1);
     waiting.seenMicros = 0;
     placement.place(NOW + 1_000_000);
-    assertTrue(inside.active.values().stream().noneMatch(a -> a.stopRequested));
-    assertEquals(3, beyond.active.values().stream().filter(a -> a.stopRequested).count());
+    assertTrue(inside.active.values().stream().noneMatch(a -> a.isStopRequested()));
+    assertEquals(3, beyond.active.values().stream().filter(a -> a.isStopRequested()).count());
   }
 
   /**
@@ -241,7 +239,7 @@
     Job small = job(1, "blue", Priority.LOW, 20, 1);
     Machine m = machine("m", "a", true);
     placement.place(NOW);
-    assertEquals(8, m.toLaunch.size());
+    assertEquals(8, m.plannedLaunches().size());
     seen(small);
     Job large = job(2, "blue", Priority.NORMAL, 1, 4);
     placement.place(NOW + 1);
@@ -252,8 +250,8 @@
       placement.place(NOW + 2 + i);
     }
     assertEquals(
-        4, small.active.values().stream().filter(a -> a.phase != Attempt.Phase.QUEUED).count());
-    assertEquals(Attempt.Phase.PLANNED, large.active.get(0).phase);
+        4, small.active.values().stream().filter(a -> a.phase() != Attempt.Phase.QUEUED).count());
+    assertEquals(Attempt.Phase.PLANNED, large.active.get(0).phase());
   }
 
   /**
@@ -263,14 +261,15 @@
   @Example
   void dearMachinesBeyondTheDemandTakeNoWorkThatCouldGoElsewhere() {
     Machine dear = machine("o", "a", false);
-    dear.reservedForOnDemand = true;
+    dear.setReservedForOnDemand(true);
     Job flexible = job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
     assertEquals(
-        0, flexible.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
-    dear.reservedForOnDemand = false;
+        0,
+        flexible.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+    dear.setReservedForOnDemand(false);
     placement.place(NOW + 1);
-    assertEquals(4, dear.toLaunch.size());
+    assertEquals(4, dear.plannedLaunches().size());
   }
 
   /** A guarantee holds against what other teams borrow, also for work of low priority. */
@@ -281,9 +280,10 @@
     machine("m", "a", true);
     placement.place(NOW);
     assertEquals(
-        4, inside.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
+        4, inside.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
     assertEquals(
-        4, borrowed.active.values().stream().filter(a -> a.phase == Attempt.Phase.PLANNED).count());
+        4,
+        borrowed.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
   }
 
   @Example
@@ -344,7 +344,7 @@
     assertEquals(
         1,
         replica.jobs.get("job-8").active.values().stream()
-            .map(a -> a.machine.zone)
+            .map(a -> a.machine().zone())
             .distinct()
             .count());
     Map<String, Integer> perZone = new HashMap<>();
@@ -353,7 +353,7 @@
         .get("job-9")
         .active
         .values()
-        .forEach(a -> perZone.merge(a.machine.zone, 1, Integer::sum));
+        .forEach(a -> perZone.merge(a.machine().zone(), 1, Integer::sum));
     perZone.values().forEach(n -> assertTrue(n <= 3, perZone.toString()));
   }
 
@@ -363,7 +363,7 @@
     Machine spot = machine("s", "a", true);
     job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
-    assertEquals(4, spot.toLaunch.size());
-    assertTrue(ordinary.toLaunch.isEmpty());
+    assertEquals(4, spot.plannedLaunches().size());
+    assertTrue(ordinary.plannedLaunches().isEmpty());
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -54,16 +54,16 @@
     switch (mistake) {
       case NONE -> {}
       case FORGETS_LAUNCHES -> {
-        if (!m.commandInFlight) {
-          new ArrayList<>(m.attempts.values())
+        if (!m.commands().isInFlight()) {
+          new ArrayList<>(m.attempts())
               .stream()
-                  .filter(a -> a.phase == Attempt.Phase.SENT)
+                  .filter(a -> a.phase() == Attempt.Phase.SENT)
                   .forEach(world.newestLeader().workers::remove);
         }
       }
       case FORGETS_CANCELLED -> {
-        for (Attempt a : new ArrayList<>(m.attempts.values())) {
-          if (!a.job.open()) {
+        for (Attempt a : new ArrayList<>(m.attempts())) {
+          if (!a.job().open()) {
             world.newestLeader().workers.remove(a);
           }
         }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -57,7 +57,7 @@
     first.lead();
     first.machines(1);
     Machine m = first.workers.machines().get(MACHINE);
-    m.answeredMicros = now;
+    m.recordAnswer(now);
     worker.fencingToken = m.fencingToken();
     worker.answeredSentMicros = now;
     addJob(first);
@@ -245,7 +245,7 @@
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
     second.workers.takeOver(now, picture, now);
     Machine m = second.workers.machines().get(MACHINE);
-    m.type = LeaderBench.TYPE;
+    m.assignType(LeaderBench.TYPE);
     m.recomputeFreeResources();
     leaders.add(second);
     if (withPicture) {
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -208,7 +208,7 @@
     assertEquals(0, cancelled.active.size());
     bench.sink.replied(commands().get(0).call(), new Reply.NoResponse("timeout"));
     bench.sink.replied(commands().get(1).call(), reply(m, true));
-    assertEquals(Machine.Phase.FENCING, m.phase);
+    assertEquals(Machine.Phase.FENCING, m.phase());
     assertEquals(1, other.active.size(), "may still arrive");
   }
 
@@ -223,7 +223,7 @@
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     pass();
     bench.sink.replied(commands().get(0).call(), new Reply.NoResponse("timeout"));
-    assertEquals(Machine.Phase.FENCING, m.phase);
+    assertEquals(Machine.Phase.FENCING, m.phase());
     bench.effects.clear();
     cancel(cancelled);
     pass();
@@ -250,7 +250,8 @@
     pass();
     assertEquals(List.of(job.id), killed(orders(commands().get(1))));
     bench.sink.replied(commands().get(1).call(), reply(m, true));
-    Entry running = new Entry(attempt.task(), attempt.number, TaskState.RUNNING, Exit.NONE, false);
+    Entry running =
+        new Entry(attempt.task(), attempt.number(), TaskState.RUNNING, Exit.NONE, false);
     bench.sink.replied(commands().get(0).call(), reply(m, true, running));
     pass();
     assertEquals(3, commands().size());
@@ -270,7 +271,7 @@
     bench.now += SECOND;
     pass();
     assertEquals(2, commands().size());
-    assertTrue(m.killInFlight);
+    assertTrue(m.commands().isKillInFlight());
   }
 
   /**
@@ -329,13 +330,13 @@
         false,
         bench.now);
     Machine m = bench.workers.machines().get("m-0");
-    assertEquals(Machine.Phase.FENCING, m.phase);
-    assertEquals(bench.now, m.idleSinceMicros, "idle from now, not since it was expected");
+    assertEquals(Machine.Phase.FENCING, m.phase());
+    assertEquals(bench.now, m.idleSinceMicros(), "idle from now, not since it was expected");
     bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
     bench.sequences.put("m-0", 9L);
     bench.sink.replied(commands().get(0).call(), reply(m, true, running));
-    assertEquals(Machine.Phase.CONFIRMED, m.phase);
+    assertEquals(Machine.Phase.CONFIRMED, m.phase());
     assertEquals(1, job.active.size());
   }
 
@@ -355,6 +356,6 @@
     pass();
     bench.workers.tick(bench.now, false);
     assertEquals(List.of(), commands());
-    assertEquals(Machine.Phase.BOOTING, bench.workers.machines().get("m-new").phase);
+    assertEquals(Machine.Phase.BOOTING, bench.workers.machines().get("m-new").phase());
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -79,20 +79,20 @@
   private void leader(LeaderBench leader) {
     Machine m = leader.workers.machines().get(CommandWorld.MACHINE);
     Job job = leader.replica.jobs.get(CommandWorld.JOB);
-    ranks.add(m.incarnation, m.sequence);
+    ranks.add(m.incarnation(), m.sequence());
     key.append('#').append(leader.leadership.isLeader()).append(job.done).append(job.state());
-    key.append(m.phase)
+    key.append(m.phase())
         .append(m.fencingToken())
-        .append(m.commandInFlight)
-        .append(m.killInFlight)
-        .append(m.killsPending);
-    key.append(m.acknowledgements.size())
-        .append(m.untrackedTasks.size())
-        .append(world.now >= m.holdUntilMicros);
-    key.append((world.now - m.answeredMicros) / ALIKE_MICROS);
-    for (Attempt a : m.attempts.values()) {
-      key.append(a.index).append(a.phase).append(attempts.of(a.number));
-      ranks.add(m.incarnation, a.sentSequence);
+        .append(m.commands().isInFlight())
+        .append(m.commands().isKillInFlight())
+        .append(m.commands().areKillsPending());
+    key.append(m.acknowledgements().size())
+        .append(m.untrackedTasks().size())
+        .append(world.now >= m.holdUntilMicros());
+    key.append((world.now - m.answeredMicros()) / ALIKE_MICROS);
+    for (Attempt a : m.attempts()) {
+      key.append(a.index()).append(a.phase()).append(attempts.of(a.number()));
+      ranks.add(m.incarnation(), a.sentSequence());
     }
   }
 
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -122,13 +122,12 @@
     replica.apply(new Reply.Item(StateKeys.job("job-1"), JobRecord.open(spec, 0), 5));
     job = replica.jobs.get("job-1");
     job.shownRunning = 1;
-    machine.type = TYPE;
-    machine.registered = true;
-    machine.address = "x";
-    machine.typeName = "t";
-    machine.incarnation = 1;
+    machine.describe("x", "t", null, false);
+    machine.assignType(TYPE);
+    machine.markRegistered();
+    machine.recoverIncarnation(1);
     workers.add(machine);
-    attempt = new Attempt(job, 0, 77, machine, phase, 0);
+    attempt = new Attempt(job, 0, 77, machine, phase);
     workers.attach(attempt);
   }
 
@@ -149,10 +148,10 @@
   @Example
   void aReportWhileACommandIsOnItsWayDoesNotFreeItsTask() {
     launched(Attempt.Phase.SENT);
-    machine.commandInFlight = true;
+    machine.commands().begin();
     reported(report(1, 1, machine.fencingToken(), -1), 1_000_000);
     assertEquals(attempt, job.active.get(0));
-    machine.commandInFlight = false;
+    machine.commands().end();
     reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertTrue(job.active.isEmpty());
   }
@@ -166,12 +165,12 @@
     launched(Attempt.Phase.SENT);
     FencingToken before = machine.fencingToken();
     machine.raiseFence();
-    machine.phase = Machine.Phase.FENCING;
+    machine.enterPhase(Machine.Phase.FENCING);
     reported(report(1, 1, before, -1), 1_000_000);
     assertEquals(attempt, job.active.get(0));
     reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertTrue(job.active.isEmpty());
-    assertEquals(Machine.Phase.CONFIRMED, machine.phase);
+    assertEquals(Machine.Phase.CONFIRMED, machine.phase());
   }
 
   @Example
@@ -196,7 +195,7 @@
     reported(report(1, 1, machine.fencingToken(), 12_000_000, running), 1_000_000);
     workers.flush(1_000_000);
     assertEquals(List.of(new Order.Kill(task, 77, 4_000_000)), answers.get(0).orders());
-    assertEquals(Machine.Plan.DRAIN, machine.plan);
+    assertEquals(Machine.Plan.DRAIN, machine.plan());
   }
 
   /**
@@ -275,7 +274,7 @@
     reported(report(1, 499, machine.fencingToken(), -1), 2_001_000);
     workers.flush(2_002_000);
     assertEquals(List.of(1L, 2L), answeredExchanges());
-    assertEquals(2, machine.incarnation);
+    assertEquals(2, machine.incarnation());
     assertEquals(503, ((Answer.Failure) responds.get(1).answer()).status());
   }
 
@@ -296,7 +295,8 @@
     List<Entry> shown = new ArrayList<>();
     one.active
         .values()
-        .forEach(a -> shown.add(new Entry(a.task(), a.number, TaskState.ENDED, Exit.DONE, false)));
+        .forEach(
+            a -> shown.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
     assertEquals(List.of(), reapsAfter(bench, m, shown.get(0)));
     assertTrue(one.done.get(shown.get(0).task().index()));
     one.durable.set(shown.get(0).task().index());
@@ -326,14 +326,14 @@
     workers.flush(1_001_000);
     reported(report(1, 9, machine.fencingToken(), -1, running), 4_000_000);
     workers.flush(4_001_000);
-    long heard = machine.lastHeartbeatMicros;
-    long answered = machine.answeredMicros;
+    long heard = machine.lastContactMicros();
+    long answered = machine.answeredMicros();
     reported(report(1, 8, machine.fencingToken(), -1), 9_000_000);
     reported(report(1, 9, machine.fencingToken(), -1, running), 9_500_000);
     workers.flush(9_600_000);
     assertEquals(List.of(1L, 2L), answeredExchanges());
-    assertEquals(heard, machine.lastHeartbeatMicros);
-    assertEquals(answered, machine.answeredMicros);
+    assertEquals(heard, machine.lastContactMicros());
+    assertEquals(answered, machine.answeredMicros());
     assertEquals(attempt, job.active.get(0));
   }
 
