--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -6,6 +6,7 @@
 import org.eiderstair.core.jobs.JobService;
 import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.membership.PeerAnswer;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.EffectSink;
@@ -166,20 +167,19 @@
   }
 
   private void requestMembership(
-      String peer, String run, long after, Consumer<Membership.Answer> callback) {
+      String peer, String runId, long afterSequence, Consumer<PeerAnswer> callback) {
     sink.call(
-        new Request.PeerMembership(peer, run, after),
+        new Request.PeerMembership(peer, runId, afterSequence),
         reply -> callback.accept(membershipAnswer(reply)));
   }
 
-  /** Null without a usable answer. */
-  private static Membership.Answer membershipAnswer(Reply reply) {
+  private static PeerAnswer membershipAnswer(Reply reply) {
     if (reply instanceof Reply.PeerMembership membership) {
-      return new Membership.Answer(membership.digest());
+      return new PeerAnswer.Digest(membership.digest());
     }
     boolean unsupported =
         reply instanceof Reply.Refused refused && refused.status() == NOT_SUPPORTED;
-    return unsupported ? new Membership.Answer(null) : null;
+    return unsupported ? new PeerAnswer.Unsupported() : new PeerAnswer.NoAnswer();
   }
 
   /** Hands each type of event to the part that it is for. */
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -98,7 +98,7 @@
       if (why != null) {
         m.setPresumedDead(verdict == ReachabilityClassifier.Verdict.UNREACHABLE);
         returnNow(m, m.isPresumedDead() ? "silent: " + why : why);
-      } else if (verdict.ordinal() >= ReachabilityClassifier.Verdict.REACHABLE_BY_PEER.ordinal()) {
+      } else if (verdict.isOverdue()) {
         spared++;
       }
     }
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -8,113 +8,123 @@
 import org.eiderstair.core.message.HeartbeatDigest;
 
 /**
- * Whom this node hears by itself, as numbered changes: a peer that knows them up to a number is
- * told what changed since. A machine that goes on reporting here is no change and costs nothing to
- * tell.
+ * Which machines send heartbeats to this node directly, as numbered changes: a peer that knows them
+ * up to a number gets what changed since. A machine that goes on reporting here is no change and
+ * costs nothing to report.
  */
 final class HeartbeatTracker {
   /**
-   * Far more than the machines of a deployment; the oldest changes go first, and who knew less is
-   * told all.
+   * Twice the machines of a large cluster. The oldest changes are dropped first, and a peer that
+   * knew less gets all of them.
    */
-  private static final int MOST = 8_192;
+  private static final int MAX_MACHINES = 8_192;
 
-  /** HEARD reports here; QUIET did, and is now heard elsewhere or nowhere. */
-  enum State {
-    HEARD,
-    QUIET
+  /** REACHABLE sends heartbeats here; SILENT did, and now sends them elsewhere or nowhere. */
+  private enum State {
+    REACHABLE,
+    SILENT
   }
 
-  private static final class Sight {
-    final String machine;
+  private static final class TrackedMachine {
+    final String id;
     State state;
     long sinceMicros;
-    long lastMicros;
-    long number;
+    long lastHeartbeatMicros;
+    long sequence;
 
-    Sight(String machine) {
-      this.machine = machine;
+    TrackedMachine(String id) {
+      this.id = id;
     }
   }
 
-  private final long keepMicros;
+  private final long timeoutMicros;
 
   /** In the order of their last change. */
-  private final Map<String, Sight> byChange = new LinkedHashMap<>();
+  private final Map<String, TrackedMachine> byLastChange = new LinkedHashMap<>();
 
-  /** Those heard now, the one heard longest ago first. */
-  private final Map<String, Sight> heard = new LinkedHashMap<>();
+  /** The reachable ones, the one with the oldest heartbeat first. */
+  private final Map<String, TrackedMachine> reachable = new LinkedHashMap<>();
 
-  private long last;
+  private long lastSequence;
 
-  /** Changes up to this number may be missing above. */
-  private long forgotten;
+  /** Changes up to this number may have been dropped. */
+  private long droppedSequence;
 
-  HeartbeatTracker(long keepMicros) {
-    this.keepMicros = keepMicros;
+  /**
+   * @param timeoutMicros a machine without a heartbeat for so long is silent
+   */
+  HeartbeatTracker(long timeoutMicros) {
+    this.timeoutMicros = timeoutMicros;
   }
 
-  void heard(String machine, long nowMicros) {
-    Sight s = heard.remove(machine);
-    if (s == null) {
-      s = byChange.computeIfAbsent(machine, Sight::new);
-      s.sinceMicros = nowMicros;
-      become(s, State.HEARD);
+  void heartbeatReceived(String id, long nowMicros) {
+    TrackedMachine machine = reachable.remove(id);
+    if (machine == null) {
+      machine = byLastChange.computeIfAbsent(id, TrackedMachine::new);
+      machine.sinceMicros = nowMicros;
+      become(machine, State.REACHABLE);
     }
-    s.lastMicros = nowMicros;
-    heard.put(machine, s);
+    machine.lastHeartbeatMicros = nowMicros;
+    reachable.put(id, machine);
   }
 
-  /** The one function for every change of state: each gets the next number. */
-  private void become(Sight s, State next) {
-    byChange.remove(s.machine);
-    s.state = next;
-    s.number = ++last;
-    byChange.put(s.machine, s);
-    if (byChange.size() > MOST) {
-      Iterator<Sight> oldest = byChange.values().iterator();
-      Sight gone = oldest.next();
-      forgotten = gone.number;
-      heard.remove(gone.machine);
-      oldest.remove();
+  /** The one function for every change of state: each gets the next sequence number. */
+  private void become(TrackedMachine machine, State next) {
+    byLastChange.remove(machine.id);
+    machine.state = next;
+    machine.sequence = ++lastSequence;
+    byLastChange.put(machine.id, machine);
+    if (byLastChange.size() > MAX_MACHINES) {
+      dropOldest();
     }
   }
 
-  private void sweep(long nowMicros) {
-    while (!heard.isEmpty()) {
-      Sight oldest = heard.values().iterator().next();
-      if (nowMicros <= oldest.lastMicros + keepMicros) {
+  private void dropOldest() {
+    Iterator<TrackedMachine> machines = byLastChange.values().iterator();
+    TrackedMachine oldest = machines.next();
+    machines.remove();
+    reachable.remove(oldest.id);
+    droppedSequence = oldest.sequence;
+  }
+
+  private void expire(long nowMicros) {
+    while (!reachable.isEmpty()) {
+      TrackedMachine oldest = reachable.values().iterator().next();
+      if (nowMicros <= oldest.lastHeartbeatMicros + timeoutMicros) {
         return;
       }
-      heard.remove(oldest.machine);
-      oldest.sinceMicros = oldest.lastMicros;
-      become(oldest, State.QUIET);
+      reachable.remove(oldest.id);
+      oldest.sinceMicros = oldest.lastHeartbeatMicros;
+      become(oldest, State.SILENT);
     }
   }
 
   /**
-   * What changed after a number, at most so much; from the beginning when that is not known any
-   * more.
+   * What changed after a sequence number; from the beginning when that is not known any more.
+   *
+   * @param runId of this node, for the digest
+   * @param maxChanges at most so many changes are in it; the rest comes with the next
    */
-  HeartbeatDigest digestAfter(String run, long after, int most, long nowMicros) {
-    sweep(nowMicros);
-    boolean whole = after < forgotten || after > last;
+  HeartbeatDigest digestAfter(String runId, long sequence, int maxChanges, long nowMicros) {
+    expire(nowMicros);
+    boolean full = sequence < droppedSequence || sequence > lastSequence;
+    long reported = full ? 0 : sequence;
     List<HeartbeatDigest.Change> changes = new ArrayList<>();
-    long told = whole ? 0 : after;
-    boolean more = false;
-    for (Sight s : byChange.values()) {
-      if (s.number <= told || whole && s.state == State.QUIET) {
+    for (TrackedMachine machine : byLastChange.values()) {
+      if (machine.sequence <= reported || full && machine.state == State.SILENT) {
         continue;
       }
-      if (changes.size() == most) {
-        more = true;
-        break;
+      if (changes.size() == maxChanges) {
+        return new HeartbeatDigest(runId, full, reported, true, changes);
       }
-      changes.add(
-          new HeartbeatDigest.Change(
-              s.machine, s.state == State.HEARD, Math.max(0, nowMicros - s.sinceMicros)));
-      told = s.number;
+      changes.add(change(machine, nowMicros));
+      reported = machine.sequence;
     }
-    return new HeartbeatDigest(run, whole, more ? told : last, more, changes);
+    return new HeartbeatDigest(runId, full, lastSequence, false, changes);
+  }
+
+  private static HeartbeatDigest.Change change(TrackedMachine machine, long nowMicros) {
+    return new HeartbeatDigest.Change(
+        machine.id, machine.state == State.REACHABLE, Math.max(0, nowMicros - machine.sinceMicros));
   }
 }
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -6,182 +6,217 @@
 
 /**
  * Why machines are silent, judged over all of them at one moment. A leader that lost its workers
- * destroyed a healthy fleet within ten seconds: each machine by itself looked dead.
+ * once destroyed a healthy fleet within ten seconds: each machine by itself looked dead.
  */
 public final class ReachabilityClassifier {
   /** Fewer silent machines than that are no zone's fault and none of this node's. */
-  private static final int MANY = 3;
+  private static final int MIN_CORRELATED = 3;
 
   /** One in so many is few. */
-  private static final int FEW_PART = 20;
+  private static final int FEW_FRACTION = 20;
 
-  /** So many times the patience with one machine when most of all are silent. */
-  private static final int ISOLATED_PATIENCE_FACTOR = 3;
+  /** So many times the usual timeout applies while this node itself is likely cut off. */
+  private static final int ISOLATED_TIMEOUT_FACTOR = 3;
 
-  /**
-   * REACHABLE reports to this node. SUSPECTED has not lately, but not for long, or peers have yet
-   * to say whether it reports to them. REACHABLE_BY_PEER reports to a peer. LEADER_ISOLATED: most
-   * machines are silent, so the fault is likely this node's. ZONE_PARTITIONED: its zone is cut off.
-   * UNREACHABLE is taken for dead.
-   */
+  /** What is concluded of a machine. */
   public enum Verdict {
+    /** It reports to this node. */
     REACHABLE,
+    /** It has not lately, but not for long, or peers have yet to say whether it reports to them. */
     SUSPECTED,
+    /** It reports to a peer. */
     REACHABLE_BY_PEER,
+    /** Most machines are silent, so the fault is likely this node's. */
     LEADER_ISOLATED,
+    /** Its zone is cut off. */
     ZONE_PARTITIONED,
-    UNREACHABLE
+    /** It is taken for dead. */
+    UNREACHABLE;
+
+    /** Whether it has been silent for longer than a machine alone may be, whatever the reason. */
+    public boolean isOverdue() {
+      return this != REACHABLE && this != SUSPECTED;
+    }
   }
 
-  private static final class Zone {
+  private static final class ZoneCount {
     int silent;
     int all;
-    long latestMicros = Long.MIN_VALUE / 2;
+    long latestHeartbeatMicros = Long.MIN_VALUE / 2;
 
-    boolean dark() {
-      return silent >= MANY && silent * 2 > all;
+    boolean isMostlySilent() {
+      return silent >= MIN_CORRELATED && silent * 2 > all;
     }
   }
 
-  private final Membership peers;
-  private final boolean unreached;
-  private final long patienceMicros;
-  private final long darkMicros;
+  /** Takes what was counted in one zone. */
+  interface ZoneVisitor {
+    void visit(String zone, boolean mostlySilent, long latestHeartbeatMicros);
+  }
+
+  private final Membership membership;
+  private final boolean leaderUnreached;
+  private final long timeoutMicros;
+  private final long partitionedMicros;
   private final long now;
-  private final Map<String, Zone> zones = new HashMap<>();
+  private final Map<String, ZoneCount> zones = new HashMap<>();
   private int silent;
   private int all;
-  private int elsewhere;
-  private int holding;
+  private int reachableByPeers;
+  private int unconfirmed;
 
   ReachabilityClassifier(
-      Membership peers,
+      Membership membership,
       Iterable<? extends MonitoredMachine> machines,
-      boolean unreached,
-      long patienceMicros,
-      long darkMicros,
+      boolean leaderUnreached,
+      long timeoutMicros,
+      long partitionedMicros,
       long now) {
-    this.unreached = unreached;
-    this.peers = peers;
-    this.patienceMicros = patienceMicros;
-    this.darkMicros = darkMicros;
+    this.membership = membership;
+    this.leaderUnreached = leaderUnreached;
+    this.timeoutMicros = timeoutMicros;
+    this.partitionedMicros = partitionedMicros;
     this.now = now;
-    for (MonitoredMachine m : machines) {
-      if (m.lastHeartbeatMicros() == Long.MAX_VALUE) {
-        continue;
-      }
-      Zone zone = zones.computeIfAbsent(String.valueOf(m.zone()), z -> new Zone());
-      all++;
-      holding += m.unconfirmed() ? 1 : 0;
-      zone.all++;
-      zone.latestMicros = Math.max(zone.latestMicros, m.lastHeartbeatMicros());
-      if (isMissed(m)) {
-        boolean there = peers.isReachableByPeer(m.machine());
-        elsewhere += there ? 1 : 0;
-        silent += there ? 0 : 1;
-        zone.silent += there ? 0 : 1;
+    for (MonitoredMachine machine : machines) {
+      if (isExpected(machine)) {
+        count(machine);
       }
     }
   }
 
-  /**
-   * Silent for long enough to ask peers for it, so that they have answered when patience is over.
-   */
-  private boolean isMissed(MonitoredMachine m) {
-    long patience = m.unconfirmed() ? patienceMicros * 2 / 5 : patienceMicros;
-    return m.lastHeartbeatMicros() != Long.MAX_VALUE
-        && now > m.lastHeartbeatMicros() + patience * 4 / 5;
+  /** One that is still booting has no heartbeat to be late with. */
+  private static boolean isExpected(MonitoredMachine machine) {
+    return machine.lastHeartbeatMicros() != Long.MAX_VALUE;
   }
 
-  /** Whether peers are to be asked. */
-  public boolean hasMissingMachines() {
-    return silent + elsewhere > 0;
+  private void count(MonitoredMachine machine) {
+    ZoneCount zone = zones.computeIfAbsent(zoneOf(machine), name -> new ZoneCount());
+    all++;
+    zone.all++;
+    unconfirmed += machine.unconfirmed() ? 1 : 0;
+    zone.latestHeartbeatMicros =
+        Math.max(zone.latestHeartbeatMicros, machine.lastHeartbeatMicros());
+    if (!isMissing(machine)) {
+      return;
+    }
+    if (membership.isReachableByPeer(machine.machine())) {
+      reachableByPeers++;
+    } else {
+      silent++;
+      zone.silent++;
+    }
+  }
+
+  private static String zoneOf(MonitoredMachine machine) {
+    return String.valueOf(machine.zone());
+  }
+
+  /** Where all work waits for what is unconfirmed, two fifths of the time are enough. */
+  private long shortenedTimeout() {
+    return timeoutMicros * 2 / 5;
+  }
+
+  /** Silent for long enough to ask peers for it, so that they have answered at its timeout. */
+  private boolean isMissing(MonitoredMachine machine) {
+    long timeout = machine.unconfirmed() ? shortenedTimeout() : timeoutMicros;
+    return isExpected(machine) && now > machine.lastHeartbeatMicros() + timeout * 4 / 5;
   }
 
-  interface ZoneUse {
-    void take(String zone, boolean dark, long latestMicros);
+  /** Whether peers are to be asked. */
+  public boolean hasMissingMachines() {
+    return silent + reachableByPeers > 0;
   }
 
-  /** Each zone, whether most of its machines are silent now, and when one of it was heard last. */
-  void zones(ZoneUse use) {
-    zones.forEach((name, z) -> use.take(name, z.dark(), z.latestMicros));
+  void forEachZone(ZoneVisitor visitor) {
+    zones.forEach(
+        (name, zone) -> visitor.visit(name, zone.isMostlySilent(), zone.latestHeartbeatMicros));
   }
 
   /**
-   * Most machines are silent, or none reaches this node any more: those heard longest ago are
-   * merely the first to run out of patience. Seen in a cut: 33 were given back in the second before
-   * peers heard them.
+   * Whether this node is likely cut off: most machines are silent, or none reaches it any more. In
+   * the second case those that are silent the longest are merely the first to time out; in one cut
+   * 33 were given back in the second before peers reached them.
    */
-  public boolean leaderIsolated() {
-    return silent >= MANY && (unreached || silent * 2 > all);
+  private boolean isLeaderIsolated() {
+    return silent >= MIN_CORRELATED && (leaderUnreached || silent * 2 > all);
   }
 
-  /** What was found for a machine. */
-  public Verdict verdictOf(MonitoredMachine m) {
-    long last = m.lastHeartbeatMicros();
-    if (!isMissed(m)) {
+  /** What is concluded of a machine. */
+  public Verdict verdictOf(MonitoredMachine machine) {
+    if (!isMissing(machine)) {
       return Verdict.REACHABLE;
     }
-    if (peers.isReachableByPeer(m.machine())) {
+    if (membership.isReachableByPeer(machine.machine())) {
       return Verdict.REACHABLE_BY_PEER;
     }
-    boolean dark = peers.isPartitioned(String.valueOf(m.zone()));
-    // Where all work waits for what is unconfirmed, a whole zone that nobody sees has said enough
-    // in half the time; so have a few machines that do not answer when they are asked, while all
-    // others have.
-    boolean few = holding * FEW_PART <= all;
-    long patience =
-        m.unconfirmed() && (dark && !leaderIsolated() || few)
-            ? patienceMicros * 2 / 5
-            : patienceMicros;
-    if (now <= last + patience) {
-      return Verdict.SUSPECTED;
-    }
-    // What peers told before the machine was missed proves nothing. One that cannot be reached is
-    // not waited for longer.
-    if (peers.mayYetTell(last) && now <= last + patience * 5 / 4) {
+    boolean partitioned = membership.isPartitioned(zoneOf(machine));
+    long last = machine.lastHeartbeatMicros();
+    if (isSuspected(last, timeoutOf(machine, partitioned))) {
       return Verdict.SUSPECTED;
     }
-    if (leaderIsolated() && now <= last + patienceMicros * ISOLATED_PATIENCE_FACTOR) {
+    if (isLeaderIsolated() && now <= last + timeoutMicros * ISOLATED_TIMEOUT_FACTOR) {
       return Verdict.LEADER_ISOLATED;
     }
-    // Waiting costs little, as what is on it comes free when its lease ends; but not where only its
-    // end tells.
-    if (dark && !m.unconfirmed() && now <= last + darkMicros) {
+    // Waiting costs little, as what is on it comes free when its lease expires; but not where only
+    // its end shows what it runs.
+    if (partitioned && !machine.unconfirmed() && now <= last + partitionedMicros) {
       return Verdict.ZONE_PARTITIONED;
     }
     return Verdict.UNREACHABLE;
   }
 
-  /** The same of all machines together. */
+  /**
+   * Where all work waits for what is unconfirmed, a whole zone that is cut off has said enough in
+   * less time; so have a few machines that do not answer when they are asked, while all others
+   * have.
+   */
+  private long timeoutOf(MonitoredMachine machine, boolean partitioned) {
+    boolean few = unconfirmed * FEW_FRACTION <= all;
+    boolean shortened = machine.unconfirmed() && (partitioned && !isLeaderIsolated() || few);
+    return shortened ? shortenedTimeout() : timeoutMicros;
+  }
+
+  /**
+   * What peers reported before the machine was missing proves nothing; one that cannot be reached
+   * is not waited for longer.
+   */
+  private boolean isSuspected(long lastHeartbeatMicros, long timeout) {
+    if (now <= lastHeartbeatMicros + timeout) {
+      return true;
+    }
+    return membership.mayYetReport(lastHeartbeatMicros)
+        && now <= lastHeartbeatMicros + timeout * 5 / 4;
+  }
+
+  /** What the verdicts rest on, over all machines, for the log. */
   public String evidence() {
     return silent
         + " of "
         + all
         + " silent, "
-        + elsewhere
+        + reachableByPeers
         + " reachable by peers only"
-        + (leaderIsolated() ? ", leader isolated" : "")
+        + (isLeaderIsolated() ? ", leader isolated" : "")
         + "; "
-        + peers.evidence();
+        + membership.evidence();
   }
 
   /** What a verdict rests on, for the log. */
-  public String evidence(MonitoredMachine m) {
-    Zone z = zones.getOrDefault(String.valueOf(m.zone()), new Zone());
+  public String evidence(MonitoredMachine machine) {
+    ZoneCount zone = zones.getOrDefault(zoneOf(machine), new ZoneCount());
     return "silent for "
-        + (now - m.lastHeartbeatMicros()) / 1000
+        + (now - machine.lastHeartbeatMicros()) / 1000
         + " ms, as "
         + silent
         + " of "
         + all
         + " machines and "
-        + z.silent
+        + zone.silent
         + " of "
-        + z.all
+        + zone.all
         + " in "
-        + m.zone()
+        + machine.zone()
         + "; "
-        + peers.evidence();
+        + membership.evidence();
   }
 }
--- a/src/main/java/org/eiderstair/core/message/HeartbeatDigest.java
+++ b/src/main/java/org/eiderstair/core/message/HeartbeatDigest.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What a node tells a peer of the machines that it hears by itself.
+ * Which machines send their heartbeats to a node directly, as numbered changes since an earlier
+ * digest.
  *
- * @param run differs for every run of the node: numbers of another run mean nothing
- * @param whole these changes start from nothing, and replace all that was told before
- * @param last the number of the last change told
- * @param more there are changes after that
+ * @param runId the run of the node; sequence numbers of another run mean nothing
+ * @param full whether the changes start from nothing, and replace all earlier ones
+ * @param lastSequence the sequence number up to which these changes go
+ * @param more whether there are changes after that
  */
 public record HeartbeatDigest(
-    String run, boolean whole, long last, boolean more, List<Change> changes) {
+    String runId, boolean full, long lastSequence, boolean more, List<Change> changes) {
 
-  /** A machine is heard, or not any more, for so long. */
-  public record Change(String machine, boolean heard, long forMicros) {}
+  /** For so long a machine has been reachable, or has not been any more. */
+  public record Change(String machine, boolean reachable, long durationMicros) {}
 }
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -207,14 +207,18 @@
   public static byte[] heard(HeartbeatDigest digest) {
     List<HeardChange> changes = new ArrayList<>(digest.changes().size());
     for (HeartbeatDigest.Change c : digest.changes()) {
-      changes.add(new HeardChange(c.machine(), c.heard(), c.forMicros()));
+      changes.add(new HeardChange(c.machine(), c.reachable(), c.durationMicros()));
     }
     try {
       return bytes(
           HeardTold.getEncoder()
               .encode(
                   new HeardTold(
-                      digest.run(), digest.whole(), digest.last(), digest.more(), changes)));
+                      digest.runId(),
+                      digest.full(),
+                      digest.lastSequence(),
+                      digest.more(),
+                      changes)));
     } catch (IOException e) {
       throw new IllegalStateException("encoding to memory failed", e);
     }
