--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -18,29 +18,27 @@
   private static final long FAULT = 80 * SECOND;
 
   /** More room than the work of the day ever asks for. */
-  private static final SimulatedCluster.Size ROOMY =
-      new SimulatedCluster.Size(5, 900, 240, 900, 160, 60);
+  private static final ClusterSize ROOMY = new ClusterSize(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
 
   /**
    * @param fault happens while all machines are busy
    */
-  private SimulatedCluster play(SimulatedCluster.Size size, Consumer<SimulatedCluster> fault) {
+  private SimulatedCluster play(ClusterSize size, Consumer<SimulatedCluster> fault) {
     return play(5, size, fault);
   }
 
-  private SimulatedCluster play(
-      long seed, SimulatedCluster.Size size, Consumer<SimulatedCluster> fault) {
-    SimulatedCluster day = WholeDayTest.loaded(seed, size, s -> {});
+  private SimulatedCluster play(long seed, ClusterSize size, Consumer<SimulatedCluster> fault) {
+    SimulatedCluster day = SimulatedDay.prepare(seed, size);
     day.logs = logs::add;
     day.clock.after(FAULT, () -> fault.accept(day));
     day.clock.runUntil(320 * SECOND);
-    day.servedInTime = day.leastServed(200 * SECOND);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
     day.clock.runUntil(480 * SECOND);
-    assertEquals(List.of(), day.broken);
-    assertEquals(List.of(), day.unfinished());
-    assertTrue(day.servedInTime >= 0.5, "served " + day.servedInTime);
+    assertEquals(List.of(), day.rules.violations());
+    assertEquals(List.of(), day.users.unfinished());
+    assertTrue(day.completedShare() >= 0.5, "served " + day.completedShare());
     return day;
   }
 
@@ -64,21 +62,21 @@
     int[] machines = new int[1];
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.fleet(3),
+            ClusterSize.fleet(3),
             d -> {
-              machines[0] = d.machines();
-              d.cutNodeFromWorkers(d.leader(), 40 * SECOND);
+              machines[0] = d.cloud.machines();
+              d.outages.cutNodeFromWorkers(d.leader(), 40 * SECOND);
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
     assertEquals(1, logged("no machine reaches this node while peers receive heartbeats of"));
   }
 
   @Example
   void aLeaderCutFromItsPeersGoesOn() {
     SimulatedCluster day =
-        play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 40 * SECOND));
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+        play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 40 * SECOND));
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
     assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
   }
 
@@ -86,13 +84,13 @@
   void aLeaderCutFromWorkersAndPeersGivesBackNone() {
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.GROWN,
+            ClusterSize.GROWN,
             d -> {
               int leader = d.leader();
-              d.cutNodeFromWorkers(leader, 40 * SECOND);
-              d.cutNodeFromPeers(leader, 40 * SECOND);
+              d.outages.cutNodeFromWorkers(leader, 40 * SECOND);
+              d.outages.cutNodeFromPeers(leader, 40 * SECOND);
             });
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 
   /**
@@ -102,14 +100,14 @@
   void whatALeaderCutFromTheCloudLeftOpenIsSettledByTheNext() {
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.GROWN,
+            ClusterSize.GROWN,
             d -> {
               int leader = d.leader();
-              d.cutNodeFromCloud(leader, 60 * SECOND);
-              d.clock.after(20 * SECOND, () -> d.crash(leader, 3 * SECOND));
+              d.outages.cutNodeFromCloud(leader, 60 * SECOND);
+              d.clock.after(20 * SECOND, () -> d.outages.crash(leader, 3 * SECOND));
             });
     assertTrue(logged("provisioning RECOVERING, term=") >= 2, "taken over");
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 
   /** Nobody rents where nobody sees, while there is room elsewhere. */
@@ -122,11 +120,11 @@
         d -> {
           int cut = (d.leader() + 1) % 3;
           zone[0] = String.valueOf("abc".charAt(cut));
-          d.cutZone(cut, 70 * SECOND);
+          d.outages.cutZone(cut, 70 * SECOND);
           // So that machines are asked for during the cut.
-          d.clock.after(12 * SECOND, () -> d.killMachines(60));
-          d.clock.after(9 * SECOND, () -> there[0] = d.rentedIn(zone[0]));
-          d.clock.after(69 * SECOND, () -> there[1] = d.rentedIn(zone[0]));
+          d.clock.after(12 * SECOND, () -> d.cloud.killMachines(60));
+          d.clock.after(9 * SECOND, () -> there[0] = d.cloud.rentedIn(zone[0]));
+          d.clock.after(69 * SECOND, () -> there[1] = d.cloud.rentedIn(zone[0]));
         });
     assertEquals(1, logged("zone=" + zone[0] + " -> PARTITIONED"));
     assertEquals(1, logged("zone=" + zone[0] + " -> REACHABLE"));
@@ -147,22 +145,24 @@
       SimulatedCluster day =
           play(
               seed,
-              SimulatedCluster.Size.GROWN,
+              ClusterSize.GROWN,
               d -> {
-                machines[0] = d.machines();
-                d.killMachines(50);
+                machines[0] = d.cloud.machines();
+                d.cloud.killMachines(50);
                 d.clock.after(
                     60 * SECOND,
                     () -> {
-                      machines[1] = d.alive();
-                      machines[2] = d.machines() - d.alive();
+                      machines[1] = d.cloud.alive();
+                      machines[2] = d.cloud.machines() - d.cloud.alive();
                     });
               });
       String what = "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
       assertTrue(machines[1] > machines[0] / 2, what);
       // None that died is paid for any more.
       assertEquals(0, machines[2], "dead a minute ago, and still there");
-      assertTrue(day.deletedAlive < machines[0] / 50, "given back alive " + day.deletedAlive);
+      assertTrue(
+          day.cloud.returnedAlive() < machines[0] / 50,
+          "given back alive " + day.cloud.returnedAlive());
       before += machines[0];
       after += machines[1];
     }
@@ -177,15 +177,15 @@
   void aNewLeaderDoesNotFindWhatTheLastOneGaveBack() {
     int[] given = new int[1];
     play(
-        SimulatedCluster.Size.GROWN,
+        ClusterSize.GROWN,
         d -> {
-          d.killMachines(30);
+          d.cloud.killMachines(30);
           d.clock.after(
               14 * SECOND,
               () -> {
                 given[0] = (int) logged(": silent: ");
                 // Back at once, so that the next leader's first list is of the time before.
-                d.crash(d.leader(), SECOND / 3);
+                d.outages.crash(d.leader(), SECOND / 3);
               });
         });
     assertTrue(given[0] > 20, "given back " + given[0]);
@@ -202,13 +202,13 @@
   void allControllersRestartedWithinASecondLoseNothing() {
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.fleet(5),
+            ClusterSize.fleet(5),
             d -> {
               for (int i = 0; i < 5; i++) {
-                d.crash(i, 300_000 + i * 150_000);
+                d.outages.crash(i, 300_000 + i * 150_000);
               }
             });
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 
   /**
@@ -221,11 +221,11 @@
     long[] recoveries = new long[2];
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.GROWN,
+            ClusterSize.GROWN,
             d -> {
               takeovers[0] = logged("takeover of term=");
               recoveries[0] = logged("standby recovery -> COMPLETE");
-              d.stall(d.leader(), 8 * SECOND);
+              d.outages.pause(d.leader(), 8 * SECOND);
               d.clock.after(
                   4 * SECOND,
                   () -> {
@@ -236,7 +236,7 @@
     // Before its lease could be over.
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 
   /**
@@ -245,7 +245,7 @@
    */
   @Example
   void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
-    play(SimulatedCluster.Size.GROWN, d -> d.cutNodeFromPeers(d.leader(), 6 * SECOND));
+    play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 6 * SECOND));
     assertTrue(logged("IN_SYNC -> REMOVING") > 0);
     assertEquals(0, leadershipLosses());
   }
@@ -254,14 +254,14 @@
   void threeTakeOversInTenSeconds() {
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.GROWN,
+            ClusterSize.GROWN,
             d -> {
               for (int i = 0; i < 3; i++) {
-                d.clock.after(i * 3_300_000L, () -> d.crash(d.leader(), SECOND));
+                d.clock.after(i * 3_300_000L, () -> d.outages.crash(d.leader(), SECOND));
               }
             });
     assertTrue(logged("standby recovery -> ELECTED") >= 4);
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 
   /** Nobody can take over or be elected then; and nobody launches. */
@@ -269,12 +269,12 @@
   void theStateServiceIsOutDuringATakeOver() {
     SimulatedCluster day =
         play(
-            SimulatedCluster.Size.GROWN,
+            ClusterSize.GROWN,
             d -> {
-              d.crash(d.leader(), 3 * SECOND);
-              d.stateOutage(12 * SECOND);
+              d.outages.crash(d.leader(), 3 * SECOND);
+              d.outages.stateService(12 * SECOND);
             });
     assertTrue(logged("standby recovery -> ELECTED") >= 2);
-    assertTrue(day.deletedAlive < 20, "given back alive " + day.deletedAlive);
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
 }
--- a/src/test/java/org/eiderstair/sim/EffectDigestTest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigestTest.java
@@ -15,15 +15,15 @@
 
   @Example
   void aDayGivesTheSameEffectsAgain() {
-    String digest = WholeDayTest.play(3, s -> {}).effects.toString();
-    assertEquals(digest, WholeDayTest.play(3, s -> {}).effects.toString());
-    assertNotEquals(digest, WholeDayTest.play(4, s -> {}).effects.toString());
+    String digest = SimulatedDay.playSmall(3).effects.toString();
+    assertEquals(digest, SimulatedDay.playSmall(3).effects.toString());
+    assertNotEquals(digest, SimulatedDay.playSmall(4).effects.toString());
   }
 
   @Example
   void digestsOfSomeDays() {
     for (long seed = 1; seed <= DAYS; seed++) {
-      System.out.println("digest of day " + seed + ": " + WholeDayTest.play(seed, s -> {}).effects);
+      System.out.println("digest of day " + seed + ": " + SimulatedDay.playSmall(seed).effects);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -1,34 +1,34 @@
 package org.eiderstair.sim;
 
-import static org.eiderstair.sim.FaultInjector.Kind.ALL_AWAY;
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_DOWN_FOR_A_LEASE;
 import static org.eiderstair.sim.FaultInjector.Kind.ALL_END;
-import static org.eiderstair.sim.FaultInjector.Kind.ALL_MUTE;
-import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_AT_END;
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_OUTBOUND_LOST;
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW;
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW_WITH_HANG;
-import static org.eiderstair.sim.FaultInjector.Kind.CLOSE_LOOKS;
+import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_ON_COMPLETION;
 import static org.eiderstair.sim.FaultInjector.Kind.CLOUD_OUTAGE;
-import static org.eiderstair.sim.FaultInjector.Kind.DEAF;
-import static org.eiderstair.sim.FaultInjector.Kind.FLOOD;
+import static org.eiderstair.sim.FaultInjector.Kind.HEARTBEATS_KEPT_FOR_NEXT_LEADER;
+import static org.eiderstair.sim.FaultInjector.Kind.IMMEDIATE_POLLS;
+import static org.eiderstair.sim.FaultInjector.Kind.INBOUND_LOST;
+import static org.eiderstair.sim.FaultInjector.Kind.INVALID_REQUESTS;
 import static org.eiderstair.sim.FaultInjector.Kind.LATE_COMMANDS;
-import static org.eiderstair.sim.FaultInjector.Kind.LATE_REPORTS;
+import static org.eiderstair.sim.FaultInjector.Kind.LATE_HEARTBEATS;
 import static org.eiderstair.sim.FaultInjector.Kind.LATE_WRITES;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CHANGES;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CUT_FROM_STATE_AND_PEERS;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_ENDS;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_PAUSES;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_REFUSED_ALONE;
 import static org.eiderstair.sim.FaultInjector.Kind.LOST_ANSWERS;
 import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_CUT;
 import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_DIE;
 import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_HANG;
-import static org.eiderstair.sim.FaultInjector.Kind.ODD_REQUESTS;
 import static org.eiderstair.sim.FaultInjector.Kind.ONE_TASK_JOBS;
+import static org.eiderstair.sim.FaultInjector.Kind.OVERLOAD;
 import static org.eiderstair.sim.FaultInjector.Kind.QUICK_BOOTS;
-import static org.eiderstair.sim.FaultInjector.Kind.REPORTS_FOR_THE_NEXT;
 import static org.eiderstair.sim.FaultInjector.Kind.SLOW_STATE;
-import static org.eiderstair.sim.FaultInjector.Kind.STANDING_STILL;
 import static org.eiderstair.sim.FaultInjector.Kind.STATE_OUTAGE;
-import static org.eiderstair.sim.FaultInjector.Kind.TASKS_FAR_APART;
+import static org.eiderstair.sim.FaultInjector.Kind.UNEVEN_JOBS;
 import static org.eiderstair.sim.FaultInjector.Kind.ZONE_CUT;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -80,8 +80,8 @@
               Map.entry(
                   "02 tasks that end far apart across a change of leader",
                   List.of(
-                      at(-25, TASKS_FAR_APART, 0),
-                      at(-10, TASKS_FAR_APART, 0),
+                      at(-25, UNEVEN_JOBS, 0),
+                      at(-10, UNEVEN_JOBS, 0),
                       at(0, LEADER_ENDS, 0),
                       at(9, LEADER_ENDS, 0))),
               Map.entry(
@@ -91,12 +91,12 @@
                   "04 only the answer of a transaction is lost",
                   List.of(
                       at(0, LOST_ANSWERS, 60),
-                      at(0, CLOSE_LOOKS, 60),
-                      at(1, ODD_REQUESTS, 50),
+                      at(0, IMMEDIATE_POLLS, 60),
+                      at(1, INVALID_REQUESTS, 50),
                       at(15, CANCEL_NOW, 0))),
               Map.entry(
                   "05 more work than room, urgent and not",
-                  List.of(at(0, FLOOD, 60), at(5, FLOOD, 60))),
+                  List.of(at(0, OVERLOAD, 60), at(5, OVERLOAD, 60))),
               Map.entry(
                   "06 quick boots while writes lag, and the leader ends",
                   List.of(
@@ -114,24 +114,24 @@
               Map.entry(
                   "08 users ask at all nodes right after an answer",
                   List.of(
-                      at(-60, CLOSE_LOOKS, 180),
-                      at(0, ODD_REQUESTS, 60),
+                      at(-60, IMMEDIATE_POLLS, 180),
+                      at(0, INVALID_REQUESTS, 60),
                       at(10, CANCEL_NOW, 0),
                       at(30, LEADER_ENDS, 0))),
               Map.entry(
                   "09 a team at its limit, machines that can't be asked, a change of leader, a cancellation",
                   List.of(
-                      at(-25, FLOOD, 80),
+                      at(-25, OVERLOAD, 80),
                       at(0, MACHINES_CUT, 30),
                       at(1, LEADER_ENDS, 0),
                       at(2, CANCEL_NOW, 0))),
               Map.entry("10 one-task jobs, four a second", List.of(at(-60, ONE_TASK_JOBS, 150))),
               Map.entry(
                   "11 a report is held back until a new leader has acted",
-                  List.of(at(-10, REPORTS_FOR_THE_NEXT, 20), at(8, LEADER_ENDS, 0))),
+                  List.of(at(-10, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 20), at(8, LEADER_ENDS, 0))),
               Map.entry(
                   "12 a question, a repeat or a cancellation meets the end of the last task",
-                  List.of(at(-60, CANCEL_AT_END, 180), at(-60, CLOSE_LOOKS, 180))),
+                  List.of(at(-60, CANCEL_ON_COMPLETION, 180), at(-60, IMMEDIATE_POLLS, 180))),
               Map.entry(
                   "13 the leader is cut from store and peers, jobs are cancelled through the new one",
                   List.of(
@@ -142,18 +142,19 @@
                   "14 the store is slow, refuses the leader, then everybody, while users cancel and ask",
                   List.of(
                       at(0, SLOW_STATE, 12),
-                      at(0, CLOSE_LOOKS, 70),
+                      at(0, IMMEDIATE_POLLS, 70),
                       at(8, LEADER_REFUSED_ALONE, 14),
                       at(8.2, CANCEL_NOW, 0),
                       at(10, STATE_OUTAGE, 40))),
               Map.entry(
                   "15 workers reach no controller, commands reach them",
-                  List.of(at(0, ALL_MUTE, 30), at(4, CANCEL_NOW, 0), at(8, CANCEL_NOW, 0))),
+                  List.of(
+                      at(0, ALL_OUTBOUND_LOST, 30), at(4, CANCEL_NOW, 0), at(8, CANCEL_NOW, 0))),
               Map.entry(
                   "16 every team at its limit, cancelled jobs on machines cut off or hung, the leader changes",
                   List.of(
-                      at(-25, FLOOD, 80),
-                      at(-24, FLOOD, 80),
+                      at(-25, OVERLOAD, 80),
+                      at(-24, OVERLOAD, 80),
                       at(0, CANCEL_NOW_WITH_HANG, 20),
                       at(0, MACHINES_CUT, 30),
                       at(2, LEADER_ENDS, 0))),
@@ -177,26 +178,26 @@
                       at(0.1, CANCEL_NOW, 0),
                       at(1.5, CANCEL_NOW, 0),
                       at(2.5, CANCEL_NOW, 0),
-                      at(30, STANDING_STILL, 12),
+                      at(30, LEADER_PAUSES, 12),
                       at(31, CANCEL_NOW, 0),
                       at(33, CANCEL_NOW, 0))),
               Map.entry(
                   "21 an old report arrives after newer ones",
-                  List.of(at(-40, LATE_REPORTS, 120), at(0, ALL_AWAY, 0))),
+                  List.of(at(-40, LATE_HEARTBEATS, 120), at(0, ALL_DOWN_FOR_A_LEASE, 0))),
               Map.entry(
                   "22 all controllers are away for longer than a lease",
-                  List.of(at(0, ALL_AWAY, 0), at(24, CANCEL_NOW, 0))),
+                  List.of(at(0, ALL_DOWN_FOR_A_LEASE, 0), at(24, CANCEL_NOW, 0))),
               Map.entry(
                   "23 an old report reaches every controller as a new leader begins",
                   List.of(
-                      at(-20, REPORTS_FOR_THE_NEXT, 60),
+                      at(-20, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 60),
                       at(0, LEADER_CHANGES, 40),
                       at(5, CANCEL_NOW, 0))),
               Map.entry(
                   "24 the leader ends while machines can't be reached or don't hear the next",
                   List.of(
                       at(0, MACHINES_CUT, 35),
-                      at(0, DEAF, 35),
+                      at(0, INBOUND_LOST, 35),
                       at(1, LEADER_ENDS, 0),
                       at(3, CANCEL_NOW, 0))),
               Map.entry(
@@ -218,7 +219,7 @@
                   "27 commands of a deposed leader arrive after the next one's",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
-                      at(0, STANDING_STILL, 18),
+                      at(0, LEADER_PAUSES, 18),
                       at(3, CANCEL_NOW, 0),
                       at(20, LEADER_CUT_FROM_STATE_AND_PEERS, 25),
                       at(28, CANCEL_NOW, 0))),
@@ -227,13 +228,13 @@
                   List.of(
                       at(-2, LATE_COMMANDS, 60),
                       at(0, CANCEL_NOW_WITH_HANG, 10),
-                      at(1, DEAF, 25),
-                      at(2, ALL_MUTE, 20),
+                      at(1, INBOUND_LOST, 25),
+                      at(2, ALL_OUTBOUND_LOST, 20),
                       at(8, CANCEL_NOW, 0))),
               Map.entry(
                   "29 commands come late while teams are at their limits and new machines come up at once",
                   List.of(
-                      at(-25, FLOOD, 80),
+                      at(-25, OVERLOAD, 80),
                       at(-2, LATE_COMMANDS, 60),
                       at(0, QUICK_BOOTS, 25),
                       at(4, LEADER_ENDS, 0),
@@ -262,20 +263,19 @@
                       at(-30, ONE_TASK_JOBS, 120),
                       at(-2, LATE_COMMANDS, 60),
                       at(0, LATE_WRITES, 30),
-                      at(5, CANCEL_AT_END, 40),
+                      at(5, CANCEL_ON_COMPLETION, 40),
                       at(10, LEADER_ENDS, 0)))));
 
-  private static SimulatedCluster play(
-      long seed, SimulatedCluster.Size size, List<Begin> scenario) {
-    SimulatedCluster day = WholeDayTest.loaded(seed, size, s -> {});
+  private static SimulatedCluster play(long seed, ClusterSize size, List<Begin> scenario) {
+    SimulatedCluster day = SimulatedDay.prepare(seed, size);
     for (Begin b : scenario) {
       day.clock.after(
           (long) ((AT + b.after()) * SECOND),
           () -> day.faults.begin(b.kind(), (long) (b.span() * SECOND)));
     }
-    day.clock.after(280 * SECOND, day::calm);
+    day.clock.after(280 * SECOND, day.liveness::faultsAreOver);
     day.clock.runUntil(360 * SECOND);
-    day.servedInTime = day.leastServed(200 * SECOND);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
     day.clock.runUntil(620 * SECOND);
     return day;
   }
@@ -287,71 +287,56 @@
   @Example
   void aFloodThatNeverEndsLeavesNobodyBehind() {
     for (long seed = 1; seed <= 3; seed++) {
-      SimulatedCluster day = new SimulatedCluster(seed, SimulatedCluster.Size.SMALL, s -> {});
+      SimulatedCluster day = new SimulatedCluster(seed, ClusterSize.SMALL);
       for (int i = 0; i < 75; i++) {
         int number = i;
         day.clock.after(
             3 * SECOND + i * 4 * SECOND,
             () -> {
-              day.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
+              day.users.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
               if (number % 3 == 0) {
-                day.submit(job(2 * number + 1, JobSpec.Priority.LOW, 3));
+                day.users.submit(job(2 * number + 1, JobSpec.Priority.LOW, 3));
               }
             });
       }
       day.clock.runUntil(330 * SECOND);
       assertTrue(
-          day.leastServed(150 * SECOND) >= 0.5,
-          "seed " + seed + " served " + day.leastServed(150 * SECOND));
-      assertEquals(List.of(), day.broken);
+          CompletionShares.min(day, 150 * SECOND) >= 0.5,
+          "seed " + seed + " served " + CompletionShares.min(day, 150 * SECOND));
+      assertEquals(List.of(), day.rules.violations());
     }
   }
 
   private static JobSpec job(int number, JobSpec.Priority priority, int tasks) {
-    return new JobSpec(
-        String.format("job-%06d", number),
-        priority.name(),
-        number % 8 < 4 ? "red" : "blue",
-        JobSpec.Shape.ARRAY,
-        priority,
-        tasks,
-        1,
-        0,
-        1,
-        "img",
-        0.5,
-        null,
-        null,
-        false,
-        false,
-        true,
-        18 * SECOND,
-        0,
-        0,
-        JobSpec.NO_DEADLINE);
+    return SampleJobs.job(SampleJobs.id(number))
+        .jobClass(priority.name())
+        .team(number % 8 < 4 ? "red" : "blue")
+        .priority(priority)
+        .tasks(tasks)
+        .estimateMicros(18 * SECOND)
+        .build();
   }
 
-  private static List<String> failures(
-      SimulatedCluster.Size size, long days, Predicate<String> chosen) {
+  private static List<String> failures(ClusterSize size, long days, Predicate<String> chosen) {
     List<String> failures = new ArrayList<>();
     SCENARIOS.forEach(
         (name, scenario) -> {
           for (long seed = FIRST; chosen.test(name) && seed < FIRST + days; seed++) {
             SimulatedCluster day = play(seed, size, scenario);
-            if (!day.broken.isEmpty()
-                || !day.unfinished().isEmpty()
-                || day.started == 0
-                || day.servedInTime < 0.5) {
+            if (!day.rules.violations().isEmpty()
+                || !day.users.unfinished().isEmpty()
+                || day.tasks.starts() == 0
+                || day.completedShare() < 0.5) {
               failures.add(
                   name
                       + ", seed "
                       + seed
                       + ": "
-                      + day.broken.stream().limit(2).toList()
+                      + day.rules.violations().stream().limit(2).toList()
                       + " unfinished "
-                      + day.unfinished()
+                      + day.users.unfinished()
                       + " served "
-                      + day.servedInTime
+                      + day.completedShare()
                       + "; again: mvn -B test -Dtest=FaultScenariosTest -Dscenario.first="
                       + seed
                       + " -Dscenario.days=1 -DargLine=-Dsim.log=true");
@@ -363,7 +348,7 @@
 
   @Example
   void everyScenarioKeepsEveryRule() {
-    assertEquals(List.of(), failures(SimulatedCluster.Size.SMALL, DAYS, name -> true));
+    assertEquals(List.of(), failures(ClusterSize.SMALL, DAYS, name -> true));
   }
 
   /**
@@ -372,12 +357,12 @@
    */
   @Example
   void someScenariosAtTheGrownSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(SimulatedCluster.Size.GROWN, 1, firstOf(LARGE, GROWN)));
+    assertEquals(List.of(), failures(ClusterSize.GROWN, 1, firstOf(LARGE, GROWN)));
   }
 
   @Example
   void someScenariosAtTheFleetSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(SimulatedCluster.Size.fleet(3), 1, firstOf(LARGE, FLEET)));
+    assertEquals(List.of(), failures(ClusterSize.fleet(3), 1, firstOf(LARGE, FLEET)));
   }
 
   /** By their numbers, the first of these and then the rest. */
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/HeartbeatCopies.java
@@ -0,0 +1,66 @@
+package org.eiderstair.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.eiderstair.core.model.Heartbeat;
+
+/** Copies of heartbeats that arrive again: late, or at whoever leads next. */
+final class HeartbeatCopies {
+  private static final int PERCENT = 30;
+  private static final long MIN_LATE_MICROS = 2_000_000;
+  private static final int NEW_LEADER_SPREAD_MICROS = 400_000;
+
+  private record Copy(String worker, Heartbeat heartbeat) {}
+
+  private final SimulatedCluster cluster;
+  private final List<Copy> keptForNextLeader = new ArrayList<>();
+  private int percent;
+  private boolean forNextLeader;
+
+  HeartbeatCopies(SimulatedCluster cluster) {
+    this.cluster = cluster;
+  }
+
+  /** Some heartbeats arrive a second time, up to one and a half leases later. */
+  void arriveLate(long micros) {
+    begin(false, micros);
+  }
+
+  /** Copies of some heartbeats are kept until another leader begins. */
+  void keepForNextLeader(long micros) {
+    begin(true, micros);
+  }
+
+  private void begin(boolean keep, long micros) {
+    percent = PERCENT;
+    forNextLeader = keep;
+    cluster.clock.after(micros, () -> percent = 0);
+  }
+
+  void heartbeatSent(String worker, int node, Heartbeat heartbeat) {
+    if (percent == 0 || cluster.random.nextInt(100) >= percent) {
+      return;
+    }
+    if (forNextLeader) {
+      keptForNextLeader.add(new Copy(worker, heartbeat));
+    } else {
+      long delayMicros =
+          MIN_LATE_MICROS + cluster.random.nextInt((int) (SimulatedCluster.LEASE_MICROS * 3 / 2));
+      cluster.clock.after(
+          delayMicros, () -> cluster.deliver(worker, node, heartbeat, answer -> {}));
+    }
+  }
+
+  /** Kept copies reach every controller just as a new leader begins. */
+  void newLeader() {
+    for (Copy copy : keptForNextLeader) {
+      for (int i = 0; i < cluster.size.nodes(); i++) {
+        int node = i;
+        cluster.clock.after(
+            cluster.random.nextInt(NEW_LEADER_SPREAD_MICROS),
+            () -> cluster.deliver(copy.worker(), node, copy.heartbeat(), answer -> {}));
+      }
+    }
+    keptForNextLeader.clear();
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -0,0 +1,170 @@
+package org.eiderstair.sim;
+
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.function.LongFunction;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+
+/** Carries controllers' requests over the network to whom they are for, and the replies back. */
+final class RequestTransport {
+  static final String STATE_SERVICE = "state";
+  static final String CLOUD = "cloud";
+  private static final long TIMEOUT_MICROS = 2_000_000;
+  private static final long CLOUD_CHANGE_TIMEOUT_MICROS = 5_000_000;
+
+  private final SimulatedCluster cluster;
+
+  RequestTransport(SimulatedCluster cluster) {
+    this.cluster = cluster;
+  }
+
+  /** When the sender gives a request up. */
+  static long timeoutMicros(Request request) {
+    if (request instanceof Request.StoreWatch watch) {
+      return watch.holdMicros() + TIMEOUT_MICROS;
+    }
+    return request instanceof Request.CloudRent || request instanceof Request.CloudDelete
+        ? CLOUD_CHANGE_TIMEOUT_MICROS
+        : TIMEOUT_MICROS;
+  }
+
+  void carry(SimulatedController from, Request request, Consumer<Reply> callback) {
+    if (request instanceof Request.WorkerCommands commands) {
+      toWorker(from, commands.address(), request, callback);
+    } else if (request instanceof Request.WorkerStatus status) {
+      toWorker(from, status.address(), request, callback);
+    } else if (request instanceof Request.PeerRelay relay) {
+      toPeer(
+          from,
+          relay.peer(),
+          exchange -> new Event.HeartbeatReceived(exchange, relay.report(), true),
+          Reply.Relayed::new,
+          callback);
+    } else if (request instanceof Request.PeerMembership membership) {
+      toPeer(
+          from,
+          membership.peer(),
+          exchange -> new Event.MembershipRequested(exchange, membership.run(), membership.after()),
+          answer -> new Reply.PeerMembership(((Answer.ReachableWorkers) answer).digest()),
+          callback);
+    } else if (request instanceof Request.PeerReplicate replicate) {
+      toPeer(
+          from,
+          replicate.peer(),
+          exchange -> new Event.ReplicationReceived(exchange, replicate.batch()),
+          answer -> new Reply.ReplicationAck(((Answer.ReplicationAck) answer).ack()),
+          callback);
+    } else if (request instanceof Request.PeerCancellations cancellations) {
+      cancellations(from, cancellations, callback);
+    } else if (request instanceof Request.PeerStateServiceStatus status) {
+      toPeer(
+          from,
+          status.peer(),
+          Event.StateServiceStatusRequested::new,
+          RequestTransport::stateServiceStatus,
+          callback);
+    } else if (isForCloud(request)) {
+      toCloud(from, request, callback);
+    } else {
+      toStateService(from, request, callback);
+    }
+  }
+
+  private static boolean isForCloud(Request request) {
+    return request instanceof Request.CloudRent
+        || request instanceof Request.CloudDelete
+        || request instanceof Request.CloudList
+        || request instanceof Request.CloudCatalog;
+  }
+
+  private static Reply stateServiceStatus(Answer answer) {
+    Answer.StateServiceStatus status = (Answer.StateServiceStatus) answer;
+    return new Reply.PeerStateServiceStatus(status.served(), status.leader(), status.term());
+  }
+
+  /** One that is held on its way stays unanswered. */
+  private void toWorker(
+      SimulatedController from, String worker, Request request, Consumer<Reply> callback) {
+    long delayMicros = cluster.faults.commandDelayMicros();
+    Consumer<Reply> answered =
+        delayMicros > 0
+            ? unanswered -> {}
+            : reply -> cluster.network.send(worker, from.name(), () -> callback.accept(reply));
+    cluster.network.send(
+        from.name(),
+        worker,
+        () -> cluster.clock.after(delayMicros, () -> deliver(worker, request, answered)));
+  }
+
+  private void deliver(String worker, Request request, Consumer<Reply> callback) {
+    SimulatedWorker receiver = cluster.cloud.worker(worker);
+    if (receiver != null) {
+      receiver.receive(request, callback);
+    }
+  }
+
+  private void toPeer(
+      SimulatedController from,
+      String peer,
+      LongFunction<Event> event,
+      Function<Answer, Reply> toReply,
+      Consumer<Reply> callback) {
+    cluster.network.send(
+        from.name(),
+        peer,
+        () ->
+            cluster
+                .controller(peer)
+                .ask(
+                    event,
+                    answer ->
+                        cluster.network.send(
+                            peer, from.name(), () -> callback.accept(toReply.apply(answer)))));
+  }
+
+  private void cancellations(
+      SimulatedController from, Request.PeerCancellations request, Consumer<Reply> callback) {
+    if (cluster.planted.peerCancellationsLost) {
+      cluster.note("lost: " + request);
+      return;
+    }
+    toPeer(
+        from,
+        request.peer(),
+        exchange -> new Event.CancellationsReceived(exchange, request.cancellations()),
+        answer -> new Reply.Applied(0),
+        callback);
+  }
+
+  private void toCloud(SimulatedController from, Request request, Consumer<Reply> callback) {
+    Map<String, Long> returnTerms = cluster.rules.checkWrittenFirst(request);
+    cluster.network.send(
+        from.name(),
+        CLOUD,
+        () ->
+            cluster.cloud.serve(
+                request,
+                returnTerms,
+                reply -> cluster.network.send(CLOUD, from.name(), () -> callback.accept(reply))));
+  }
+
+  private void toStateService(SimulatedController from, Request request, Consumer<Reply> callback) {
+    cluster.network.send(
+        from.name(),
+        STATE_SERVICE,
+        () ->
+            cluster.clock.after(
+                cluster.faults.stateServiceDelayMicros(),
+                () ->
+                    cluster.state.serve(
+                        from.name(),
+                        request,
+                        reply ->
+                            cluster.network.send(
+                                STATE_SERVICE, from.name(), () -> callback.accept(reply)))));
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -0,0 +1,291 @@
+package org.eiderstair.sim;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.record.StoredValueCodec;
+
+/** A stand-in for the state service, to the letter of its contract as far as the core uses it. */
+final class SimulatedStateService {
+  private static final long TICK_MICROS = 50_000;
+  private static final long MIN_LATE_MICROS = 2_000_000;
+  private static final int LATE_SPREAD_MICROS = 10_000_000;
+  private static final long RETRY_LATE_MICROS = 500_000;
+  private static final long RETRY_WATCH_END_MICROS = 200_000;
+
+  private record Lease(long ttlMicros, long endMicros) {}
+
+  private record Watch(String node, String prefix, long after, Consumer<Reply> callback) {}
+
+  /**
+   * What becomes of a transaction: carried out and answered, or with its answer lost, at once or
+   * late.
+   */
+  enum Fate {
+    ANSWERED,
+    ANSWER_LOST,
+    LATE
+  }
+
+  private final SimulatedClock clock;
+  private final Random random;
+  private final TreeMap<String, Reply.Item> items = new TreeMap<>();
+  private final Map<String, Long> leaseOfKey = new HashMap<>();
+  private final Map<Long, Lease> leases = new HashMap<>();
+  private final List<Reply.Item> log = new ArrayList<>();
+  private final List<Watch> watches = new ArrayList<>();
+  private long revision;
+  private long lastLease;
+  private boolean down;
+  private final Set<String> refusedNodes = new HashSet<>();
+  private final Set<String> nodesWithHeldWatches = new HashSet<>();
+  private Function<Request.StoreTxn, Fate> fate = txn -> Fate.ANSWERED;
+  private int maxWrites;
+  private final Map<String, StoredValue> everWritten = new HashMap<>();
+
+  SimulatedStateService(SimulatedClock clock, Random random) {
+    this.clock = clock;
+    this.random = random;
+    tick();
+  }
+
+  /** While it is down nobody is served; leases begin anew when it is back. */
+  void down(boolean isDown) {
+    if (down && !isDown) {
+      leases.replaceAll((id, lease) -> beginning(lease.ttlMicros()));
+    }
+    down = isDown;
+    notifyWatches();
+  }
+
+  /** Whether one node alone is refused. */
+  void refuse(String node, boolean refused) {
+    change(refusedNodes, node, refused);
+  }
+
+  /** Whether one node's watches are never answered, while all else is. */
+  void holdWatches(String node, boolean held) {
+    change(nodesWithHeldWatches, node, held);
+  }
+
+  private static void change(Set<String> nodes, String node, boolean contained) {
+    if (contained) {
+      nodes.add(node);
+    } else {
+      nodes.remove(node);
+    }
+  }
+
+  /** Decides from now on what becomes of each transaction. */
+  void decideFates(Function<Request.StoreTxn, Fate> newFate) {
+    fate = newFate;
+  }
+
+  /** Writes of the largest transaction so far. */
+  int maxWrites() {
+    return maxWrites;
+  }
+
+  /** Every key that was ever there, with its last value: for what must be durable first. */
+  Map<String, StoredValue> everWritten() {
+    return everWritten;
+  }
+
+  private Lease beginning(long ttlMicros) {
+    return new Lease(ttlMicros, clock.now() + ttlMicros);
+  }
+
+  private void tick() {
+    clock.after(TICK_MICROS, this::tick);
+    if (!down) {
+      for (Map.Entry<Long, Lease> lease : new ArrayList<>(leases.entrySet())) {
+        if (clock.now() > lease.getValue().endMicros()) {
+          endLease(lease.getKey());
+        }
+      }
+    }
+    notifyWatches();
+  }
+
+  private void endLease(long id) {
+    leases.remove(id);
+    List<String> keys =
+        leaseOfKey.entrySet().stream()
+            .filter(entry -> entry.getValue() == id)
+            .map(Map.Entry::getKey)
+            .toList();
+    if (!keys.isEmpty()) {
+      revision++;
+      keys.forEach(this::remove);
+      notifyWatches();
+    }
+  }
+
+  private void remove(String key) {
+    if (items.remove(key) != null) {
+      leaseOfKey.remove(key);
+      log.add(new Reply.Item(key, null, revision));
+    }
+  }
+
+  private boolean refuses(String node) {
+    return down || refusedNodes.contains(node);
+  }
+
+  void serve(String node, Request request, Consumer<Reply> callback) {
+    if (refuses(node)) {
+      callback.accept(new Reply.Refused(503));
+    } else if (request instanceof Request.StoreWatch watch) {
+      watch(node, watch, callback);
+    } else if (request instanceof Request.StoreTxn txn) {
+      serve(txn, callback);
+    } else if (request instanceof Request.StoreGet get) {
+      Reply.Item item = items.get(get.key());
+      callback.accept(new Reply.Found(item, item == null ? revision : item.version()));
+    } else if (request instanceof Request.StoreList list) {
+      callback.accept(list(list));
+    } else if (request instanceof Request.LeaseGrant grant) {
+      leases.put(++lastLease, beginning(grant.ttlMicros()));
+      callback.accept(new Reply.LeaseGranted(lastLease));
+    } else if (request instanceof Request.LeaseRenew renew) {
+      Lease renewed =
+          leases.computeIfPresent(renew.lease(), (id, lease) -> beginning(lease.ttlMicros()));
+      callback.accept(renewed == null ? new Reply.Refused(404) : new Reply.Applied(0));
+    } else if (request instanceof Request.LeaseRevoke revoke) {
+      if (leases.containsKey(revoke.lease())) {
+        endLease(revoke.lease());
+      }
+      callback.accept(new Reply.Applied(0));
+    }
+  }
+
+  private Reply list(Request.StoreList list) {
+    List<Reply.Item> page = new ArrayList<>();
+    boolean fromPrefix = list.after() == null;
+    String from = fromPrefix ? list.prefix() : list.after();
+    for (Reply.Item item : items.tailMap(from, fromPrefix).values()) {
+      if (!item.key().startsWith(list.prefix())) {
+        break;
+      }
+      if (page.size() == list.limit()) {
+        return new Reply.Listed(page, true, revision);
+      }
+      page.add(item);
+    }
+    return new Reply.Listed(page, false, revision);
+  }
+
+  private void serve(Request.StoreTxn txn, Consumer<Reply> callback) {
+    switch (fate.apply(txn)) {
+      case ANSWERED -> callback.accept(commit(txn));
+      case ANSWER_LOST -> commit(txn);
+      // After newer ones of the same controller, and whoever leads by then.
+      case LATE ->
+          clock.after(MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS), () -> commitLate(txn));
+    }
+  }
+
+  private void commitLate(Request.StoreTxn txn) {
+    if (down) {
+      clock.after(RETRY_LATE_MICROS, () -> commitLate(txn));
+    } else {
+      commit(txn);
+    }
+  }
+
+  private Reply commit(Request.StoreTxn txn) {
+    maxWrites = Math.max(maxWrites, txn.writes().size());
+    if (txn.writes().stream()
+        .anyMatch(write -> write.lease() != 0 && !leases.containsKey(write.lease()))) {
+      return new Reply.Refused(400);
+    }
+    List<String> failed = new ArrayList<>();
+    for (Request.Condition condition : txn.conditions()) {
+      Reply.Item item = items.get(condition.key());
+      if ((item == null ? 0 : item.version()) != condition.version()) {
+        failed.add(condition.key());
+      }
+    }
+    if (!failed.isEmpty()) {
+      return new Reply.Conflict(failed, revision);
+    }
+    if (!txn.writes().isEmpty()) {
+      revision++;
+      txn.writes().forEach(this::apply);
+      notifyWatches();
+    }
+    return new Reply.Applied(revision);
+  }
+
+  private void apply(Request.Write write) {
+    if (write.value() == null) {
+      remove(write.key());
+      return;
+    }
+    Map<String, Object> stored = StoredValueCodec.encode(write.value());
+    Reply.Item item =
+        new Reply.Item(write.key(), StoredValueCodec.decode(write.key(), stored), revision);
+    items.put(write.key(), item);
+    everWritten.put(write.key(), item.value());
+    log.add(item);
+    leaseOfKey.remove(write.key());
+    if (write.lease() != 0) {
+      leaseOfKey.put(write.key(), write.lease());
+    }
+  }
+
+  private void watch(String node, Request.StoreWatch watch, Consumer<Reply> callback) {
+    if (!nodesWithHeldWatches.contains(node)) {
+      watches.add(new Watch(node, watch.prefix(), watch.after(), callback));
+      clock.after(watch.holdMicros(), () -> endWatch(node, callback));
+      notifyWatches();
+    }
+  }
+
+  /** Open watches stay open through an outage, and where one node alone is refused. */
+  private void endWatch(String node, Consumer<Reply> callback) {
+    if (refuses(node)) {
+      clock.after(RETRY_WATCH_END_MICROS, () -> endWatch(node, callback));
+    } else if (watches.removeIf(watch -> watch.callback() == callback)) {
+      callback.accept(new Reply.Changed(List.of(), revision));
+    }
+  }
+
+  private void notifyWatches() {
+    if (down) {
+      return;
+    }
+    for (Watch watch : new ArrayList<>(watches)) {
+      if (refusedNodes.contains(watch.node())) {
+        continue;
+      }
+      List<Reply.Item> changes = changesFor(watch);
+      if (!changes.isEmpty()) {
+        watches.remove(watch);
+        watch.callback().accept(new Reply.Changed(changes, revision));
+      }
+    }
+  }
+
+  private List<Reply.Item> changesFor(Watch watch) {
+    List<Reply.Item> changes = new ArrayList<>();
+    for (int i = log.size() - 1; i >= 0 && log.get(i).version() > watch.after(); i--) {
+      if (log.get(i).key().startsWith(watch.prefix())) {
+        changes.add(log.get(i));
+      }
+    }
+    Collections.reverse(changes);
+    return changes;
+  }
+}
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -29,48 +29,35 @@
   private final List<String> logs = new ArrayList<>();
 
   private static String id(int i) {
-    return String.format("job-%06d", i);
+    return SampleJobs.id(i);
   }
 
   /** Eight jobs of two long tasks each, all running, half of them never cancelled. */
   private SimulatedCluster running(long seed) {
-    SimulatedCluster day = new SimulatedCluster(seed, SimulatedCluster.Size.SMALL, s -> {});
+    SimulatedCluster day = new SimulatedCluster(seed, ClusterSize.SMALL);
     day.logs = logs::add;
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec =
-          new JobSpec(
-              id(i),
-              "c",
-              i % 2 == 0 ? "red" : "blue",
-              JobSpec.Shape.ARRAY,
-              JobSpec.Priority.HIGH,
-              2,
-              1,
-              0,
-              1,
-              "img",
-              0.5,
-              null,
-              null,
-              false,
-              false,
-              true,
-              300 * SECOND,
-              0,
-              0,
-              20 * SECOND);
-      day.clock.after(3 * SECOND, () -> day.submit(spec));
+          SampleJobs.job(id(i))
+              .jobClass("c")
+              .team(i % 2 == 0 ? "red" : "blue")
+              .priority(JobSpec.Priority.HIGH)
+              .tasks(2)
+              .estimateMicros(300 * SECOND)
+              .deadlineMicros(20 * SECOND)
+              .build();
+      day.clock.after(3 * SECOND, () -> day.users.submit(spec));
     }
-    while (day.running().size() < JOBS && day.clock.now() < 150 * SECOND) {
+    while (day.tasks.runningJobs().size() < JOBS && day.clock.now() < 150 * SECOND) {
       after(day, SECOND);
     }
-    assertEquals(JOBS, day.running().size(), "all run");
+    assertEquals(JOBS, day.tasks.runningJobs().size(), "all run");
     return day;
   }
 
   private static void cancelHalf(SimulatedCluster day, int otherThan) {
     for (int i = 0; i < JOBS; i += 2) {
-      day.cancelThrough((otherThan + 1) % 3, id(i));
+      day.users.cancelThrough((otherThan + 1) % 3, id(i));
     }
   }
 
@@ -80,18 +67,18 @@
 
   private static void assertHalfCancelled(SimulatedCluster day) {
     for (int i = 0; i < JOBS; i += 2) {
-      assertEquals(Answer.Phase.CANCELLED, day.told(id(i)), "confirmed " + id(i));
+      assertEquals(Answer.Phase.CANCELLED, day.users.phase(id(i)), "confirmed " + id(i));
     }
   }
 
   private static void assertCancelledGoneAndTheRestDone(SimulatedCluster day) {
-    assertEquals(List.of(), day.broken);
-    for (String id : day.running()) {
-      assertTrue(day.told(id) != Answer.Phase.CANCELLED, id + " still runs");
+    assertEquals(List.of(), day.rules.violations());
+    for (String id : day.tasks.runningJobs()) {
+      assertTrue(day.users.phase(id) != Answer.Phase.CANCELLED, id + " still runs");
     }
     after(day, 700 * SECOND);
-    assertEquals(List.of(), day.broken);
-    assertEquals(List.of(), day.unfinished());
+    assertEquals(List.of(), day.rules.violations());
+    assertEquals(List.of(), day.users.unfinished());
   }
 
   /** With the lease renewed before the watch has answered, which it does only later. */
@@ -105,25 +92,26 @@
           long refusal = outage < 30 ? 4 + seed % 7 : 14;
           SimulatedCluster day = running(seed);
           int leader = day.leader();
-          day.newsLost = !newsArrives;
-          day.refuseOne(leader, refusal * SECOND);
+          day.planted.peerCancellationsLost = !newsArrives;
+          day.outages.stateServiceRefuses(leader, refusal * SECOND);
           after(day, SECOND / 2);
           cancelHalf(day, leader);
           after(day, 3 * SECOND / 2);
           assertHalfCancelled(day);
-          day.stateOutage(outage * SECOND);
-          day.faults.watchHangs(leader, outage * SECOND + 40 * SECOND);
-          int before = day.startedCancelled;
+          day.outages.stateService(outage * SECOND);
+          day.outages.watchHangs(leader, outage * SECOND + 40 * SECOND);
+          int before = day.rules.startsAfterCancellation();
           after(day, CANCEL + 2 * SECOND);
           assertCancelledGoneAndTheRestDone(day);
           assertTrue(
-              day.startedCancelled == before || day.longestStartMicros < LEADER_LEASE,
+              day.rules.startsAfterCancellation() == before
+                  || day.rules.maxStartAfterCancellationMicros() < LEADER_LEASE,
               "seed "
                   + seed
                   + " outage "
                   + outage
                   + ": started "
-                  + day.longestStartMicros
+                  + day.rules.maxStartAfterCancellationMicros()
                   + " after the confirmation");
         }
       }
@@ -140,13 +128,13 @@
       logs.clear();
       SimulatedCluster day = running(seed);
       int leader = day.leader();
-      day.newsLost = true;
-      day.faults.watchHangs(leader, 120 * SECOND);
+      day.planted.peerCancellationsLost = true;
+      day.outages.watchHangs(leader, 120 * SECOND);
       after(day, SECOND);
       cancelHalf(day, leader);
       after(day, SECOND);
       assertHalfCancelled(day);
-      assertTrue(day.running().size() > JOBS / 2, "they run on, unknown to the leader");
+      assertTrue(day.tasks.runningJobs().size() > JOBS / 2, "they run on, unknown to the leader");
       after(day, CANCEL - LEASE);
       assertEquals(
           1,
@@ -163,15 +151,15 @@
   void aPeersWordEndsTasksWhileTheStateServiceIsOut() {
     SimulatedCluster day = running(3);
     int leader = day.leader();
-    day.refuseOne(leader, 14 * SECOND);
+    day.outages.stateServiceRefuses(leader, 14 * SECOND);
     after(day, SECOND / 2);
     cancelHalf(day, leader);
     after(day, SECOND);
     assertHalfCancelled(day);
-    day.stateOutage(40 * SECOND);
+    day.outages.stateService(40 * SECOND);
     after(day, 6 * SECOND);
     for (int i = 0; i < JOBS; i++) {
-      assertEquals(i % 2 != 0, day.running().contains(id(i)), "runs: " + id(i));
+      assertEquals(i % 2 != 0, day.tasks.runningJobs().contains(id(i)), "runs: " + id(i));
     }
     after(day, 30 * SECOND);
     assertCancelledGoneAndTheRestDone(day);
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/TaskTracker.java
@@ -0,0 +1,130 @@
+package org.eiderstair.sim;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.TaskId;
+
+/** What really runs on machines, and what has completed there, whatever controllers know of it. */
+final class TaskTracker {
+  private final SimulatedCluster cluster;
+
+  /** The machine that each running task is on. */
+  private final Map<TaskId, String> machineOf = new HashMap<>();
+
+  private final Map<String, Set<TaskId>> runningByJob = new HashMap<>();
+  private final Set<TaskId> completed = new HashSet<>();
+  private final Map<String, Integer> completedByJob = new HashMap<>();
+  private final Map<String, Double> teamCpus = new HashMap<>();
+  private int starts;
+
+  TaskTracker(SimulatedCluster cluster) {
+    this.cluster = cluster;
+  }
+
+  void started(TaskId task, SimulatedWorker worker) {
+    starts++;
+    if (machineOf.containsKey(task)) {
+      cluster.rules.ranTwice(task, machineOf.get(task), worker.id);
+      return;
+    }
+    JobSpec spec = cluster.users.spec(task.job());
+    machineOf.put(task, worker.id);
+    runningByJob.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task);
+    double used = teamCpus.merge(spec.team(), spec.cpus(), Double::sum);
+    cluster.rules.checkQuota(spec.team(), used);
+    cluster.rules.checkPlace(task, spec, worker);
+    cluster.liveness.started(task.job());
+    cluster.rules.checkNotCancelled(task);
+  }
+
+  void stopped(TaskId task) {
+    if (machineOf.remove(task) != null) {
+      runningByJob.get(task.job()).remove(task);
+      JobSpec spec = cluster.users.spec(task.job());
+      teamCpus.merge(spec.team(), -spec.cpus(), Double::sum);
+    }
+  }
+
+  /** The machine has stopped; the task may run on another by now. */
+  void stoppedOn(String machine, TaskId task) {
+    if (machine.equals(machineOf.get(task))) {
+      stopped(task);
+    }
+  }
+
+  void completed(TaskId task) {
+    if (completed.add(task)) {
+      completedByJob.merge(task.job(), 1, Integer::sum);
+    }
+    if (allCompleted(task.job())) {
+      cluster.faults.jobCompleted(task.job());
+    }
+  }
+
+  /** How long the task will run; 0 for one that runs until it is cancelled. */
+  long runMicros(TaskId task) {
+    JobSpec spec = cluster.users.spec(task.job());
+    if (completed.contains(task)) {
+      return 1;
+    }
+    int estimate = (int) spec.estimateMicros();
+    if (spec.jobClass().equals(FaultInjector.UNEVEN)) {
+      return task.index() == 0 ? estimate / 8 : estimate * 2L;
+    }
+    return spec.shape() == JobSpec.Shape.SERVICE
+        ? 0
+        : estimate / 2 + cluster.random.nextInt(1 + estimate);
+  }
+
+  int starts() {
+    return starts;
+  }
+
+  boolean isCompleted(TaskId task) {
+    return completed.contains(task);
+  }
+
+  boolean allCompleted(String job) {
+    return completedOf(job) == cluster.users.spec(job).tasks();
+  }
+
+  /** How many of a job's tasks are completed. */
+  int completedOf(String job) {
+    return completedByJob.getOrDefault(job, 0);
+  }
+
+  Set<TaskId> running() {
+    return machineOf.keySet();
+  }
+
+  Set<TaskId> runningOf(String job) {
+    return runningByJob.getOrDefault(job, Set.of());
+  }
+
+  String machineOf(TaskId task) {
+    return machineOf.get(task);
+  }
+
+  /** Jobs with tasks on machines, in order. */
+  List<String> runningJobs() {
+    return machineOf.keySet().stream().map(TaskId::job).distinct().sorted().toList();
+  }
+
+  /** The machines that tasks of a job are on. */
+  List<SimulatedWorker> machinesOf(String job) {
+    return machineOf.entrySet().stream()
+        .filter(entry -> entry.getKey().job().equals(job))
+        .map(entry -> cluster.cloud.worker(entry.getValue()))
+        .filter(Objects::nonNull)
+        .toList();
+  }
+
+  double teamCpus(String team) {
+    return teamCpus.getOrDefault(team, 0.0);
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -0,0 +1,208 @@
+package org.eiderstair.sim;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.model.JobSpec;
+
+/** What users do beside their usual jobs: overload, waves of cancellations, repeated requests. */
+final class UserLoad {
+  private static final long SECOND = 1_000_000;
+  private static final int MAX_HANGING_MACHINES = 8;
+  private static final int UNEVEN_JOBS = 6;
+  private static final long IMMEDIATE_POLL_PAUSE_MICROS = 700;
+  private static final long IMMEDIATE_CANCEL_MICROS = 500;
+  private static final int CANCEL_WAVE_MICROS = 200_000;
+  private static final long INVALID_REQUEST_PAUSE_MICROS = 300_000;
+  private static final long ONE_TASK_JOB_PAUSE_MICROS = 250_000;
+
+  private final SimulatedCluster cluster;
+  private int lastNumber;
+  private int cancelOnCompletionPercent;
+  private boolean immediatePolls;
+
+  UserLoad(SimulatedCluster cluster) {
+    this.cluster = cluster;
+  }
+
+  // More work.
+
+  /** Twice what both teams may have, urgent and not, for about that long. */
+  void overload(long micros) {
+    int jobs = (int) (4 * cluster.size.limit() / cluster.size.tasks());
+    for (int i = 0; i < jobs; i++) {
+      cluster.users.submit(
+          job(
+              "job-5",
+              "flood",
+              JobSpec.Priority.values()[i % 4],
+              cluster.size.tasks(),
+              4 * SECOND + micros / 8));
+    }
+  }
+
+  /** Jobs whose first task completes soon, and whose others take long. */
+  void submitUnevenJobs() {
+    for (int i = 0; i < UNEVEN_JOBS; i++) {
+      cluster.users.submit(
+          job("job-6", FaultInjector.UNEVEN, JobSpec.Priority.NORMAL, 2 + i % 2, 8 * SECOND));
+    }
+  }
+
+  /** Four a second, a quarter of them cancelled. */
+  void submitOneTaskJobs(long untilMicros) {
+    if (cluster.clock.now() > untilMicros) {
+      return;
+    }
+    cluster.clock.after(ONE_TASK_JOB_PAUSE_MICROS, () -> submitOneTaskJobs(untilMicros));
+    JobSpec spec = job("job-7", "NORMAL", JobSpec.Priority.NORMAL, 1, 4 * SECOND);
+    cluster.users.submit(spec);
+    if (lastNumber % 4 == 0) {
+      cluster.clock.after(
+          500_000 + cluster.random.nextInt(4_000_000), () -> cluster.users.cancel(spec.id()));
+    }
+  }
+
+  private JobSpec job(
+      String prefix, String jobClass, JobSpec.Priority priority, int tasks, long estimateMicros) {
+    lastNumber++;
+    return SampleJobs.job(prefix + String.format("%05d", lastNumber))
+        .jobClass(jobClass)
+        .team(lastNumber % 2 == 0 ? "red" : "blue")
+        .priority(priority)
+        .tasks(tasks)
+        .estimateMicros(estimateMicros)
+        .build();
+  }
+
+  // Cancellations.
+
+  /**
+   * Users cancel jobs that run, within a fifth of a second; some of their machines hang from then
+   * on, unless {@code hangMicros} is 0.
+   */
+  void cancelRunningJobs(long hangMicros) {
+    int count = cluster.size.jobs() / 4;
+    int hanging = 0;
+    List<String> running = new ArrayList<>(cluster.tasks.runningJobs());
+    for (int i = 0; i < count && !running.isEmpty(); i++) {
+      String job = running.remove(cluster.random.nextInt(running.size()));
+      if (hangMicros > 0
+          && hanging < MAX_HANGING_MACHINES
+          && !cluster.tasks.machinesOf(job).isEmpty()) {
+        hanging++;
+        cluster.tasks.machinesOf(job).get(0).hang(hangMicros);
+      }
+      cluster.clock.after(
+          cluster.random.nextInt(CANCEL_WAVE_MICROS), () -> cluster.users.cancel(job));
+    }
+  }
+
+  /** Half of the jobs are cancelled just as their last task completes. */
+  void cancelOnCompletion(long micros) {
+    cancelOnCompletionPercent = 50;
+    cluster.clock.after(micros, () -> cancelOnCompletionPercent = 0);
+  }
+
+  void jobCompleted(String job) {
+    if (cluster.random.nextInt(100) < cancelOnCompletionPercent) {
+      cluster.users.cancel(job);
+    }
+  }
+
+  // Questions and repeated requests.
+
+  /** Users ask at all nodes as soon as one of them has been answered. */
+  void pollImmediately(long micros) {
+    immediatePolls = true;
+    cluster.clock.after(micros, () -> immediatePolls = false);
+  }
+
+  /**
+   * A user was answered that a job is accepted, done or cancelled: others ask at all nodes, at once
+   * and again.
+   */
+  void userAnswered(String job) {
+    if (!immediatePolls) {
+      return;
+    }
+    for (int i = 0; i < 3 * cluster.size.nodes(); i++) {
+      int node = i % cluster.size.nodes();
+      cluster.clock.after(i * IMMEDIATE_POLL_PAUSE_MICROS, () -> pollOrRepeat(node, job));
+    }
+    if (cluster.random.nextInt(4) == 0) {
+      cluster.clock.after(IMMEDIATE_CANCEL_MICROS, () -> cluster.users.cancel(job));
+    }
+  }
+
+  private void pollOrRepeat(int node, String job) {
+    if (cluster.random.nextInt(3) == 0) {
+      submitAgain(node, job, cluster.users.spec(job));
+    } else {
+      Answer.Phase before = cluster.users.phase(job);
+      cluster.ask(
+          node,
+          exchange -> new Event.Poll(exchange, job),
+          answer -> checkAnswer(job, before, answer));
+    }
+  }
+
+  /** {@code spec} is null where the rest of the request cannot be read. */
+  private void submitAgain(int node, String job, JobSpec spec) {
+    Answer.Phase before = cluster.users.phase(job);
+    cluster.ask(
+        node,
+        exchange -> new Event.Submit(exchange, job, spec, spec == null ? "Cores is missing" : null),
+        answer -> checkAnswer(job, before, answer));
+  }
+
+  private void checkAnswer(String job, Answer.Phase before, Answer answer) {
+    if (answer instanceof Answer.JobView view) {
+      cluster.users.answered(view, before);
+    } else {
+      cluster.rules.checkAcceptedNotRefused(job, answer);
+    }
+  }
+
+  /**
+   * Repeated submissions, whole and unreadable ones, cancellations of jobs that are done, and jobs
+   * that can never run.
+   */
+  void sendInvalidRequests(long untilMicros) {
+    if (cluster.clock.now() > untilMicros) {
+      return;
+    }
+    cluster.clock.after(INVALID_REQUEST_PAUSE_MICROS, () -> sendInvalidRequests(untilMicros));
+    int node = cluster.random.nextInt(cluster.size.nodes());
+    repeatSomeRequest(node);
+    submitImpossibleJob(node);
+  }
+
+  private void repeatSomeRequest(int node) {
+    List<String> accepted = cluster.users.accepted();
+    if (accepted.isEmpty()) {
+      return;
+    }
+    String job = accepted.get(cluster.random.nextInt(accepted.size()));
+    submitAgain(node, job, cluster.random.nextBoolean() ? null : cluster.users.spec(job));
+    if (cluster.users.phase(job) == Answer.Phase.DONE) {
+      cluster.ask(
+          node,
+          exchange -> new Event.Cancel(exchange, job),
+          answer -> checkAnswer(job, Answer.Phase.DONE, answer));
+    }
+  }
+
+  private void submitImpossibleJob(int node) {
+    String id = String.format("job-8%05d", ++lastNumber);
+    boolean unreadable = cluster.random.nextBoolean();
+    JobSpec tooLarge = SampleJobs.job(id).cpus(SimulatedCloud.TYPE.cpus() + 1).build();
+    cluster.ask(
+        node,
+        exchange ->
+            new Event.Submit(
+                exchange, id, unreadable ? null : tooLarge, unreadable ? "Cores is missing" : null),
+        answer -> cluster.rules.checkImpossibleNotAccepted(id, answer));
+  }
+}
