--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -169,7 +169,7 @@
     if (spec.shape() == JobSpec.Shape.SERVICE) {
       return spec.tasks();
     }
-    double timeLeftMicros = plannedMicros(spec) - (nowMicros - job.seenMicros);
+    double timeLeftMicros = plannedMicros(spec) - (nowMicros - job.submittedMicros());
     // Work that may not use spot machines can't borrow their room: what it needs at once is kept
     // there for it.
     double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -116,7 +116,7 @@
   private void returnOverdue() {
     long since = now - settings.cancelMicros() + RETURN_MICROS;
     for (Job job : replica.cancelledLately(now)) {
-      if (job.cancelledMicros < since) {
+      if (job.cancelledMicros() < since) {
         for (Attempt a : new ArrayList<>(job.active.values())) {
           if (a.mayBeOnMachine() && a.machine().plan() != Machine.Plan.TERMINATE) {
             returnNow(
@@ -124,7 +124,7 @@
                 "not shown to have ended "
                     + a.task()
                     + ", cancelled "
-                    + (now - job.cancelledMicros) / 1000
+                    + (now - job.cancelledMicros()) / 1000
                     + " ms ago");
           }
         }
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -208,7 +208,7 @@
     }
     String key = StateKeys.job(id);
     JobRecord value =
-        JobRecord.cancelled(job.spec(), job.durable.cardinality(), replica.dayMicros(now));
+        JobRecord.cancelled(job.spec(), job.durablyCompleted(), replica.dayMicros(now));
     sink.call(
         new Request.StoreTxn(
             List.of(new Request.Condition(key, job.version())),
@@ -318,9 +318,9 @@
           new Answer.JobView(
               status,
               job.id,
-              job.shownRunning > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
-              job.durable.cardinality(),
-              job.shownRunning);
+              job.durablyRunning() > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
+              job.durablyCompleted(),
+              job.durablyRunning());
     };
   }
 }
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -32,15 +32,10 @@
    */
   private JobSpec spec;
 
-  /** Durable progress: what the state service has. */
-  public BitSet durable = new BitSet();
+  private final DurableProgress durableProgress = new DurableProgress();
 
-  public long progressVersion;
-  public int shownRunning;
-
-  // What follows is the leader's picture.
-  /** Tasks seen done, whether durable or not. */
-  public BitSet done = new BitSet();
+  /** Tasks that workers showed to be completed, whether that is durable or not; at the leader. */
+  private BitSet completed = new BitSet();
 
   public final Map<Integer, Attempt> active = new HashMap<>();
 
@@ -55,16 +50,42 @@
    */
   public final Set<Attempt> queued = new LinkedHashSet<>();
 
-  public long seenMicros;
-  public long cancelSeenMicros;
+  private final long submittedMicros;
+  private long cancelledMicros;
+  private long cancellationSeenMicros;
+  private int firstFree;
+
+  /**
+   * @param submittedMicros when its user submitted it, as far as this node knows
+   */
+  public Job(String id, long submittedMicros) {
+    this.id = id;
+    this.submittedMicros = submittedMicros;
+  }
+
+  /** When its user submitted it, as far as this node knows. */
+  public long submittedMicros() {
+    return submittedMicros;
+  }
 
   /** When it was cancelled, as far as that is known; never later than when this node saw it. */
-  public long cancelledMicros;
+  public long cancelledMicros() {
+    return cancelledMicros;
+  }
 
-  private int firstFree;
+  /** Sets when it was cancelled, if it was. */
+  public void setCancelledMicros(long micros) {
+    cancelledMicros = micros;
+  }
 
-  public Job(String id) {
-    this.id = id;
+  /** When this node saw that it was cancelled. */
+  public long cancellationSeenMicros() {
+    return cancellationSeenMicros;
+  }
+
+  /** This node has seen that it was cancelled. */
+  public void markCancellationSeen(long nowMicros) {
+    cancellationSeenMicros = nowMicros;
   }
 
   /** Whether it is open or final. */
@@ -104,9 +125,9 @@
       spec = withSpec;
     }
     if (next != State.OPEN) {
-      finalDone = next == State.DONE ? taskCount : Math.max(doneCount, durable.cardinality());
-      durable = new BitSet();
-      shownRunning = 0;
+      finalDone =
+          next == State.DONE ? taskCount : Math.max(doneCount, durableProgress.completedCount());
+      durableProgress.release();
     }
   }
 
@@ -114,17 +135,104 @@
   public void shrink() {
     if (state == State.DONE && active.isEmpty()) {
       spec = null;
-      done = new BitSet();
+      completed = new BitSet();
     }
   }
 
+  /**
+   * Progress of this version is stored. The version counts even if what is stored can't be read.
+   *
+   * @return whether it is newer than what is known, and of use since the job is open
+   */
+  public boolean advanceProgressTo(long progressVersion) {
+    if (!open() || progressVersion <= durableProgress.version()) {
+      return false;
+    }
+    durableProgress.advanceTo(progressVersion);
+    return true;
+  }
+
+  /** Sets what the state service holds as of the version last advanced to. */
+  public void setDurableProgress(BitSet completedTasks, int runningTasks) {
+    durableProgress.set(completedTasks, runningTasks);
+  }
+
+  /** A read showed that no progress was stored as of a revision. */
+  public void progressMissing(long atRevision) {
+    durableProgress.missing(atRevision);
+  }
+
+  /** The version of its progress in the state service; 0 if none is stored. */
+  public long progressVersion() {
+    return durableProgress.version();
+  }
+
+  /** Whether the state service holds that the task is completed. */
+  public boolean isDurablyCompleted(int index) {
+    return durableProgress.isCompleted(index);
+  }
+
+  /** A copy of the set of tasks that the state service holds as completed. */
+  public BitSet durablyCompletedTasks() {
+    return durableProgress.copyOfCompleted();
+  }
+
+  /** How many tasks the state service holds as completed. */
+  public int durablyCompleted() {
+    return durableProgress.completedCount();
+  }
+
+  /** How many tasks the state service holds as running. */
+  public int durablyRunning() {
+    return durableProgress.running();
+  }
+
+  /** Whether a worker showed that the task is completed. */
+  public boolean isCompleted(int index) {
+    return completed.get(index);
+  }
+
+  /** Whether any task is completed. */
+  public boolean hasCompletedTasks() {
+    return !completed.isEmpty();
+  }
+
+  /** Whether an array has no more task to run; a service never ends by itself. */
+  public boolean allTasksCompleted() {
+    return spec.shape() == JobSpec.Shape.ARRAY && completed.cardinality() == tasks;
+  }
+
+  /**
+   * A worker showed that a task is completed; earlier failures no longer count.
+   *
+   * @return whether this was not known before
+   */
+  public boolean markCompleted(int index) {
+    if (completed.get(index)) {
+      return false;
+    }
+    completed.set(index);
+    failures.recordSuccess();
+    return true;
+  }
+
+  /** A copy of the set of completed tasks. */
+  public BitSet completedTasks() {
+    return (BitSet) completed.clone();
+  }
+
+  /** Whether exactly these tasks are completed. */
+  public boolean hasCompletedExactly(BitSet tasksCompleted) {
+    return completed.equals(tasksCompleted);
+  }
+
   /**
    * The lowest-numbered task that is neither done nor possibly somewhere, from {@code from} on; -1
    * if none.
    */
   public int nextFree(int from) {
     for (int i = Math.max(from, firstFree); i < tasks; i++) {
-      i = done.nextClearBit(i);
+      i = completed.nextClearBit(i);
       if (i >= tasks) {
         return -1;
       }
@@ -147,10 +255,10 @@
   /** A new leader starts from what is durable, and knows of no attempts. */
   public void forgetPlaces() {
     active.clear();
-    done = (BitSet) durable.clone();
+    completed = durableProgress.copyOfCompleted();
     firstFree = 0;
     queued.clear();
-    started = !durable.isEmpty() || shownRunning > 0;
+    started = durableProgress.hasStarted();
     failures.reset();
   }
 
@@ -200,11 +308,6 @@
     failures.recordFailure(machineId, nowMicros);
   }
 
-  /** One of its tasks has succeeded: earlier failures no longer count. */
-  public void recordSuccess() {
-    failures.recordSuccess();
-  }
-
   /** Whether its tasks may be placed, or are delayed after failures. */
   public boolean mayRetry(long nowMicros) {
     return failures.mayRetry(nowMicros);
@@ -239,7 +342,7 @@
 
   /** How many tasks are not done. */
   public int unfinished() {
-    return tasks - done.cardinality();
+    return tasks - completed.cardinality();
   }
 
   /** Whether attempts wait at the leader for room on a machine. */
@@ -249,7 +352,7 @@
 
   /** How many tasks are neither done nor on their way to a machine. */
   public int waiting() {
-    return tasks - done.cardinality() - active.size();
+    return tasks - completed.cardinality() - active.size();
   }
 
   /** How many tasks were done when the job became final; kept for display. */
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -80,7 +80,7 @@
 
   private boolean mayPreempt(Job job, long nowMicros) {
     return order.isWithinGuarantee(job)
-        && nowMicros >= job.seenMicros + MIN_WAIT_MICROS
+        && nowMicros >= job.submittedMicros() + MIN_WAIT_MICROS
         && nowMicros >= job.lastPreemptionMicros() + REPEAT_AFTER_MICROS
         && quotas.limitAllowsOneMore(job.spec());
   }
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -128,7 +128,7 @@
 
   private static boolean waitsForLong(Job job, long nowMicros) {
     return !job.hasStarted()
-        && nowMicros >= job.seenMicros + LONG_WAIT_MICROS
+        && nowMicros >= job.submittedMicros() + LONG_WAIT_MICROS
         && job.mayRetry(nowMicros);
   }
 
@@ -203,7 +203,7 @@
   }
 
   private static boolean startsLate(Job job, long nowMicros) {
-    return nowMicros >= job.seenMicros + LATE_START_MICROS;
+    return nowMicros >= job.submittedMicros() + LATE_START_MICROS;
   }
 
   /** The part of the leader's status line about starvation; empty while no job is boosted. */
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -390,8 +390,8 @@
       return;
     }
     Job job = jobs.get(StateKeys.Kind.PROGRESS.idOf(key));
-    if (job != null && job.progressVersion <= atRevision) {
-      job.progressVersion = 0;
+    if (job != null) {
+      job.progressMissing(atRevision);
     }
   }
 
@@ -406,15 +406,15 @@
     JobRecord record = read(item, JobRecord.class);
     boolean isNew = job == null;
     if (isNew) {
-      job = new Job(id);
       // A node that was not there when the job came must not take it for new. Days differ a little
       // between nodes.
       long atDay = record.createdDayMicros();
-      job.seenMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
+      long submittedMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
+      job = new Job(id, submittedMicros);
       jobs.put(id, job);
     }
     long cancelledDay = record.cancelledDayMicros();
-    job.cancelledMicros = cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros);
+    job.setCancelledMicros(cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros));
     job.become(record.state(), item.version(), record.tasks(), record.spec(), record.done());
     changed(job, isNew);
   }
@@ -425,7 +425,7 @@
     } else {
       open.remove(job.id);
       if (job.state() == Job.State.CANCELLED) {
-        job.cancelSeenMicros = now;
+        job.markCancellationSeen(now);
         cancelled.add(job);
       }
     }
@@ -440,7 +440,7 @@
   public void cancelledElsewhere(Cancellation told) {
     Job job = jobs.get(told.job());
     if (job != null && job.open() && told.version() > job.version()) {
-      job.cancelledMicros = now;
+      job.setCancelledMicros(now);
       job.become(Job.State.CANCELLED, told.version(), job.tasks(), null, told.done());
       changed(job, false);
     }
@@ -453,7 +453,7 @@
    */
   public Collection<Job> cancelledLately(long nowMicros) {
     long since = nowMicros - settings.cancelMicros() - CANCEL_MARGIN_MICROS;
-    while (!cancelled.isEmpty() && cancelled.peek().cancelSeenMicros < since) {
+    while (!cancelled.isEmpty() && cancelled.peek().cancellationSeenMicros() < since) {
       cancelled.poll();
     }
     return cancelled;
@@ -468,13 +468,11 @@
       }
       return;
     }
-    if (!job.open() || item.version() <= job.progressVersion || item.value() == null) {
+    if (item.value() == null || !job.advanceProgressTo(item.version())) {
       return;
     }
-    job.progressVersion = item.version();
     ProgressRecord record = read(item, ProgressRecord.class);
-    job.durable = record.done();
-    job.shownRunning = record.running();
+    job.setDurableProgress(record.done(), record.running());
   }
 
   private void applyDuty(Reply.Item item) {
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -276,8 +276,8 @@
       }
       conditions.add(new Request.Condition(StateKeys.job(job.id), job.version()));
       changes.add(new Request.Write(StateKeys.job(job.id), JobRecord.done(job.tasks()), 0));
-      if (job.progressVersion > 0) {
-        conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion));
+      if (job.progressVersion() > 0) {
+        conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion()));
         changes.add(new Request.Write(StateKeys.progress(job.id), null, 0));
       }
       room -= 2;
@@ -350,17 +350,17 @@
       if (room < 1 || bytes > TXN_BYTES) {
         return;
       }
-      BitSet done = (BitSet) job.done.clone();
+      BitSet done = job.completedTasks();
       int running = job.runningCount();
       ProgressRecord value = ProgressRecord.of(done, running);
       bytes += value.doneTasks().length() + 200;
-      conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion));
+      conditions.add(new Request.Condition(StateKeys.progress(job.id), job.progressVersion()));
       conditions.add(new Request.Condition(StateKeys.job(job.id), job.version()));
       changes.add(new Request.Write(StateKeys.progress(job.id), value, 0));
       room--;
       after.add(
           () -> {
-            if (job.done.equals(done)) {
+            if (job.hasCompletedExactly(done)) {
               progressed.remove(job.id);
             }
           });
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -11,7 +11,6 @@
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Job;
-import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.PendingHeartbeat;
@@ -250,7 +249,7 @@
             && job.open()
             && known == null
             && entry.task().index() < job.tasks()
-            && !job.done.get(entry.task().index())
+            && !job.isCompleted(entry.task().index())
             && !job.active.containsKey(entry.task().index());
     if (!wanted) {
       if (job != null && !job.open() && known == null && job.spec() != null) {
@@ -275,7 +274,7 @@
   }
 
   private void noteRunning(Job job) {
-    if (job.open() && job.shownRunning == 0) {
+    if (job.open() && job.durablyRunning() == 0) {
       stateWriter.progressed(job);
     }
   }
@@ -293,20 +292,16 @@
         && job != null
         && job.open()
         && task.index() < job.tasks()) {
-      if (!job.done.get(task.index())) {
-        job.done.set(task.index());
-        job.recordSuccess();
+      if (job.markCompleted(task.index())) {
         machine.failures().reset();
-        boolean all =
-            job.spec().shape() == JobSpec.Shape.ARRAY && job.done.cardinality() == job.tasks();
-        if (all) {
+        if (job.allTasksCompleted()) {
           stateWriter.finished(job);
         } else {
           stateWriter.progressed(job);
         }
       }
       // Forgotten only once durable: until then the machine's own record is the only proof.
-      if (job.durable.get(task.index())) {
+      if (job.isDurablyCompleted(task.index())) {
         machine.acknowledge(reap);
       }
       return;
@@ -339,7 +334,7 @@
     sink.info("task " + task + " failed on " + machine.id() + ", term=" + term);
     job.recordFailure(machine.id(), time.nowMicros());
     boolean onlyHere = job.failedMachines() == 1;
-    machine.failures().record(job.id, !job.done.isEmpty() || onlyHere);
+    machine.failures().record(job.id, job.hasCompletedTasks() || onlyHere);
     if (machine.failures().isFaulty(onlyHere) && machine.plan() == Machine.Plan.ACTIVE) {
       sink.info(
           "machine "
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -238,7 +238,7 @@
                       if (job != null
                           && job.spec() != null
                           && index < job.tasks()
-                          && !job.done.get(index)
+                          && !job.isCompleted(index)
                           && !job.active.containsKey(index)) {
                         tracker.attach(
                             new Attempt(job, index, number, machine, Attempt.Phase.REPORTED));
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -65,15 +65,16 @@
     StateWriter writer =
         new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, listener);
     Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
-    finished.progressVersion = 4;
+    finished.advanceProgressTo(4);
     writer.finished(finished);
     Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
-    progressed.done.set(0, 6);
-    progressed.done.set(9);
+    for (int index : new int[] {0, 1, 2, 3, 4, 5, 9}) {
+      progressed.markCompleted(index);
+    }
     writer.progressed(progressed);
     Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
     for (int i = 0; i < 1000; i += 2) {
-      scattered.done.set(i);
+      scattered.markCompleted(i);
     }
     writer.progressed(scattered);
     writer.progressed(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
@@ -223,7 +224,7 @@
     read("created:e/job/job-9", 11).forEach(bench.replica::apply);
     Job job = bench.replica.jobs.get("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
-    assertEquals(CreatedJob.AT_MICROS, job.seenMicros);
+    assertEquals(CreatedJob.AT_MICROS, job.submittedMicros());
   }
 
   @Example
@@ -235,9 +236,9 @@
     read("transaction-1", 11).forEach(bench.replica::apply);
     assertEquals(Job.State.DONE, finished.state());
     assertEquals(7, finished.tasks());
-    assertEquals("{0, 1, 2, 3, 4, 5, 9}", progressed.durable.toString());
-    assertEquals(500, scattered.durable.cardinality());
-    assertEquals(1000 - 1, scattered.durable.length());
+    assertEquals("{0, 1, 2, 3, 4, 5, 9}", progressed.durablyCompletedTasks().toString());
+    assertEquals(500, scattered.durablyCompletedTasks().cardinality());
+    assertEquals(1000 - 1, scattered.durablyCompletedTasks().length());
     assertEquals(
         new Replica.RegisteredWorker("i-1", "10.0.0.1:80", "t", "a", true, 11),
         bench.replica.registeredWorkers.get("i-1"));
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -203,7 +203,8 @@
                           "Put",
                           "e/prog/" + firstJob(bench).id,
                           "Data",
-                          StoredValueCodec.encode(ProgressRecord.of(firstJob(bench).done, 3)),
+                          StoredValueCodec.encode(
+                              ProgressRecord.of(firstJob(bench).completedTasks(), 3)),
                           "Stamp",
                           100L + i)))));
     }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -304,7 +305,7 @@
             JobSpec.NO_DEADLINE);
     replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     Job job = replica.jobs.get(spec.id());
-    job.shownRunning = 1;
+    job.setDurableProgress(new BitSet(), 1);
     return job;
   }
 
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -224,7 +224,7 @@
     seen(inside);
     seen(beyond);
     Job waiting = job(3, "red", Priority.NORMAL, 3, 1);
-    waiting.seenMicros = 0;
+    assertEquals(0, waiting.submittedMicros());
     placement.place(NOW + 1_000_000);
     assertTrue(inside.active.values().stream().noneMatch(a -> a.isStopRequested()));
     assertEquals(3, beyond.active.values().stream().filter(a -> a.isStopRequested()).count());
@@ -245,7 +245,7 @@
     placement.place(NOW + 1);
     assertTrue(large.hasQueued());
     for (int i = 0; i < 4; i++) {
-      small.done.set(i);
+      small.markCompleted(i);
       workers.remove(small.active.get(i));
       placement.place(NOW + 2 + i);
     }
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -18,7 +18,7 @@
   private final List<Job> open = new ArrayList<>();
   private int numbers;
 
-  private Job job(String jobClass, int tasks, long seenMicros) {
+  private Job job(String jobClass, int tasks, long submittedMicros) {
     JobSpec spec =
         new JobSpec(
             "job-" + ++numbers,
@@ -41,8 +41,7 @@
             0,
             0,
             JobSpec.NO_DEADLINE);
-    Job job = new Job(spec.id());
-    job.seenMicros = seenMicros;
+    Job job = new Job(spec.id(), submittedMicros);
     job.become(Job.State.OPEN, numbers, tasks, spec, 0);
     open.add(job);
     return job;
@@ -53,6 +52,12 @@
     starvationGuard.noteStarted(job);
   }
 
+  private static void complete(Job job) {
+    for (int index = 0; index < job.tasks(); index++) {
+      job.markCompleted(index);
+    }
+  }
+
   private long boosted() {
     return open.stream().filter(starvationGuard::isBoosted).count();
   }
@@ -85,13 +90,11 @@
     low.subList(0, 3).forEach(this::start);
     starvationGuard.update(open, () -> 20, 102 * SECOND);
     assertEquals(3, boosted(), "these stay boosted until they are done");
-    low.get(0).done.set(0, 4);
-    low.get(1).done.set(0, 4);
-    low.get(2).done.set(0, 4);
+    low.subList(0, 3).forEach(StarvationGuardTest::complete);
     starvationGuard.update(open, () -> 20, 104 * SECOND);
     assertEquals(3, boosted(), "the next");
     low.subList(3, 7).forEach(this::start);
-    low.subList(3, 7).forEach(j -> j.done.set(0, 4));
+    low.subList(3, 7).forEach(StarvationGuardTest::complete);
     starvationGuard.update(open, () -> 20, 106 * SECOND);
     assertTrue(logs.contains("class=low is no longer starving"));
     assertEquals(0, boosted());
@@ -113,7 +116,7 @@
       start(job("urgent", 1, 0));
       job("low", 1, 0);
     }
-    old.done.set(0);
+    complete(old);
     starvationGuard.update(open, () -> 2, 165 * SECOND);
     assertTrue(starvationGuard.isBoosted(younger));
     assertFalse(starvationGuard.isBoosted(old));
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -193,8 +193,8 @@
       assertTrue(line.startsWith("unreadable value key=e/"), line);
     }
     assertTrue(job.open());
-    assertTrue(job.durable.isEmpty());
-    assertEquals(21, job.progressVersion);
+    assertEquals(0, job.durablyCompleted());
+    assertEquals(21, job.progressVersion());
     assertEquals("n1", replica.leader().node());
     assertEquals("x", replica.registeredWorkers.get("i-1").address());
     assertEquals(25, replica.catalogVersion());
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -96,7 +97,7 @@
             0,
             JobSpec.NO_DEADLINE);
     leader.replica.apply(new Reply.Item(StateKeys.job(JOB), JobRecord.open(spec, 0), 5));
-    leader.replica.jobs.get(JOB).shownRunning = 1;
+    leader.replica.jobs.get(JOB).setDurableProgress(new BitSet(), 1);
   }
 
   /** What may happen next. */
@@ -354,7 +355,7 @@
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
       used += worker.alive(task) ? 1 : 0;
-      boolean free = whole && !job.active.containsKey(i) && !job.done.get(i);
+      boolean free = whole && !job.active.containsKey(i) && !job.isCompleted(i);
       if (free && worker.alive(task)) {
         broken.add("ran_twice: " + task + " is free for the leader and alive on the machine");
       }
@@ -422,7 +423,7 @@
       TaskId task = new TaskId(JOB, i);
       if (cancelled && worker.alive(task)) {
         broken.add("ran_cancelled: " + task + " goes on");
-      } else if (!cancelled && !worker.alive(task) && !job.done.get(i)) {
+      } else if (!cancelled && !worker.alive(task) && !job.isCompleted(i)) {
         broken.add("not placed: " + task);
       }
     }
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -80,7 +80,10 @@
     Machine m = leader.workers.machines().get(CommandWorld.MACHINE);
     Job job = leader.replica.jobs.get(CommandWorld.JOB);
     ranks.add(m.incarnation(), m.sequence());
-    key.append('#').append(leader.leadership.isLeader()).append(job.done).append(job.state());
+    key.append('#')
+        .append(leader.leadership.isLeader())
+        .append(job.completedTasks())
+        .append(job.state());
     key.append(m.phase())
         .append(m.fencingToken())
         .append(m.commands().isInFlight())
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
@@ -121,7 +122,7 @@
             JobSpec.NO_DEADLINE);
     replica.apply(new Reply.Item(StateKeys.job("job-1"), JobRecord.open(spec, 0), 5));
     job = replica.jobs.get("job-1");
-    job.shownRunning = 1;
+    job.setDurableProgress(new BitSet(), 1);
     machine.describe("x", "t", null, false);
     machine.assignType(TYPE);
     machine.markRegistered();
@@ -298,8 +299,10 @@
         .forEach(
             a -> shown.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
     assertEquals(List.of(), reapsAfter(bench, m, shown.get(0)));
-    assertTrue(one.done.get(shown.get(0).task().index()));
-    one.durable.set(shown.get(0).task().index());
+    assertTrue(one.isCompleted(shown.get(0).task().index()));
+    BitSet durable = new BitSet();
+    durable.set(shown.get(0).task().index());
+    one.setDurableProgress(durable, 1);
     assertEquals(
         List.of(new Order.Acknowledge(shown.get(0).task(), shown.get(0).attempt())),
         reapsAfter(bench, m, shown.get(0)));
