--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -115,10 +115,10 @@
           state,
           POST,
           "/txn",
-          StoreMessages.txn(txn),
+          StoreMessages.encodeTransaction(txn),
           STORE_MICROS,
-          StoreMessages::applied,
-          StoreMessages::conflict);
+          StoreMessages::decodeApplied,
+          StoreMessages::decodeConflict);
     } else if (request instanceof Request.StoreWatch w) {
       String path =
           "/watch?Under="
@@ -134,11 +134,18 @@
           path,
           null,
           w.holdMicros() + STORE_MICROS,
-          StoreMessages::changed,
+          StoreMessages::decodeChanged,
           null);
     } else if (request instanceof Request.StoreGet get) {
       exchange(
-          call, state, GET, "/store/" + get.key(), null, STORE_MICROS, StoreMessages::found, null);
+          call,
+          state,
+          GET,
+          "/store/" + get.key(),
+          null,
+          STORE_MICROS,
+          StoreMessages::decodeFound,
+          null);
     } else if (request instanceof Request.StoreList list) {
       String path =
           "/store?Under="
@@ -146,16 +153,16 @@
               + "&Page="
               + list.limit()
               + (list.after() == null ? "" : "&From=" + encode(list.after()));
-      exchange(call, state, GET, path, null, 2 * STORE_MICROS, StoreMessages::listed, null);
+      exchange(call, state, GET, path, null, 2 * STORE_MICROS, StoreMessages::decodeListed, null);
     } else if (request instanceof Request.LeaseGrant grant) {
       exchange(
           call,
           state,
           POST,
           "/leases",
-          StoreMessages.lease(grant.ttlMicros()),
+          StoreMessages.encodeLeaseRequest(grant.ttlMicros()),
           STORE_MICROS,
-          StoreMessages::leaseGranted,
+          StoreMessages::decodeLeaseGranted,
           null);
     } else if (request instanceof Request.LeaseRenew touch) {
       exchange(
@@ -178,16 +185,17 @@
           m -> new Reply.Applied(0),
           null);
     } else if (request instanceof Request.CloudCatalog) {
-      exchange(call, cloud, GET, "/catalog", null, CLOUD_MICROS, CloudMessages::catalog, null);
+      exchange(
+          call, cloud, GET, "/catalog", null, CLOUD_MICROS, CloudMessages::decodeCatalog, null);
     } else if (request instanceof Request.CloudRent rent) {
       exchange(
           call,
           cloud,
           POST,
           "/hosts",
-          CloudMessages.rent(rent),
+          CloudMessages.encodeRent(rent),
           CLOUD_MICROS,
-          CloudMessages::rented,
+          CloudMessages::decodeRented,
           null);
     } else if (request instanceof Request.CloudDelete delete) {
       exchange(
@@ -195,16 +203,16 @@
           cloud,
           POST,
           "/hosts/delete",
-          CloudMessages.delete(delete.machines()),
+          CloudMessages.encodeDelete(delete.machines()),
           CLOUD_MICROS,
           m -> new Reply.Applied(0),
           null);
     } else if (request instanceof Request.CloudList list) {
       String path =
           "/hosts?Page="
-              + CloudMessages.PAGE
+              + CloudMessages.PAGE_SIZE
               + (list.after() == null ? "" : "&From=" + encode(list.after()));
-      exchange(call, cloud, GET, path, null, CLOUD_MICROS, CloudMessages::machines, null);
+      exchange(call, cloud, GET, path, null, CLOUD_MICROS, CloudMessages::decodeMachines, null);
     } else if (request instanceof Request.WorkerStatus status) {
       exchangeBytes(
           call,
@@ -213,7 +221,7 @@
           "/status",
           null,
           WORKER_MICROS,
-          content -> new Reply.Report(WorkerMessages.report(content), false),
+          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), false),
           null);
     } else if (request instanceof Request.WorkerCommands c) {
       exchangeBytes(
@@ -221,43 +229,49 @@
           c.address(),
           POST,
           "/commands",
-          WorkerMessages.command(c.fencingToken(), c.incarnation(), c.orders()),
+          WorkerMessages.encodeCommand(c.fencingToken(), c.incarnation(), c.orders()),
           WORKER_MICROS,
-          content -> new Reply.Report(WorkerMessages.report(content), true),
-          content -> new Reply.Report(WorkerMessages.report(content), false));
+          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), true),
+          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), false));
     } else if (request instanceof Request.PeerRelay relay) {
       peer(
           call,
           relay.peer(),
           POST,
           PeerMessages.RELAY_PATH,
-          PeerMessages.report(relay.report()),
-          content -> new Reply.Relayed(PeerMessages.answer(content)));
+          PeerMessages.encodeHeartbeat(relay.report()),
+          content -> new Reply.Relayed(PeerMessages.decodeHeartbeatAnswer(content)));
     } else if (request instanceof Request.PeerStateServiceStatus ask) {
-      peer(call, ask.peer(), GET, PeerMessages.STANDING_PATH, null, PeerMessages::standing);
+      peer(
+          call,
+          ask.peer(),
+          GET,
+          PeerMessages.STATE_SERVICE_STATUS_PATH,
+          null,
+          PeerMessages::decodeStateServiceStatus);
     } else if (request instanceof Request.PeerMembership heard) {
       peer(
           call,
           heard.peer(),
           POST,
-          PeerMessages.HEARD_PATH,
-          PeerMessages.heardAsk(heard.run(), heard.after()),
-          PeerMessages::heard);
+          PeerMessages.MEMBERSHIP_PATH,
+          PeerMessages.encodeMembershipRequest(heard.run(), heard.after()),
+          PeerMessages::decodeHeartbeatDigest);
     } else if (request instanceof Request.PeerReplicate told) {
       peer(
           call,
           told.peer(),
           POST,
-          PeerMessages.STANDBY_PATH,
-          PeerMessages.standby(told.batch()),
-          PeerMessages::standbyAck);
+          PeerMessages.REPLICATION_PATH,
+          PeerMessages.encodeReplicationBatch(told.batch()),
+          PeerMessages::decodeReplicationAck);
     } else if (request instanceof Request.PeerCancellations told) {
       peer(
           call,
           told.peer(),
           POST,
-          PeerMessages.CANCELLED_PATH,
-          PeerMessages.cancelled(told.cancellations()),
+          PeerMessages.CANCELLATIONS_PATH,
+          PeerMessages.encodeCancellations(told.cancellations()),
           content -> new Reply.Applied(0));
     } else {
       throw new IllegalArgumentException("no way to send " + request);
@@ -552,7 +566,7 @@
         return conflict.read(content);
       }
       if (status == 404 && path.startsWith("/store/")) {
-        return StoreMessages.missing(MessagePackCodec.readMap(content));
+        return StoreMessages.decodeMissing(MessagePackCodec.readMap(content));
       }
       if (status >= 500 && status != 503) {
         return new Reply.NoResponse("status " + status);
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -25,7 +25,7 @@
 
   private static final String WORK = "/work";
   private static final String CANCEL = "/cancel";
-  private static final byte[] NOTHING = UserMessages.error("");
+  private static final byte[] NOTHING = UserMessages.encodeError("");
 
   private record Open(ServerConnection connection, boolean ofPeer) {}
 
@@ -64,7 +64,8 @@
   private abstract class Served implements ServerConnection.Requests {
     @Override
     public void refuse(ServerConnection from, String method, String path, int status, String why) {
-      from.answer(status, status == 503 ? RETRY_AFTER_S : 0, null, UserMessages.error(why), true);
+      from.answer(
+          status, status == 503 ? RETRY_AFTER_S : 0, null, UserMessages.encodeError(why), true);
     }
 
     @Override
@@ -102,7 +103,7 @@
                 body,
                 (id, b) ->
                     events.accept(
-                        new Event.HeartbeatReceived(id, WorkerMessages.report(b), false)));
+                        new Event.HeartbeatReceived(id, WorkerMessages.decodeHeartbeat(b), false)));
         case WORK ->
             with(
                 exchange, method, "POST", body, (id, b) -> submit(id, MessagePackCodec.readMap(b)));
@@ -121,35 +122,38 @@
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
       Open exchange = new Open(from, true);
-      if (path.equals(PeerMessages.STANDING_PATH)) {
+      if (path.equals(PeerMessages.STATE_SERVICE_STATUS_PATH)) {
         with(
             exchange,
             method,
             "GET",
             body,
             (id, b) -> events.accept(new Event.StateServiceStatusRequested(id)));
-      } else if (path.equals(PeerMessages.HEARD_PATH)) {
+      } else if (path.equals(PeerMessages.MEMBERSHIP_PATH)) {
         with(
             exchange,
             method,
             "POST",
             body,
-            (id, b) -> events.accept(PeerMessages.heardAsked(id, b)));
-      } else if (path.equals(PeerMessages.STANDBY_PATH)) {
+            (id, b) -> events.accept(PeerMessages.decodeMembershipRequest(id, b)));
+      } else if (path.equals(PeerMessages.REPLICATION_PATH)) {
         with(
             exchange,
             method,
             "POST",
             body,
-            (id, b) -> events.accept(new Event.ReplicationReceived(id, PeerMessages.standby(b))));
-      } else if (path.equals(PeerMessages.CANCELLED_PATH)) {
+            (id, b) ->
+                events.accept(
+                    new Event.ReplicationReceived(id, PeerMessages.decodeReplicationBatch(b))));
+      } else if (path.equals(PeerMessages.CANCELLATIONS_PATH)) {
         with(
             exchange,
             method,
             "POST",
             body,
             (id, b) ->
-                events.accept(new Event.CancellationsReceived(id, PeerMessages.cancelled(b))));
+                events.accept(
+                    new Event.CancellationsReceived(id, PeerMessages.decodeCancellations(b))));
       } else if (path.equals(PeerMessages.RELAY_PATH)) {
         with(
             exchange,
@@ -157,7 +161,8 @@
             "POST",
             body,
             (id, b) ->
-                events.accept(new Event.HeartbeatReceived(id, PeerMessages.report(b), true)));
+                events.accept(
+                    new Event.HeartbeatReceived(id, PeerMessages.decodeHeartbeat(b), true)));
       } else {
         fail(from, 404, "no such path");
       }
@@ -172,7 +177,7 @@
     String rest = path.substring(WORK.length() + 1);
     boolean cancel = rest.endsWith(CANCEL);
     String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
-    if (!UserMessages.isId(id)) {
+    if (!UserMessages.isJobId(id)) {
       fail(exchange.connection(), 404, "no such job");
     } else if (cancel) {
       with(exchange, method, "POST", body, (e, b) -> events.accept(new Event.Cancel(e, id)));
@@ -185,7 +190,7 @@
     if (!method.equals(allowed)) {
       exchange
           .connection()
-          .answer(405, 0, allowed, UserMessages.error("method not allowed"), false);
+          .answer(405, 0, allowed, UserMessages.encodeError("method not allowed"), false);
       return;
     }
     long id = lastExchange.incrementAndGet();
@@ -198,11 +203,11 @@
   }
 
   private void submit(long exchange, Map<String, Object> message) throws MalformedMessageException {
-    String id = UserMessages.id(message);
+    String id = UserMessages.decodeJobId(message);
     JobSpec spec = null;
     String fault = null;
     try {
-      spec = UserMessages.spec(message);
+      spec = UserMessages.decodeSubmission(message);
     } catch (MalformedMessageException e) {
       fault = e.getMessage();
     }
@@ -217,21 +222,22 @@
     }
     ServerConnection to = exchange.connection();
     if (answer instanceof Answer.StateServiceStatus standing) {
-      write(to, 200, PeerMessages.standing(standing));
+      write(to, 200, PeerMessages.encodeStateServiceStatus(standing));
     } else if (answer instanceof Answer.ReachableWorkers heard) {
-      write(to, 200, PeerMessages.heard(heard.digest()));
+      write(to, 200, PeerMessages.encodeHeartbeatDigest(heard.digest()));
     } else if (answer instanceof Answer.ReplicationAck acked) {
-      write(to, 200, PeerMessages.standbyAck(acked.ack()));
+      write(to, 200, PeerMessages.encodeReplicationAck(acked.ack()));
     } else if (answer instanceof Answer.Acknowledged) {
       write(to, 200, NOTHING);
     } else if (exchange.ofPeer()) {
-      write(to, 200, PeerMessages.answer(answer));
+      write(to, 200, PeerMessages.encodeHeartbeatAnswer(answer));
     } else if (answer instanceof Answer.JobView view) {
-      write(to, view.status(), UserMessages.view(view));
+      write(to, view.status(), UserMessages.encodeJobStatus(view));
     } else if (answer instanceof Answer.Command command) {
-      write(to, 200, WorkerMessages.orders(command.fencingToken(), command.orders()));
+      write(
+          to, 200, WorkerMessages.encodeHeartbeatAnswer(command.fencingToken(), command.orders()));
     } else if (answer instanceof Answer.Redirect redirect) {
-      write(to, 421, WorkerMessages.redirect(redirect.node()));
+      write(to, 421, WorkerMessages.encodeRedirect(redirect.node()));
     } else if (answer instanceof Answer.Ready ready) {
       write(to, ready.ready() ? 200 : 503, NOTHING);
     } else if (answer instanceof Answer.Failure failure) {
@@ -239,13 +245,13 @@
           failure.status(),
           failure.retryAfterS(),
           null,
-          UserMessages.error(failure.reason()),
+          UserMessages.encodeError(failure.reason()),
           false);
     }
   }
 
   private static void fail(ServerConnection to, int status, String reason) {
-    write(to, status, UserMessages.error(reason));
+    write(to, status, UserMessages.encodeError(reason));
   }
 
   private static void write(ServerConnection to, int status, byte[] body) {
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -39,16 +39,16 @@
  */
 public final class PeerMessages {
   public static final String RELAY_PATH = "/peer/relay";
-  public static final String HEARD_PATH = "/peer/heard";
-  public static final String STANDBY_PATH = "/peer/standby";
-  public static final String CANCELLED_PATH = "/peer/cancelled";
-  public static final String STANDING_PATH = "/peer/standing";
+  public static final String MEMBERSHIP_PATH = "/peer/heard";
+  public static final String REPLICATION_PATH = "/peer/standby";
+  public static final String CANCELLATIONS_PATH = "/peer/cancelled";
+  public static final String STATE_SERVICE_STATUS_PATH = "/peer/standing";
   public static final int MAX_BYTES = 128 * 1024;
 
   private PeerMessages() {}
 
   /** Encodes a worker's report that is passed on to the leader. */
-  public static byte[] report(Heartbeat r) {
+  public static byte[] encodeHeartbeat(Heartbeat r) {
     List<RelayedTask> tasks = new ArrayList<>(r.tasks().size());
     for (Heartbeat.Entry e : r.tasks()) {
       tasks.add(
@@ -81,7 +81,7 @@
   }
 
   /** Decodes a worker's report that a peer has passed on. */
-  public static Heartbeat report(byte[] bytes) throws MalformedMessageException {
+  public static Heartbeat decodeHeartbeat(byte[] bytes) throws MalformedMessageException {
     try {
       RelayedReport r = RelayedReport.getDecoder().decode(bytes);
       List<Heartbeat.Entry> tasks = new ArrayList<>(r.getTasks().size());
@@ -111,7 +111,7 @@
   }
 
   /** Encodes the leader's answer to a report that was passed on. */
-  public static byte[] answer(Answer answer) {
+  public static byte[] encodeHeartbeatAnswer(Answer answer) {
     RelayedAnswer a = new RelayedAnswer(503, 0L, List.of(), null, "");
     if (answer instanceof Answer.Command command) {
       List<RelayedOrder> orders = new ArrayList<>(command.orders().size());
@@ -137,7 +137,7 @@
   }
 
   /** Decodes the leader's answer to a report that was passed on. */
-  public static Answer answer(byte[] bytes) throws MalformedMessageException {
+  public static Answer decodeHeartbeatAnswer(byte[] bytes) throws MalformedMessageException {
     try {
       RelayedAnswer a = RelayedAnswer.getDecoder().decode(bytes);
       if (a.getStatus() == 200) {
@@ -162,7 +162,7 @@
   }
 
   /** Encodes whether the state service serves this node, and whom it follows. */
-  public static byte[] standing(Answer.StateServiceStatus standing) {
+  public static byte[] encodeStateServiceStatus(Answer.StateServiceStatus standing) {
     try {
       return bytes(
           PeerStanding.getEncoder()
@@ -173,7 +173,7 @@
   }
 
   /** Decodes whether the state service serves a peer, and whom that follows. */
-  public static Reply.PeerStateServiceStatus standing(byte[] bytes)
+  public static Reply.PeerStateServiceStatus decodeStateServiceStatus(byte[] bytes)
       throws MalformedMessageException {
     try {
       PeerStanding s = PeerStanding.getDecoder().decode(bytes);
@@ -184,7 +184,7 @@
   }
 
   /** Encodes a question for the machines that report to a peer. */
-  public static byte[] heardAsk(String run, long after) {
+  public static byte[] encodeMembershipRequest(String run, long after) {
     try {
       return bytes(HeardAsk.getEncoder().encode(new HeardAsk(run, after)));
     } catch (IOException e) {
@@ -193,7 +193,7 @@
   }
 
   /** Decodes a question for the machines that report to this node. */
-  public static Event.MembershipRequested heardAsked(long exchange, byte[] bytes)
+  public static Event.MembershipRequested decodeMembershipRequest(long exchange, byte[] bytes)
       throws MalformedMessageException {
     try {
       HeardAsk asked = HeardAsk.getDecoder().decode(bytes);
@@ -204,7 +204,7 @@
   }
 
   /** Encodes the machines that report to this node. */
-  public static byte[] heard(HeartbeatDigest digest) {
+  public static byte[] encodeHeartbeatDigest(HeartbeatDigest digest) {
     List<HeardChange> changes = new ArrayList<>(digest.changes().size());
     for (HeartbeatDigest.Change c : digest.changes()) {
       changes.add(new HeardChange(c.machine(), c.reachable(), c.durationMicros()));
@@ -225,7 +225,8 @@
   }
 
   /** Decodes the machines that report to a peer. */
-  public static Reply.PeerMembership heard(byte[] bytes) throws MalformedMessageException {
+  public static Reply.PeerMembership decodeHeartbeatDigest(byte[] bytes)
+      throws MalformedMessageException {
     try {
       HeardTold told = HeardTold.getDecoder().decode(bytes);
       List<HeartbeatDigest.Change> changes = new ArrayList<>(told.getChanges().size());
@@ -241,7 +242,7 @@
   }
 
   /** Encodes changes of the leader's picture for its standby. */
-  public static byte[] standby(ReplicationBatch batch) {
+  public static byte[] encodeReplicationBatch(ReplicationBatch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
     for (ReplicationBatch.Change c : batch.changes()) {
       changes.add(
@@ -264,7 +265,8 @@
   }
 
   /** Decodes changes of the leader's picture. */
-  public static ReplicationBatch standby(byte[] bytes) throws MalformedMessageException {
+  public static ReplicationBatch decodeReplicationBatch(byte[] bytes)
+      throws MalformedMessageException {
     try {
       StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
       List<ReplicationBatch.Change> changes = new ArrayList<>(b.getChanges().size());
@@ -285,7 +287,7 @@
   }
 
   /** Encodes the standby's acknowledgement. */
-  public static byte[] standbyAck(ReplicationBatch.Ack ack) {
+  public static byte[] encodeReplicationAck(ReplicationBatch.Ack ack) {
     try {
       return bytes(
           StandbyAck.getEncoder()
@@ -296,7 +298,8 @@
   }
 
   /** Decodes the standby's acknowledgement. */
-  public static Reply.ReplicationAck standbyAck(byte[] bytes) throws MalformedMessageException {
+  public static Reply.ReplicationAck decodeReplicationAck(byte[] bytes)
+      throws MalformedMessageException {
     try {
       StandbyAck a = StandbyAck.getDecoder().decode(bytes);
       return new Reply.ReplicationAck(
@@ -307,7 +310,7 @@
   }
 
   /** Encodes cancellations that this node has committed. */
-  public static byte[] cancelled(List<Cancellation> cancellations) {
+  public static byte[] encodeCancellations(List<Cancellation> cancellations) {
     List<CancelledJob> jobs = new ArrayList<>(cancellations.size());
     for (Cancellation c : cancellations) {
       jobs.add(new CancelledJob(c.job(), c.version(), c.done()));
@@ -320,7 +323,8 @@
   }
 
   /** Decodes cancellations that a peer has committed. */
-  public static List<Cancellation> cancelled(byte[] bytes) throws MalformedMessageException {
+  public static List<Cancellation> decodeCancellations(byte[] bytes)
+      throws MalformedMessageException {
     try {
       List<Cancellation> cancellations = new ArrayList<>();
       for (CancelledJob c : CancellationsTold.getDecoder().decode(bytes).getJobs()) {
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -10,12 +10,12 @@
 
 /** What the cloud gets and sends. */
 public final class CloudMessages {
-  public static final int PAGE = 500;
+  public static final int PAGE_SIZE = 500;
 
   private CloudMessages() {}
 
   /** Encodes a rental request. */
-  public static byte[] rent(Request.CloudRent r) {
+  public static byte[] encodeRent(Request.CloudRent r) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Charter", r.request());
     m.put("Hull", r.type());
@@ -26,17 +26,17 @@
   }
 
   /** Decodes the answer to a rental: the names of the machines. */
-  public static Reply rented(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeRented(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Rented(new Fields(message).texts("Skerries"));
   }
 
   /** Encodes a request to delete machines. */
-  public static byte[] delete(List<String> machines) {
+  public static byte[] encodeDelete(List<String> machines) {
     return MessagePackCodec.write(Map.of("Skerries", machines));
   }
 
   /** Decodes the catalogue of machine types. */
-  public static Reply catalog(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeCatalog(Map<String, Object> message) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Object item : new Fields(message).list("Hulls")) {
       Fields f = Fields.of(item, "Hulls");
@@ -57,7 +57,7 @@
   }
 
   /** Decodes one page of the list of machines. */
-  public static Reply machines(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeMachines(Map<String, Object> message) throws MalformedMessageException {
     Fields top = new Fields(message);
     List<Reply.CloudMachine> machines = new ArrayList<>();
     for (Object item : top.list("Skerries")) {
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -13,7 +13,7 @@
   private StoreMessages() {}
 
   /** Encodes a transaction. */
-  public static byte[] txn(Request.StoreTxn txn) {
+  public static byte[] encodeTransaction(Request.StoreTxn txn) {
     List<Object> when = new ArrayList<>();
     for (Request.Condition c : txn.conditions()) {
       Map<String, Object> m = new LinkedHashMap<>();
@@ -42,40 +42,41 @@
   }
 
   /** Encodes a request for a lease of that many milliseconds. */
-  public static byte[] lease(long ttlMicros) {
+  public static byte[] encodeLeaseRequest(long ttlMicros) {
     return MessagePackCodec.write(Map.of("TtlMs", ttlMicros / 1000));
   }
 
   /** Decodes the answer to a transaction that was carried out. */
-  public static Reply applied(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeApplied(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Applied(new Fields(message).whole("LedgerRev"));
   }
 
   /** Decodes the answer to a transaction whose conditions did not hold. */
-  public static Reply conflict(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeConflict(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     return new Reply.Conflict(f.texts("failed"), f.has("LedgerRev") ? f.whole("LedgerRev") : 0);
   }
 
   /** Decodes the answer to a request for a lease. */
-  public static Reply leaseGranted(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeLeaseGranted(Map<String, Object> message)
+      throws MalformedMessageException {
     return new Reply.LeaseGranted(new Fields(message).whole("Tenure"));
   }
 
   /** Decodes one key, or the answer that it does not exist. */
-  public static Reply found(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeFound(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     long version = f.whole("Stamp");
     return new Reply.Found(item(f.text("K"), f, version), version);
   }
 
   /** A key that does not exist, and as of when. */
-  public static Reply missing(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeMissing(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Found(null, new Fields(message).whole("LedgerRev"));
   }
 
   /** Decodes one page of keys. */
-  public static Reply listed(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeListed(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
     for (Object item : f.list("Entries")) {
@@ -86,7 +87,7 @@
   }
 
   /** Decodes the answer to a watch. */
-  public static Reply changed(Map<String, Object> message) throws MalformedMessageException {
+  public static Reply decodeChanged(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
     for (Object item : f.list("News")) {
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -40,21 +40,22 @@
   private UserMessages() {}
 
   /** Whether a text has the form of a job id. */
-  public static boolean isId(String id) {
+  public static boolean isJobId(String id) {
     return ID.matcher(id).matches();
   }
 
   /** The id alone, so that a known job can be answered whatever else the message holds. */
-  public static String id(Map<String, Object> message) throws MalformedMessageException {
+  public static String decodeJobId(Map<String, Object> message) throws MalformedMessageException {
     String id = new Fields(message).text("Id");
-    if (!isId(id)) {
+    if (!isJobId(id)) {
       throw new MalformedMessageException("Id has another form than job-000001");
     }
     return id;
   }
 
   /** Decodes and checks a submission; the exception names the field that is wrong. */
-  public static JobSpec spec(Map<String, Object> message) throws MalformedMessageException {
+  public static JobSpec decodeSubmission(Map<String, Object> message)
+      throws MalformedMessageException {
     Fields f = new Fields(message);
     JobSpec.Shape shape = SHAPES.get(f.text("Shape"));
     if (shape == null) {
@@ -75,7 +76,7 @@
       throw new MalformedMessageException("Hulls is too long");
     }
     return new JobSpec(
-        id(message),
+        decodeJobId(message),
         f.text("JobkindGroup"),
         f.text("Crew"),
         shape,
@@ -98,7 +99,7 @@
   }
 
   /** Encodes the state of a job. */
-  public static byte[] view(Answer.JobView view) {
+  public static byte[] encodeJobStatus(Answer.JobView view) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Id", view.id());
     m.put("Tide", PHASES.get(view.phase()));
@@ -108,7 +109,7 @@
   }
 
   /** Encodes the reason of a refusal. */
-  public static byte[] error(String reason) {
+  public static byte[] encodeError(String reason) {
     return MessagePackCodec.write(Map.of("error", reason));
   }
 }
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -78,7 +78,7 @@
   }
 
   /** Decodes and checks a worker's report. */
-  public static Heartbeat report(byte[] body) throws MalformedMessageException {
+  public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
     Pieces pieces = new Pieces();
     Fields f = new Fields(MessagePackCodec.readMap(body, pieces));
     if (!f.list("Pieces").isEmpty()) {
@@ -117,7 +117,7 @@
   }
 
   /** The answer to a report. */
-  public static byte[] orders(FencingToken fencingToken, List<Order> orders) {
+  public static byte[] encodeHeartbeatAnswer(FencingToken fencingToken, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Baton", fencingToken.value());
     m.put("Orders", write(orders));
@@ -125,7 +125,8 @@
   }
 
   /** A command sent to the worker itself. */
-  public static byte[] command(FencingToken fencingToken, long incarnation, List<Order> orders) {
+  public static byte[] encodeCommand(
+      FencingToken fencingToken, long incarnation, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("Baton", fencingToken.value());
     m.put("Watch", incarnation);
@@ -134,7 +135,7 @@
   }
 
   /** Encodes the body of a 421: the node to report to, or none when it is null. */
-  public static byte[] redirect(String node) {
+  public static byte[] encodeRedirect(String node) {
     return MessagePackCodec.write(node == null ? Map.of() : Map.of("Harbour", node));
   }
 
--- a/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
@@ -82,20 +82,22 @@
 
   private static Map<String, byte[]> allWritten() {
     Map<String, byte[]> all = new LinkedHashMap<>();
-    all.put("heartbeat", PeerMessages.report(HEARTBEAT));
-    all.put("heartbeat-empty", PeerMessages.report(emptyHeartbeat()));
+    all.put("heartbeat", PeerMessages.encodeHeartbeat(HEARTBEAT));
+    all.put("heartbeat-empty", PeerMessages.encodeHeartbeat(emptyHeartbeat()));
     for (int i = 0; i < ANSWERS.size(); i++) {
-      all.put("answer-" + i, PeerMessages.answer(ANSWERS.get(i)));
+      all.put("answer-" + i, PeerMessages.encodeHeartbeatAnswer(ANSWERS.get(i)));
     }
     all.put(
         "status-served",
-        PeerMessages.standing(new Answer.StateServiceStatus(true, "n1", 1L << 40)));
-    all.put("status-none", PeerMessages.standing(new Answer.StateServiceStatus(false, null, 0)));
-    all.put("digest-request", PeerMessages.heardAsk("run-1", 12));
-    all.put("digest", PeerMessages.heard(DIGEST));
-    all.put("replication", PeerMessages.standby(BATCH));
-    all.put("replication-ack", PeerMessages.standbyAck(ACK));
-    all.put("cancellations", PeerMessages.cancelled(CANCELLATIONS));
+        PeerMessages.encodeStateServiceStatus(new Answer.StateServiceStatus(true, "n1", 1L << 40)));
+    all.put(
+        "status-none",
+        PeerMessages.encodeStateServiceStatus(new Answer.StateServiceStatus(false, null, 0)));
+    all.put("digest-request", PeerMessages.encodeMembershipRequest("run-1", 12));
+    all.put("digest", PeerMessages.encodeHeartbeatDigest(DIGEST));
+    all.put("replication", PeerMessages.encodeReplicationBatch(BATCH));
+    all.put("replication-ack", PeerMessages.encodeReplicationAck(ACK));
+    all.put("cancellations", PeerMessages.encodeCancellations(CANCELLATIONS));
     return all;
   }
 
@@ -106,23 +108,23 @@
 
   @Example
   void everyRecordedPeerMessageIsRead() throws MalformedMessageException {
-    assertEquals(HEARTBEAT, PeerMessages.report(RECORDED.get("heartbeat")));
-    assertEquals(emptyHeartbeat(), PeerMessages.report(RECORDED.get("heartbeat-empty")));
+    assertEquals(HEARTBEAT, PeerMessages.decodeHeartbeat(RECORDED.get("heartbeat")));
+    assertEquals(emptyHeartbeat(), PeerMessages.decodeHeartbeat(RECORDED.get("heartbeat-empty")));
     for (int i = 0; i < ANSWERS.size(); i++) {
-      assertEquals(ANSWERS.get(i), PeerMessages.answer(RECORDED.get("answer-" + i)));
+      assertEquals(ANSWERS.get(i), PeerMessages.decodeHeartbeatAnswer(RECORDED.get("answer-" + i)));
     }
     assertEquals(
         new Reply.PeerStateServiceStatus(true, "n1", 1L << 40),
-        PeerMessages.standing(RECORDED.get("status-served")));
+        PeerMessages.decodeStateServiceStatus(RECORDED.get("status-served")));
     assertEquals(
         new Reply.PeerStateServiceStatus(false, null, 0),
-        PeerMessages.standing(RECORDED.get("status-none")));
+        PeerMessages.decodeStateServiceStatus(RECORDED.get("status-none")));
     assertEquals(
         new Event.MembershipRequested(9, "run-1", 12),
-        PeerMessages.heardAsked(9, RECORDED.get("digest-request")));
-    assertEquals(DIGEST, PeerMessages.heard(RECORDED.get("digest")).digest());
-    assertEquals(BATCH, PeerMessages.standby(RECORDED.get("replication")));
-    assertEquals(ACK, PeerMessages.standbyAck(RECORDED.get("replication-ack")).ack());
-    assertEquals(CANCELLATIONS, PeerMessages.cancelled(RECORDED.get("cancellations")));
+        PeerMessages.decodeMembershipRequest(9, RECORDED.get("digest-request")));
+    assertEquals(DIGEST, PeerMessages.decodeHeartbeatDigest(RECORDED.get("digest")).digest());
+    assertEquals(BATCH, PeerMessages.decodeReplicationBatch(RECORDED.get("replication")));
+    assertEquals(ACK, PeerMessages.decodeReplicationAck(RECORDED.get("replication-ack")).ack());
+    assertEquals(CANCELLATIONS, PeerMessages.decodeCancellations(RECORDED.get("cancellations")));
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -48,7 +48,7 @@
           new MachineType("c4", 64, 0, 256, 100, 1, 3, 0, 0, List.of()));
 
   private static byte[] written(Request.Write write) {
-    return StoreMessages.txn(new Request.StoreTxn(List.of(), List.of(write)));
+    return StoreMessages.encodeTransaction(new Request.StoreTxn(List.of(), List.of(write)));
   }
 
   /** The transactions of a leader's writer, with all that was to be written. */
@@ -129,7 +129,7 @@
     all.put("created:" + created.key(), written(created));
     number = 0;
     for (Request.StoreTxn transaction : leaderTransactions()) {
-      all.put("transaction-" + ++number, StoreMessages.txn(transaction));
+      all.put("transaction-" + ++number, StoreMessages.encodeTransaction(transaction));
     }
     number = 0;
     for (Request.Write write : ProvisioningWrites.make()) {
@@ -159,7 +159,7 @@
     byte[] page =
         MessagePackCodec.write(
             Map.of("Entries", entries, "LedgerRev", version, "Truncated", false));
-    return ((Reply.Listed) StoreMessages.listed(MessagePackCodec.readMap(page))).items();
+    return ((Reply.Listed) StoreMessages.decodeListed(MessagePackCodec.readMap(page))).items();
   }
 
   /** What was read is the very record that was written, and is written again in the same bytes. */
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -127,12 +127,15 @@
             i -> {
               bench.now += 1_000;
               bench.workers.reported(
-                  ++bench.exchange, WorkerMessages.report(bodies.get(i)), false, bench.now);
+                  ++bench.exchange,
+                  WorkerMessages.decodeHeartbeat(bodies.get(i)),
+                  false,
+                  bench.now);
               bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
               Answer.Command answer =
                   (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
-              WorkerMessages.orders(answer.fencingToken(), answer.orders());
+              WorkerMessages.encodeHeartbeatAnswer(answer.fencingToken(), answer.orders());
               bench.effects.clear();
             }),
         8000);
@@ -214,7 +217,8 @@
         bytes(
             i -> {
               Reply.Changed changed =
-                  (Reply.Changed) StoreMessages.changed(MessagePackCodec.readMap(news.get(i)));
+                  (Reply.Changed)
+                      StoreMessages.decodeChanged(MessagePackCodec.readMap(news.get(i)));
               changed.changes().forEach(bench.replica::apply);
             }),
         1800);
@@ -286,12 +290,16 @@
         bytes(
             i -> {
               Map<String, Object> message = MessagePackCodec.readMap(bodies.get(i));
-              jobService.submit(1, UserMessages.id(message), UserMessages.spec(message), null);
+              jobService.submit(
+                  1,
+                  UserMessages.decodeJobId(message),
+                  UserMessages.decodeSubmission(message),
+                  null);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-              StoreMessages.txn((Request.StoreTxn) call.request());
+              StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
               bench.sink.replied(call.call(), new Reply.Applied(1000 + i));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
-              UserMessages.view((Answer.JobView) answer.answer());
+              UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
               bench.effects.clear();
             }),
         12_500);
@@ -305,10 +313,10 @@
               jobService.poll(1, "job-" + (500_000 + i));
               jobService.tick(now[0] += 1_000_000);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-              StoreMessages.txn((Request.StoreTxn) call.request());
+              StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
               bench.sink.replied(call.call(), new Reply.Applied(0));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
-              UserMessages.view((Answer.JobView) answer.answer());
+              UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
               bench.effects.clear();
             }),
         6000);
--- a/src/test/java/org/eiderstair/node/FakePlatform.java
+++ b/src/test/java/org/eiderstair/node/FakePlatform.java
@@ -166,13 +166,13 @@
   /** The other controller: it leads for as long as its key is there, and takes relayed reports. */
   private byte[] peer(String path, byte[] body) throws MalformedMessageException {
     if (path.equals(PeerMessages.RELAY_PATH)) {
-      PeerMessages.report(body);
+      PeerMessages.decodeHeartbeat(body);
       synchronized (this) {
         relayed++;
       }
-      return PeerMessages.answer(new Answer.Command(new FencingToken(1), List.of()));
+      return PeerMessages.encodeHeartbeatAnswer(new Answer.Command(new FencingToken(1), List.of()));
     }
-    return PeerMessages.standing(new Answer.StateServiceStatus(true, "other", 1));
+    return PeerMessages.encodeStateServiceStatus(new Answer.StateServiceStatus(true, "other", 1));
   }
 
   private Map<String, Object> answer(
--- a/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
+++ b/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
@@ -100,7 +100,7 @@
 
   @Example
   void aSubmissionIsUnderstood() throws MalformedMessageException {
-    JobSpec spec = UserMessages.spec(submission());
+    JobSpec spec = UserMessages.decodeSubmission(submission());
     assertEquals(16, spec.tasks());
     assertEquals(JobSpec.Priority.HIGH, spec.priority());
     assertEquals(900_000_000L, spec.deadlineMicros());
@@ -111,7 +111,7 @@
     Map<String, Object> message = submission();
     message.put(wrong.getKey(), wrong.getValue());
     MalformedMessageException refused =
-        assertThrows(MalformedMessageException.class, () -> UserMessages.spec(message));
+        assertThrows(MalformedMessageException.class, () -> UserMessages.decodeSubmission(message));
     assertEquals(wrong.getKey(), refused.getMessage().split(" ")[0]);
   }
 
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -40,7 +40,7 @@
             List.of(
                 new Heartbeat.Entry(
                     new TaskId("job-000001", index), fencingToken, state, exit, !spot)));
-    assertEquals(report, PeerMessages.report(PeerMessages.report(report)));
+    assertEquals(report, PeerMessages.decodeHeartbeat(PeerMessages.encodeHeartbeat(report)));
   }
 
   @Example
@@ -58,7 +58,8 @@
             new Answer.Redirect(null),
             new Answer.Failure(503, "taking over", 0));
     for (Answer answer : answers) {
-      assertEquals(answer, PeerMessages.answer(PeerMessages.answer(answer)));
+      assertEquals(
+          answer, PeerMessages.decodeHeartbeatAnswer(PeerMessages.encodeHeartbeatAnswer(answer)));
     }
   }
 
@@ -74,10 +75,12 @@
             List.of(
                 new HeartbeatDigest.Change("i-000001", whole, after),
                 new HeartbeatDigest.Change("", !whole, 0)));
-    assertEquals(hearing, PeerMessages.heard(PeerMessages.heard(hearing)).digest());
+    assertEquals(
+        hearing,
+        PeerMessages.decodeHeartbeatDigest(PeerMessages.encodeHeartbeatDigest(hearing)).digest());
     assertEquals(
         new Event.MembershipRequested(9, run, after),
-        PeerMessages.heardAsked(9, PeerMessages.heardAsk(run, after)));
+        PeerMessages.decodeMembershipRequest(9, PeerMessages.encodeMembershipRequest(run, after)));
   }
 
   @Property(tries = 100, seed = "7")
@@ -97,35 +100,37 @@
             List.of(
                 new ReplicationBatch.Change(more, "i-000001", term, job, index, first),
                 new ReplicationBatch.Change(true, "i-000002", 1, "", 0, 0)));
-    assertEquals(batch, PeerMessages.standby(PeerMessages.standby(batch)));
+    assertEquals(
+        batch, PeerMessages.decodeReplicationBatch(PeerMessages.encodeReplicationBatch(batch)));
     ReplicationBatch.Ack ack = new ReplicationBatch.Ack(job, more, first);
-    assertEquals(ack, PeerMessages.standbyAck(PeerMessages.standbyAck(ack)).ack());
+    assertEquals(
+        ack, PeerMessages.decodeReplicationAck(PeerMessages.encodeReplicationAck(ack)).ack());
   }
 
   @Property(tries = 500, seed = "5")
   void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
     try {
-      PeerMessages.report(bytes);
+      PeerMessages.decodeHeartbeat(bytes);
     } catch (MalformedMessageException expected) {
       // Nothing else may come out of here, whatever arrives.
     }
     try {
-      PeerMessages.heardAsked(1, bytes);
+      PeerMessages.decodeMembershipRequest(1, bytes);
     } catch (MalformedMessageException expected) {
       // Nor here.
     }
     try {
-      PeerMessages.standby(bytes);
+      PeerMessages.decodeReplicationBatch(bytes);
     } catch (MalformedMessageException expected) {
       // Nor here.
     }
     try {
-      PeerMessages.standbyAck(bytes);
+      PeerMessages.decodeReplicationAck(bytes);
     } catch (MalformedMessageException expected) {
       // Nor here.
     }
     try {
-      PeerMessages.heard(bytes);
+      PeerMessages.decodeHeartbeatDigest(bytes);
     } catch (MalformedMessageException expected) {
       // Nothing else may come out of here, whatever arrives.
     }
--- a/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
@@ -82,7 +82,7 @@
 
   private static Object read(byte[] body, boolean general) {
     try {
-      return general ? general(body) : WorkerMessages.report(body);
+      return general ? general(body) : WorkerMessages.decodeHeartbeat(body);
     } catch (MalformedMessageException e) {
       return "refused";
     }
@@ -205,8 +205,9 @@
           .packString("job-1/3");
       packer.packString("Try").packLong(4).packString("Tide").packString("running");
       byte[] body = packer.toByteArray();
-      assertEquals(general(body), WorkerMessages.report(body));
-      assertEquals(new TaskId("job-1", 3), WorkerMessages.report(body).tasks().get(0).task());
+      assertEquals(general(body), WorkerMessages.decodeHeartbeat(body));
+      assertEquals(
+          new TaskId("job-1", 3), WorkerMessages.decodeHeartbeat(body).tasks().get(0).task());
     }
   }
 }
