--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -185,7 +185,7 @@
    */
   private boolean resignIfMachinesReachPeersOnly() {
     boolean unreached = workers.reach().unreached();
-    membership.tick(unreached || capacity.missesMachines(), now);
+    membership.tick(unreached || capacity.hasMissingMachines(), now);
     int reachingPeers = unreached ? workers.reach().heardBy(membership) : 0;
     if (reachingPeers < MIN_MACHINES_REACHING_PEERS) {
       return false;
@@ -276,6 +276,6 @@
   @Override
   public void workerRegistered(String machine) {
     workers.registered(machine);
-    capacity.registered(machine);
+    capacity.machineRegistered(machine);
   }
 }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityPlanner.java
@@ -0,0 +1,137 @@
+package org.eiderstair.core.capacity;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.provisioning.RentalOption;
+import org.eiderstair.core.provisioning.RentalRequest;
+import org.eiderstair.core.workers.WorkerManager;
+
+/** Compares the demand with the machines that are running or on their way. */
+final class CapacityPlanner {
+  /** Fewer missing tasks than this are a rounding error. */
+  private static final double MIN_MISSING_TASKS = 1e-3;
+
+  /** This part of a machine above a whole number is not rented for. */
+  private static final double IGNORED_MACHINE_PART = 0.1;
+
+  private final WorkerManager workers;
+  private final Demand demand;
+  private final PendingMachines pendingMachines;
+  private final RentalOptionSelector selector;
+  private final CapacityClock clock;
+
+  CapacityPlanner(
+      WorkerManager workers,
+      Demand demand,
+      PendingMachines pendingMachines,
+      RentalOptionSelector selector,
+      CapacityClock clock) {
+    this.workers = workers;
+    this.demand = demand;
+    this.pendingMachines = pendingMachines;
+    this.selector = selector;
+    this.clock = clock;
+  }
+
+  /** Assigns the demand to machines and says what is missing. */
+  CapacityPlan plan(List<RentalRequest> pendingRentals) {
+    List<PlannedMachine> machines = plannedMachines(pendingRentals);
+    Map<String, Integer> machinesByZone = machinesByZone(pendingRentals);
+    List<Demand.Estimate> estimates = demand.measure(clock.nowMicros());
+    // Where some work may run on on-demand machines only, those are kept for all demand: a burst of
+    // that work cannot wait for machines to boot.
+    boolean freesOnDemand = estimates.stream().allMatch(each -> each.spec().spotAllowed());
+    Map<RentalOption, Double> missing = new LinkedHashMap<>();
+    for (Demand.Estimate estimate : estimates) {
+      double assigned = assign(estimate, machines, freesOnDemand);
+      selector
+          .select(estimate.spec(), machinesByZone)
+          .ifPresent(
+              candidate -> {
+                boolean onDemandOnly = freesOnDemand && !candidate.option().spot();
+                double missingTasks = wantedTasks(estimate, onDemandOnly) - assigned;
+                if (missingTasks > MIN_MISSING_TASKS) {
+                  missing.merge(
+                      candidate.option(),
+                      missingMachines(estimate.spec(), candidate, missingTasks, machines),
+                      Double::sum);
+                }
+              });
+    }
+    return new CapacityPlan(machines, wholeMachines(missing), freesOnDemand);
+  }
+
+  /** In the order in which demand is assigned to them; what is left over is best released. */
+  private List<PlannedMachine> plannedMachines(List<RentalRequest> pendingRentals) {
+    List<PlannedMachine> machines = new ArrayList<>();
+    for (Machine machine : workers.machines().values()) {
+      // The work of a partitioned machine is planned elsewhere.
+      if (machine.plan() == Machine.Plan.ACTIVE
+          && machine.type() != null
+          && !machine.isPartitioned()) {
+        machines.add(new PlannedMachine(machine));
+      }
+    }
+    for (RentalRequest rental : pendingRentals) {
+      for (Machine machine : pendingMachines.of(rental)) {
+        machines.add(new PlannedMachine(machine));
+      }
+    }
+    machines.sort(
+        Comparator.comparing((PlannedMachine machine) -> !machine.isSpot())
+            .thenComparing(machine -> !machine.isBusy()));
+    return machines;
+  }
+
+  private Map<String, Integer> machinesByZone(List<RentalRequest> pendingRentals) {
+    Map<String, Integer> machinesByZone = new HashMap<>();
+    for (Machine machine : workers.machines().values()) {
+      machinesByZone.merge(machine.zone(), 1, Integer::sum);
+    }
+    for (RentalRequest rental : pendingRentals) {
+      machinesByZone.merge(rental.option().zone(), rental.count(), Integer::sum);
+    }
+    return machinesByZone;
+  }
+
+  /** Assigns a class's tasks to machines, and returns how many were assigned. */
+  private static double assign(
+      Demand.Estimate estimate, List<PlannedMachine> machines, boolean freesOnDemand) {
+    double assigned = 0;
+    for (PlannedMachine machine : machines) {
+      double wanted = wantedTasks(estimate, freesOnDemand && !machine.isSpot());
+      assigned += machine.assign(estimate.spec(), Math.max(0, wanted - assigned));
+    }
+    return assigned;
+  }
+
+  /**
+   * On on-demand machines, work that may run on spot machines gets room only for what is at hand.
+   */
+  private static double wantedTasks(Demand.Estimate estimate, boolean currentOnly) {
+    return currentOnly ? estimate.currentTasks() : estimate.tasks();
+  }
+
+  private static double missingMachines(
+      JobSpec spec,
+      RentalOptionSelector.Candidate candidate,
+      double tasks,
+      List<PlannedMachine> machines) {
+    double missing = tasks * PlannedMachine.taskShare(spec, candidate.type());
+    boolean noneAllows = machines.stream().noneMatch(machine -> machine.allows(spec));
+    return noneAllows ? Math.max(1, missing) : missing;
+  }
+
+  private static Map<RentalOption, Integer> wholeMachines(Map<RentalOption, Double> missing) {
+    Map<RentalOption, Integer> whole = new LinkedHashMap<>();
+    missing.forEach(
+        (option, machines) -> whole.put(option, (int) Math.ceil(machines - IGNORED_MACHINE_PART)));
+    return whole;
+  }
+}
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -0,0 +1,163 @@
+package org.eiderstair.core.capacity;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.eiderstair.core.message.EffectSink;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.provisioning.DeletionResult;
+import org.eiderstair.core.provisioning.ProvisioningHost;
+import org.eiderstair.core.provisioning.RentalOption;
+import org.eiderstair.core.provisioning.RentalRequest;
+import org.eiderstair.core.provisioning.RentalResponseHandler;
+import org.eiderstair.core.record.StoredValue;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
+import org.eiderstair.core.workers.WorkerManager;
+
+/** Gives provisioning the leader's writes, its calls to the cloud and what it knows of machines. */
+final class LeaderProvisioningHost implements ProvisioningHost {
+  private static final Runnable NOTHING = () -> {};
+
+  /** After an unexpected loss, the next decision waits for further losses of the same moment. */
+  private static final long LOSS_DECISION_DELAY_MICROS = 100_000;
+
+  private final EffectSink sink;
+  private final Replica replica;
+  private final WorkerManager workers;
+  private final StateWriter stateWriter;
+  private final CloudCalls cloud;
+  private final PendingMachines pendingMachines;
+  private final RentalOptionSelector selector;
+  private final CapacityClock clock;
+
+  LeaderProvisioningHost(
+      EffectSink sink,
+      Replica replica,
+      WorkerManager workers,
+      StateWriter stateWriter,
+      CloudCalls cloud,
+      PendingMachines pendingMachines,
+      RentalOptionSelector selector,
+      CapacityClock clock) {
+    this.sink = sink;
+    this.replica = replica;
+    this.workers = workers;
+    this.stateWriter = stateWriter;
+    this.cloud = cloud;
+    this.pendingMachines = pendingMachines;
+    this.selector = selector;
+    this.clock = clock;
+  }
+
+  @Override
+  public void put(String key, StoredValue value, Runnable onDurable) {
+    stateWriter.note(key, value, onDurable);
+  }
+
+  @Override
+  public void remove(String key) {
+    stateWriter.note(key, null, NOTHING);
+  }
+
+  @Override
+  public boolean mayCallCloud() {
+    return cloud.mayChange();
+  }
+
+  @Override
+  public void requestMachines(RentalRequest rental, RentalResponseHandler handler) {
+    RentalOption option = rental.option();
+    cloud.change(
+        new Request.CloudRent(
+            rental.requestId(), option.type(), option.zone(), option.spot(), rental.count()),
+        reply -> {
+          rentalAnswered(rental, reply, handler);
+          clock.decideWithin(0);
+        });
+  }
+
+  private void rentalAnswered(RentalRequest rental, Reply reply, RentalResponseHandler handler) {
+    if (reply instanceof Reply.NoResponse) {
+      handler.unanswered(reply.toString());
+      return;
+    }
+    pendingMachines.forget(rental);
+    if (reply instanceof Reply.Rented rented) {
+      handler.granted(rented.machines());
+    } else if (reply instanceof Reply.Refused) {
+      handler.refused(reply.toString());
+    } else {
+      handler.unanswered(reply.toString());
+    }
+  }
+
+  @Override
+  public void deleteMachines(List<String> machines, Consumer<DeletionResult> callback) {
+    cloud.change(
+        new Request.CloudDelete(machines), reply -> callback.accept(deletionResult(reply)));
+  }
+
+  private static DeletionResult deletionResult(Reply reply) {
+    if (reply instanceof Reply.Applied) {
+      return DeletionResult.CONFIRMED;
+    }
+    return reply instanceof Reply.Refused ? DeletionResult.REFUSED : DeletionResult.NO_ANSWER;
+  }
+
+  @Override
+  public void machinesBooting(RentalRequest rental, List<String> machines, long ageMicros) {
+    RentalOption option = rental.option();
+    pendingMachines.forget(rental);
+    for (String id : machines) {
+      if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
+        Machine machine = workers.expect(id, null, option.type(), option.zone(), option.spot());
+        machine.setSince(clock.nowMicros() - ageMicros);
+      }
+    }
+  }
+
+  @Override
+  public void optionExhausted(RentalOption option) {
+    selector.markExhausted(option);
+  }
+
+  @Override
+  public void machineTerminated(String id) {
+    Machine machine = workers.machines().get(id);
+    if (machine != null && machine.isPresumedDead()) {
+      // Its room at the cloud is free again, and it has to be replaced; one that was idle need not
+      // be. After a partition, hundreds of machines are replaced only if this is not waited for.
+      selector.clearExhausted(
+          new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
+      clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
+    }
+    workers.deleted(id);
+  }
+
+  @Override
+  public void releaseCancelled(String machine) {
+    workers.keep(machine);
+  }
+
+  @Override
+  public boolean isTerminated(String machine) {
+    return workers.isTerminated(machine);
+  }
+
+  @Override
+  public boolean isRegistered(String machine) {
+    return replica.registeredWorkers.containsKey(machine);
+  }
+
+  @Override
+  public void info(String text) {
+    sink.info(text);
+  }
+
+  @Override
+  public void error(String text) {
+    sink.error(text);
+  }
+}
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -1,37 +1,44 @@
 package org.eiderstair.core.capacity;
 
 import java.util.ArrayList;
+import java.util.Optional;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.membership.ReachabilityClassifier;
+import org.eiderstair.core.membership.ReachabilityClassifier.Verdict;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.Machine;
-import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Which machines are given back because something is wrong with them, and why. */
+/**
+ * Releases machines that can no longer be used: unreachable, failed to boot, drained, or holding
+ * cancelled work that does not end.
+ */
 final class MachineRetirement {
-  /** Heard within this time, a machine is not dead after all. */
-  private static final long HEARD_AGAIN_MICROS = 1_000_000;
+  /** A machine that reported within this time is not dead. */
+  private static final long RECENT_HEARTBEAT_MICROS = 1_000_000;
 
-  private static final int BOOT_PATIENCE = 4;
+  /** A machine may take this many times the usual time to boot. */
+  private static final int BOOT_TIME_FACTOR = 4;
 
-  /** A mark, a request to the cloud that may be slow, and one more. */
-  private static final long RETURN_MICROS = 12_000_000;
+  private static final long UNKNOWN_TYPE_BOOT_MICROS = 60_000_000;
+
+  /** The time from a decision to the deletion: a write, a slow request and a second one. */
+  private static final long RELEASE_DURATION_MICROS = 12_000_000;
 
   private final Settings settings;
   private final EffectSink sink;
   private final Replica replica;
   private final WorkerManager workers;
   private final Membership membership;
-  private final ProvisioningController duties;
+  private final ScaleIn scaleIn;
+  private final CapacityClock clock;
   private final long term;
-  private ReachabilityClassifier survey;
-  private int lastSpared;
-  private long now;
+  private Optional<ReachabilityClassifier> lastClassifier = Optional.empty();
+  private int lastSilentKept;
 
   MachineRetirement(
       Settings settings,
@@ -39,108 +46,122 @@
       Replica replica,
       WorkerManager workers,
       Membership membership,
-      ProvisioningController duties,
+      ScaleIn scaleIn,
+      CapacityClock clock,
       long term) {
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
     this.workers = workers;
     this.membership = membership;
-    this.duties = duties;
+    this.scaleIn = scaleIn;
+    this.clock = clock;
     this.term = term;
   }
 
-  /** Whether some machine has been silent for so long that peers are to be asked for it. */
-  boolean missesMachines() {
-    return survey != null && survey.hasMissingMachines();
+  /** Whether some machine has been silent for so long that peers are to be asked about it. */
+  boolean hasMissingMachines() {
+    return lastClassifier.isPresent() && lastClassifier.get().hasMissingMachines();
   }
 
-  /**
-   * Machines that are of no more use: silent, failed to boot, drained, or idle for longer than they
-   * are worth.
-   */
-  void retire(long nowMicros) {
-    now = nowMicros;
-    survey =
+  /** Judges all machines as of now, and releases those that are of no more use. */
+  void retire() {
+    ReachabilityClassifier classifier =
         membership.classify(
             workers.machines().values(),
             workers.reach().unreached(),
             settings.tuning().unreachableDeleteMicros(),
             settings.tuning().partitionedDeleteMicros(),
-            now);
-    returnOverdue();
-    int spared = 0;
-    for (Machine m : workers.machines().values()) {
-      if (m.plan() == Machine.Plan.TERMINATE) {
-        if (m.isPresumedDead() && m.lastContactMicros() > now - HEARD_AGAIN_MICROS) {
-          // It was taken for dead, and is heard again.
-          m.setPresumedDead(false);
-          duties.cancelScaleIn(m.id());
-        }
-        continue;
-      }
-      ReachabilityClassifier.Verdict verdict = survey.verdictOf(m);
-      m.setPartitioned(verdict == ReachabilityClassifier.Verdict.ZONE_PARTITIONED);
-      String why = null;
-      if (m.phase() == Machine.Phase.BOOTING) {
-        long boot = m.type() == null ? 60_000_000L : m.type().bootMicros();
-        why =
-            now > m.sinceMicros() + boot * BOOT_PATIENCE && !membership.isReachableByPeer(m.id())
-                ? "never came up"
-                : null;
-      } else if (verdict == ReachabilityClassifier.Verdict.UNREACHABLE) {
-        why = survey.evidence(m);
-      } else if (m.plan() == Machine.Plan.DRAIN
-          && m.attempts().isEmpty()
-          && m.phase() == Machine.Phase.CONFIRMED) {
-        why = "drained";
-      }
-      if (why != null) {
-        m.setPresumedDead(verdict == ReachabilityClassifier.Verdict.UNREACHABLE);
-        returnNow(m, m.isPresumedDead() ? "silent: " + why : why);
-      } else if (verdict.isOverdue()) {
-        spared++;
+            clock.nowMicros());
+    lastClassifier = Optional.of(classifier);
+    releaseHoldersOfCancelledWork();
+    int silentKept = 0;
+    for (Machine machine : workers.machines().values()) {
+      if (machine.plan() == Machine.Plan.TERMINATE) {
+        keepIfAlive(machine);
+      } else if (judge(machine, classifier)) {
+        silentKept++;
       }
     }
-    if (spared != lastSpared) {
-      lastSpared = spared;
-      sink.info("silent machines spared: " + spared + ", " + survey.evidence() + ", term=" + term);
+    logSilentKept(silentKept, classifier);
+  }
+
+  /** A machine that was presumed dead and reports again is kept, if it still can be. */
+  private void keepIfAlive(Machine machine) {
+    if (machine.isPresumedDead()
+        && machine.lastContactMicros() > clock.nowMicros() - RECENT_HEARTBEAT_MICROS) {
+      scaleIn.cancel(machine);
     }
   }
 
+  /** Releases the machine if there is a reason; returns whether it is silent and kept. */
+  private boolean judge(Machine machine, ReachabilityClassifier classifier) {
+    Verdict verdict = classifier.verdictOf(machine);
+    machine.setPartitioned(verdict == Verdict.ZONE_PARTITIONED);
+    Optional<String> reason = reasonToRelease(machine, verdict, classifier);
+    if (reason.isPresent()) {
+      machine.setPresumedDead(verdict == Verdict.UNREACHABLE);
+      scaleIn.release(machine, reason.get());
+    }
+    return reason.isEmpty() && verdict.isOverdue();
+  }
+
+  private Optional<String> reasonToRelease(
+      Machine machine, Verdict verdict, ReachabilityClassifier classifier) {
+    if (machine.phase() == Machine.Phase.BOOTING) {
+      return bootTimedOut(machine) ? Optional.of("did not boot in time") : Optional.empty();
+    }
+    if (verdict == Verdict.UNREACHABLE) {
+      return Optional.of("unreachable: " + classifier.evidence(machine));
+    }
+    boolean drained =
+        machine.plan() == Machine.Plan.DRAIN
+            && machine.attempts().isEmpty()
+            && machine.phase() == Machine.Phase.CONFIRMED;
+    return drained ? Optional.of("drained") : Optional.empty();
+  }
+
+  private boolean bootTimedOut(Machine machine) {
+    long bootMicros =
+        machine.type() == null ? UNKNOWN_TYPE_BOOT_MICROS : machine.type().bootMicros();
+    return clock.nowMicros() > machine.sinceMicros() + bootMicros * BOOT_TIME_FACTOR
+        && !membership.isReachableByPeer(machine.id());
+  }
+
   /**
-   * A task of a cancelled job that is not shown to be gone goes with its machine, while that can
-   * still be in time: a machine that hangs, or does not obey, must have nothing to go on with.
-   * Leases mostly end sooner; this asks nobody's clock but ours.
+   * A task of a cancelled job that is not shown to have ended is ended with its machine, while the
+   * time allowed for cancellations still suffices for that. A machine that hangs or does not obey
+   * may never show it; its lease mostly ends sooner, but that depends on its own clock.
    */
-  private void returnOverdue() {
-    long since = now - settings.cancelMicros() + RETURN_MICROS;
+  private void releaseHoldersOfCancelledWork() {
+    long now = clock.nowMicros();
+    long cancelledBefore = now - settings.cancelMicros() + RELEASE_DURATION_MICROS;
     for (Job job : replica.cancelledLately(now)) {
-      if (job.cancelledMicros() < since) {
-        for (Attempt a : new ArrayList<>(job.active.values())) {
-          if (a.mayBeOnMachine() && a.machine().plan() != Machine.Plan.TERMINATE) {
-            returnNow(
-                a.machine(),
-                "not shown to have ended "
-                    + a.task()
-                    + ", cancelled "
-                    + (now - job.cancelledMicros()) / 1000
-                    + " ms ago");
-          }
+      if (job.cancelledMicros() < cancelledBefore) {
+        for (Attempt attempt : new ArrayList<>(job.active.values())) {
+          releaseHolder(attempt, now - job.cancelledMicros());
         }
       }
     }
   }
 
-  void returnNow(Machine m, String why) {
-    sink.info("returning machine " + m.id() + ": " + why + ", term=" + term);
-    leave(m);
-    duties.scaleIn(m.id());
+  private void releaseHolder(Attempt attempt, long sinceCancelledMicros) {
+    if (attempt.mayBeOnMachine() && attempt.machine().plan() != Machine.Plan.TERMINATE) {
+      scaleIn.release(
+          attempt.machine(),
+          "not shown to have ended task="
+              + attempt.task()
+              + ", cancelled "
+              + sinceCancelledMicros / 1000
+              + " ms ago");
+    }
   }
 
-  /** Nothing is placed on it any more; what it runs goes on until it is gone. */
-  void leave(Machine m) {
-    workers.drain(m);
-    m.terminate();
+  private void logSilentKept(int silentKept, ReachabilityClassifier classifier) {
+    if (silentKept != lastSilentKept) {
+      lastSilentKept = silentKept;
+      sink.info(
+          "silent machines kept: " + silentKept + ", " + classifier.evidence() + ", term=" + term);
+    }
   }
 }
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -76,12 +76,12 @@
     capacity.tick(bench.now += 1_000_000);
     bench.replica.open.clear();
     capacity.tick(bench.now += 1_000_000);
-    assertEquals(1, capacity.awaited.size());
+    assertEquals(1, capacity.pendingRentalCount());
     stateWriter.tick(bench.now);
     reply(Request.StoreTxn.class, new Reply.Applied(60));
     capacity.tick(bench.now);
     reply(Request.CloudRent.class, new Reply.Refused(503));
-    assertTrue(capacity.awaited.isEmpty());
+    assertEquals(0, capacity.pendingRentalCount());
   }
 
   /** A record that throws in each leader's hands would end one after another. */
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -183,7 +183,7 @@
           d.clock.after(
               14 * SECOND,
               () -> {
-                given[0] = (int) logged(": silent: ");
+                given[0] = (int) logged(": unreachable: ");
                 // Back at once, so that the next leader's first list is of the time before.
                 d.outages.crash(d.leader(), SECOND / 3);
               });
@@ -191,10 +191,10 @@
     assertTrue(given[0] > 20, "given back " + given[0]);
     List<String> returned =
         logs.stream()
-            .filter(l -> l.startsWith("returning machine "))
-            .map(l -> l.split("[ :]")[2])
+            .filter(l -> l.startsWith("scaling in machine="))
+            .map(l -> l.split("[=:]")[1])
             .toList();
-    assertEquals(0, logged("found in the list"));
+    assertEquals(0, logged("found in the cloud's list"));
     assertEquals(new HashSet<>(returned).size(), returned.size(), "some were given back twice");
   }
 
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -152,8 +152,8 @@
   /** A controller has logged this. */
   void logged(String controller, String text) {
     note(controller + " " + text);
-    if (text.contains(": silent: ")) {
-      cloud.returnedAsSilent(text.split("[ :]")[2]);
+    if (text.contains(": unreachable: ")) {
+      cloud.returnedAsSilent(text.split("[=:]")[1]);
     }
     logs.accept(text);
     if (text.contains("-> SYNCHRONIZING") && text.endsWith(": elected")) {
