--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -66,7 +66,7 @@
     this.cancellationBroadcast = new CancellationBroadcast(settings.node(), sink);
     this.jobService = new JobService(settings, sink, replica, cancellationBroadcast::committed);
     this.stateServiceHealth = new StateServiceHealth(settings, sink, replica);
-    sink.watch(stateServiceHealth::replied);
+    sink.observeReplies(stateServiceHealth::replied);
     this.membership =
         new Membership(
             settings.node(),
@@ -189,7 +189,7 @@
 
     @Override
     public void replyReceived(Event.ReplyReceived event) {
-      sink.replied(event.call(), event.reply());
+      sink.replied(event.callId(), event.reply());
     }
 
     @Override
--- a/src/main/java/org/eiderstair/core/message/Effect.java
+++ b/src/main/java/org/eiderstair/core/message/Effect.java
@@ -1,42 +1,40 @@
 package org.eiderstair.core.message;
 
-/** What the core wants done. */
+/** What the core wants done by the code around it. */
 public sealed interface Effect {
 
-  /** What may be done at any time. */
-  long WHENEVER = Long.MAX_VALUE;
+  /** The deadline of what may be done at any time. */
+  long NO_DEADLINE = Long.MAX_VALUE;
 
   /**
-   * Carry out a request and report its outcome once as {@link Event.Replied}; but not after a time,
-   * since what allowed it may have run out while this process stood still between the decision and
-   * now.
+   * Sends a request and reports its outcome once as {@link Event.ReplyReceived}, but not after a
+   * deadline: what permitted the request, such as a lease, may have expired while this process was
+   * paused between the decision and now.
    */
-  record Call(long call, Request request, long notAfterMicros) implements Effect {
-    static final Reply TOO_LATE = new Reply.NoResponse("not sent: what allowed it had run out");
+  record Call(long callId, Request request, long deadlineMicros) implements Effect {
+    /** The outcome of a request whose deadline passed before it was sent. */
+    public static final Reply EXPIRED = new Reply.NoResponse("not sent: its deadline had passed");
 
-    /** What stands for the outcome when it is too late; null while it is not. */
-    public Reply tooLate(long nowMicros) {
-      return nowMicros > notAfterMicros ? TOO_LATE : null;
+    /** Whether it must not be sent any more. */
+    public boolean isExpired(long nowMicros) {
+      return nowMicros > deadlineMicros;
     }
   }
 
-  /**
-   * Answer an exchange that an event opened; after a time, only that this cannot be answered any
-   * more.
-   */
-  record Respond(long exchange, Answer answer, long notAfterMicros) implements Effect {
-    private static final Answer TOO_LATE = new Answer.Failure(503, "too late", 0);
+  /** Answers an exchange that an event opened; after a deadline, only with a refusal. */
+  record Respond(long exchange, Answer answer, long deadlineMicros) implements Effect {
+    private static final Answer EXPIRED = new Answer.Failure(503, "too late", 0);
 
     /** The answer if it may still be sent at that time, else a refusal. */
     public Answer answerAt(long nowMicros) {
-      return nowMicros > notAfterMicros ? TOO_LATE : answer;
+      return nowMicros > deadlineMicros ? EXPIRED : answer;
     }
   }
 
-  /** A decision worth a line in the log. */
+  /** Writes a line to the log. */
   record Log(Level level, String text) implements Effect {}
 
-  /** How much a line in the log matters. */
+  /** The level of a line in the log. */
   enum Level {
     ERROR,
     INFO,
--- a/src/main/java/org/eiderstair/core/message/EffectSink.java
+++ b/src/main/java/org/eiderstair/core/message/EffectSink.java
@@ -2,73 +2,80 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
 /**
- * Collects effects and remembers what to do with the reply of each call. Continuations run inside
- * the core's one thread, so a reply is handled like any other event.
+ * Emits the core's effects and remembers the callback of each request until its reply comes.
+ * Callbacks run in the core's one thread, so a reply is handled like any other event.
  */
 public final class EffectSink {
-  private record Pending(Request request, Consumer<Reply> callback) {}
 
-  private final Consumer<Effect> out;
-  private final Map<Long, Pending> pending = new HashMap<>();
-  private BiConsumer<Request, Reply> watcher = (request, reply) -> {};
-  private long lastCall;
+  /** Sees every reply before its callback does. */
+  @FunctionalInterface
+  public interface ReplyObserver {
+    /** A reply to that request has come. */
+    void replied(Request request, Reply reply);
+  }
+
+  private record PendingCall(Request request, Consumer<Reply> callback) {}
+
+  private final Consumer<Effect> output;
+  private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
+  private ReplyObserver observer = (request, reply) -> {};
+  private long lastCallId;
 
-  public EffectSink(Consumer<Effect> out) {
-    this.out = out;
+  public EffectSink(Consumer<Effect> output) {
+    this.output = output;
   }
 
-  /** Told of every reply before it is handled. */
-  public void watch(BiConsumer<Request, Reply> each) {
-    watcher = each;
+  /** Sets the one observer of all replies. */
+  public void observeReplies(ReplyObserver replyObserver) {
+    observer = replyObserver;
   }
 
-  /** Sends a request; {@code callback} gets its reply. */
+  /** Sends a request at any time; {@code callback} gets its reply. */
   public void call(Request request, Consumer<Reply> callback) {
-    call(request, Effect.WHENEVER, callback);
+    call(request, Effect.NO_DEADLINE, callback);
   }
 
-  /** The same, not later than a time. */
-  public void call(Request request, long notAfterMicros, Consumer<Reply> callback) {
-    long call = ++lastCall;
-    pending.put(call, new Pending(request, callback));
-    out.accept(new Effect.Call(call, request, notAfterMicros));
+  /** Sends a request, but not after the deadline; {@code callback} gets its reply. */
+  public void call(Request request, long deadlineMicros, Consumer<Reply> callback) {
+    long callId = ++lastCallId;
+    pendingCalls.put(callId, new PendingCall(request, callback));
+    output.accept(new Effect.Call(callId, request, deadlineMicros));
   }
 
-  /** A reply came for an earlier call. */
-  public void replied(long call, Reply reply) {
-    Pending done = pending.remove(call);
-    if (done != null) {
-      watcher.accept(done.request(), reply);
-      done.callback().accept(reply);
+  /** Runs the callback of an earlier request. A second reply to the same request is ignored. */
+  public void replied(long callId, Reply reply) {
+    PendingCall call = pendingCalls.remove(callId);
+    if (call != null) {
+      observer.replied(call.request(), reply);
+      call.callback().accept(reply);
     }
   }
 
-  /** Answers an exchange. */
+  /** Answers an exchange at any time. */
   public void respond(long exchange, Answer answer) {
-    respond(exchange, answer, Effect.WHENEVER);
+    respond(exchange, answer, Effect.NO_DEADLINE);
   }
 
-  /** The same, not later than a time. */
-  public void respond(long exchange, Answer answer, long notAfterMicros) {
-    out.accept(new Effect.Respond(exchange, answer, notAfterMicros));
+  /** Answers an exchange; after the deadline it is refused instead. */
+  public void respond(long exchange, Answer answer, long deadlineMicros) {
+    output.accept(new Effect.Respond(exchange, answer, deadlineMicros));
   }
 
   /** Logs at level info. */
   public void info(String text) {
-    out.accept(new Effect.Log(Effect.Level.INFO, text));
+    output.accept(new Effect.Log(Effect.Level.INFO, text));
   }
 
   /** Logs at level debug. */
   public void debug(String text) {
-    out.accept(new Effect.Log(Effect.Level.DEBUG, text));
+    output.accept(new Effect.Log(Effect.Level.DEBUG, text));
   }
 
   /** Logs at level error. */
   public void error(String text) {
-    out.accept(new Effect.Log(Effect.Level.ERROR, text));
+    output.accept(new Effect.Log(Effect.Level.ERROR, text));
   }
 }
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -56,7 +56,7 @@
   }
 
   /** The outcome of an earlier request. */
-  record ReplyReceived(long call, Reply reply) implements Event {
+  record ReplyReceived(long callId, Reply reply) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
       handler.replyReceived(this);
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -77,10 +77,10 @@
           // effect.
           long now = CoreLoop.nowMicros();
           if (effect instanceof Effect.Call call) {
-            if (call.tooLate(now) != null) {
-              loop.offer(new Event.ReplyReceived(call.call(), call.tooLate(now)));
+            if (call.isExpired(now)) {
+              loop.offer(new Event.ReplyReceived(call.callId(), Effect.Call.EXPIRED));
             } else {
-              outbound.send(call.call(), call.request());
+              outbound.send(call.callId(), call.request());
             }
           } else if (effect instanceof Effect.Respond respond) {
             inbound.respond(respond.exchange(), respond.answerAt(now));
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -25,7 +25,7 @@
     bench.replica.tick(bench.now);
     Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
     Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
-    bench.sink.replied(list.call(), new Reply.Listed(List.of(catalog), false, 2));
+    bench.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
     JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     service.tick(AT_MICROS);
     bench.effects.clear();
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -89,7 +89,7 @@
     writer.tick(10_000_000);
     Effect.Call lost = (Effect.Call) bench.effects.remove(0);
     transactions.add((Request.StoreTxn) lost.request());
-    bench.sink.replied(lost.call(), new Reply.NoResponse("timeout"));
+    bench.sink.replied(lost.callId(), new Reply.NoResponse("timeout"));
     writer.tick(11_000_000);
     transactions.add((Request.StoreTxn) ((Effect.Call) bench.effects.remove(0)).request());
     return transactions;
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -297,7 +297,7 @@
                   null);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
-              bench.sink.replied(call.call(), new Reply.Applied(1000 + i));
+              bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
               bench.effects.clear();
@@ -314,7 +314,7 @@
               jobService.tick(now[0] += 1_000_000);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
-              bench.sink.replied(call.call(), new Reply.Applied(0));
+              bench.sink.replied(call.callId(), new Reply.Applied(0));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
               bench.effects.clear();
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -45,7 +45,7 @@
     for (Effect e : effects) {
       if (e instanceof Effect.Call call && kind.isInstance(call.request())) {
         effects.remove(e);
-        return call.call();
+        return call.callId();
       }
     }
     throw new AssertionError("no " + kind.getSimpleName() + " in " + effects);
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -163,7 +163,7 @@
                     e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
                 .findFirst()
                 .orElseThrow();
-    sink.replied(watch.call(), new Reply.Changed(List.of(), versions));
+    sink.replied(watch.callId(), new Reply.Changed(List.of(), versions));
     leadership.tick(now);
     effects.clear();
   }
@@ -172,7 +172,7 @@
     sink.replied(
         ((Effect.Call)
                 effects.stream().filter(e -> e instanceof Effect.Call).reduce((a, b) -> b).get())
-            .call(),
+            .callId(),
         reply);
   }
 
@@ -262,7 +262,7 @@
   void load() {
     replica.tick(now);
     Effect.Call list = (Effect.Call) effects.get(effects.size() - 1);
-    sink.replied(list.call(), new Reply.Listed(List.of(), false, versions));
+    sink.replied(list.callId(), new Reply.Listed(List.of(), false, versions));
   }
 
   /** Adds confirmed machines of the default type that hold nothing. */
--- a/src/test/java/org/eiderstair/core/LeaderTermTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -69,7 +69,7 @@
                         && f.status() == 503));
     bench.effects.removeIf(e -> e instanceof Effect.Respond);
 
-    bench.sink.replied(watch().call(), new Reply.Changed(List.of(), term));
+    bench.sink.replied(watch().callId(), new Reply.Changed(List.of(), term));
     assertEquals(term, bench.replica.revision());
     leaderTerm.tick(bench.now);
     leaderTerm.heartbeatReceived(8, report, false, bench.now);
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -58,7 +58,7 @@
     for (Effect e : List.copyOf(bench.effects)) {
       if (e instanceof Effect.Call call && kind.isInstance(call.request())) {
         bench.effects.remove(e);
-        bench.sink.replied(call.call(), reply);
+        bench.sink.replied(call.callId(), reply);
         return;
       }
     }
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -59,7 +59,7 @@
     for (Effect.Call call : calls) {
       if (kind.isInstance(call.request())) {
         calls.remove(call);
-        return call.call();
+        return call.callId();
       }
     }
     throw new AssertionError("no " + kind.getSimpleName() + " in " + calls);
@@ -162,7 +162,7 @@
       for (Effect.Call call : List.copyOf(calls)) {
         calls.remove(call);
         if (call.request() instanceof Request.LeaseRenew) {
-          core.handle(new Event.ReplyReceived(call.call(), new Reply.Applied(0)), now);
+          core.handle(new Event.ReplyReceived(call.callId(), new Reply.Applied(0)), now);
         }
         revoked |= call.request() instanceof Request.LeaseRevoke;
       }
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -47,7 +47,7 @@
 
   private Effect.Call watching(long revision) {
     at(now);
-    bench.sink.replied(call().call(), new Reply.Listed(List.of(), false, revision));
+    bench.sink.replied(call().callId(), new Reply.Listed(List.of(), false, revision));
     Effect.Call watch = call();
     assertTrue(watch.request() instanceof Request.StoreWatch);
     return watch;
@@ -67,7 +67,7 @@
   void whatIsMissingIsMissingAsOfARevision() {
     Effect.Call watch = watching(10);
     bench.sink.replied(
-        watch.call(),
+        watch.callId(),
         new Reply.Changed(
             List.of(
                 rosterItem("i-1", 12),
@@ -106,17 +106,17 @@
     at(106 * SECOND);
     replica.proves(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.currentMicros());
-    bench.sink.replied(watch.call(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
+    bench.sink.replied(watch.callId(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The watch itself is as new as its sending, not its answer.
     at(107 * SECOND);
     Effect.Call next = call();
     at(110 * SECOND);
-    bench.sink.replied(next.call(), new Reply.Changed(List.of(), 11));
+    bench.sink.replied(next.callId(), new Reply.Changed(List.of(), 11));
     assertEquals(107 * SECOND, replica.currentMicros());
     // One without an answer shows nothing.
     at(111 * SECOND);
-    bench.sink.replied(call().call(), new Reply.NoResponse("timeout"));
+    bench.sink.replied(call().callId(), new Reply.NoResponse("timeout"));
     at(113 * SECOND);
     assertEquals(107 * SECOND, replica.currentMicros());
   }
@@ -130,10 +130,10 @@
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
-    bench.sink.replied(second.call(), new Reply.Changed(List.of(rosterItem("i-2", 12)), 12));
+    bench.sink.replied(second.callId(), new Reply.Changed(List.of(rosterItem("i-2", 12)), 12));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The one given up changes nothing when it answers at last, and opens no third.
-    bench.sink.replied(silent.call(), new Reply.Changed(List.of(), 10));
+    bench.sink.replied(silent.callId(), new Reply.Changed(List.of(), 10));
     assertEquals(105 * SECOND, replica.currentMicros());
     at(106 * SECOND);
     assertTrue(call().request() instanceof Request.StoreWatch);
--- a/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
@@ -45,7 +45,7 @@
       new StateServiceHealth(settings, sink, new Replica(settings, sink, null, 0));
 
   private void pass(long seconds, Reply ofState, Reply ofPeers) {
-    sink.watch(reach::replied);
+    sink.observeReplies(reach::replied);
     for (long end = now + seconds * SECOND; now < end; ) {
       now += SECOND;
       reach.tick(now);
@@ -54,7 +54,7 @@
       made.forEach(
           c ->
               sink.replied(
-                  c.call(),
+                  c.callId(),
                   c.request() instanceof Request.PeerStateServiceStatus ? ofPeers : ofState));
     }
   }
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -53,7 +53,7 @@
     Request.StoreTxn txn = (Request.StoreTxn) call.request();
     assertEquals(
         new Request.Condition(StateKeys.LEADER, LeaderBench.TERM), txn.conditions().get(0));
-    bench.sink.replied(call.call(), new Reply.Applied(++bench.versions));
+    bench.sink.replied(call.callId(), new Reply.Applied(++bench.versions));
     return txn.writes();
   }
 
@@ -82,7 +82,7 @@
       stateWriter.tick(now);
     }
     Effect.Call call = (Effect.Call) bench.effects.remove(0);
-    bench.sink.replied(call.call(), reply.apply(call.request()));
+    bench.sink.replied(call.callId(), reply.apply(call.request()));
     return call.request();
   }
 
@@ -142,7 +142,7 @@
     stateWriter.tick(now);
     stateWriter.note(key, null, () -> told.add("dropped"));
     bench.sink.replied(
-        ((Effect.Call) bench.effects.get(0)).call(), new Reply.Applied(++bench.versions));
+        ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.versions));
     assertEquals(List.of("first", "second", "third"), told);
     assertEquals(null, next().get(0).value());
     assertEquals(List.of("first", "second", "third", "dropped"), told);
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -331,7 +331,7 @@
         noteLaunches(k, r.answer() instanceof Answer.Command c ? c.orders() : List.of());
       } else if (effect instanceof Effect.Call c
           && c.request() instanceof Request.WorkerCommands w) {
-        commands.add(new InFlightCommand(k, c.call(), w));
+        commands.add(new InFlightCommand(k, c.callId(), w));
         noteLaunches(k, w.orders());
       }
     }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -203,11 +203,11 @@
     assertEquals(List.of(cancelled.id), killed(orders(commands().get(1))));
     // The reply to the kill was written before the launch arrived, which is late: it does not prove
     // that the launch is dead.
-    bench.sink.replied(commands().get(1).call(), reply(m, true));
+    bench.sink.replied(commands().get(1).callId(), reply(m, true));
     assertEquals(1, other.active.size(), "still on its way");
     assertEquals(0, cancelled.active.size());
-    bench.sink.replied(commands().get(0).call(), new Reply.NoResponse("timeout"));
-    bench.sink.replied(commands().get(1).call(), reply(m, true));
+    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
+    bench.sink.replied(commands().get(1).callId(), reply(m, true));
     assertEquals(Machine.Phase.FENCING, m.phase());
     assertEquals(1, other.active.size(), "may still arrive");
   }
@@ -222,7 +222,7 @@
     Job cancelled = running(m);
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     pass();
-    bench.sink.replied(commands().get(0).call(), new Reply.NoResponse("timeout"));
+    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
     assertEquals(Machine.Phase.FENCING, m.phase());
     bench.effects.clear();
     cancel(cancelled);
@@ -249,10 +249,10 @@
     cancel(job);
     pass();
     assertEquals(List.of(job.id), killed(orders(commands().get(1))));
-    bench.sink.replied(commands().get(1).call(), reply(m, true));
+    bench.sink.replied(commands().get(1).callId(), reply(m, true));
     Entry running =
         new Entry(attempt.task(), attempt.number(), TaskState.RUNNING, Exit.NONE, false);
-    bench.sink.replied(commands().get(0).call(), reply(m, true, running));
+    bench.sink.replied(commands().get(0).callId(), reply(m, true, running));
     pass();
     assertEquals(3, commands().size());
     assertEquals(List.of(job.id), killed(orders(commands().get(2))));
@@ -265,7 +265,7 @@
     Job job = running(m);
     cancel(job);
     pass();
-    bench.sink.replied(commands().get(0).call(), new Reply.NoResponse("refused"));
+    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("refused"));
     pass();
     assertEquals(1, commands().size());
     bench.now += SECOND;
@@ -335,7 +335,7 @@
     bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
     bench.sequences.put("m-0", 9L);
-    bench.sink.replied(commands().get(0).call(), reply(m, true, running));
+    bench.sink.replied(commands().get(0).callId(), reply(m, true, running));
     assertEquals(Machine.Phase.CONFIRMED, m.phase());
     assertEquals(1, job.active.size());
   }
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.workers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -216,8 +217,9 @@
     Effect.Call call =
         new Effect.Call(
             1, new Request.WorkerCommands("x", new FencingToken(1), 1, List.of()), 5_000_000);
-    assertEquals(null, call.tooLate(5_000_000));
-    assertTrue(call.tooLate(5_000_001) instanceof Reply.NoResponse);
+    assertFalse(call.isExpired(5_000_000));
+    assertTrue(call.isExpired(5_000_001));
+    assertTrue(Effect.Call.EXPIRED instanceof Reply.NoResponse);
     // And every answer and command of the leader bears such a time.
     List<Effect> sent = new ArrayList<>();
     EffectSink sending = new EffectSink(sent::add);
@@ -238,7 +240,8 @@
     other.flush(1_000_000);
     assertTrue(
         sent.stream()
-            .anyMatch(e -> e instanceof Effect.Respond r && r.notAfterMicros() < Effect.WHENEVER));
+            .anyMatch(
+                e -> e instanceof Effect.Respond r && r.deadlineMicros() < Effect.NO_DEADLINE));
   }
 
   private List<Long> answeredExchanges() {
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -21,7 +21,7 @@
 
   private record Transaction(List<Request.Condition> conditions, List<StoredWrite> writes) {}
 
-  private record TransactionCall(long call, Transaction request, long notAfterMicros) {}
+  private record TransactionCall(long call, Transaction request, long deadlineMicros) {}
 
   private long digest = 0xcbf29ce484222325L;
   private long count;
@@ -45,7 +45,7 @@
             .map(write -> new StoredWrite(write.key(), fields(write.value()), write.lease()))
             .toList();
     Transaction stored = new Transaction(transaction.conditions(), writes);
-    return new TransactionCall(call.call(), stored, call.notAfterMicros()).toString();
+    return new TransactionCall(call.callId(), stored, call.deadlineMicros()).toString();
   }
 
   private static Map<String, Object> fields(StoredValue value) {
--- a/src/test/java/org/eiderstair/sim/SimulatedController.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedController.java
@@ -160,16 +160,13 @@
   }
 
   private void carryOut(Effect.Call call, int expected) {
-    if (call.tooLate(cluster.clock.now()) != null) {
+    if (call.isExpired(cluster.clock.now())) {
       cluster.clock.after(
           0,
           () ->
               ifCurrent(
                   expected,
-                  () ->
-                      handle(
-                          new Event.ReplyReceived(
-                              call.call(), call.tooLate(cluster.clock.now())))));
+                  () -> handle(new Event.ReplyReceived(call.callId(), Effect.Call.EXPIRED))));
       return;
     }
     Request request = cluster.planted.request.apply(call.request());
@@ -178,7 +175,7 @@
         reply -> {
           if (!replied[0] && isCurrent(expected)) {
             replied[0] = true;
-            handle(new Event.ReplyReceived(call.call(), reply));
+            handle(new Event.ReplyReceived(call.callId(), reply));
           }
         };
     cluster.clock.after(
