--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -1,14 +1,11 @@
 package org.eiderstair.core.capacity;
 
-import java.util.Map;
-import java.util.TreeMap;
 import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.provisioning.RentalOption;
-import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
@@ -107,9 +104,7 @@
   public void takeOver(long nowMicros) {
     clock.advanceTo(nowMicros);
     workers.leaving(provisioning::isReleasing);
-    Map<String, StoredValue> records = new TreeMap<>();
-    replica.duties.values().forEach(item -> records.put(item.key(), item.value()));
-    provisioning.resume(records, nowMicros);
+    provisioning.resume(replica.dutyRecords(), nowMicros);
     for (Machine machine : workers.machines().values()) {
       if (provisioning.isReleasing(machine.id())) {
         scaleIn.stopUsing(machine);
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -106,7 +106,7 @@
     double decay = Math.exp(-(nowMicros - measuredMicros) / PEAK_DECAY_MICROS);
     measuredMicros = nowMicros;
     classes.values().forEach(ClassDemand::beginMeasurement);
-    for (Job job : replica.open.values()) {
+    for (Job job : replica.openJobs()) {
       if (!job.isLikelyFaulty()) {
         classes
             .computeIfAbsent(ClassKey.of(job.spec()), key -> new ClassDemand())
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -148,7 +148,7 @@
 
   @Override
   public boolean isRegistered(String machine) {
-    return replica.registeredWorkers.containsKey(machine);
+    return replica.isRegistered(machine);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -58,7 +58,7 @@
       unavailable(exchange, "starting");
       return;
     }
-    Job known = replica.jobs.get(id);
+    Job known = replica.job(id);
     if (known != null && !known.open()) {
       sink.respond(exchange, view(known, 200));
       return;
@@ -80,7 +80,7 @@
       unavailable(exchange, "starting");
       return;
     }
-    Job known = replica.jobs.get(id);
+    Job known = replica.job(id);
     if (known != null) {
       if (!known.open()) {
         sink.respond(exchange, view(known, 200));
@@ -160,7 +160,7 @@
                     + spec.jobClass()
                     + " of "
                     + spec.team());
-            sink.respond(exchange, view(replica.jobs.get(spec.id()), 201));
+            sink.respond(exchange, view(replica.job(spec.id()), 201));
           } else if (reply instanceof Reply.Conflict) {
             read(
                 spec.id(),
@@ -188,7 +188,7 @@
   }
 
   private void cancel(long exchange, String id, int tries) {
-    Job job = replica.jobs.get(id);
+    Job job = replica.job(id);
     if (job == null) {
       read(
           id,
@@ -256,7 +256,7 @@
     int most = settings.stateTxnOps() * 4;
     for (Waiting w : waiting) {
       if (versions.size() < most || versions.containsKey(w.id())) {
-        Job job = replica.jobs.get(w.id());
+        Job job = replica.job(w.id());
         versions.put(w.id(), job == null ? 0 : job.version());
         batch.add(w);
       } else {
@@ -274,7 +274,7 @@
         reply -> {
           confirming = false;
           if (reply instanceof Reply.Applied) {
-            batch.forEach(w -> w.current().accept(replica.jobs.get(w.id())));
+            batch.forEach(w -> w.current().accept(replica.job(w.id())));
           } else if (reply instanceof Reply.Conflict conflict) {
             // Reads answer for the old ones. The others are asked again: a failed list need not be
             // complete.
@@ -301,7 +301,7 @@
             if (found.item() != null) {
               replica.apply(found.item());
             }
-            current.accept(replica.jobs.get(id));
+            current.accept(replica.job(id));
           } else {
             unavailable.run();
           }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -75,7 +75,7 @@
     if (nowMicros >= nextOrderUpdateMicros) {
       nextOrderUpdateMicros = nowMicros + ORDER_UPDATE_MICROS;
       order.updateGuarantees();
-      starvationGuard.update(replica.open.values(), this::cpusInUse, nowMicros);
+      starvationGuard.update(replica.openJobs(), this::cpusInUse, nowMicros);
     }
     selector.beginPass();
     preemption.beginPass();
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -58,7 +58,7 @@
   /** The number of waiting tasks by class and team, and by what holds them back. */
   private Map<String, Integer> waitingTasks() {
     Map<String, Integer> waiting = new TreeMap<>();
-    for (Job job : replica.open.values()) {
+    for (Job job : replica.openJobs()) {
       int tasks = job.waiting() + job.queued.size();
       if (tasks > 0) {
         JobSpec spec = job.spec();
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -51,7 +51,7 @@
    * has nothing left to run.
    */
   private void countUnconfirmed(long nowMicros) {
-    for (Job job : replica.open.values()) {
+    for (Job job : replica.openJobs()) {
       if (job.version() < term) {
         quotas.addUnconfirmed(job.spec(), job.waiting());
       }
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -50,7 +50,7 @@
   void updateGuarantees() {
     Set<Job> within = new HashSet<>();
     Map<String, Double> cpusByTeam = new HashMap<>();
-    List<Job> byAge = new ArrayList<>(replica.open.values());
+    List<Job> byAge = new ArrayList<>(replica.openJobs());
     byAge.sort(Comparator.comparing(Job::version));
     for (Job job : byAge) {
       Settings.Team team = settings.teams().get(job.spec().team());
@@ -76,8 +76,8 @@
   List<Job> jobsToPlace(long nowMicros) {
     boolean someUnconfirmed = !workers.unconfirmed().isEmpty();
     List<Job> jobs = new ArrayList<>();
-    steps.add(replica.open.size());
-    for (Job job : replica.open.values()) {
+    steps.add(replica.openJobs().size());
+    for (Job job : replica.openJobs()) {
       job.setEffectivePriority(effectivePriority(job));
       boolean mayBeRunning = someUnconfirmed && job.version() < term;
       if (!mayBeRunning && job.mayRetry(nowMicros) && hasTaskToPlace(job)) {
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -1,17 +1,15 @@
 package org.eiderstair.core.state;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeMap;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
-import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.MachineType;
@@ -28,29 +26,11 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * This node's copy of the state service's keys, loaded once and kept by one watch. It may be old,
- * so only final states are told to users from it without asking (see {@link JobService}).
+ * This node's copy of the state service's keys. It may be old, so only final states are answered to
+ * users from it without asking. Every value has a version, and only a newer one replaces an older:
+ * values may come in any order, from the watch, a list, a read, or this node's own transaction.
  */
 public final class Replica {
-  private static final int PAGE = 500;
-
-  /** Far more than a late read can still be about. */
-  private static final int MAX_DROPPED = 10_000;
-
-  private static final long HOLD_MICROS = 4_000_000;
-  private static final long RETRY_MICROS = 500_000;
-  private static final long CANCEL_MARGIN_MICROS = 5_000_000;
-  private static final int MAX_PROOFS = 64;
-
-  /** Longer than a slow answer of the state service takes. */
-  private static final long STUCK_MICROS = 1_500_000;
-
-  /** LOADING reads every key; FOLLOWING has them and waits for changes. */
-  enum State {
-    IDLE,
-    LOADING,
-    FOLLOWING
-  }
 
   /** Told of what changed after the replica holds it. */
   public interface Listener {
@@ -60,82 +40,68 @@
     /** A job was created or has changed. */
     void jobChanged(Job job, boolean isNew);
 
-    /** All keys have been read. */
+    /** All keys have been read for the first time. */
     void loaded();
   }
 
   /** The leader as the leader key names it. */
   public record Leader(String node, String runId, long lease, long term) {}
 
-  /** What was there when a request was sent is in the replica once it has reached that revision. */
-  private record Proof(long sentMicros, long revision) {}
-
   /** A worker's registration. */
   public record RegisteredWorker(
       String machine, String address, String type, String zone, boolean spot, long version) {}
 
-  private final Settings settings;
+  /** The standby's record and its version. */
+  public record StoredStandby(StandbyRecord value, long version) {}
+
   private final EffectSink sink;
   private final Listener listener;
   private final long dayOffsetMicros;
-  private State state = State.IDLE;
-  private boolean everLoaded;
-  private long revision;
-  private long nextTryMicros;
-  private Set<String> loading;
-  private long loadRevision;
-  private long loadSentMicros;
-  private long currentMicros = Long.MIN_VALUE / 2;
-
-  /**
-   * Requests whose answers showed a revision that this replica has yet to reach, the one sent first
-   * in front.
-   */
-  private final ArrayDeque<Proof> proofs = new ArrayDeque<>();
-
-  /** Told from watches that were given up. */
-  private long watchNumber;
-
-  private long watchSentMicros;
-
-  public final Map<String, Job> jobs = new HashMap<>();
-
-  /** Open jobs in the order in which this node learnt of them. */
-  public final Map<String, Job> open = new LinkedHashMap<>();
-
-  /** Jobs cancelled lately, the one seen first in front: a worker may still run their tasks. */
-  private final ArrayDeque<Job> cancelled = new ArrayDeque<>();
-
-  public final Map<String, RegisteredWorker> registeredWorkers = new HashMap<>();
-
-  /** Open rentals and returns by key, as they were written. */
-  public final Map<String, Reply.Item> duties = new HashMap<>();
-
-  private final Map<String, Long> dropped = new LinkedHashMap<>();
+  private final ReplicaCurrency currency = new ReplicaCurrency();
+  private final ReplicaFeed feed;
+  private final JobTable jobs;
+  private final Map<String, RegisteredWorker> registeredWorkers = new HashMap<>();
+  private final Collection<RegisteredWorker> registeredWorkersView =
+      Collections.unmodifiableCollection(registeredWorkers.values());
+
+  /** The records of a leader by key: rentals, releases, standby, barrier, as they were written. */
+  private final Map<String, Reply.Item> duties = new HashMap<>();
+
+  private final RemovedKeys removed = new RemovedKeys();
+  private boolean loaded;
   private Leader leader;
   private long leaderVersion;
   private List<MachineType> catalog = List.of();
   private long catalogVersion;
 
+  /**
+   * @param dayOffsetMicros the time of day less the steady time
+   */
   public Replica(Settings settings, EffectSink sink, Listener listener, long dayOffsetMicros) {
     this.dayOffsetMicros = dayOffsetMicros;
-    this.settings = settings;
     this.sink = sink;
     this.listener = listener;
+    this.jobs = new JobTable(settings, listener, dayOffsetMicros);
+    this.feed = new ReplicaFeed(settings, sink, currency, new FeedTarget());
   }
 
-  /** The standby's record and its version. */
-  public record StoredStandby(StandbyRecord value, long version) {}
+  /** The time of the event at hand. */
+  public void at(long nowMicros) {
+    feed.advanceTo(nowMicros);
+    jobs.advanceTo(nowMicros);
+  }
 
-  /** The standby's record, or null when there is none. */
-  public StoredStandby standby() {
-    Reply.Item item = duties.get(StateKeys.STANDBY);
-    return item == null ? null : new StoredStandby((StandbyRecord) item.value(), item.version());
+  /** Keeps the watch open and reads what is missing. */
+  public void tick(long nowMicros) {
+    at(nowMicros);
+    feed.tick();
   }
 
+  // What the replica knows.
+
   /** Whether all keys have been read. */
   public boolean loaded() {
-    return everLoaded;
+    return loaded;
   }
 
   /** The current leader, or null. */
@@ -143,201 +109,104 @@
     return leader;
   }
 
-  long leaderVersion() {
-    return leader == null ? 0 : leaderVersion;
-  }
-
   /** The machine types that can be rented. */
   public List<MachineType> catalog() {
     return catalog;
   }
 
-  /** The version of the catalogue's key. */
+  /** The version of the catalog's key. */
   public long catalogVersion() {
     return catalogVersion;
   }
 
-  /** Every change up to this revision is in the replica. */
-  public long revision() {
-    return revision;
+  /** A job, or null when this node does not know it. */
+  public Job job(String id) {
+    return jobs.get(id);
   }
 
-  /**
-   * When the latest request was sent whose answer shows that all changes up to then are in the
-   * replica. Nothing but such an answer moves it; above all not the renewal of a lease.
-   */
-  public long currentMicros() {
-    return currentMicros;
+  /** All jobs, open and final. */
+  public Collection<Job> jobs() {
+    return jobs.all();
+  }
+
+  /** Open jobs in the order in which this node learnt of them. */
+  public Collection<Job> openJobs() {
+    return jobs.open();
   }
 
   /**
-   * A request sent then was answered with that revision: it is a proof once the replica has reached
-   * it.
+   * Cancelled jobs whose tasks a worker may still run, by when this node has seen the cancellation.
+   * Older ones are forgotten here, so there is one bound for all who ask: what one of them would
+   * drop sooner, another would no longer count.
    */
-  public void proves(long sentMicros, long atRevision) {
-    if (atRevision <= revision) {
-      currentMicros = Math.max(currentMicros, sentMicros);
-    } else if (proofs.size() < MAX_PROOFS
-        && (proofs.isEmpty() || sentMicros > proofs.peekLast().sentMicros())) {
-      proofs.add(new Proof(sentMicros, atRevision));
-    }
+  public Collection<Job> cancelledLately(long nowMicros) {
+    return jobs.recentlyCancelled(nowMicros);
   }
 
-  /** Every change up to this revision is in the replica from now on. */
-  private void reached(long atRevision) {
-    revision = Math.max(revision, atRevision);
-    proofs.removeIf(
-        proof -> {
-          boolean proven = proof.revision() <= revision;
-          currentMicros = proven ? Math.max(currentMicros, proof.sentMicros()) : currentMicros;
-          return proven;
-        });
+  /** The registered workers: every machine on which tasks may be. */
+  public Collection<RegisteredWorker> registeredWorkers() {
+    return registeredWorkersView;
   }
 
-  /** Keeps the watch open and reads what is missing. */
-  public void tick(long nowMicros) {
-    // A watch may hang or its answer be lost while others tell of changes: they are asked for anew,
-    // not waited for.
-    if (state == State.FOLLOWING
-        && retryWatchAt == 0
-        && !proofs.isEmpty()
-        && nowMicros >= Math.max(watchSentMicros, proofs.peekFirst().sentMicros()) + STUCK_MICROS) {
-      sink.info(
-          "watch after revision "
-              + revision
-              + " is silent though there is revision "
-              + proofs.peekLast().revision()
-              + ": opening another");
-      watch();
-    }
-    retry(nowMicros);
-    if (state == State.IDLE && nowMicros >= nextTryMicros) {
-      become(State.LOADING, nowMicros);
-    }
+  /** A worker's registration, or null. */
+  public RegisteredWorker registeredWorker(String machine) {
+    return registeredWorkers.get(machine);
   }
 
-  private void become(State next, long nowMicros) {
-    state = next;
-    switch (next) {
-      case IDLE -> nextTryMicros = nowMicros + RETRY_MICROS;
-      case LOADING -> {
-        loading = new HashSet<>();
-        loadRevision = -1;
-        loadSentMicros = nowMicros;
-        loadPage(null);
-      }
-      case FOLLOWING -> watch();
-    }
+  /** Whether a worker is registered. */
+  public boolean isRegistered(String machine) {
+    return registeredWorkers.containsKey(machine);
   }
 
-  private long now;
+  /** The records of leaders, by key. */
+  public Map<String, StoredValue> dutyRecords() {
+    Map<String, StoredValue> records = new TreeMap<>();
+    duties.values().forEach(item -> records.put(item.key(), item.value()));
+    return records;
+  }
 
-  /** The time of the event at hand. */
-  public void at(long nowMicros) {
-    now = nowMicros;
-  }
-
-  private void loadPage(String after) {
-    sink.call(
-        new Request.StoreList(StateKeys.ROOT, after, PAGE),
-        reply -> {
-          if (!(reply instanceof Reply.Listed listed)) {
-            become(State.IDLE, now);
-            return;
-          }
-          if (loadRevision < 0) {
-            loadRevision = listed.revision();
-          }
-          String last = null;
-          for (Reply.Item item : listed.items()) {
-            loading.add(item.key());
-            apply(item);
-            last = item.key();
-          }
-          if (listed.more() && last != null) {
-            loadPage(last);
-            return;
-          }
-          dropUnlisted();
-          reached(loadRevision);
-          proves(loadSentMicros, loadRevision);
-          loading = null;
-          boolean first = !everLoaded;
-          everLoaded = true;
-          if (first) {
-            sink.info(
-                "replica loaded: revision "
-                    + revision
-                    + ", "
-                    + jobs.size()
-                    + " jobs, "
-                    + open.size()
-                    + " open");
-            listener.loaded();
-          }
-          become(State.FOLLOWING, now);
-        });
-  }
-
-  /** After a gap in the watch, keys that the list no longer holds were dropped meanwhile. */
-  private void dropUnlisted() {
-    if (leader != null && !loading.contains(StateKeys.LEADER) && leaderVersion <= loadRevision) {
-      apply(new Reply.Item(StateKeys.LEADER, null, loadRevision));
-    }
-    for (RegisteredWorker entry : new ArrayList<>(registeredWorkers.values())) {
-      String key = StateKeys.worker(entry.machine());
-      if (!loading.contains(key) && entry.version() <= loadRevision) {
-        apply(new Reply.Item(key, null, loadRevision));
-      }
-    }
-    for (Reply.Item duty : new ArrayList<>(duties.values())) {
-      if (!loading.contains(duty.key()) && duty.version() <= loadRevision) {
-        apply(new Reply.Item(duty.key(), null, loadRevision));
-      }
-    }
+  /** A record of a leader, or null. */
+  public Reply.Item dutyRecord(String key) {
+    return duties.get(key);
   }
 
-  private void watch() {
-    long number = ++watchNumber;
-    long sentMicros = now;
-    watchSentMicros = now;
-    sink.call(
-        new Request.StoreWatch(StateKeys.ROOT, revision, HOLD_MICROS),
-        reply -> {
-          if (number != watchNumber) {
-            return;
-          }
-          if (reply instanceof Reply.Changed changed) {
-            for (Reply.Item item : changed.changes()) {
-              apply(item);
-            }
-            reached(changed.revision());
-            proves(sentMicros, changed.revision());
-            // Changes that come close together cost one request, not one each.
-            retryWatchAt = now + (changed.changes().isEmpty() ? 0 : settings.gatherMicros());
-            retry(now);
-          } else if (reply instanceof Reply.Refused refused && refused.status() == 410) {
-            sink.info("watch fell behind revision " + revision + ": reading all keys again");
-            become(State.IDLE, now - RETRY_MICROS);
-          } else {
-            // Refused or lost: the same revision may be watched again, only not at once.
-            retryWatchAt = now + RETRY_MICROS;
-          }
-        });
-  }
-
-  private long retryWatchAt;
-
-  private void retry(long nowMicros) {
-    if (retryWatchAt != 0 && nowMicros >= retryWatchAt) {
-      retryWatchAt = 0;
-      watch();
-    }
+  /** The standby's record, or null when there is none. */
+  public StoredStandby standby() {
+    Reply.Item item = duties.get(StateKeys.STANDBY);
+    return item == null ? null : new StoredStandby((StandbyRecord) item.value(), item.version());
+  }
+
+  /** The time of day, as this node has it, for what other nodes read. */
+  public long dayMicros(long nowMicros) {
+    return nowMicros + dayOffsetMicros;
+  }
+
+  // How new it is.
+
+  /** Every change up to this revision is in the replica. */
+  public long revision() {
+    return currency.revision();
+  }
+
+  /**
+   * When the latest request was sent whose answer shows that all changes up to then are in the
+   * replica. Nothing but such an answer moves it; above all not the renewal of a lease.
+   */
+  public long currentMicros() {
+    return currency.currentMicros();
   }
 
   /**
-   * Takes one key's newer value, from the watch, a list, a read, or this node's own transaction.
+   * A request that was sent at that time was answered with that revision: it shows that the replica
+   * is as new as that, once it has reached the revision.
    */
+  public void proves(long sentMicros, long atRevision) {
+    currency.recordAnswer(sentMicros, atRevision);
+  }
+
+  // Changes.
+
+  /** Takes over a key's value, if it is newer than what is known. */
   public void apply(Reply.Item item) {
     String key = item.key();
     StateKeys.Kind kind = StateKeys.kindOf(key);
@@ -358,105 +227,45 @@
     }
   }
 
-  /** The value of an item in the form that its key demands. */
-  private static <T extends StoredValue> T read(Reply.Item item, Class<T> type) {
-    if (item.value() instanceof UnreadableValue unreadable) {
-      throw new UnreadableValueException(unreadable.problem());
-    }
-    return type.cast(item.value());
-  }
-
-  private void applyCatalog(Reply.Item item) {
-    if (item.value() != null && item.version() > catalogVersion) {
-      catalogVersion = item.version();
-      catalog = read(item, CatalogRecord.class).types();
-    }
-  }
-
-  /** The time of day, as this node has it, for what other nodes read. */
-  public long dayMicros(long nowMicros) {
-    return nowMicros + dayOffsetMicros;
+  /**
+   * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
+   * will bring.
+   */
+  public void cancelledElsewhere(Cancellation cancellation) {
+    jobs.apply(cancellation);
   }
 
   /**
    * A read showed that the key does not exist as of a revision. That is a fact with a date like any
-   * other: what was written after it is not gone. Without that, a roster entry written after the
-   * read, and told by a watch that was faster than the read's answer, left this node's picture: its
-   * take-over would not have asked that machine.
+   * other: what was written after it is still there. Without that, a registration written after the
+   * read, and brought by a watch that was faster than the read's answer, left the replica: a
+   * failover of this node would not have asked that machine.
    */
   void missing(String key, long atRevision) {
-    if (StateKeys.kindOf(key) != StateKeys.Kind.PROGRESS) {
-      apply(new Reply.Item(key, null, atRevision));
-      return;
-    }
-    Job job = jobs.get(StateKeys.Kind.PROGRESS.idOf(key));
-    if (job != null) {
-      job.progressMissing(atRevision);
-    }
-  }
-
-  private void applyJob(String id, Reply.Item item) {
-    if (item.value() == null) {
-      return;
-    }
-    Job job = jobs.get(id);
-    if (job != null && item.version() <= job.version()) {
-      return;
-    }
-    JobRecord record = read(item, JobRecord.class);
-    boolean isNew = job == null;
-    if (isNew) {
-      // A node that was not there when the job came must not take it for new. Days differ a little
-      // between nodes.
-      long atDay = record.createdDayMicros();
-      long submittedMicros = atDay == 0 ? now : Math.min(now, atDay - dayOffsetMicros);
-      job = new Job(id, submittedMicros);
-      jobs.put(id, job);
+    StateKeys.Kind kind = StateKeys.kindOf(key);
+    if (kind == StateKeys.Kind.PROGRESS) {
+      jobs.progressAbsent(kind.idOf(key), atRevision);
+    } else {
+      remove(key, atRevision);
     }
-    long cancelledDay = record.cancelledDayMicros();
-    job.setCancelledMicros(cancelledDay == 0 ? now : Math.min(now, cancelledDay - dayOffsetMicros));
-    job.become(record.state(), item.version(), record.tasks(), record.spec(), record.done());
-    changed(job, isNew);
   }
 
-  private void changed(Job job, boolean isNew) {
-    if (job.open()) {
-      open.put(job.id, job);
-    } else {
-      open.remove(job.id);
-      if (job.state() == Job.State.CANCELLED) {
-        job.markCancellationSeen(now);
-        cancelled.add(job);
-      }
-    }
-    listener.jobChanged(job, isNew);
-    job.shrink();
+  private void remove(String key, long atRevision) {
+    apply(new Reply.Item(key, null, atRevision));
   }
 
-  /**
-   * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
-   * will bring.
-   */
-  public void cancelledElsewhere(Cancellation told) {
-    Job job = jobs.get(told.job());
-    if (job != null && job.open() && told.version() > job.version()) {
-      job.setCancelledMicros(now);
-      job.become(Job.State.CANCELLED, told.version(), job.tasks(), null, told.done());
-      changed(job, false);
+  /** The value of an item in the form that its key demands. */
+  private static <T extends StoredValue> T read(Reply.Item item, Class<T> type) {
+    if (item.value() instanceof UnreadableValue unreadable) {
+      throw new UnreadableValueException(unreadable.problem());
     }
+    return type.cast(item.value());
   }
 
-  /**
-   * Jobs whose tasks a worker may still run, by when this node has seen their cancelling. Older
-   * ones are forgotten here, so there is one bound for all who ask: what one of them would drop
-   * sooner, another would no longer count.
-   */
-  public Collection<Job> cancelledLately(long nowMicros) {
-    long since = nowMicros - settings.cancelMicros() - CANCEL_MARGIN_MICROS;
-    while (!cancelled.isEmpty() && cancelled.peek().cancellationSeenMicros() < since) {
-      cancelled.poll();
+  private void applyJob(String id, Reply.Item item) {
+    if (item.value() != null && jobs.isNewer(id, item.version())) {
+      jobs.apply(id, read(item, JobRecord.class), item.version());
     }
-    return cancelled;
   }
 
   private void applyProgress(String id, Reply.Item item) {
@@ -464,48 +273,26 @@
     if (job == null) {
       // A job's key sorts before its progress, and is older; it must have been seen.
       if (item.value() != null) {
-        sink.debug("progress of unknown job " + id);
+        sink.debug("progress of unknown job=" + id);
       }
       return;
     }
-    if (item.value() == null || !job.advanceProgressTo(item.version())) {
-      return;
-    }
-    ProgressRecord record = read(item, ProgressRecord.class);
-    job.setDurableProgress(record.done(), record.running());
-  }
-
-  private void applyDuty(Reply.Item item) {
-    Reply.Item known = duties.get(item.key());
-    if (known != null && item.version() <= known.version()
-        || item.version() <= dropped.getOrDefault(item.key(), 0L)) {
-      return;
-    }
-    if (item.value() == null) {
-      duties.remove(item.key());
-      droppedAt(item.key(), item.version());
-    } else {
-      duties.put(item.key(), item);
-    }
-  }
-
-  /** A late read or list must not bring a dropped key back. */
-  private void droppedAt(String key, long version) {
-    dropped.put(key, version);
-    if (dropped.size() > MAX_DROPPED) {
-      dropped.remove(dropped.keySet().iterator().next());
+    // Of a value that cannot be read the version counts all the same, so that it can be replaced.
+    if (item.value() != null && job.advanceProgressTo(item.version())) {
+      ProgressRecord record = read(item, ProgressRecord.class);
+      job.setDurableProgress(record.done(), record.running());
     }
   }
 
   private void applyWorker(String machine, Reply.Item item) {
     RegisteredWorker known = registeredWorkers.get(machine);
     if (known != null && item.version() <= known.version()
-        || item.version() <= dropped.getOrDefault(machine, 0L)) {
+        || removed.isRemovedSince(item.key(), item.version())) {
       return;
     }
     if (item.value() == null) {
       registeredWorkers.remove(machine);
-      droppedAt(machine, item.version());
+      removed.add(item.key(), item.version());
       return;
     }
     WorkerRecord record = read(item, WorkerRecord.class);
@@ -520,17 +307,84 @@
             item.version()));
   }
 
-  private void applyLeader(Reply.Item item) {
-    if (item.version() <= leaderVersion) {
+  private void applyDuty(Reply.Item item) {
+    Reply.Item known = duties.get(item.key());
+    if (known != null && item.version() <= known.version()
+        || removed.isRemovedSince(item.key(), item.version())) {
       return;
     }
-    leaderVersion = item.version();
-    leader = item.value() == null ? null : leader(item);
-    listener.leaderChanged();
+    if (item.value() == null) {
+      duties.remove(item.key());
+      removed.add(item.key(), item.version());
+    } else {
+      duties.put(item.key(), item);
+    }
+  }
+
+  private void applyLeader(Reply.Item item) {
+    if (item.version() > leaderVersion) {
+      leaderVersion = item.version();
+      leader = item.value() == null ? null : leader(item);
+      listener.leaderChanged();
+    }
   }
 
   private static Leader leader(Reply.Item item) {
     LeaderRecord record = read(item, LeaderRecord.class);
     return new Leader(record.node(), record.run(), record.lease(), item.version());
   }
+
+  private void applyCatalog(Reply.Item item) {
+    if (item.value() != null && item.version() > catalogVersion) {
+      catalogVersion = item.version();
+      catalog = read(item, CatalogRecord.class).types();
+    }
+  }
+
+  /** Takes what is read from the state service. */
+  private final class FeedTarget implements ReplicaFeed.Target {
+    @Override
+    public void apply(Reply.Item item) {
+      Replica.this.apply(item);
+    }
+
+    @Override
+    public void loaded(Set<String> listedKeys, long atRevision) {
+      removeUnlisted(listedKeys, atRevision);
+    }
+
+    @Override
+    public void caughtUp() {
+      if (!loaded) {
+        loaded = true;
+        sink.info(
+            "replica loaded: revision "
+                + revision()
+                + ", "
+                + jobs().size()
+                + " jobs, "
+                + openJobs().size()
+                + " open");
+        listener.loaded();
+      }
+    }
+  }
+
+  /** After a gap in the watch, keys that the list no longer holds were removed meanwhile. */
+  private void removeUnlisted(Set<String> listedKeys, long atRevision) {
+    if (leader != null && !listedKeys.contains(StateKeys.LEADER) && leaderVersion <= atRevision) {
+      remove(StateKeys.LEADER, atRevision);
+    }
+    for (RegisteredWorker worker : new ArrayList<>(registeredWorkers.values())) {
+      String key = StateKeys.worker(worker.machine());
+      if (!listedKeys.contains(key) && worker.version() <= atRevision) {
+        remove(key, atRevision);
+      }
+    }
+    for (Reply.Item duty : new ArrayList<>(duties.values())) {
+      if (!listedKeys.contains(duty.key()) && duty.version() <= atRevision) {
+        remove(duty.key(), atRevision);
+      }
+    }
+  }
 }
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -134,7 +134,7 @@
   /** Removes a worker's registration: the machine is terminated. */
   public void unregister(String machine) {
     register.remove(machine);
-    if (replica.registeredWorkers.containsKey(machine)) {
+    if (replica.isRegistered(machine)) {
       unregister.put(machine, true);
     }
   }
@@ -195,7 +195,7 @@
   }
 
   private Request.Condition barrier() {
-    Reply.Item known = replica.duties.get(StateKeys.BARRIER);
+    Reply.Item known = replica.dutyRecord(StateKeys.BARRIER);
     return new Request.Condition(StateKeys.BARRIER, known == null ? 0 : known.version());
   }
 
@@ -237,7 +237,7 @@
       }
       String key = e.getKey();
       Note note = e.getValue();
-      Reply.Item known = replica.duties.get(key);
+      Reply.Item known = replica.dutyRecord(key);
       if (known == null && note.value() == null) {
         notes.remove(key);
         note.durable().forEach(Runnable::run);
@@ -299,7 +299,7 @@
       if (room < 1) {
         return 0;
       }
-      var known = replica.registeredWorkers.get(m.id());
+      var known = replica.registeredWorker(m.id());
       conditions.add(
           new Request.Condition(StateKeys.worker(m.id()), known == null ? 0 : known.version()));
       changes.add(
@@ -315,7 +315,7 @@
           });
     }
     for (String id : new ArrayList<>(unregister.keySet())) {
-      var known = replica.registeredWorkers.get(id);
+      var known = replica.registeredWorker(id);
       if (known == null) {
         unregister.remove(id);
         continue;
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -229,7 +229,7 @@
   }
 
   private void alive(Machine machine, Heartbeat.Entry entry) {
-    Job job = replica.jobs.get(entry.task().job());
+    Job job = replica.job(entry.task().job());
     Attempt known = machine.attempt(entry.task());
     if (known != null && known.number() == entry.attempt()) {
       if (known.phase() != Attempt.Phase.REPORTED) {
@@ -282,7 +282,7 @@
   private void ended(Machine machine, Heartbeat.Entry entry) {
     TaskId task = entry.task();
     Order.Acknowledge reap = new Order.Acknowledge(task, entry.attempt());
-    Job job = replica.jobs.get(task.job());
+    Job job = replica.job(task.job());
     Attempt known = machine.attempt(task);
     boolean ours = known != null && known.number() == entry.attempt();
     if (ours) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -210,7 +210,7 @@
     takenOverMicros = nowMicros;
     reach.begin();
     FailoverTimeline failover = new FailoverTimeline(sink, term, electedMicros);
-    for (Replica.RegisteredWorker entry : replica.registeredWorkers.values()) {
+    for (Replica.RegisteredWorker entry : replica.registeredWorkers()) {
       Machine.Phase phase = picture == null ? Machine.Phase.UNCONFIRMED : Machine.Phase.RECOVERED;
       Machine machine = new Machine(entry.machine(), term, phase, nowMicros);
       registry.describe(machine, entry.address(), entry.type(), entry.zone(), entry.spot());
@@ -232,7 +232,7 @@
             (id, tasks) ->
                 tasks.forEach(
                     (index, number) -> {
-                      Job job = replica.jobs.get(id);
+                      Job job = replica.job(id);
                       // What is durably done or over without a description can only be stopped,
                       // once it is shown.
                       if (job != null
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -205,12 +205,12 @@
     for (JobSpec spec : specs()) {
       String open = "sample-" + number++ + ":e/job/" + spec.id();
       String cancelled = "sample-" + number++ + ":e/job/" + spec.id();
-      Job job = replicaOf(open).jobs.get(spec.id());
+      Job job = replicaOf(open).job(spec.id());
       assertEquals(Job.State.OPEN, job.state());
       assertEquals(spec, job.spec());
       assertEquals(spec.tasks(), job.tasks());
       assertEquals(11, job.version());
-      Job ended = replicaOf(open, cancelled).jobs.get(spec.id());
+      Job ended = replicaOf(open, cancelled).job(spec.id());
       assertEquals(Job.State.CANCELLED, ended.state());
       assertEquals(2, ended.finalDone());
       assertEquals(spec.tasks(), ended.tasks());
@@ -222,7 +222,7 @@
     LeaderBench bench = new LeaderBench();
     bench.replica.at(5_000_000);
     read("created:e/job/job-9", 11).forEach(bench.replica::apply);
-    Job job = bench.replica.jobs.get("job-9");
+    Job job = bench.replica.job("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
     assertEquals(CreatedJob.AT_MICROS, job.submittedMicros());
   }
@@ -241,12 +241,12 @@
     assertEquals(1000 - 1, scattered.durablyCompletedTasks().length());
     assertEquals(
         new Replica.RegisteredWorker("i-1", "10.0.0.1:80", "t", "a", true, 11),
-        bench.replica.registeredWorkers.get("i-1"));
+        bench.replica.registeredWorker("i-1"));
     assertEquals(
         new Replica.RegisteredWorker("i-2", "10.0.0.1:80", "t", null, false, 11),
-        bench.replica.registeredWorkers.get("i-2"));
+        bench.replica.registeredWorker("i-2"));
     read("transaction-2", 12).forEach(bench.replica::apply);
-    assertEquals(12, bench.replica.duties.get("e/duty/barrier").version());
+    assertEquals(12, bench.replica.dutyRecord("e/duty/barrier").version());
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -225,7 +225,7 @@
   }
 
   private static Job firstJob(LeaderBench bench) {
-    return bench.replica.open.values().iterator().next();
+    return bench.replica.openJobs().iterator().next();
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -120,8 +120,8 @@
                 1 + random.nextInt(20),
                 1 + random.nextInt(3));
         case 1 -> {
-          if (!bench.replica.open.isEmpty()) {
-            Job job = bench.replica.open.values().iterator().next();
+          if (!bench.replica.openJobs().isEmpty()) {
+            Job job = bench.replica.openJobs().iterator().next();
             bench.replica.apply(
                 new Reply.Item(
                     StateKeys.job(job.id),
@@ -173,7 +173,7 @@
       assertEquals(
           use.getOrDefault(team, 0.0), bench.teams.cpusInUse(team), 1e-6, "use of " + team);
     }
-    for (Job job : bench.replica.open.values()) {
+    for (Job job : bench.replica.openJobs()) {
       assertEquals(
           job.active.values().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
           job.queued.size());
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -304,7 +304,7 @@
             0,
             JobSpec.NO_DEADLINE);
     replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
-    Job job = replica.jobs.get(spec.id());
+    Job job = replica.job(spec.id());
     job.setDurableProgress(new BitSet(), 1);
     return job;
   }
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -11,8 +11,10 @@
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.record.CatalogRecord;
+import org.eiderstair.core.record.JobRecord;
 import org.eiderstair.core.record.RentalIntentRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.state.StateWriter;
@@ -72,9 +74,11 @@
   @Example
   void whatStoodForARefusedRentalIsForgotten() {
     begin();
-    bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
+    Job job = bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
-    bench.replica.open.clear();
+    bench.replica.apply(
+        new Reply.Item(StateKeys.job(job.id), JobRecord.done(job.tasks()), ++bench.versions));
+    assertTrue(bench.replica.openJobs().isEmpty());
     capacity.tick(bench.now += 1_000_000);
     assertEquals(1, capacity.pendingRentalCount());
     stateWriter.tick(bench.now);
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.placement;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.HashMap;
@@ -109,7 +110,7 @@
             0,
             JobSpec.NO_DEADLINE);
     replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
-    return replica.jobs.get(spec.id());
+    return replica.job(spec.id());
   }
 
   private Machine machine(String id, String zone, boolean spot) {
@@ -201,8 +202,8 @@
   void partOfTheLimitIsKeptForMoreUrgentWork() {
     Job urgent = job(1, "red", Priority.HIGH, 4, 1);
     demand.measure(NOW);
-    urgent.become(Job.State.DONE, ++versions, 4, null, 0);
-    replica.open.remove(urgent.id);
+    replica.apply(new Reply.Item(StateKeys.job(urgent.id), JobRecord.done(4), ++versions));
+    assertFalse(replica.openJobs().contains(urgent));
     Job normal = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
     machine("n", "a", true);
@@ -343,14 +344,13 @@
     placement.place(NOW + 1);
     assertEquals(
         1,
-        replica.jobs.get("job-8").active.values().stream()
+        replica.job("job-8").active.values().stream()
             .map(a -> a.machine().zone())
             .distinct()
             .count());
     Map<String, Integer> perZone = new HashMap<>();
     replica
-        .jobs
-        .get("job-9")
+        .job("job-9")
         .active
         .values()
         .forEach(a -> perZone.merge(a.machine().zone(), 1, Integer::sum));
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -81,19 +82,19 @@
         List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
       replica.missing(key, 11);
     }
-    assertTrue(replica.registeredWorkers.containsKey("i-1"));
-    assertTrue(replica.duties.containsKey(StateKeys.rental("r-1-1")));
+    assertTrue(replica.isRegistered("i-1"));
+    assertNotNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
     assertEquals(12, replica.leader().term());
     for (String key :
         List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
       replica.missing(key, 13);
     }
-    assertFalse(replica.registeredWorkers.containsKey("i-1"));
-    assertFalse(replica.duties.containsKey(StateKeys.rental("r-1-1")));
+    assertFalse(replica.isRegistered("i-1"));
+    assertNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
     assertNull(replica.leader());
     // A late list of the time before brings nothing back; a new leader is learnt again.
     replica.apply(rosterItem("i-1", 12));
-    assertFalse(replica.registeredWorkers.containsKey("i-1"));
+    assertFalse(replica.isRegistered("i-1"));
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n2", 4, "run"), 15));
     assertEquals(15, replica.leader().term());
   }
@@ -162,9 +163,9 @@
     assertTrue(job.open());
     replica.cancelledElsewhere(new Cancellation(job.id, job.version() + 5, 1));
     assertEquals(Job.State.CANCELLED, job.state());
-    assertFalse(replica.open.containsKey(job.id));
+    assertFalse(replica.openJobs().contains(job));
     replica.cancelledElsewhere(new Cancellation("job-unknown", 99, 0));
-    assertFalse(replica.jobs.containsKey("job-unknown"));
+    assertNull(replica.job("job-unknown"));
   }
 
   private static Reply.Item read(String key, Map<String, Object> fields, long version) {
@@ -196,7 +197,7 @@
     assertEquals(0, job.durablyCompleted());
     assertEquals(21, job.progressVersion());
     assertEquals("n1", replica.leader().node());
-    assertEquals("x", replica.registeredWorkers.get("i-1").address());
+    assertEquals("x", replica.registeredWorker("i-1").address());
     assertEquals(25, replica.catalogVersion());
     assertTrue(replica.catalog().isEmpty());
   }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -97,7 +97,7 @@
             0,
             JobSpec.NO_DEADLINE);
     leader.replica.apply(new Reply.Item(StateKeys.job(JOB), JobRecord.open(spec, 0), 5));
-    leader.replica.jobs.get(JOB).setDurableProgress(new BitSet(), 1);
+    leader.replica.job(JOB).setDurableProgress(new BitSet(), 1);
   }
 
   /** What may happen next. */
@@ -275,7 +275,7 @@
     cancelled = true;
     LeaderBench leader = newestLeader();
     leader.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
-    leader.workers.jobOver(leader.replica.jobs.get(JOB));
+    leader.workers.jobOver(leader.replica.job(JOB));
   }
 
   private void deliver(InFlightHeartbeat r) {
@@ -349,7 +349,7 @@
     if (!leader.leadership.isLeader()) {
       return;
     }
-    Job job = leader.replica.jobs.get(JOB);
+    Job job = leader.replica.job(JOB);
     boolean whole = leader.workers.unconfirmed().isEmpty();
     double used = 0;
     for (int i = 0; i < taskCount; i++) {
@@ -418,7 +418,7 @@
         act(() -> leaders.get(c.leader).sink.replied(c.call, c.reply));
       }
     }
-    Job job = newestLeader().replica.jobs.get(JOB);
+    Job job = newestLeader().replica.job(JOB);
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
       if (cancelled && worker.alive(task)) {
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -78,7 +78,7 @@
 
   private void leader(LeaderBench leader) {
     Machine m = leader.workers.machines().get(CommandWorld.MACHINE);
-    Job job = leader.replica.jobs.get(CommandWorld.JOB);
+    Job job = leader.replica.job(CommandWorld.JOB);
     ranks.add(m.incarnation(), m.sequence());
     key.append('#')
         .append(leader.leadership.isLeader())
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -122,7 +122,7 @@
             4_000_000,
             JobSpec.NO_DEADLINE);
     replica.apply(new Reply.Item(StateKeys.job("job-1"), JobRecord.open(spec, 0), 5));
-    job = replica.jobs.get("job-1");
+    job = replica.job("job-1");
     job.setDurableProgress(new BitSet(), 1);
     machine.describe("x", "t", null, false);
     machine.assignType(TYPE);
