--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Set;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Job;
@@ -34,6 +35,9 @@
   private final long term;
   private int preemptionsLeft;
 
+  /** Null until a job asks for them in this pass. */
+  private List<Attempt> candidates;
+
   GuaranteePreemption(
       EffectSink sink, WorkerManager workers, TeamQuotas quotas, ServiceOrder order, long term) {
     this.sink = sink;
@@ -46,6 +50,7 @@
   /** A pass preempts a bounded number of tasks. */
   void beginPass() {
     preemptionsLeft = MAX_PREEMPTIONS_PER_PASS;
+    candidates = null;
   }
 
   /** Preempts for a job what it needs and may claim, if it has waited long enough. */
@@ -54,18 +59,25 @@
       return;
     }
     job.recordPreemption(nowMicros);
+    Set<String> teams = quotas.teamsAboveGuarantee();
+    teams.remove(job.spec().team());
+    if (teams.isEmpty()) {
+      return;
+    }
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
     constraints.chooseZone();
     double neededCpus = (job.waiting() + job.queued.size()) * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
-    for (Machine machine : workers.machines().values()) {
-      for (Attempt attempt : machine.attempts()) {
-        if (attempt.isStopRequested() && constraints.allows(machine)) {
+    for (Attempt attempt : candidatesOfPass()) {
+      if (attempt.isStopRequested()) {
+        if (constraints.allows(attempt.machine())) {
           neededCpus -= attempt.spec().cpus();
-        } else if (isPreemptible(attempt, job.spec()) && constraints.allows(machine)) {
-          victims.add(attempt);
         }
+      } else if (teams.contains(attempt.spec().team())
+          && isPreemptible(attempt, job.spec())
+          && constraints.allows(attempt.machine())) {
+        victims.add(attempt);
       }
     }
     victims.sort(LEAST_IMPORTANT_THEN_LATEST_STARTED);
@@ -85,18 +97,38 @@
         && quotas.limitAllowsOneMore(job.spec());
   }
 
+  /**
+   * The attempts that are preempted already or may be, whichever job asks: nothing else becomes one
+   * within a pass. Hundreds of jobs may ask in one pass, and a fleet of thousands of machines has
+   * tens of thousands of attempts, so they are gone through once.
+   */
+  private List<Attempt> candidatesOfPass() {
+    if (candidates == null) {
+      candidates = new ArrayList<>();
+      for (Machine machine : workers.machines().values()) {
+        for (Attempt attempt : machine.attempts()) {
+          if (attempt.isStopRequested() || mayBePreempted(attempt)) {
+            candidates.add(attempt);
+          }
+        }
+      }
+    }
+    return candidates;
+  }
+
   /**
    * A job that is itself within a guarantee is spared: it would be placed again at once, before the
    * one it was preempted for (seen in an incident: the same tasks were preempted three times in a
    * second).
    */
-  private boolean isPreemptible(Attempt attempt, JobSpec waiting) {
+  private boolean mayBePreempted(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.REPORTED
         && attempt.job().open()
-        && !attempt.isStopRequested()
-        && !order.isWithinGuarantee(attempt.job())
-        && waiting.priority().compareTo(attempt.spec().priority()) <= 0
-        && !attempt.spec().team().equals(waiting.team())
+        && !order.isWithinGuarantee(attempt.job());
+  }
+
+  private boolean isPreemptible(Attempt attempt, JobSpec waiting) {
+    return waiting.priority().compareTo(attempt.spec().priority()) <= 0
         && quotas.cpusAboveGuarantee(attempt.spec().team()) >= attempt.spec().cpus();
   }
 
--- a/src/main/java/org/eiderstair/core/quota/TeamQuotas.java
+++ b/src/main/java/org/eiderstair/core/quota/TeamQuotas.java
@@ -1,7 +1,9 @@
 package org.eiderstair.core.quota;
 
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.Map;
+import java.util.Set;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.settings.Settings;
 
@@ -95,6 +97,18 @@
     return quota(team).cpusAboveGuarantee();
   }
 
+  /** The teams that use more than their guarantee. */
+  public Set<String> teamsAboveGuarantee() {
+    Set<String> above = new HashSet<>();
+    quotas.forEach(
+        (team, quota) -> {
+          if (quota.cpusAboveGuarantee() > 0) {
+            above.add(team);
+          }
+        });
+    return above;
+  }
+
   /** Whether the limit allows the job at all: one task of an array, every task of a service. */
   public boolean limitAllowsAtAll(JobSpec spec) {
     int tasks = spec.shape() == JobSpec.Shape.SERVICE ? spec.tasks() : 1;
