--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -8,70 +8,75 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.MachineType;
 
-/** What the cloud gets and sends. */
+/** Messages to and from the cloud: rentals, returns, the catalogue and the list of machines. */
 public final class CloudMessages {
+  /** So many machines are asked for at a time when the cloud lists them. */
   public static final int PAGE_SIZE = 500;
 
   private CloudMessages() {}
 
   /** Encodes a rental request. */
-  public static byte[] encodeRent(Request.CloudRent r) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Charter", r.request());
-    m.put("Hull", r.type());
-    m.put("Fjord", r.zone());
-    m.put("Driftwood", r.spot());
-    m.put("HowMany", (long) r.count());
-    return MessagePackCodec.write(m);
+  public static byte[] encodeRent(Request.CloudRent rent) {
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put(WireFields.RENTAL_REQUEST, rent.request());
+    message.put(WireFields.MACHINE_TYPE, rent.type());
+    message.put(WireFields.ZONE, rent.zone());
+    message.put(WireFields.SPOT, rent.spot());
+    message.put(WireFields.RENTAL_COUNT, (long) rent.count());
+    return MessagePackCodec.write(message);
   }
 
   /** Decodes the answer to a rental: the names of the machines. */
   public static Reply decodeRented(Map<String, Object> message) throws MalformedMessageException {
-    return new Reply.Rented(new Fields(message).texts("Skerries"));
+    return new Reply.Rented(new Fields(message).texts(WireFields.MACHINES));
   }
 
   /** Encodes a request to delete machines. */
   public static byte[] encodeDelete(List<String> machines) {
-    return MessagePackCodec.write(Map.of("Skerries", machines));
+    return MessagePackCodec.write(Map.of(WireFields.MACHINES, machines));
   }
 
   /** Decodes the catalogue of machine types. */
   public static Reply decodeCatalog(Map<String, Object> message) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
-    for (Object item : new Fields(message).list("Hulls")) {
-      Fields f = Fields.of(item, "Hulls");
-      types.add(
-          new MachineType(
-              f.text("Label"),
-              f.amount("Cores"),
-              f.amount("Accelerators"),
-              f.amount("MemoryGb"),
-              f.has("LocalGb") ? f.amount("LocalGb") : 0,
-              f.has("PullGbPerS") ? f.amount("PullGbPerS") : 0,
-              f.amount("Hourly"),
-              f.has("MarketPrice") ? f.amount("MarketPrice") : 0,
-              f.micros("StartupS"),
-              f.texts("Fjords")));
+    for (Object item : new Fields(message).list(WireFields.CATALOG)) {
+      types.add(machineType(Fields.of(item, WireFields.CATALOG)));
     }
     return new Reply.Catalog(types);
   }
 
+  private static MachineType machineType(Fields fields) throws MalformedMessageException {
+    return new MachineType(
+        fields.text(WireFields.TYPE_NAME),
+        fields.amount(WireFields.CPUS),
+        fields.amount(WireFields.ACCELERATORS),
+        fields.amount(WireFields.MEMORY_GB),
+        fields.amountOrZero(WireFields.LOCAL_GB),
+        fields.amountOrZero(WireFields.PULL_GB_PER_S),
+        fields.amount(WireFields.HOURLY_PRICE),
+        fields.amountOrZero(WireFields.SPOT_PRICE),
+        fields.micros(WireFields.BOOT_S),
+        fields.texts(WireFields.ZONES));
+  }
+
   /** Decodes one page of the list of machines. */
   public static Reply decodeMachines(Map<String, Object> message) throws MalformedMessageException {
-    Fields top = new Fields(message);
+    Fields page = new Fields(message);
     List<Reply.CloudMachine> machines = new ArrayList<>();
-    for (Object item : top.list("Skerries")) {
-      Fields f = Fields.of(item, "Skerries");
-      machines.add(
-          new Reply.CloudMachine(
-              f.text("Id"),
-              f.textOrNull("Endpoint"),
-              f.text("Hull"),
-              f.text("Fjord"),
-              f.flag("Driftwood"),
-              f.text("Tide"),
-              f.micros("AgeS")));
+    for (Object item : page.list(WireFields.MACHINES)) {
+      machines.add(machine(Fields.of(item, WireFields.MACHINES)));
     }
-    return new Reply.CloudMachines(machines, Boolean.TRUE.equals(top.raw("Truncated")));
+    return new Reply.CloudMachines(machines, page.isTrue(WireFields.TRUNCATED));
+  }
+
+  private static Reply.CloudMachine machine(Fields fields) throws MalformedMessageException {
+    return new Reply.CloudMachine(
+        fields.text(WireFields.MACHINE_ID),
+        fields.textOrNull(WireFields.ADDRESS),
+        fields.text(WireFields.MACHINE_TYPE),
+        fields.text(WireFields.ZONE),
+        fields.flag(WireFields.SPOT),
+        fields.text(WireFields.STATE),
+        fields.micros(WireFields.AGE_S));
   }
 }
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -8,104 +8,124 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.record.StoredValueCodec;
 
-/** What the state service gets and sends. */
+/** Messages to and from the state service: compare-and-swap, leases, keys and watches. */
 public final class StoreMessages {
+  private static final int MICROS_PER_MILLI = 1000;
+
   private StoreMessages() {}
 
-  /** Encodes a transaction. */
-  public static byte[] encodeTransaction(Request.StoreTxn txn) {
-    List<Object> when = new ArrayList<>();
-    for (Request.Condition c : txn.conditions()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      m.put("K", c.key());
-      m.put("Stamp", c.version());
-      when.add(m);
+  /** Encodes a compare-and-swap of several keys. */
+  public static byte[] encodeTransaction(Request.StoreTxn transaction) {
+    List<Object> conditions = new ArrayList<>();
+    for (Request.Condition condition : transaction.conditions()) {
+      conditions.add(encode(condition));
     }
     List<Object> writes = new ArrayList<>();
-    for (Request.Write w : txn.writes()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      if (w.value() == null) {
-        m.put("Drop", w.key());
-      } else {
-        m.put("Put", w.key());
-        m.put("Data", StoredValueCodec.encode(w.value()));
-        if (w.lease() != 0) {
-          m.put("Tenure", w.lease());
-        }
-      }
-      writes.add(m);
+    for (Request.Write write : transaction.writes()) {
+      writes.add(encode(write));
     }
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("When", when);
-    m.put("Writes", writes);
-    return MessagePackCodec.write(m);
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put(WireFields.CONDITIONS, conditions);
+    message.put(WireFields.WRITES, writes);
+    return MessagePackCodec.write(message);
+  }
+
+  private static Map<String, Object> encode(Request.Condition condition) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put(WireFields.KEY, condition.key());
+    fields.put(WireFields.VERSION, condition.version());
+    return fields;
   }
 
-  /** Encodes a request for a lease of that many milliseconds. */
+  private static Map<String, Object> encode(Request.Write write) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    if (write.value() == null) {
+      fields.put(WireFields.DELETE_KEY, write.key());
+      return fields;
+    }
+    fields.put(WireFields.PUT_KEY, write.key());
+    fields.put(WireFields.VALUE, StoredValueCodec.encode(write.value()));
+    if (write.lease() != 0) {
+      fields.put(WireFields.LEASE, write.lease());
+    }
+    return fields;
+  }
+
+  /** Encodes a request for a lease. */
   public static byte[] encodeLeaseRequest(long ttlMicros) {
-    return MessagePackCodec.write(Map.of("TtlMs", ttlMicros / 1000));
+    return MessagePackCodec.write(Map.of(WireFields.LEASE_TTL_MS, ttlMicros / MICROS_PER_MILLI));
   }
 
   /** Decodes the answer to a transaction that was carried out. */
   public static Reply decodeApplied(Map<String, Object> message) throws MalformedMessageException {
-    return new Reply.Applied(new Fields(message).whole("LedgerRev"));
+    return new Reply.Applied(new Fields(message).count(WireFields.REVISION));
   }
 
   /** Decodes the answer to a transaction whose conditions did not hold. */
   public static Reply decodeConflict(Map<String, Object> message) throws MalformedMessageException {
-    Fields f = new Fields(message);
-    return new Reply.Conflict(f.texts("failed"), f.has("LedgerRev") ? f.whole("LedgerRev") : 0);
+    Fields fields = new Fields(message);
+    List<String> failedKeys = fields.texts(WireFields.FAILED_KEYS);
+    long revision = fields.has(WireFields.REVISION) ? fields.count(WireFields.REVISION) : 0;
+    return new Reply.Conflict(failedKeys, revision);
   }
 
   /** Decodes the answer to a request for a lease. */
   public static Reply decodeLeaseGranted(Map<String, Object> message)
       throws MalformedMessageException {
-    return new Reply.LeaseGranted(new Fields(message).whole("Tenure"));
+    return new Reply.LeaseGranted(new Fields(message).count(WireFields.LEASE));
   }
 
-  /** Decodes one key, or the answer that it does not exist. */
+  /** Decodes one key that exists. */
   public static Reply decodeFound(Map<String, Object> message) throws MalformedMessageException {
-    Fields f = new Fields(message);
-    long version = f.whole("Stamp");
-    return new Reply.Found(item(f.text("K"), f, version), version);
+    Fields fields = new Fields(message);
+    long version = fields.count(WireFields.VERSION);
+    return new Reply.Found(item(fields.text(WireFields.KEY), fields, version), version);
   }
 
-  /** A key that does not exist, and as of when. */
+  /** Decodes that a key does not exist, and as of which revision. */
   public static Reply decodeMissing(Map<String, Object> message) throws MalformedMessageException {
-    return new Reply.Found(null, new Fields(message).whole("LedgerRev"));
+    return new Reply.Found(null, new Fields(message).count(WireFields.REVISION));
   }
 
   /** Decodes one page of keys. */
   public static Reply decodeListed(Map<String, Object> message) throws MalformedMessageException {
-    Fields f = new Fields(message);
+    Fields page = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
-    for (Object item : f.list("Entries")) {
-      Fields i = Fields.of(item, "Entries");
-      items.add(item(i.text("K"), i, i.whole("Stamp")));
+    for (Object entry : page.list(WireFields.ITEMS)) {
+      Fields fields = Fields.of(entry, WireFields.ITEMS);
+      String key = fields.text(WireFields.KEY);
+      items.add(item(key, fields, fields.count(WireFields.VERSION)));
     }
-    return new Reply.Listed(items, Boolean.TRUE.equals(f.raw("Truncated")), f.whole("LedgerRev"));
+    return new Reply.Listed(
+        items, page.isTrue(WireFields.TRUNCATED), page.count(WireFields.REVISION));
   }
 
   /** Decodes the answer to a watch. */
   public static Reply decodeChanged(Map<String, Object> message) throws MalformedMessageException {
-    Fields f = new Fields(message);
-    List<Reply.Item> items = new ArrayList<>();
-    for (Object item : f.list("News")) {
-      Fields i = Fields.of(item, "News");
-      boolean put = i.has("Put");
-      items.add(
-          put
-              ? item(i.text("Put"), i, i.whole("Stamp"))
-              : new Reply.Item(i.text("Drop"), null, i.whole("Stamp")));
+    Fields answer = new Fields(message);
+    List<Reply.Item> changes = new ArrayList<>();
+    for (Object change : answer.list(WireFields.CHANGES)) {
+      changes.add(change(Fields.of(change, WireFields.CHANGES)));
+    }
+    return new Reply.Changed(changes, answer.count(WireFields.REVISION));
+  }
+
+  private static Reply.Item change(Fields fields) throws MalformedMessageException {
+    if (fields.has(WireFields.PUT_KEY)) {
+      String key = fields.text(WireFields.PUT_KEY);
+      return item(key, fields, fields.count(WireFields.VERSION));
     }
-    return new Reply.Changed(items, f.whole("LedgerRev"));
+    String key = fields.text(WireFields.DELETE_KEY);
+    return new Reply.Item(key, null, fields.count(WireFields.VERSION));
   }
 
   /** Keys of others may hold anything; what is not a map reads as an empty one. */
   @SuppressWarnings("unchecked")
-  private static Reply.Item item(String key, Fields f, long version) {
+  private static Reply.Item item(String key, Fields fields, long version) {
     Map<String, Object> data =
-        f.raw("Data") instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+        fields.raw(WireFields.VALUE) instanceof Map<?, ?> map
+            ? (Map<String, Object>) map
+            : Map.of();
     return new Reply.Item(key, StoredValueCodec.decode(key, data), version);
   }
 }
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -7,16 +7,20 @@
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.model.JobSpec;
 
-/** What users send and get. */
+/** Messages from and to users: submissions, job states and errors. */
 public final class UserMessages {
+  /** A larger request of a user is refused. */
   public static final int MAX_BYTES = 64 * 1024;
+
   private static final int MAX_TASKS = 100_000;
-  private static final int MAX_TYPES = 100;
-  private static final int MAX_TYPE = 100;
-  private static final Pattern ID = Pattern.compile("job-[0-9]{1,20}");
+  private static final int MAX_MACHINE_TYPES = 100;
+  private static final int MAX_MACHINE_TYPE_LENGTH = 100;
+  private static final Pattern JOB_ID_FORM = Pattern.compile("job-[0-9]{1,20}");
+
   private static final Map<String, JobSpec.Shape> SHAPES =
       Map.of("sweep", JobSpec.Shape.ARRAY, "standing", JobSpec.Shape.SERVICE);
-  private static final Map<String, JobSpec.Priority> URGENCIES =
+
+  private static final Map<String, JobSpec.Priority> PRIORITIES =
       Map.of(
           "production",
           JobSpec.Priority.PRODUCTION,
@@ -26,7 +30,8 @@
           JobSpec.Priority.NORMAL,
           "low",
           JobSpec.Priority.LOW);
-  private static final Map<Answer.Phase, String> PHASES =
+
+  private static final Map<Answer.Phase, String> STATES =
       Map.of(
           Answer.Phase.PENDING,
           "pending",
@@ -41,14 +46,14 @@
 
   /** Whether a text has the form of a job id. */
   public static boolean isJobId(String id) {
-    return ID.matcher(id).matches();
+    return JOB_ID_FORM.matcher(id).matches();
   }
 
-  /** The id alone, so that a known job can be answered whatever else the message holds. */
+  /** Decodes the id alone, so that a known job can be answered whatever else the message holds. */
   public static String decodeJobId(Map<String, Object> message) throws MalformedMessageException {
-    String id = new Fields(message).text("Id");
+    String id = new Fields(message).text(WireFields.JOB_ID);
     if (!isJobId(id)) {
-      throw new MalformedMessageException("Id has another form than job-000001");
+      throw new MalformedMessageException(WireFields.JOB_ID, "has another form than job-000001");
     }
     return id;
   }
@@ -56,60 +61,77 @@
   /** Decodes and checks a submission; the exception names the field that is wrong. */
   public static JobSpec decodeSubmission(Map<String, Object> message)
       throws MalformedMessageException {
-    Fields f = new Fields(message);
-    JobSpec.Shape shape = SHAPES.get(f.text("Shape"));
-    if (shape == null) {
-      throw new MalformedMessageException("Shape is unknown");
-    }
-    JobSpec.Priority priority = URGENCIES.get(f.text("Urgency"));
-    if (priority == null) {
-      throw new MalformedMessageException("Urgency is unknown");
-    }
-    long tasks = f.whole("Pieces");
-    if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new MalformedMessageException("Pieces is not between 1 and " + MAX_TASKS);
-    }
-    List<String> types = f.has("Hulls") ? f.texts("Hulls") : null;
-    if (types != null
-        && (types.size() > MAX_TYPES || types.stream().anyMatch(t -> t.length() > MAX_TYPE))) {
-      // A job's record must fit into one value of the state service.
-      throw new MalformedMessageException("Hulls is too long");
-    }
+    Fields fields = new Fields(message);
+    // The order of the checks is part of the answer: the first field that is wrong is named.
+    JobSpec.Shape shape = known(SHAPES, fields, WireFields.SHAPE);
+    JobSpec.Priority priority = known(PRIORITIES, fields, WireFields.PRIORITY);
+    int tasks = taskCount(fields);
+    List<String> machineTypes = machineTypes(fields);
     return new JobSpec(
         decodeJobId(message),
-        f.text("JobkindGroup"),
-        f.text("Crew"),
+        fields.text(WireFields.JOB_CLASS),
+        fields.text(WireFields.TEAM),
         shape,
         priority,
-        (int) tasks,
-        f.amount("Cores"),
-        f.amount("Accelerators"),
-        f.amount("MemoryGb"),
-        f.text("Bundle"),
-        f.amount("ImageGb"),
-        types,
-        f.textOrNull("Fjord"),
-        f.flag("OneZone"),
-        f.flag("Scatter"),
-        f.flag("Driftwood"),
-        f.micros("GuessS"),
-        f.micros("CairnEveryS"),
-        f.micros("CairnS"),
-        f.microsOr("DueS", JobSpec.NO_DEADLINE));
+        tasks,
+        fields.amount(WireFields.CPUS),
+        fields.amount(WireFields.ACCELERATORS),
+        fields.amount(WireFields.MEMORY_GB),
+        fields.text(WireFields.IMAGE),
+        fields.amount(WireFields.IMAGE_GB),
+        machineTypes,
+        fields.textOrNull(WireFields.ZONE),
+        fields.flag(WireFields.ONE_ZONE),
+        fields.flag(WireFields.SPREAD),
+        fields.flag(WireFields.SPOT),
+        fields.micros(WireFields.ESTIMATE_S),
+        fields.micros(WireFields.CHECKPOINT_INTERVAL_S),
+        fields.micros(WireFields.CHECKPOINT_DURATION_S),
+        fields.microsOr(WireFields.DEADLINE_S, JobSpec.NO_DEADLINE));
+  }
+
+  private static <T> T known(Map<String, T> values, Fields fields, String name)
+      throws MalformedMessageException {
+    T value = values.get(fields.text(name));
+    if (value == null) {
+      throw new MalformedMessageException(name, "is unknown");
+    }
+    return value;
+  }
+
+  private static int taskCount(Fields fields) throws MalformedMessageException {
+    long tasks = fields.count(WireFields.TASKS);
+    if (tasks < 1 || tasks > MAX_TASKS) {
+      throw new MalformedMessageException(WireFields.TASKS, "is not between 1 and " + MAX_TASKS);
+    }
+    return (int) tasks;
+  }
+
+  /** Null when any type will do. Bounded, as a job's record must fit into one stored value. */
+  private static List<String> machineTypes(Fields fields) throws MalformedMessageException {
+    if (!fields.has(WireFields.MACHINE_TYPES)) {
+      return null;
+    }
+    List<String> types = fields.texts(WireFields.MACHINE_TYPES);
+    if (types.size() > MAX_MACHINE_TYPES
+        || types.stream().anyMatch(type -> type.length() > MAX_MACHINE_TYPE_LENGTH)) {
+      throw new MalformedMessageException(WireFields.MACHINE_TYPES, "is too long");
+    }
+    return types;
   }
 
   /** Encodes the state of a job. */
   public static byte[] encodeJobStatus(Answer.JobView view) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Id", view.id());
-    m.put("Tide", PHASES.get(view.phase()));
-    m.put("done", (long) view.done());
-    m.put("running", (long) view.running());
-    return MessagePackCodec.write(m);
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put(WireFields.JOB_ID, view.id());
+    message.put(WireFields.STATE, STATES.get(view.phase()));
+    message.put(WireFields.TASKS_DONE, (long) view.done());
+    message.put(WireFields.TASKS_RUNNING, (long) view.running());
+    return MessagePackCodec.write(message);
   }
 
   /** Encodes the reason of a refusal. */
   public static byte[] encodeError(String reason) {
-    return MessagePackCodec.write(Map.of("error", reason));
+    return MessagePackCodec.write(Map.of(WireFields.ERROR, reason));
   }
 }
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -12,9 +12,9 @@
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
 
-/** What workers send and get. */
+/** Messages from and to workers: heartbeats, their answers, and commands. */
 public final class WorkerMessages {
-  private static final Map<String, TaskState> STATES =
+  private static final Map<String, TaskState> TASK_STATES =
       Map.of(
           "fetching",
           TaskState.FETCHING,
@@ -24,6 +24,7 @@
           TaskState.SAVING,
           "ended",
           TaskState.ENDED);
+
   private static final Map<String, Exit> EXITS =
       Map.of(
           "done",
@@ -39,18 +40,36 @@
           "no_such",
           Exit.UNKNOWN_JOB);
 
+  private static final String LAUNCH = "launch";
+  private static final String KILL = "kill";
+  private static final String ACKNOWLEDGE = "reap";
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private WorkerMessages() {}
 
-  /** The tasks of a report, one after the other. */
-  private static final class Pieces implements MessagePackCodec.Rows {
-    private static final String[] NAMES = {"Piece", "Try", "Tide", "Cause", "Saved"};
+  /** Reads the tasks of a heartbeat, one after the other. */
+  private static final class TaskRows implements MessagePackCodec.RowReader {
+    private static final int TASK = 0;
+    private static final int ATTEMPT = 1;
+    private static final int STATE = 2;
+    private static final int EXIT = 3;
+    private static final int SAVED = 4;
+
+    /** In the order of the indexes above. */
+    private static final String[] NAMES = {
+      WireFields.TASK,
+      WireFields.ATTEMPT,
+      WireFields.STATE,
+      WireFields.EXIT,
+      WireFields.CHECKPOINT_SAVED
+    };
 
     private List<Entry> entries = new ArrayList<>();
     private MalformedMessageException fault;
 
     @Override
     public String field() {
-      return "Pieces";
+      return WireFields.TASKS;
     }
 
     @Override
@@ -75,88 +94,99 @@
         }
       }
     }
-  }
 
-  /** Decodes and checks a worker's report. */
-  public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
-    Pieces pieces = new Pieces();
-    Fields f = new Fields(MessagePackCodec.readMap(body, pieces));
-    if (!f.list("Pieces").isEmpty()) {
-      throw new MalformedMessageException("Pieces is not a map");
-    }
-    if (pieces.fault != null) {
-      throw pieces.fault;
+    private static Entry entry(Object[] values) throws MalformedMessageException {
+      TaskId task = TaskId.parse(Fields.text(values[TASK], WireFields.TASK));
+      TaskState state = TASK_STATES.get(Fields.text(values[STATE], WireFields.STATE));
+      if (task == null || state == null) {
+        throw new MalformedMessageException(WireFields.TASKS, "holds an unknown task or state");
+      }
+      Exit exit = state == TaskState.ENDED ? exit(values[EXIT]) : Exit.NONE;
+      long attempt = Fields.count(values[ATTEMPT], WireFields.ATTEMPT);
+      return new Entry(task, attempt, state, exit, Boolean.TRUE.equals(values[SAVED]));
     }
-    List<Entry> entries = pieces.entries;
-    return new Heartbeat(
-        f.text("Skerry"),
-        f.text("Endpoint"),
-        f.text("Hull"),
-        f.text("Fjord"),
-        f.flag("Driftwood"),
-        f.whole("Watch"),
-        f.whole("Tally"),
-        new FencingToken(f.whole("Baton")),
-        f.microsOr("WarningS", Heartbeat.NO_NOTICE),
-        entries);
-  }
 
-  private static Entry entry(Object[] values) throws MalformedMessageException {
-    TaskId task = TaskId.parse(Fields.text(values[0], "Piece"));
-    TaskState state = STATES.get(Fields.text(values[2], "Tide"));
-    if (task == null || state == null) {
-      throw new MalformedMessageException("Pieces holds an unknown task or state");
+    /** A reason that this version does not know can only mean that the task did not complete. */
+    private static Exit exit(Object value) throws MalformedMessageException {
+      return EXITS.getOrDefault(Fields.text(value, WireFields.EXIT), Exit.ERROR);
     }
-    Exit exit = Exit.NONE;
-    if (state == TaskState.ENDED) {
-      // A reason this version does not know can only mean that the task did not complete.
-      exit = EXITS.getOrDefault(Fields.text(values[3], "Cause"), Exit.ERROR);
+
+    /** The tasks that were read; {@code others} are the items of the list that were no rows. */
+    List<Entry> entries(List<?> others) throws MalformedMessageException {
+      if (!others.isEmpty()) {
+        throw new MalformedMessageException(WireFields.TASKS, "is not a map");
+      }
+      if (fault != null) {
+        throw fault;
+      }
+      return entries;
     }
-    return new Entry(
-        task, Fields.whole(values[1], "Try"), state, exit, Boolean.TRUE.equals(values[4]));
   }
 
-  /** The answer to a report. */
+  /** Decodes and checks a worker's heartbeat. */
+  public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
+    TaskRows rows = new TaskRows();
+    Fields fields = new Fields(MessagePackCodec.readMap(body, rows));
+    List<Entry> tasks = rows.entries(fields.list(WireFields.TASKS));
+    return new Heartbeat(
+        fields.text(WireFields.MACHINE),
+        fields.text(WireFields.ADDRESS),
+        fields.text(WireFields.MACHINE_TYPE),
+        fields.text(WireFields.ZONE),
+        fields.flag(WireFields.SPOT),
+        fields.count(WireFields.INCARNATION),
+        fields.count(WireFields.SEQUENCE),
+        new FencingToken(fields.count(WireFields.FENCING_TOKEN)),
+        fields.microsOr(WireFields.SPOT_NOTICE_S, Heartbeat.NO_NOTICE),
+        tasks);
+  }
+
+  /** Encodes the answer to a heartbeat. */
   public static byte[] encodeHeartbeatAnswer(FencingToken fencingToken, List<Order> orders) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", fencingToken.value());
-    m.put("Orders", write(orders));
-    return MessagePackCodec.write(m);
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put(WireFields.FENCING_TOKEN, fencingToken.value());
+    message.put(WireFields.ORDERS, encode(orders));
+    return MessagePackCodec.write(message);
   }
 
-  /** A command sent to the worker itself. */
+  /** Encodes a command that is sent to the worker itself. */
   public static byte[] encodeCommand(
       FencingToken fencingToken, long incarnation, List<Order> orders) {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", fencingToken.value());
-    m.put("Watch", incarnation);
-    m.put("Orders", write(orders));
-    return MessagePackCodec.write(m);
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put(WireFields.FENCING_TOKEN, fencingToken.value());
+    message.put(WireFields.INCARNATION, incarnation);
+    message.put(WireFields.ORDERS, encode(orders));
+    return MessagePackCodec.write(message);
   }
 
   /** Encodes the body of a 421: the node to report to, or none when it is null. */
   public static byte[] encodeRedirect(String node) {
-    return MessagePackCodec.write(node == null ? Map.of() : Map.of("Harbour", node));
+    return MessagePackCodec.write(node == null ? Map.of() : Map.of(WireFields.REDIRECT_NODE, node));
   }
 
-  private static List<Object> write(List<Order> orders) {
-    List<Object> list = new ArrayList<>(orders.size());
+  private static List<Object> encode(List<Order> orders) {
+    List<Object> encoded = new ArrayList<>(orders.size());
     for (Order order : orders) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      if (order instanceof Order.Launch) {
-        m.put("Verb", "launch");
-      } else if (order instanceof Order.Kill) {
-        m.put("Verb", "kill");
-      } else {
-        m.put("Verb", "reap");
-      }
-      m.put("Piece", order.task().toString());
-      m.put("Try", order.attempt());
-      if (order instanceof Order.Kill kill) {
-        m.put("LeewayS", kill.graceMicros() / 1e6);
-      }
-      list.add(m);
+      encoded.add(encode(order));
+    }
+    return encoded;
+  }
+
+  private static Map<String, Object> encode(Order order) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put(WireFields.ORDER_KIND, kind(order));
+    fields.put(WireFields.TASK, order.task().toString());
+    fields.put(WireFields.ATTEMPT, order.attempt());
+    if (order instanceof Order.Kill kill) {
+      fields.put(WireFields.GRACE_S, kill.graceMicros() / MICROS_PER_SECOND);
+    }
+    return fields;
+  }
+
+  private static String kind(Order order) {
+    if (order instanceof Order.Launch) {
+      return LAUNCH;
     }
-    return list;
+    return order instanceof Order.Kill ? KILL : ACKNOWLEDGE;
   }
 }
--- a/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
+++ b/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
@@ -7,6 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Example;
@@ -113,6 +114,8 @@
     MalformedMessageException refused =
         assertThrows(MalformedMessageException.class, () -> UserMessages.decodeSubmission(message));
     assertEquals(wrong.getKey(), refused.getMessage().split(" ")[0]);
+    assertEquals(Optional.of(wrong.getKey()), refused.field());
+    assertEquals(wrong.getKey() + " " + refused.problem(), refused.getMessage());
   }
 
   @Provide
--- a/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
@@ -65,7 +65,7 @@
               : Exit.NONE;
       entries.add(
           new Entry(
-              task, piece.whole("Try"), state, exit, Boolean.TRUE.equals(piece.raw("Saved"))));
+              task, piece.count("Try"), state, exit, Boolean.TRUE.equals(piece.raw("Saved"))));
     }
     return new Heartbeat(
         f.text("Skerry"),
@@ -73,9 +73,9 @@
         f.text("Hull"),
         f.text("Fjord"),
         f.flag("Driftwood"),
-        f.whole("Watch"),
-        f.whole("Tally"),
-        new FencingToken(f.whole("Baton")),
+        f.count("Watch"),
+        f.count("Tally"),
+        new FencingToken(f.count("Baton")),
         f.microsOr("WarningS", Heartbeat.NO_NOTICE),
         entries);
   }
