--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -53,12 +53,12 @@
 
   @Override
   public void put(String key, StoredValue value, Runnable onDurable) {
-    stateWriter.note(key, value, onDurable);
+    stateWriter.putDuty(key, value, onDurable);
   }
 
   @Override
   public void remove(String key) {
-    stateWriter.note(key, null, NOTHING);
+    stateWriter.removeDuty(key, NOTHING);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/message/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -10,8 +10,11 @@
 /** What the core asks of the world. Each gets exactly one {@link Reply}. */
 public sealed interface Request {
 
-  /** A key and the version that it must have; version 0 means that it must not exist. */
-  record Condition(String key, long version) {}
+  /** A key and the version that it must have. */
+  record Condition(String key, long version) {
+    /** In place of a version: the key must not exist. */
+    public static final long ABSENT = 0;
+  }
 
   /** Puts a value, or drops the key when the value is null. Lease 0 means none. */
   record Write(String key, StoredValue value, long lease) {}
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -61,7 +61,7 @@
   void hundredsOfNotesHoldUpNoCompletionAndWaitForNone() {
     int[] durable = new int[1];
     for (int i = 0; i < 300; i++) {
-      stateWriter.note(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
+      stateWriter.putDuty(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
       stateWriter.finished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
@@ -131,16 +131,16 @@
   void theLatestValueCountsAndEveryoneIsTold() {
     List<String> told = new ArrayList<>();
     String key = StateKeys.release("1-1");
-    stateWriter.note(key, release(1), () -> told.add("first"));
-    stateWriter.note(key, release(2), () -> told.add("second"));
+    stateWriter.putDuty(key, release(1), () -> told.add("first"));
+    stateWriter.putDuty(key, release(2), () -> told.add("second"));
     assertEquals(release(2), next().get(0).value());
     assertEquals(List.of("first", "second"), told);
     // One that comes while another value is on its way waits for its own.
-    stateWriter.note(key, release(3), () -> told.add("third"));
+    stateWriter.putDuty(key, release(3), () -> told.add("third"));
     bench.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
-    stateWriter.note(key, null, () -> told.add("dropped"));
+    stateWriter.removeDuty(key, () -> told.add("dropped"));
     bench.sink.replied(
         ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.versions));
     assertEquals(List.of("first", "second", "third"), told);
