--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -71,7 +71,7 @@
     this.leadership = leadership;
     this.membership = membership;
     cloud = new CloudCalls(sink, leadership, clock, settings.cloudRps());
-    catalog = new CatalogRefresh(sink, replica, workers, term);
+    catalog = new CatalogRefresh(sink, replica, workers, cloud, clock, term);
     pendingMachines = new PendingMachines(replica, clock, term);
     RentalOptionSelector selector = new RentalOptionSelector(replica, membership, clock);
     planner = new CapacityPlanner(workers, demand, pendingMachines, selector, clock);
@@ -93,7 +93,6 @@
   /** The term is over: nothing more is decided, and late answers of the cloud are dropped. */
   public void close() {
     provisioning.close();
-    catalog.close();
     cloud.close();
   }
 
@@ -135,14 +134,10 @@
   /** Does what is due; nothing while this leader may not launch. */
   public void tick(long nowMicros) {
     clock.advanceTo(nowMicros);
-    catalog.at(nowMicros);
     if (!leadership.mayLaunch(nowMicros)) {
       return;
     }
-    if (catalog.due() && cloud.isWithinRate()) {
-      cloud.charge();
-      catalog.read();
-    }
+    catalog.tick();
     if (clock.isDecisionDue()) {
       clock.decisionTaken();
       retirement.retire();
--- a/src/main/java/org/eiderstair/core/capacity/CloudCalls.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudCalls.java
@@ -40,14 +40,9 @@
     return isWithinRate() && leadership.mayLaunch(clock.nowMicros());
   }
 
-  /** Counts a call that is made elsewhere. */
-  void charge() {
-    budget.take(1);
-  }
-
   /** A call that only reads. */
   void query(Request request, Consumer<Reply> callback) {
-    charge();
+    budget.take(1);
     sink.call(request, whileOpen(callback));
   }
 
@@ -57,7 +52,7 @@
    * it.
    */
   void change(Request request, Consumer<Reply> callback) {
-    charge();
+    budget.take(1);
     sink.call(request, leadership.bounds().leaseEndMicros(), whileOpen(callback));
   }
 
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -1,7 +1,7 @@
 package org.eiderstair.core.provisioning;
 
 import java.util.List;
-import java.util.Map;
+import java.util.SortedMap;
 import org.eiderstair.core.record.StoredValue;
 
 /**
@@ -40,7 +40,7 @@
    *
    * @param stored their records by key; one that cannot be read is passed over
    */
-  public void resume(Map<String, StoredValue> stored, long nowMicros) {
+  public void resume(SortedMap<String, StoredValue> stored, long nowMicros) {
     term.begin(nowMicros);
     records.read(stored, rentals, releases);
     host.info("provisioning RECOVERING, term=" + term.number() + ": of earlier terms " + summary());
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
@@ -1,13 +1,11 @@
 package org.eiderstair.core.provisioning;
 
-import java.util.Map;
-import java.util.TreeMap;
+import java.util.SortedMap;
 import org.eiderstair.core.record.ReleaseRecord;
 import org.eiderstair.core.record.RentalIntentRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.record.UnreadableValue;
-import org.eiderstair.core.record.UnreadableValueException;
 
 /** The records of open rentals and releases in the state service. */
 final class ProvisioningRecords {
@@ -21,39 +19,46 @@
     this.term = term;
   }
 
-  /**
-   * Gives each record to its reader, in the order of keys. One that cannot be read is logged and
-   * left unchanged, as a newer version may have written it.
-   */
-  void read(Map<String, StoredValue> records, RentalIntents rentals, MachineReleases releases) {
-    new TreeMap<>(records)
-        .forEach(
-            (key, value) -> {
-              try {
-                read(key, value, rentals, releases);
-              } catch (RuntimeException e) {
-                host.error(
-                    "unreadable provisioning record key="
-                        + key
-                        + ", left unchanged, term="
-                        + term
-                        + ": "
-                        + e.getMessage());
-              }
-            });
+  /** Gives each record to those who take it over, in the order of keys. */
+  void read(
+      SortedMap<String, StoredValue> records, RentalIntents rentals, MachineReleases releases) {
+    records.forEach(
+        (key, value) -> {
+          try {
+            read(key, value, rentals, releases);
+          } catch (RuntimeException e) {
+            // A record that ends one leader would end each of its successors.
+            unreadable(key, e.getMessage());
+          }
+        });
   }
 
-  private static void read(
+  private void read(
       String key, StoredValue value, RentalIntents rentals, MachineReleases releases) {
     if (value instanceof RentalIntentRecord rental) {
       rentals.resume(RentalIntent.of(StateKeys.Kind.RENTAL.idOf(key), rental));
     } else if (value instanceof ReleaseRecord release) {
       releases.resume(MachineRelease.of(StateKeys.Kind.RELEASE.idOf(key), release));
-    } else if (value instanceof UnreadableValue unreadable) {
-      throw new UnreadableValueException(unreadable.problem());
+    } else if (value instanceof UnreadableValue unreadable && isProvisioningKey(key)) {
+      unreadable(key, unreadable.problem());
     }
   }
 
+  private static boolean isProvisioningKey(String key) {
+    StateKeys.Kind kind = StateKeys.kindOf(key);
+    return kind == StateKeys.Kind.RENTAL || kind == StateKeys.Kind.RELEASE;
+  }
+
+  private void unreadable(String key, String problem) {
+    host.error(
+        "unreadable provisioning record key="
+            + key
+            + ", left unchanged, term="
+            + term
+            + ": "
+            + problem);
+  }
+
   void write(RentalIntent rental) {
     write(rental, NOTHING);
   }
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
@@ -159,8 +160,8 @@
   }
 
   /** The records of leaders, by key. */
-  public Map<String, StoredValue> dutyRecords() {
-    Map<String, StoredValue> records = new TreeMap<>();
+  public SortedMap<String, StoredValue> dutyRecords() {
+    SortedMap<String, StoredValue> records = new TreeMap<>();
     duties.values().forEach(item -> records.put(item.key(), item.value()));
     return records;
   }
