--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -194,7 +194,7 @@
 
     @Override
     public void submit(Event.Submit event) {
-      jobService.submit(event.exchange(), event.id(), event.spec(), event.fault());
+      jobService.submit(event.exchange(), event.submission());
     }
 
     @Override
@@ -247,7 +247,7 @@
   private final class ReplicaChanges implements Replica.Listener {
     @Override
     public void leaderChanged() {
-      cancellationBroadcast.leader(replica.leader());
+      cancellationBroadcast.leaderChanged(replica.leader());
       leadership.leaderChanged();
     }
 
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -3,7 +3,6 @@
 import java.util.List;
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.Heartbeat;
-import org.eiderstair.core.model.JobSpec;
 
 /** What happens to the core: a request of a user, a worker or a peer, a reply, or passing time. */
 public sealed interface Event {
@@ -63,11 +62,8 @@
     }
   }
 
-  /**
-   * A user submits; {@code spec} is null and {@code fault} set when the body is malformed but its
-   * id is not.
-   */
-  record Submit(long exchange, String id, JobSpec spec, String fault) implements Event {
+  /** A user submits a job. */
+  record Submit(long exchange, Submission submission) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
       handler.submit(this);
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Event;
-import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.message.Submission;
 import org.eiderstair.peer.PeerMessages;
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
@@ -204,14 +204,13 @@
 
   private void submit(long exchange, Map<String, Object> message) throws MalformedMessageException {
     String id = UserMessages.decodeJobId(message);
-    JobSpec spec = null;
-    String fault = null;
+    Submission submission;
     try {
-      spec = UserMessages.decodeSubmission(message);
+      submission = new Submission.Readable(UserMessages.decodeSubmission(message));
     } catch (MalformedMessageException e) {
-      fault = e.getMessage();
+      submission = new Submission.Malformed(id, e.getMessage());
     }
-    events.accept(new Event.Submit(exchange, id, spec, fault));
+    events.accept(new Event.Submit(exchange, submission));
   }
 
   /** The core's answer to an exchange. */
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -6,6 +6,7 @@
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.record.CatalogRecord;
@@ -29,7 +30,7 @@
     JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     service.tick(AT_MICROS);
     bench.effects.clear();
-    service.submit(1, spec.id(), spec, null);
+    service.submit(1, new Submission.Readable(spec));
     Effect.Call call = (Effect.Call) bench.effects.get(0);
     return ((Request.StoreTxn) call.request()).writes().get(0);
   }
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -14,6 +14,7 @@
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
+import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
@@ -290,11 +291,9 @@
         bytes(
             i -> {
               Map<String, Object> message = MessagePackCodec.readMap(bodies.get(i));
-              jobService.submit(
-                  1,
-                  UserMessages.decodeJobId(message),
-                  UserMessages.decodeSubmission(message),
-                  null);
+              // As the router does it: the id first, then all of the message.
+              UserMessages.decodeJobId(message);
+              jobService.submit(1, new Submission.Readable(UserMessages.decodeSubmission(message)));
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
               bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -107,7 +107,7 @@
   @Example
   void aFollowerGoesOn() {
     core.handle(new Event.Tick(), now);
-    core.handle(new Event.Submit(1, null, null, null), now);
+    core.handle(new Event.Submit(1, null), now);
     core.handle(new Event.ReadyProbe(2), now);
     assertEquals(
         1,
--- a/src/test/java/org/eiderstair/sim/SimulatedUsers.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedUsers.java
@@ -10,6 +10,7 @@
 import java.util.function.LongFunction;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.JobSpec;
 
 /**
@@ -63,7 +64,8 @@
     Answer.Phase before = phases.get(spec.id());
     askAny(
         exchange ->
-            new Event.Submit(exchange, spec.id(), cluster.planted.submission.apply(spec), null),
+            new Event.Submit(
+                exchange, new Submission.Readable(cluster.planted.submission.apply(spec))),
         answer -> {
           if (answer instanceof Answer.JobView view) {
             confirmed[0] = true;
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.JobSpec;
 
 /** What users do beside their usual jobs: overload, waves of cancellations, repeated requests. */
@@ -153,10 +154,17 @@
     Answer.Phase before = cluster.users.phase(job);
     cluster.ask(
         node,
-        exchange -> new Event.Submit(exchange, job, spec, spec == null ? "Cores is missing" : null),
+        exchange -> new Event.Submit(exchange, submission(job, spec)),
         answer -> checkAnswer(job, before, answer));
   }
 
+  /** {@code spec} is null where the rest of the request cannot be read. */
+  private static Submission submission(String job, JobSpec spec) {
+    return spec == null
+        ? new Submission.Malformed(job, "Cores is missing")
+        : new Submission.Readable(spec);
+  }
+
   private void checkAnswer(String job, Answer.Phase before, Answer answer) {
     if (answer instanceof Answer.JobView view) {
       cluster.users.answered(view, before);
@@ -200,9 +208,7 @@
     JobSpec tooLarge = SampleJobs.job(id).cpus(SimulatedCloud.TYPE.cpus() + 1).build();
     cluster.ask(
         node,
-        exchange ->
-            new Event.Submit(
-                exchange, id, unreadable ? null : tooLarge, unreadable ? "Cores is missing" : null),
+        exchange -> new Event.Submit(exchange, submission(id, unreadable ? null : tooLarge)),
         answer -> cluster.rules.checkImpossibleNotAccepted(id, answer));
   }
 }
