--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -66,7 +66,7 @@
     this.cancellationBroadcast = new CancellationBroadcast(settings.node(), sink);
     this.jobService = new JobService(settings, sink, replica, cancellationBroadcast::committed);
     this.stateServiceHealth = new StateServiceHealth(settings, sink, replica);
-    sink.observeReplies(stateServiceHealth::replied);
+    sink.observeReplies(stateServiceHealth::replyReceived);
     this.membership =
         new Membership(
             settings.node(),
@@ -156,13 +156,16 @@
   }
 
   private void stepDownForNewerLeader() {
-    String newer = stateServiceHealth.newerLeader(leadership.term());
-    if (newer != null && leadership.isLeader()) {
-      leadership.deposed(
-          "a peer that the state service serves follows "
-              + newer
-              + ", term="
-              + stateServiceHealth.newerTerm());
+    if (leadership.isLeader()) {
+      stateServiceHealth
+          .newerLeader(leadership.term())
+          .ifPresent(
+              newer ->
+                  leadership.deposed(
+                      "a peer that the state service serves follows leader="
+                          + newer.node()
+                          + ", term="
+                          + newer.term()));
     }
   }
 
@@ -229,7 +232,7 @@
 
     @Override
     public void readyProbe(Event.ReadyProbe event) {
-      boolean ready = replica.loaded() && !stateServiceHealth.alone();
+      boolean ready = replica.loaded() && !stateServiceHealth.isIsolated();
       sink.respond(event.exchange(), new Answer.Ready(ready));
     }
 
--- a/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
+++ b/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
@@ -51,10 +51,9 @@
   private String leaderNode() {
     Replica.Leader leader = replica.leader();
     // While the state service refuses this node alone, its own replica of the leader key is old.
-    String newer = stateServiceHealth.newerLeader(leader == null ? 0 : leader.term());
-    if (newer != null) {
-      return newer;
-    }
-    return leader == null ? null : leader.node();
+    return stateServiceHealth
+        .newerLeader(leader == null ? 0 : leader.term())
+        .map(StateServiceHealth.PeerLeader::node)
+        .orElse(leader == null ? null : leader.node());
   }
 }
--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -35,7 +35,7 @@
   }
 
   void stateServiceStatus(Event.StateServiceStatusRequested event) {
-    sink.respond(event.exchange(), stateServiceHealth.standing());
+    sink.respond(event.exchange(), stateServiceHealth.status());
   }
 
   void membership(Event.MembershipRequested event, long nowMicros) {
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -1,5 +1,6 @@
 package org.eiderstair.core.state;
 
+import java.util.Optional;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
@@ -9,41 +10,50 @@
 
 /**
  * Whether the state service serves this node. A single node cannot tell an outage from a refusal
- * that only it gets: its peers can. A node that alone is refused does not say that it is ready, and
- * gives way as leader; in an outage all stay as they are, since none could do better.
+ * that only it gets: its peers can. A node that alone is refused is not ready, and resigns as
+ * leader; in an outage all stay as they are, since none could do better.
  */
 public final class StateServiceHealth {
 
   /**
-   * DOUBTED had no answer for a while and asks its peers; ALONE was told by one of them that it is
-   * served.
+   * SUSPECT had no answer for a while and asks its peers; ISOLATED was told by one of them that it
+   * is served.
    */
-  enum State {
-    SERVED,
-    DOUBTED,
-    ALONE
+  private enum State {
+    REACHABLE,
+    SUSPECT,
+    ISOLATED
   }
 
+  /** The leader that a peer follows. */
+  public record PeerLeader(String node, long term) {}
+
+  private static final PeerLeader NO_LEADER = new PeerLeader(null, 0);
+  private static final int STATUS_UNAVAILABLE = 503;
   private static final long PROBE_AFTER_MICROS = 1_000_000;
 
-  /** Younger than an answer that a peer in doubt can still remember from before an outage. */
-  private static final long ATTEST_WITHIN_MICROS = 1_300_000;
+  /** An older answer may be from before the outage in which a peer asks. */
+  private static final long SERVED_WITHIN_MICROS = 1_300_000;
 
-  private static final long DOUBT_AFTER_MICROS = 2_500_000;
+  private static final long SUSPECT_AFTER_MICROS = 2_500_000;
   private static final long ASK_EVERY_MICROS = 1_000_000;
-  private static final long BELIEVE_MICROS = 3_500_000;
+
+  /** How long a peer's word counts. */
+  private static final long ISOLATED_MICROS = 3_500_000;
 
   private final Settings settings;
   private final EffectSink sink;
   private final Replica replica;
-  private State state = State.SERVED;
+  private State state = State.REACHABLE;
+  private boolean started;
   private long now;
-  private long servedMicros;
-  private long attestedMicros;
+  private long lastServedMicros;
+  private long lastPeerServedMicros;
   private long nextProbeMicros;
   private long nextAskMicros;
-  private String leader;
-  private long leaderTerm;
+
+  /** Of the highest term that a peer has told of. */
+  private PeerLeader peerLeader = NO_LEADER;
 
   public StateServiceHealth(Settings settings, EffectSink sink, Replica replica) {
     this.settings = settings;
@@ -52,65 +62,70 @@
   }
 
   /** Whether the state service refuses this node but serves a peer. */
-  public boolean alone() {
-    return state == State.ALONE;
+  public boolean isIsolated() {
+    return state == State.ISOLATED;
   }
 
-  /** The leader that a served peer follows, where this node's own picture is older; else null. */
-  public String newerLeader(long thanTerm) {
-    return state == State.ALONE && leaderTerm > thanTerm ? leader : null;
+  /** The leader that a served peer follows, while this node is isolated and knows an older one. */
+  public Optional<PeerLeader> newerLeader(long knownTerm) {
+    return isIsolated() && peerLeader.node() != null && peerLeader.term() > knownTerm
+        ? Optional.of(peerLeader)
+        : Optional.empty();
   }
 
-  /** The term of the newer leader, or 0. */
-  public long newerTerm() {
-    return state == State.ALONE ? leaderTerm : 0;
-  }
-
-  /** What this node tells a peer that asks. */
-  public Answer.StateServiceStatus standing() {
-    Replica.Leader known = replica.leader();
+  /** What this node answers a peer that asks. */
+  public Answer.StateServiceStatus status() {
+    Replica.Leader leader = replica.leader();
     // Seen at the start of an outage: a peer that had not noticed yet made the others believe they
-    // were alone.
-    boolean served = now < servedMicros + ATTEST_WITHIN_MICROS && replica.loaded();
-    return new Answer.StateServiceStatus(
-        served, known == null ? null : known.node(), known == null ? 0 : known.term());
+    // were isolated.
+    boolean served = now < lastServedMicros + SERVED_WITHIN_MICROS && replica.loaded();
+    return leader == null
+        ? new Answer.StateServiceStatus(served, null, 0)
+        : new Answer.StateServiceStatus(served, leader.node(), leader.term());
   }
 
-  /** An answer came from the state service, or none did. */
-  public void replied(Request request, Reply reply) {
-    boolean ofState =
-        request instanceof Request.StoreTxn
-            || request instanceof Request.StoreGet
-            || request instanceof Request.StoreList
-            || request instanceof Request.StoreWatch
-            || request instanceof Request.LeaseGrant
-            || request instanceof Request.LeaseRenew;
-    boolean refused =
-        reply instanceof Reply.NoResponse || reply instanceof Reply.Refused r && r.status() == 503;
-    if (ofState && !refused) {
-      servedMicros = now;
-      become(State.SERVED);
+  /** A request of this node was answered, or was not. */
+  public void replyReceived(Request request, Reply reply) {
+    if (isForStateService(request) && isServed(reply)) {
+      lastServedMicros = now;
+      transitionTo(State.REACHABLE);
     }
   }
 
-  /** Probes the state service, and asks peers when it is in doubt. */
+  private static boolean isForStateService(Request request) {
+    return request instanceof Request.StoreTxn
+        || request instanceof Request.StoreGet
+        || request instanceof Request.StoreList
+        || request instanceof Request.StoreWatch
+        || request instanceof Request.LeaseGrant
+        || request instanceof Request.LeaseRenew;
+  }
+
+  private static boolean isServed(Reply reply) {
+    boolean unavailable =
+        reply instanceof Reply.Refused refused && refused.status() == STATUS_UNAVAILABLE;
+    return !unavailable && !(reply instanceof Reply.NoResponse);
+  }
+
+  /** Probes the state service, and asks peers when it does not answer. */
   public void tick(long nowMicros) {
-    if (now == 0) {
-      servedMicros = nowMicros;
+    if (!started) {
+      started = true;
+      lastServedMicros = nowMicros;
     }
     now = nowMicros;
-    if (now < servedMicros + PROBE_AFTER_MICROS) {
+    if (now < lastServedMicros + PROBE_AFTER_MICROS) {
       return;
     }
     if (now >= nextProbeMicros) {
       nextProbeMicros = now + PROBE_AFTER_MICROS;
       sink.call(new Request.StoreGet(StateKeys.LEADER), reply -> {});
     }
-    if (now < servedMicros + DOUBT_AFTER_MICROS) {
+    if (now < lastServedMicros + SUSPECT_AFTER_MICROS) {
       return;
     }
-    if (state == State.SERVED || state == State.ALONE && now > attestedMicros + BELIEVE_MICROS) {
-      become(State.DOUBTED);
+    if (state == State.REACHABLE || isIsolated() && now > lastPeerServedMicros + ISOLATED_MICROS) {
+      transitionTo(State.SUSPECT);
     }
     if (now >= nextAskMicros) {
       nextAskMicros = now + ASK_EVERY_MICROS;
@@ -122,23 +137,27 @@
     sink.call(
         new Request.PeerStateServiceStatus(peer),
         reply -> {
-          if (state != State.SERVED
-              && reply instanceof Reply.PeerStateServiceStatus standing
-              && standing.served()) {
-            attestedMicros = now;
-            if (standing.term() >= leaderTerm) {
-              leaderTerm = standing.term();
-              leader = standing.leader();
-            }
-            become(State.ALONE);
+          if (reply instanceof Reply.PeerStateServiceStatus status && status.served()) {
+            peerServed(status);
           }
         });
   }
 
+  private void peerServed(Reply.PeerStateServiceStatus status) {
+    if (state == State.REACHABLE) {
+      return;
+    }
+    lastPeerServedMicros = now;
+    if (status.term() >= peerLeader.term()) {
+      peerLeader = new PeerLeader(status.leader(), status.term());
+    }
+    transitionTo(State.ISOLATED);
+  }
+
   /** The one function for every change of state. */
-  private void become(State next) {
+  private void transitionTo(State next) {
     if (next != state) {
-      sink.info("state service: " + state + " -> " + next);
+      sink.info("state service " + state + " -> " + next);
       state = next;
     }
   }
--- a/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.EffectSink;
@@ -41,14 +42,14 @@
               calls.add(call);
             }
           });
-  private final StateServiceHealth reach =
+  private final StateServiceHealth health =
       new StateServiceHealth(settings, sink, new Replica(settings, sink, null, 0));
 
   private void pass(long seconds, Reply ofState, Reply ofPeers) {
-    sink.observeReplies(reach::replied);
+    sink.observeReplies(health::replyReceived);
     for (long end = now + seconds * SECOND; now < end; ) {
       now += SECOND;
-      reach.tick(now);
+      health.tick(now);
       List<Effect.Call> made = List.copyOf(calls);
       calls.clear();
       made.forEach(
@@ -63,22 +64,23 @@
   @Example
   void aNodeThatAloneIsRefusedLearnsItFromItsPeers() {
     pass(6, new Reply.Refused(503), new Reply.PeerStateServiceStatus(true, "n2", 9));
-    assertTrue(reach.alone());
-    assertEquals("n2", reach.newerLeader(8));
+    assertTrue(health.isIsolated());
+    assertEquals(Optional.of(new StateServiceHealth.PeerLeader("n2", 9)), health.newerLeader(8));
+    assertEquals(Optional.empty(), health.newerLeader(9));
     pass(1, new Reply.Found(null, 9), null);
-    assertFalse(reach.alone());
+    assertFalse(health.isIsolated());
   }
 
   /** In an outage nobody is better off elsewhere, so nobody steps back. */
   @Example
-  void inAnOutageNobodyIsAlone() {
+  void inAnOutageNobodyIsIsolated() {
     pass(30, new Reply.Refused(503), new Reply.PeerStateServiceStatus(false, null, 0));
-    assertFalse(reach.alone());
+    assertFalse(health.isIsolated());
   }
 
   @Example
   void peersThatDoNotAnswerProveNothing() {
     pass(30, new Reply.NoResponse("timeout"), new Reply.NoResponse("refused"));
-    assertFalse(reach.alone());
+    assertFalse(health.isIsolated());
   }
 }
