--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -1,10 +1,7 @@
 package org.eiderstair.peer;
 
-import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import org.apache.avro.AvroRuntimeException;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.HeartbeatDigest;
@@ -38,307 +35,283 @@
  * schema, so nodes of two versions understand each other or know that they do not.
  */
 public final class PeerMessages {
+  /** Where a follower relays a heartbeat to. */
   public static final String RELAY_PATH = "/peer/relay";
+
+  /** Where a peer is asked which machines it reaches. */
   public static final String MEMBERSHIP_PATH = "/peer/heard";
+
+  /** Where the leader sends its state's changes to. */
   public static final String REPLICATION_PATH = "/peer/standby";
+
+  /** Where cancellations are sent to. */
   public static final String CANCELLATIONS_PATH = "/peer/cancelled";
+
+  /** Where a peer is asked whether the state service serves it. */
   public static final String STATE_SERVICE_STATUS_PATH = "/peer/standing";
+
+  /** A larger message of a peer is refused. */
   public static final int MAX_BYTES = 128 * 1024;
 
+  private static final int OK = 200;
+  private static final int MISDIRECTED = 421;
+  private static final int UNAVAILABLE = 503;
+
   private PeerMessages() {}
 
-  /** Encodes a worker's report that is passed on to the leader. */
-  public static byte[] encodeHeartbeat(Heartbeat r) {
-    List<RelayedTask> tasks = new ArrayList<>(r.tasks().size());
-    for (Heartbeat.Entry e : r.tasks()) {
-      tasks.add(
-          new RelayedTask(
-              e.task().job(),
-              e.task().index(),
-              e.attempt(),
-              RelayedState.valueOf(e.state().name()),
-              RelayedExit.valueOf(e.exit().name()),
-              e.saved()));
-    }
-    try {
-      return bytes(
-          RelayedReport.getEncoder()
-              .encode(
-                  new RelayedReport(
-                      r.machine(),
-                      r.address(),
-                      r.type(),
-                      r.zone(),
-                      r.spot(),
-                      r.incarnation(),
-                      r.sequence(),
-                      r.fencingToken().value(),
-                      r.noticeMicros(),
-                      tasks)));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+  /** Encodes a worker's heartbeat that is relayed to the leader. */
+  public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
+    List<RelayedTask> tasks = new ArrayList<>(heartbeat.tasks().size());
+    for (Heartbeat.Entry entry : heartbeat.tasks()) {
+      tasks.add(relayedTask(entry));
     }
+    return AvroCodec.encode(
+        RelayedReport.getEncoder(),
+        new RelayedReport(
+            heartbeat.machine(),
+            heartbeat.address(),
+            heartbeat.type(),
+            heartbeat.zone(),
+            heartbeat.spot(),
+            heartbeat.incarnation(),
+            heartbeat.sequence(),
+            heartbeat.fencingToken().value(),
+            heartbeat.noticeMicros(),
+            tasks));
+  }
+
+  private static RelayedTask relayedTask(Heartbeat.Entry entry) {
+    return new RelayedTask(
+        entry.task().job(),
+        entry.task().index(),
+        entry.attempt(),
+        RelayedState.valueOf(entry.state().name()),
+        RelayedExit.valueOf(entry.exit().name()),
+        entry.saved());
   }
 
-  /** Decodes a worker's report that a peer has passed on. */
+  /** Decodes a worker's heartbeat that a peer has relayed. */
   public static Heartbeat decodeHeartbeat(byte[] bytes) throws MalformedMessageException {
-    try {
-      RelayedReport r = RelayedReport.getDecoder().decode(bytes);
-      List<Heartbeat.Entry> tasks = new ArrayList<>(r.getTasks().size());
-      for (RelayedTask t : r.getTasks()) {
-        tasks.add(
-            new Heartbeat.Entry(
-                new TaskId(t.getJob(), t.getIndex()),
-                t.getAttempt(),
-                Heartbeat.TaskState.valueOf(t.getState().name()),
-                Heartbeat.Exit.valueOf(t.getExit().name()),
-                t.getSaved()));
-      }
-      return new Heartbeat(
-          r.getMachine(),
-          r.getAddress(),
-          r.getType(),
-          r.getZone(),
-          r.getSpot(),
-          r.getSession(),
-          r.getSequence(),
-          new FencingToken(r.getToken()),
-          r.getNoticeMicros(),
-          tasks);
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a relayed report: " + e.getMessage());
+    RelayedReport report = AvroCodec.decode(RelayedReport.getDecoder(), bytes, "a relayed report");
+    List<Heartbeat.Entry> tasks = new ArrayList<>(report.getTasks().size());
+    for (RelayedTask task : report.getTasks()) {
+      tasks.add(entry(task));
     }
+    return new Heartbeat(
+        report.getMachine(),
+        report.getAddress(),
+        report.getType(),
+        report.getZone(),
+        report.getSpot(),
+        report.getSession(),
+        report.getSequence(),
+        new FencingToken(report.getToken()),
+        report.getNoticeMicros(),
+        tasks);
   }
 
-  /** Encodes the leader's answer to a report that was passed on. */
+  private static Heartbeat.Entry entry(RelayedTask task) {
+    return new Heartbeat.Entry(
+        new TaskId(task.getJob(), task.getIndex()),
+        task.getAttempt(),
+        Heartbeat.TaskState.valueOf(task.getState().name()),
+        Heartbeat.Exit.valueOf(task.getExit().name()),
+        task.getSaved());
+  }
+
+  /** Encodes the leader's answer to a relayed heartbeat; any other answer is "unavailable". */
   public static byte[] encodeHeartbeatAnswer(Answer answer) {
-    RelayedAnswer a = new RelayedAnswer(503, 0L, List.of(), null, "");
+    return AvroCodec.encode(RelayedAnswer.getEncoder(), relayedAnswer(answer));
+  }
+
+  private static RelayedAnswer relayedAnswer(Answer answer) {
     if (answer instanceof Answer.Command command) {
       List<RelayedOrder> orders = new ArrayList<>(command.orders().size());
-      for (Order o : command.orders()) {
-        RelayedVerb verb =
-            o instanceof Order.Launch
-                ? RelayedVerb.LAUNCH
-                : o instanceof Order.Kill ? RelayedVerb.KILL : RelayedVerb.REAP;
-        long grace = o instanceof Order.Kill kill ? kill.graceMicros() : 0;
-        orders.add(new RelayedOrder(verb, o.task().job(), o.task().index(), o.attempt(), grace));
+      for (Order order : command.orders()) {
+        orders.add(relayedOrder(order));
       }
-      a = new RelayedAnswer(200, command.fencingToken().value(), orders, null, "");
-    } else if (answer instanceof Answer.Redirect redirect) {
-      a = new RelayedAnswer(421, 0L, List.of(), redirect.node(), "");
-    } else if (answer instanceof Answer.Failure failure) {
-      a = new RelayedAnswer(failure.status(), 0L, List.of(), null, failure.reason());
+      return new RelayedAnswer(OK, command.fencingToken().value(), orders, null, "");
+    }
+    if (answer instanceof Answer.Redirect redirect) {
+      return new RelayedAnswer(MISDIRECTED, 0L, List.of(), redirect.node(), "");
+    }
+    if (answer instanceof Answer.Failure failure) {
+      return new RelayedAnswer(failure.status(), 0L, List.of(), null, failure.reason());
     }
-    try {
-      return bytes(RelayedAnswer.getEncoder().encode(a));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+    return new RelayedAnswer(UNAVAILABLE, 0L, List.of(), null, "");
+  }
+
+  private static RelayedOrder relayedOrder(Order order) {
+    long graceMicros = order instanceof Order.Kill kill ? kill.graceMicros() : 0;
+    return new RelayedOrder(
+        verb(order), order.task().job(), order.task().index(), order.attempt(), graceMicros);
+  }
+
+  private static RelayedVerb verb(Order order) {
+    if (order instanceof Order.Launch) {
+      return RelayedVerb.LAUNCH;
     }
+    return order instanceof Order.Kill ? RelayedVerb.KILL : RelayedVerb.REAP;
   }
 
-  /** Decodes the leader's answer to a report that was passed on. */
+  /** Decodes the leader's answer to a relayed heartbeat. */
   public static Answer decodeHeartbeatAnswer(byte[] bytes) throws MalformedMessageException {
-    try {
-      RelayedAnswer a = RelayedAnswer.getDecoder().decode(bytes);
-      if (a.getStatus() == 200) {
-        List<Order> orders = new ArrayList<>(a.getOrders().size());
-        for (RelayedOrder o : a.getOrders()) {
-          TaskId task = new TaskId(o.getJob(), o.getIndex());
-          orders.add(
-              switch (o.getVerb()) {
-                case LAUNCH -> new Order.Launch(task, o.getAttempt());
-                case KILL -> new Order.Kill(task, o.getAttempt(), o.getGraceMicros());
-                case REAP -> new Order.Acknowledge(task, o.getAttempt());
-              });
-        }
-        return new Answer.Command(new FencingToken(a.getToken()), orders);
-      }
-      return a.getStatus() == 421
-          ? new Answer.Redirect(a.getNode())
-          : new Answer.Failure(a.getStatus(), a.getReason(), 0);
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a relayed answer: " + e.getMessage());
+    RelayedAnswer answer = AvroCodec.decode(RelayedAnswer.getDecoder(), bytes, "a relayed answer");
+    return switch (answer.getStatus()) {
+      case OK -> command(answer);
+      case MISDIRECTED -> new Answer.Redirect(answer.getNode());
+      default -> new Answer.Failure(answer.getStatus(), answer.getReason(), 0);
+    };
+  }
+
+  private static Answer.Command command(RelayedAnswer answer) {
+    List<Order> orders = new ArrayList<>(answer.getOrders().size());
+    for (RelayedOrder order : answer.getOrders()) {
+      orders.add(order(order));
     }
+    return new Answer.Command(new FencingToken(answer.getToken()), orders);
+  }
+
+  private static Order order(RelayedOrder order) {
+    TaskId task = new TaskId(order.getJob(), order.getIndex());
+    return switch (order.getVerb()) {
+      case LAUNCH -> new Order.Launch(task, order.getAttempt());
+      case KILL -> new Order.Kill(task, order.getAttempt(), order.getGraceMicros());
+      case REAP -> new Order.Acknowledge(task, order.getAttempt());
+    };
   }
 
   /** Encodes whether the state service serves this node, and whom it follows. */
-  public static byte[] encodeStateServiceStatus(Answer.StateServiceStatus standing) {
-    try {
-      return bytes(
-          PeerStanding.getEncoder()
-              .encode(new PeerStanding(standing.served(), standing.leader(), standing.term())));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
-    }
+  public static byte[] encodeStateServiceStatus(Answer.StateServiceStatus status) {
+    return AvroCodec.encode(
+        PeerStanding.getEncoder(),
+        new PeerStanding(status.served(), status.leader(), status.term()));
   }
 
   /** Decodes whether the state service serves a peer, and whom that follows. */
   public static Reply.PeerStateServiceStatus decodeStateServiceStatus(byte[] bytes)
       throws MalformedMessageException {
-    try {
-      PeerStanding s = PeerStanding.getDecoder().decode(bytes);
-      return new Reply.PeerStateServiceStatus(s.getServed(), s.getLeader(), s.getTerm());
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a peer's standing: " + e.getMessage());
-    }
+    PeerStanding status = AvroCodec.decode(PeerStanding.getDecoder(), bytes, "a peer's standing");
+    return new Reply.PeerStateServiceStatus(
+        status.getServed(), status.getLeader(), status.getTerm());
   }
 
-  /** Encodes a question for the machines that report to a peer. */
-  public static byte[] encodeMembershipRequest(String run, long after) {
-    try {
-      return bytes(HeardAsk.getEncoder().encode(new HeardAsk(run, after)));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
-    }
+  /** Encodes a request for the changes of a peer's digest after a sequence number. */
+  public static byte[] encodeMembershipRequest(String runId, long afterSequence) {
+    return AvroCodec.encode(HeardAsk.getEncoder(), new HeardAsk(runId, afterSequence));
   }
 
-  /** Decodes a question for the machines that report to this node. */
+  /** Decodes a request for the machines that report to this node. */
   public static Event.MembershipRequested decodeMembershipRequest(long exchange, byte[] bytes)
       throws MalformedMessageException {
-    try {
-      HeardAsk asked = HeardAsk.getDecoder().decode(bytes);
-      return new Event.MembershipRequested(exchange, asked.getRun(), asked.getAfter());
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a question for machines heard: " + e.getMessage());
-    }
+    HeardAsk request =
+        AvroCodec.decode(HeardAsk.getDecoder(), bytes, "a question for machines heard");
+    return new Event.MembershipRequested(exchange, request.getRun(), request.getAfter());
   }
 
   /** Encodes the machines that report to this node. */
   public static byte[] encodeHeartbeatDigest(HeartbeatDigest digest) {
     List<HeardChange> changes = new ArrayList<>(digest.changes().size());
-    for (HeartbeatDigest.Change c : digest.changes()) {
-      changes.add(new HeardChange(c.machine(), c.reachable(), c.durationMicros()));
-    }
-    try {
-      return bytes(
-          HeardTold.getEncoder()
-              .encode(
-                  new HeardTold(
-                      digest.runId(),
-                      digest.full(),
-                      digest.lastSequence(),
-                      digest.more(),
-                      changes)));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+    for (HeartbeatDigest.Change change : digest.changes()) {
+      changes.add(new HeardChange(change.machine(), change.reachable(), change.durationMicros()));
     }
+    return AvroCodec.encode(
+        HeardTold.getEncoder(),
+        new HeardTold(
+            digest.runId(), digest.full(), digest.lastSequence(), digest.more(), changes));
   }
 
   /** Decodes the machines that report to a peer. */
   public static Reply.PeerMembership decodeHeartbeatDigest(byte[] bytes)
       throws MalformedMessageException {
-    try {
-      HeardTold told = HeardTold.getDecoder().decode(bytes);
-      List<HeartbeatDigest.Change> changes = new ArrayList<>(told.getChanges().size());
-      for (HeardChange c : told.getChanges()) {
-        changes.add(new HeartbeatDigest.Change(c.getMachine(), c.getHeard(), c.getForMicros()));
-      }
-      return new Reply.PeerMembership(
-          new HeartbeatDigest(
-              told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not machines heard: " + e.getMessage());
+    HeardTold digest = AvroCodec.decode(HeardTold.getDecoder(), bytes, "machines heard");
+    List<HeartbeatDigest.Change> changes = new ArrayList<>(digest.getChanges().size());
+    for (HeardChange change : digest.getChanges()) {
+      changes.add(
+          new HeartbeatDigest.Change(
+              change.getMachine(), change.getHeard(), change.getForMicros()));
     }
+    return new Reply.PeerMembership(
+        new HeartbeatDigest(
+            digest.getRun(), digest.getWhole(), digest.getLast(), digest.getMore(), changes));
   }
 
-  /** Encodes changes of the leader's picture for its standby. */
+  /** Encodes changes of the leader's state for its standby. */
   public static byte[] encodeReplicationBatch(ReplicationBatch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
-    for (ReplicationBatch.Change c : batch.changes()) {
+    for (ReplicationBatch.Change change : batch.changes()) {
       changes.add(
           new StandbyChange(
-              c.present(), c.machine(), c.incarnation(), c.job(), c.index(), c.attempt()));
-    }
-    try {
-      return bytes(
-          StandbyBatch.getEncoder()
-              .encode(
-                  new StandbyBatch(
-                      batch.term(),
-                      batch.snapshot(),
-                      batch.firstSequence(),
-                      batch.snapshotIncomplete(),
-                      changes)));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+              change.present(),
+              change.machine(),
+              change.incarnation(),
+              change.job(),
+              change.index(),
+              change.attempt()));
     }
+    return AvroCodec.encode(
+        StandbyBatch.getEncoder(),
+        new StandbyBatch(
+            batch.term(),
+            batch.snapshot(),
+            batch.firstSequence(),
+            batch.snapshotIncomplete(),
+            changes));
   }
 
-  /** Decodes changes of the leader's picture. */
+  /** Decodes changes of the leader's state. */
   public static ReplicationBatch decodeReplicationBatch(byte[] bytes)
       throws MalformedMessageException {
-    try {
-      StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
-      List<ReplicationBatch.Change> changes = new ArrayList<>(b.getChanges().size());
-      for (StandbyChange c : b.getChanges()) {
-        changes.add(
-            new ReplicationBatch.Change(
-                c.getThere(),
-                c.getMachine(),
-                c.getSession(),
-                c.getJob(),
-                c.getIndex(),
-                c.getAttempt()));
-      }
-      return new ReplicationBatch(b.getTerm(), b.getFilling(), b.getFirst(), b.getMore(), changes);
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not changes for a standby: " + e.getMessage());
+    StandbyBatch batch =
+        AvroCodec.decode(StandbyBatch.getDecoder(), bytes, "changes for a standby");
+    List<ReplicationBatch.Change> changes = new ArrayList<>(batch.getChanges().size());
+    for (StandbyChange change : batch.getChanges()) {
+      changes.add(
+          new ReplicationBatch.Change(
+              change.getThere(),
+              change.getMachine(),
+              change.getSession(),
+              change.getJob(),
+              change.getIndex(),
+              change.getAttempt()));
     }
+    return new ReplicationBatch(
+        batch.getTerm(), batch.getFilling(), batch.getFirst(), batch.getMore(), changes);
   }
 
   /** Encodes the standby's acknowledgement. */
   public static byte[] encodeReplicationAck(ReplicationBatch.Ack ack) {
-    try {
-      return bytes(
-          StandbyAck.getEncoder()
-              .encode(new StandbyAck(ack.runId(), ack.accepted(), ack.throughSequence())));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
-    }
+    return AvroCodec.encode(
+        StandbyAck.getEncoder(),
+        new StandbyAck(ack.runId(), ack.accepted(), ack.throughSequence()));
   }
 
   /** Decodes the standby's acknowledgement. */
   public static Reply.ReplicationAck decodeReplicationAck(byte[] bytes)
       throws MalformedMessageException {
-    try {
-      StandbyAck a = StandbyAck.getDecoder().decode(bytes);
-      return new Reply.ReplicationAck(
-          new ReplicationBatch.Ack(a.getRun(), a.getAccepted(), a.getUpTo()));
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not a standby's answer: " + e.getMessage());
-    }
+    StandbyAck ack = AvroCodec.decode(StandbyAck.getDecoder(), bytes, "a standby's answer");
+    return new Reply.ReplicationAck(
+        new ReplicationBatch.Ack(ack.getRun(), ack.getAccepted(), ack.getUpTo()));
   }
 
   /** Encodes cancellations that this node has committed. */
   public static byte[] encodeCancellations(List<Cancellation> cancellations) {
     List<CancelledJob> jobs = new ArrayList<>(cancellations.size());
-    for (Cancellation c : cancellations) {
-      jobs.add(new CancelledJob(c.job(), c.version(), c.done()));
-    }
-    try {
-      return bytes(CancellationsTold.getEncoder().encode(new CancellationsTold(jobs)));
-    } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+    for (Cancellation cancellation : cancellations) {
+      jobs.add(new CancelledJob(cancellation.job(), cancellation.version(), cancellation.done()));
     }
+    return AvroCodec.encode(CancellationsTold.getEncoder(), new CancellationsTold(jobs));
   }
 
   /** Decodes cancellations that a peer has committed. */
   public static List<Cancellation> decodeCancellations(byte[] bytes)
       throws MalformedMessageException {
-    try {
-      List<Cancellation> cancellations = new ArrayList<>();
-      for (CancelledJob c : CancellationsTold.getDecoder().decode(bytes).getJobs()) {
-        cancellations.add(new Cancellation(c.getJob(), c.getVersion(), c.getDone()));
-      }
-      return cancellations;
-    } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new MalformedMessageException("not cancellations: " + e.getMessage());
+    CancellationsTold message =
+        AvroCodec.decode(CancellationsTold.getDecoder(), bytes, "cancellations");
+    List<Cancellation> cancellations = new ArrayList<>(message.getJobs().size());
+    for (CancelledJob job : message.getJobs()) {
+      cancellations.add(new Cancellation(job.getJob(), job.getVersion(), job.getDone()));
     }
-  }
-
-  private static byte[] bytes(ByteBuffer buffer) {
-    byte[] bytes = new byte[buffer.remaining()];
-    buffer.get(bytes);
-    return bytes;
+    return cancellations;
   }
 }
