--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -156,7 +156,7 @@
       return false;
     }
     started = true;
-    replica.jobs().forEach(Job::forgetPlaces);
+    replica.jobs().forEach(Job::resetToDurable);
     recoverState();
     capacity.takeOver(now);
     membership.startTerm(now);
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -174,7 +174,7 @@
     // there for it.
     double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
     return Math.min(
-        job.unfinished(),
+        job.unfinishedTasks(),
         remainingMicros(job, nowMicros) / Math.max(windowMicros, estimateMicros(spec)));
   }
 
@@ -185,8 +185,8 @@
   /** The remaining running time of all tasks of a job, as its owner estimates it. */
   private static double remainingMicros(Job job, long nowMicros) {
     double estimate = estimateMicros(job.spec());
-    double remaining = job.waiting() * estimate;
-    for (Attempt attempt : job.active.values()) {
+    double remaining = job.freeTasks() * estimate;
+    for (Attempt attempt : job.attempts()) {
       boolean running = attempt.reportedState() == Heartbeat.TaskState.RUNNING;
       double left = running ? estimate - (nowMicros - attempt.runningSinceMicros()) : estimate;
       remaining += Math.max(left, estimate / MIN_REMAINING_DIVISOR);
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -138,7 +138,7 @@
     long cancelledBefore = now - settings.cancelMicros() + RELEASE_DURATION_MICROS;
     for (Job job : replica.cancelledLately(now)) {
       if (job.cancelledMicros() < cancelledBefore) {
-        for (Attempt attempt : new ArrayList<>(job.active.values())) {
+        for (Attempt attempt : new ArrayList<>(job.attempts())) {
           releaseHolder(attempt, now - job.cancelledMicros());
         }
       }
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -1,14 +1,17 @@
 package org.eiderstair.core.model;
 
 import java.util.BitSet;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
-import java.util.Map;
-import java.util.Set;
+import java.util.Collection;
+import java.util.List;
+import java.util.OptionalInt;
 
 /**
- * A job as this node knows it, and, at the leader, where its tasks are. A task has at most one
- * attempt that may be alive; only when that attempt is proven gone does the task become free again.
+ * A job as this node knows it: its state and durable progress as the state service holds them, and,
+ * at the leader, which tasks are completed and where the others are attempted. A task has at most
+ * one attempt that may be alive; only when that attempt is proven to have ended does the task
+ * become free again.
+ *
+ * <p>Tasks are numbered from 0; times are microseconds of this node's clock.
  */
 public final class Job {
   private static final int LIKELY_FAULTY_MACHINES = 3;
@@ -21,10 +24,13 @@
   }
 
   public final String id;
+  private final long submittedMicros;
   private State state = State.OPEN;
   private long version;
   private int tasks;
   private int finalDone;
+  private long cancelledMicros;
+  private long cancellationSeenMicros;
 
   /**
    * Null once the job is done: the history must stay small. A cancelled job keeps it, since a later
@@ -37,24 +43,12 @@
   /** Tasks that workers showed to be completed, whether that is durable or not; at the leader. */
   private BitSet completed = new BitSet();
 
-  public final Map<Integer, Attempt> active = new HashMap<>();
-
+  private final JobAttempts attempts = new JobAttempts();
+  private final FailureBackoff failures = new FailureBackoff();
   private int effectivePriority;
   private boolean started;
-  private final FailureBackoff failures = new FailureBackoff();
   private long lastPreemptionMicros;
 
-  /**
-   * Those of them that wait at the leader for a machine's room, the one that has waited longest in
-   * front.
-   */
-  public final Set<Attempt> queued = new LinkedHashSet<>();
-
-  private final long submittedMicros;
-  private long cancelledMicros;
-  private long cancellationSeenMicros;
-  private int firstFree;
-
   /**
    * @param submittedMicros when its user submitted it, as far as this node knows
    */
@@ -68,26 +62,6 @@
     return submittedMicros;
   }
 
-  /** When it was cancelled, as far as that is known; never later than when this node saw it. */
-  public long cancelledMicros() {
-    return cancelledMicros;
-  }
-
-  /** Sets when it was cancelled, if it was. */
-  public void setCancelledMicros(long micros) {
-    cancelledMicros = micros;
-  }
-
-  /** When this node saw that it was cancelled. */
-  public long cancellationSeenMicros() {
-    return cancellationSeenMicros;
-  }
-
-  /** This node has seen that it was cancelled. */
-  public void markCancellationSeen(long nowMicros) {
-    cancellationSeenMicros = nowMicros;
-  }
-
   /** Whether it is open or final. */
   public State state() {
     return state;
@@ -113,8 +87,20 @@
     return state == State.OPEN;
   }
 
-  /** The one place where a job changes state. A final state never changes: users have been told. */
-  public void become(State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
+  /** How many tasks were done when the job became final; kept for display. */
+  public int finalDone() {
+    return finalDone;
+  }
+
+  /**
+   * Applies what the state service holds: the one place where a job changes state. What is not
+   * newer is ignored, and a final state never changes, since users may have read it.
+   *
+   * @param withSpec its description; null to keep the known one
+   * @param doneCount how many tasks were done when it was cancelled, as far as that is stored
+   */
+  public void transitionTo(
+      State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
     if (atVersion <= version || state != State.OPEN && next != state) {
       return;
     }
@@ -132,13 +118,33 @@
   }
 
   /** Drops what only an open job needs, once nothing of it is on a machine any more. */
-  public void shrink() {
-    if (state == State.DONE && active.isEmpty()) {
+  public void releaseIfDone() {
+    if (state == State.DONE && attempts.count() == 0) {
       spec = null;
       completed = new BitSet();
     }
   }
 
+  /** When it was cancelled, as far as that is known; never later than when this node saw it. */
+  public long cancelledMicros() {
+    return cancelledMicros;
+  }
+
+  /** Sets when it was cancelled, if it was. */
+  public void setCancelledMicros(long micros) {
+    cancelledMicros = micros;
+  }
+
+  /** When this node saw that it was cancelled. */
+  public long cancellationSeenMicros() {
+    return cancellationSeenMicros;
+  }
+
+  /** This node has seen that it was cancelled. */
+  public void markCancellationSeen(long nowMicros) {
+    cancellationSeenMicros = nowMicros;
+  }
+
   /**
    * Progress of this version is stored. The version counts even if what is stored can't be read.
    *
@@ -187,6 +193,14 @@
     return durableProgress.running();
   }
 
+  /** A new leader starts from what is durable, and knows of no attempts. */
+  public void resetToDurable() {
+    attempts.clear();
+    completed = durableProgress.copyOfCompleted();
+    started = durableProgress.hasStarted();
+    failures.reset();
+  }
+
   /** Whether a worker showed that the task is completed. */
   public boolean isCompleted(int index) {
     return completed.get(index);
@@ -226,40 +240,84 @@
     return completed.equals(tasksCompleted);
   }
 
-  /**
-   * The lowest-numbered task that is neither done nor possibly somewhere, from {@code from} on; -1
-   * if none.
-   */
-  public int nextFree(int from) {
-    for (int i = Math.max(from, firstFree); i < tasks; i++) {
-      i = completed.nextClearBit(i);
-      if (i >= tasks) {
-        return -1;
-      }
-      if (!active.containsKey(i)) {
-        return i;
-      }
-      if (i == firstFree) {
-        // Attempts come off again, so this is only a hint that freed() takes back.
-        firstFree = i + 1;
-      }
-    }
-    return -1;
+  /** How many tasks are not completed. */
+  public int unfinishedTasks() {
+    return tasks - completed.cardinality();
   }
 
-  /** A task is no longer possibly on a machine. */
-  public void freed(int index) {
-    firstFree = Math.min(firstFree, index);
+  /** How many tasks are neither completed nor attempted. */
+  public int freeTasks() {
+    return unfinishedTasks() - attempts.count();
   }
 
-  /** A new leader starts from what is durable, and knows of no attempts. */
-  public void forgetPlaces() {
-    active.clear();
-    completed = durableProgress.copyOfCompleted();
-    firstFree = 0;
-    queued.clear();
-    started = durableProgress.hasStarted();
-    failures.reset();
+  /** How many tasks wait for room on a machine, those queued for one included. */
+  public int waitingTasks() {
+    return freeTasks() + attempts.queuedCount();
+  }
+
+  /** Whether any task waits for room on a machine. */
+  public boolean hasWaitingTasks() {
+    return freeTasks() > 0 || hasQueuedAttempts();
+  }
+
+  /** The lowest-numbered task from {@code from} on that is neither completed nor attempted. */
+  public OptionalInt nextFreeTask(int from) {
+    return attempts.nextFree(from, completed, tasks);
+  }
+
+  /** An attempt at one of its tasks begins; one in the phase QUEUED waits for a machine's room. */
+  public void addAttempt(Attempt attempt) {
+    attempts.add(attempt);
+  }
+
+  /** A queued attempt no longer waits for a machine's room. */
+  public void dequeue(Attempt attempt) {
+    attempts.dequeue(attempt);
+  }
+
+  /** An attempt is no longer possibly on a machine: its task is free, unless attempted again. */
+  public void removeAttempt(Attempt attempt) {
+    attempts.remove(attempt);
+  }
+
+  /** The attempt at a task; null if there is none. */
+  public Attempt attempt(int index) {
+    return attempts.get(index);
+  }
+
+  /** Whether a task is queued for a machine, on its way to one, or may be on one. */
+  public boolean isAttempted(int index) {
+    return attempts.get(index) != null;
+  }
+
+  /** The attempts at its tasks, for reading. */
+  public Collection<Attempt> attempts() {
+    return attempts.all();
+  }
+
+  /** How many tasks are attempted. */
+  public int attemptCount() {
+    return attempts.count();
+  }
+
+  /** The attempts that wait for a machine's room, the one that waited longest in front; a copy. */
+  public List<Attempt> queuedAttempts() {
+    return attempts.copyOfQueued();
+  }
+
+  /** How many attempts wait for a machine's room. */
+  public int queuedAttemptCount() {
+    return attempts.queuedCount();
+  }
+
+  /** Whether attempts wait for a machine's room. */
+  public boolean hasQueuedAttempts() {
+    return attempts.queuedCount() > 0;
+  }
+
+  /** How many tasks machines show as running. */
+  public int runningCount() {
+    return attempts.runningCount();
   }
 
   /** Sets in which order the job is served; jobs of the smallest value are served first. */
@@ -327,36 +385,4 @@
   public boolean isLikelyFaulty() {
     return failures.failedMachines() >= LIKELY_FAULTY_MACHINES;
   }
-
-  /** How many tasks machines show as running. */
-  public int runningCount() {
-    int running = 0;
-    for (Attempt a : active.values()) {
-      if (a.reportedState() == Heartbeat.TaskState.RUNNING
-          || a.reportedState() == Heartbeat.TaskState.SAVING) {
-        running++;
-      }
-    }
-    return running;
-  }
-
-  /** How many tasks are not done. */
-  public int unfinished() {
-    return tasks - completed.cardinality();
-  }
-
-  /** Whether attempts wait at the leader for room on a machine. */
-  public boolean hasQueued() {
-    return !queued.isEmpty();
-  }
-
-  /** How many tasks are neither done nor on their way to a machine. */
-  public int waiting() {
-    return tasks - completed.cardinality() - active.size();
-  }
-
-  /** How many tasks were done when the job became final; kept for display. */
-  public int finalDone() {
-    return finalDone;
-  }
 }
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -67,7 +67,7 @@
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
     constraints.chooseZone();
-    double neededCpus = (job.waiting() + job.queued.size()) * job.spec().cpus();
+    double neededCpus = job.waitingTasks() * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
     for (Attempt attempt : candidatesOfPass()) {
       if (attempt.isStopRequested()) {
--- a/src/main/java/org/eiderstair/core/placement/JobPlacer.java
+++ b/src/main/java/org/eiderstair/core/placement/JobPlacer.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.placement;
 
-import java.util.ArrayList;
+import java.util.OptionalInt;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.Machine;
@@ -35,8 +35,10 @@
   private void placeWaiting(Job job, PlacementConstraints constraints, long nowMicros) {
     int maxActive = job.isLikelyFaulty() ? 1 : Integer.MAX_VALUE;
     Candidates candidates = null;
-    for (int index = job.nextFree(0); index >= 0; index = job.nextFree(index + 1)) {
-      if (job.active.size() >= maxActive || !admission.admitsOneMore(job)) {
+    OptionalInt next = job.nextFreeTask(0);
+    while (next.isPresent()) {
+      int index = next.getAsInt();
+      if (job.attemptCount() >= maxActive || !admission.admitsOneMore(job)) {
         return;
       }
       constraints.chooseZone();
@@ -54,6 +56,7 @@
         attach(job, index, machine, Attempt.Phase.QUEUED, nowMicros);
       }
       constraints.taskAdded(machine);
+      next = job.nextFreeTask(index + 1);
     }
   }
 
@@ -62,7 +65,7 @@
    * another that has room first.
    */
   private void moveQueuedToAvailable(Job job, PlacementConstraints constraints, long nowMicros) {
-    if (!job.hasQueued()) {
+    if (!job.hasQueuedAttempts()) {
       return;
     }
     Candidates candidates = null;
@@ -75,7 +78,7 @@
       }
     }
     // Not a copy of all active attempts: that cost 80 KB a pass for a job of 16,000 tasks.
-    for (Attempt attempt : new ArrayList<>(job.queued)) {
+    for (Attempt attempt : job.queuedAttempts()) {
       if (!admission.admitsOneMore(job)) {
         return;
       }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -85,7 +85,7 @@
     queues.serve(highestPriority, nowMicros);
     for (Job job : jobs) {
       placer.place(job, nowMicros);
-      if (job.waiting() > 0 || job.hasQueued()) {
+      if (job.hasWaitingTasks()) {
         preemption.preemptFor(job, nowMicros);
       }
     }
--- a/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
@@ -24,7 +24,7 @@
     this.machines = machines;
     this.nowMicros = nowMicros;
     if (hasZoneRule()) {
-      for (Attempt attempt : job.active.values()) {
+      for (Attempt attempt : job.attempts()) {
         taskAdded(attempt.machine());
       }
     }
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -59,7 +59,7 @@
   private Map<String, Integer> waitingTasks() {
     Map<String, Integer> waiting = new TreeMap<>();
     for (Job job : replica.openJobs()) {
-      int tasks = job.waiting() + job.queued.size();
+      int tasks = job.waitingTasks();
       if (tasks > 0) {
         JobSpec spec = job.spec();
         String group = spec.jobClass() + " of " + spec.team() + heldBackBy(spec);
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -53,7 +53,7 @@
   private void countUnconfirmed(long nowMicros) {
     for (Job job : replica.openJobs()) {
       if (job.version() < term) {
-        quotas.addUnconfirmed(job.spec(), job.waiting());
+        quotas.addUnconfirmed(job.spec(), job.freeTasks());
       }
     }
     for (Job job : replica.cancelledLately(nowMicros)) {
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -55,7 +55,8 @@
     for (Job job : byAge) {
       Settings.Team team = settings.teams().get(job.spec().team());
       double cpus =
-          cpusByTeam.merge(job.spec().team(), job.unfinished() * job.spec().cpus(), Double::sum);
+          cpusByTeam.merge(
+              job.spec().team(), job.unfinishedTasks() * job.spec().cpus(), Double::sum);
       if (team != null && team.cpus() > 0 && cpus <= team.cpus()) {
         within.add(job);
       }
@@ -89,7 +90,7 @@
   }
 
   private static boolean hasTaskToPlace(Job job) {
-    return job.waiting() > 0 || job.hasQueued();
+    return job.hasWaitingTasks();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -175,7 +175,7 @@
     Set<Job> selected = new LinkedHashSet<>();
     double cpus = 0;
     for (Job job : boosted) {
-      if (job.open() && job.unfinished() > 0) {
+      if (job.open() && job.unfinishedTasks() > 0) {
         selected.add(job);
         cpus += unfinishedCpus(job);
       }
@@ -199,7 +199,7 @@
   }
 
   private static double unfinishedCpus(Job job) {
-    return job.unfinished() * job.spec().cpus();
+    return job.unfinishedTasks() * job.spec().cpus();
   }
 
   private static boolean startsLate(Job job, long nowMicros) {
--- a/src/main/java/org/eiderstair/core/state/JobTable.java
+++ b/src/main/java/org/eiderstair/core/state/JobTable.java
@@ -70,7 +70,7 @@
       jobs.put(id, job);
     }
     job.setCancelledMicros(steadyMicros(record.cancelledDayMicros()));
-    job.become(record.state(), version, record.tasks(), record.spec(), record.done());
+    job.transitionTo(record.state(), version, record.tasks(), record.spec(), record.done());
     changed(job, isNew);
   }
 
@@ -90,14 +90,14 @@
       }
     }
     listener.jobChanged(job, isNew);
-    job.shrink();
+    job.releaseIfDone();
   }
 
   void apply(Cancellation cancellation) {
     Job job = jobs.get(cancellation.job());
     if (job != null && job.open() && cancellation.version() > job.version()) {
       job.setCancelledMicros(now);
-      job.become(
+      job.transitionTo(
           Job.State.CANCELLED, cancellation.version(), job.tasks(), null, cancellation.done());
       changed(job, false);
     }
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -85,10 +85,9 @@
    */
   void attach(Attempt attempt) {
     attempt.machine().addAttempt(attempt);
-    attempt.job().active.put(attempt.index(), attempt);
+    attempt.job().addAttempt(attempt);
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       attempt.machine().enqueue(attempt);
-      attempt.job().queued.add(attempt);
     } else {
       occupy(attempt);
     }
@@ -117,7 +116,7 @@
 
   private void leaveQueue(Attempt attempt) {
     attempt.machine().dequeue(attempt);
-    attempt.job().queued.remove(attempt);
+    attempt.job().dequeue(attempt);
   }
 
   /** An attempt is gone from its machine: the opposite of {@link #attach}. */
@@ -137,10 +136,7 @@
       }
       roomChanged(attempt.machine());
     }
-    if (attempt.job().active.get(attempt.index()) == attempt) {
-      attempt.job().active.remove(attempt.index());
-      attempt.job().freed(attempt.index());
-    }
+    attempt.job().removeAttempt(attempt);
     attempt.machine().markInUse(time.nowMicros());
     changed = true;
   }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -250,7 +250,7 @@
             && known == null
             && entry.task().index() < job.tasks()
             && !job.isCompleted(entry.task().index())
-            && !job.active.containsKey(entry.task().index());
+            && !job.isAttempted(entry.task().index());
     if (!wanted) {
       if (job != null && !job.open() && known == null && job.spec() != null) {
         adopt(machine, job, entry);
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -239,7 +239,7 @@
                           && job.spec() != null
                           && index < job.tasks()
                           && !job.isCompleted(index)
-                          && !job.active.containsKey(index)) {
+                          && !job.isAttempted(index)) {
                         tracker.attach(
                             new Attempt(job, index, number, machine, Attempt.Phase.REPORTED));
                       }
@@ -352,7 +352,7 @@
 
   /** The job is over: what waits for room goes at once, what may be on machines is killed. */
   public void jobOver(Job job) {
-    for (Attempt attempt : new ArrayList<>(job.active.values())) {
+    for (Attempt attempt : new ArrayList<>(job.attempts())) {
       if (attempt.phase() == Attempt.Phase.QUEUED || attempt.phase() == Attempt.Phase.PLANNED) {
         tracker.remove(attempt);
       } else {
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -175,8 +175,8 @@
     }
     for (Job job : bench.replica.openJobs()) {
       assertEquals(
-          job.active.values().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
-          job.queued.size());
+          job.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
+          job.queuedAttemptCount());
     }
   }
 }
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -125,7 +125,7 @@
   }
 
   private static void seen(Job job) {
-    job.active.values().stream()
+    job.attempts().stream()
         .filter(a -> a.phase() == Attempt.Phase.PLANNED)
         .forEach(
             a -> {
@@ -140,8 +140,8 @@
     Job high = job(2, "blue", Priority.HIGH, 6, 1);
     Machine m = machine("m", "a", true);
     placement.place(NOW);
-    assertEquals(6, high.active.size());
-    assertEquals(4, low.active.size(), "two run and two queue");
+    assertEquals(6, high.attemptCount());
+    assertEquals(4, low.attemptCount(), "two run and two queue");
     assertEquals(2, m.queue().size());
     assertEquals(8, m.plannedLaunches().size());
   }
@@ -152,7 +152,7 @@
     machine("m", "a", true);
     machine("n", "a", true);
     placement.place(NOW);
-    assertEquals(8, red.active.size());
+    assertEquals(8, red.attemptCount());
   }
 
   /**
@@ -169,8 +169,8 @@
     unconfirmed.assignType(TYPE);
     workers.add(unconfirmed);
     placement.place(NOW);
-    assertEquals(0, older.active.size(), "may be on the unheard machine");
-    assertEquals(5, newer.active.size());
+    assertEquals(0, older.attemptCount(), "may be on the unheard machine");
+    assertEquals(5, newer.attemptCount());
   }
 
   /** A worker may run the tasks of a job cancelled just now; long after, none can. */
@@ -188,10 +188,10 @@
     workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(
-        2, newer.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+        2, newer.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
     placement.place(NOW + settings.cancelMicros() + 6_000_000);
     assertEquals(
-        8, newer.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+        8, newer.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
   }
 
   /**
@@ -208,8 +208,8 @@
     machine("m", "a", true);
     machine("n", "a", true);
     placement.place(NOW);
-    assertTrue(normal.active.size() < 8, "placed " + normal.active.size());
-    assertTrue(normal.active.size() >= 4, "at most half of the limit is kept");
+    assertTrue(normal.attemptCount() < 8, "placed " + normal.attemptCount());
+    assertTrue(normal.attemptCount() >= 4, "at most half of the limit is kept");
   }
 
   /**
@@ -227,8 +227,8 @@
     Job waiting = job(3, "red", Priority.NORMAL, 3, 1);
     assertEquals(0, waiting.submittedMicros());
     placement.place(NOW + 1_000_000);
-    assertTrue(inside.active.values().stream().noneMatch(a -> a.isStopRequested()));
-    assertEquals(3, beyond.active.values().stream().filter(a -> a.isStopRequested()).count());
+    assertTrue(inside.attempts().stream().noneMatch(a -> a.isStopRequested()));
+    assertEquals(3, beyond.attempts().stream().filter(a -> a.isStopRequested()).count());
   }
 
   /**
@@ -244,15 +244,15 @@
     seen(small);
     Job large = job(2, "blue", Priority.NORMAL, 1, 4);
     placement.place(NOW + 1);
-    assertTrue(large.hasQueued());
+    assertTrue(large.hasQueuedAttempts());
     for (int i = 0; i < 4; i++) {
       small.markCompleted(i);
-      workers.remove(small.active.get(i));
+      workers.remove(small.attempt(i));
       placement.place(NOW + 2 + i);
     }
     assertEquals(
-        4, small.active.values().stream().filter(a -> a.phase() != Attempt.Phase.QUEUED).count());
-    assertEquals(Attempt.Phase.PLANNED, large.active.get(0).phase());
+        4, small.attempts().stream().filter(a -> a.phase() != Attempt.Phase.QUEUED).count());
+    assertEquals(Attempt.Phase.PLANNED, large.attempt(0).phase());
   }
 
   /**
@@ -266,8 +266,7 @@
     Job flexible = job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
     assertEquals(
-        0,
-        flexible.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+        0, flexible.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
     dear.setReservedForOnDemand(false);
     placement.place(NOW + 1);
     assertEquals(4, dear.plannedLaunches().size());
@@ -281,10 +280,9 @@
     machine("m", "a", true);
     placement.place(NOW);
     assertEquals(
-        4, inside.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+        4, inside.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
     assertEquals(
-        4,
-        borrowed.active.values().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+        4, borrowed.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
   }
 
   @Example
@@ -344,15 +342,11 @@
     placement.place(NOW + 1);
     assertEquals(
         1,
-        replica.job("job-8").active.values().stream()
-            .map(a -> a.machine().zone())
-            .distinct()
-            .count());
+        replica.job("job-8").attempts().stream().map(a -> a.machine().zone()).distinct().count());
     Map<String, Integer> perZone = new HashMap<>();
     replica
         .job("job-9")
-        .active
-        .values()
+        .attempts()
         .forEach(a -> perZone.merge(a.machine().zone(), 1, Integer::sum));
     perZone.values().forEach(n -> assertTrue(n <= 3, perZone.toString()));
   }
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -42,7 +42,7 @@
             0,
             JobSpec.NO_DEADLINE);
     Job job = new Job(spec.id(), submittedMicros);
-    job.become(Job.State.OPEN, numbers, tasks, spec, 0);
+    job.transitionTo(Job.State.OPEN, numbers, tasks, spec, 0);
     open.add(job);
     return job;
   }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -355,7 +355,7 @@
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
       used += worker.alive(task) ? 1 : 0;
-      boolean free = whole && !job.active.containsKey(i) && !job.isCompleted(i);
+      boolean free = whole && !job.isAttempted(i) && !job.isCompleted(i);
       if (free && worker.alive(task)) {
         broken.add("ran_twice: " + task + " is free for the leader and alive on the machine");
       }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -77,7 +77,7 @@
     pass();
     bench.report(m, 0);
     pass();
-    assertEquals(1, job.active.size());
+    assertEquals(1, job.attemptCount());
     bench.effects.clear();
     return job;
   }
@@ -111,7 +111,7 @@
     assertEquals(1, answers().size(), "left without what it had to wait for");
     assertEquals(List.of(cancelled.id), killed(answers().get(0).orders()));
     assertEquals(List.of(), launched(answers().get(0).orders()));
-    assertEquals(1, kept.active.size(), "planned as before");
+    assertEquals(1, kept.attemptCount(), "planned as before");
 
     bench.effects.clear();
     bench.report(m, 0);
@@ -136,7 +136,8 @@
     cancel(cancelled);
     bench.acknowledgements.forEach(Runnable::run);
     assertEquals(List.of(kept.id), launched(answers().get(0).orders()));
-    assertEquals(1, cancelled.active.size(), "counts until the machine shows that it is not there");
+    assertEquals(
+        1, cancelled.attemptCount(), "counts until the machine shows that it is not there");
   }
 
   /**
@@ -204,12 +205,12 @@
     // The reply to the kill was written before the launch arrived, which is late: it does not prove
     // that the launch is dead.
     bench.sink.replied(commands().get(1).callId(), reply(m, true));
-    assertEquals(1, other.active.size(), "still on its way");
-    assertEquals(0, cancelled.active.size());
+    assertEquals(1, other.attemptCount(), "still on its way");
+    assertEquals(0, cancelled.attemptCount());
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
     bench.sink.replied(commands().get(1).callId(), reply(m, true));
     assertEquals(Machine.Phase.FENCING, m.phase());
-    assertEquals(1, other.active.size(), "may still arrive");
+    assertEquals(1, other.attemptCount(), "may still arrive");
   }
 
   /**
@@ -243,7 +244,7 @@
     Machine m = leadsOneMachine();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.placement.place(bench.now);
-    Attempt attempt = job.active.get(0);
+    Attempt attempt = job.attempt(0);
     bench.workers.flush(bench.now);
     bench.standby.tick(bench.now);
     cancel(job);
@@ -300,12 +301,12 @@
             List.of(running)),
         false,
         bench.now);
-    assertEquals(1, job.active.size(), "counts at first: nothing has shown that it is not there");
+    assertEquals(1, job.attemptCount(), "counts at first: nothing has shown that it is not there");
     pass();
     bench.workers.tick(bench.now + bench.settings.leaseMicros(), false);
-    assertEquals(1, job.active.size());
+    assertEquals(1, job.attemptCount());
     bench.workers.tick(bench.now + bench.settings.leaseMicros() + 2 * SECOND, false);
-    assertEquals(0, job.active.size(), "its lease is over");
+    assertEquals(0, job.attemptCount(), "its lease is over");
   }
 
   /** If it is alive after all, its own word decides. */
@@ -337,7 +338,7 @@
     bench.sequences.put("m-0", 9L);
     bench.sink.replied(commands().get(0).callId(), reply(m, true, running));
     assertEquals(Machine.Phase.CONFIRMED, m.phase());
-    assertEquals(1, job.active.size());
+    assertEquals(1, job.attemptCount());
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -152,10 +152,10 @@
     launched(Attempt.Phase.SENT);
     machine.commands().begin();
     reported(report(1, 1, machine.fencingToken(), -1), 1_000_000);
-    assertEquals(attempt, job.active.get(0));
+    assertEquals(attempt, job.attempt(0));
     machine.commands().end();
     reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
-    assertTrue(job.active.isEmpty());
+    assertEquals(0, job.attemptCount());
   }
 
   /**
@@ -169,9 +169,9 @@
     machine.raiseFence();
     machine.enterPhase(Machine.Phase.FENCING);
     reported(report(1, 1, before, -1), 1_000_000);
-    assertEquals(attempt, job.active.get(0));
+    assertEquals(attempt, job.attempt(0));
     reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
-    assertTrue(job.active.isEmpty());
+    assertEquals(0, job.attemptCount());
     assertEquals(Machine.Phase.CONFIRMED, machine.phase());
   }
 
@@ -187,7 +187,7 @@
             new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false)),
         1);
     reported(report(1, 8, machine.fencingToken(), -1), 2);
-    assertEquals(attempt, job.active.get(0));
+    assertEquals(attempt, job.attempt(0));
   }
 
   @Example
@@ -297,8 +297,7 @@
     bench.placement.place(bench.now);
     bench.workers.flush(bench.now);
     List<Entry> shown = new ArrayList<>();
-    one.active
-        .values()
+    one.attempts()
         .forEach(
             a -> shown.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
     assertEquals(List.of(), reapsAfter(bench, m, shown.get(0)));
@@ -340,13 +339,13 @@
     assertEquals(List.of(1L, 2L), answeredExchanges());
     assertEquals(heard, machine.lastContactMicros());
     assertEquals(answered, machine.answeredMicros());
-    assertEquals(attempt, job.active.get(0));
+    assertEquals(attempt, job.attempt(0));
   }
 
   @Example
   void aNewSessionFreesEverything() {
     launched(Attempt.Phase.REPORTED);
     reported(report(2, 1, machine.fencingToken(), -1), 30_000_000);
-    assertTrue(job.active.isEmpty());
+    assertEquals(0, job.attemptCount());
   }
 }
