--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -99,7 +99,7 @@
   public void take(Event event, long nowMicros) {
     now = nowMicros;
     try {
-      replica.at(now);
+      replica.advanceTo(now);
       leadership.setTime(now);
       event.dispatchTo(eventHandler);
     } catch (RuntimeException | StackOverflowError e) {
@@ -143,7 +143,7 @@
   }
 
   private void runDue() {
-    replica.at(now);
+    replica.advanceTo(now);
     replica.tick(now);
     stateServiceHealth.tick(now);
     stepDownForNewerLeader();
@@ -232,7 +232,7 @@
 
     @Override
     public void readyProbe(Event.ReadyProbe event) {
-      boolean ready = replica.loaded() && !stateServiceHealth.isIsolated();
+      boolean ready = replica.isLoaded() && !stateServiceHealth.isIsolated();
       sink.respond(event.exchange(), new Answer.Ready(ready));
     }
 
--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -57,7 +57,7 @@
   }
 
   void cancellations(Event.CancellationsReceived event) {
-    event.cancellations().forEach(replica::cancelledElsewhere);
+    event.cancellations().forEach(replica::applyCancellation);
     sink.respond(event.exchange(), new Answer.Acknowledged());
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -66,10 +66,10 @@
   }
 
   private boolean isReady(long exchange) {
-    if (!replica.loaded()) {
+    if (!replica.isLoaded()) {
       answers.unavailable(exchange, "starting");
     }
-    return replica.loaded();
+    return replica.isLoaded();
   }
 
   /** When {@link #tick} has something to do next; far away when nothing waits. */
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -72,7 +72,7 @@
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             long term = applied.revision();
-            replica.proves(nowMicros, term);
+            replica.recordAnswer(nowMicros, term);
             replica.apply(new Reply.Item(StateKeys.LEADER, value, term));
             if (replica.leader() != null && replica.leader().term() == term) {
               candidate.elected(term, nowMicros);
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -140,7 +140,7 @@
   /** Does what is due by now. */
   public void tick(long nowMicros) {
     now = nowMicros;
-    if (replica.loaded()) {
+    if (replica.isLoaded()) {
       backoff.replicaLoaded(now);
     }
     switch (state) {
@@ -166,7 +166,7 @@
   }
 
   private void campaignIfPossible() {
-    if (!replica.loaded() || !backoff.mayCampaign(now)) {
+    if (!replica.isLoaded() || !backoff.mayCampaign(now)) {
       return;
     }
     Replica.Leader leader = replica.leader();
@@ -251,7 +251,7 @@
         new Request.StoreTxn(List.of(new Request.Condition(StateKeys.LEADER, term)), List.of()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
-            replica.proves(sentMicros, applied.revision());
+            replica.recordAnswer(sentMicros, applied.revision());
           }
         });
   }
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -56,7 +56,7 @@
         quotas.addUnconfirmed(job.spec(), job.freeTasks());
       }
     }
-    for (Job job : replica.cancelledLately(nowMicros)) {
+    for (Job job : replica.recentlyCancelled(nowMicros)) {
       quotas.addUnconfirmed(job.spec(), job.tasks());
     }
     double cpus = 0;
--- a/src/main/java/org/eiderstair/core/record/StandbyRecord.java
+++ b/src/main/java/org/eiderstair/core/record/StandbyRecord.java
@@ -5,17 +5,17 @@
  *
  * @param term of the leader that wrote it; 0 when it names none
  * @param node the standby, or empty when there is none
- * @param run identifies the standby's process
+ * @param runId identifies the standby's process
  * @param takenOver whether the standby has ended the term
  * @param unknownFields what a newer version has added
  */
 public record StandbyRecord(
-    long term, String node, String run, boolean takenOver, UnknownFields unknownFields)
+    long term, String node, String runId, boolean takenOver, UnknownFields unknownFields)
     implements StoredValue {
 
   /** A record that the standby has not ended. */
-  public StandbyRecord(long term, String node, String run) {
-    this(term, node, run, false, UnknownFields.NONE);
+  public StandbyRecord(long term, String node, String runId) {
+    this(term, node, runId, false, UnknownFields.NONE);
   }
 
   /** Whether it names a standby. */
@@ -24,8 +24,8 @@
   }
 
   /** Whether it names that process of that node. */
-  public boolean names(String otherNode, String otherRun) {
-    return otherNode.equals(node) && otherRun.equals(run);
+  public boolean names(String otherNode, String otherRunId) {
+    return otherNode.equals(node) && otherRunId.equals(runId);
   }
 
   /**
@@ -33,7 +33,7 @@
    * beside it.
    */
   public StandbyRecord withTakeover() {
-    return new StandbyRecord(term, node, run, true, unknownFields);
+    return new StandbyRecord(term, node, runId, true, unknownFields);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
@@ -148,7 +148,7 @@
       Map<String, Object> fields = new LinkedHashMap<>();
       fields.put("node", value.node());
       fields.put("lease", value.lease());
-      fields.put("run", value.run());
+      fields.put("run", value.runId());
       return fields;
     }
 
@@ -284,7 +284,7 @@
       Map<String, Object> fields = new LinkedHashMap<>();
       fields.put("epoch", value.term());
       fields.put("node", value.node());
-      fields.put("run", value.run());
+      fields.put("run", value.runId());
       value.unknownFields().writeTo(fields);
       if (value.takenOver()) {
         fields.put("claimed", true);
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -87,21 +87,21 @@
   }
 
   /** The time of the event at hand. */
-  public void at(long nowMicros) {
+  public void advanceTo(long nowMicros) {
     feed.advanceTo(nowMicros);
     jobs.advanceTo(nowMicros);
   }
 
   /** Keeps the watch open and reads what is missing. */
   public void tick(long nowMicros) {
-    at(nowMicros);
+    advanceTo(nowMicros);
     feed.tick();
   }
 
   // What the replica knows.
 
   /** Whether all keys have been read. */
-  public boolean loaded() {
+  public boolean isLoaded() {
     return loaded;
   }
 
@@ -140,7 +140,7 @@
    * Older ones are forgotten here, so there is one bound for all who ask: what one of them would
    * drop sooner, another would no longer count.
    */
-  public Collection<Job> cancelledLately(long nowMicros) {
+  public Collection<Job> recentlyCancelled(long nowMicros) {
     return jobs.recentlyCancelled(nowMicros);
   }
 
@@ -201,7 +201,7 @@
    * A request that was sent at that time was answered with that revision: it shows that the replica
    * is as new as that, once it has reached the revision.
    */
-  public void proves(long sentMicros, long atRevision) {
+  public void recordAnswer(long sentMicros, long atRevision) {
     currency.recordAnswer(sentMicros, atRevision);
   }
 
@@ -232,7 +232,7 @@
    * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
    * will bring.
    */
-  public void cancelledElsewhere(Cancellation cancellation) {
+  public void applyCancellation(Cancellation cancellation) {
     jobs.apply(cancellation);
   }
 
@@ -242,7 +242,7 @@
    * read, and brought by a watch that was faster than the read's answer, left the replica: a
    * failover of this node would not have asked that machine.
    */
-  void missing(String key, long atRevision) {
+  void applyAbsence(String key, long atRevision) {
     StateKeys.Kind kind = StateKeys.kindOf(key);
     if (kind == StateKeys.Kind.PROGRESS) {
       jobs.progressAbsent(kind.idOf(key), atRevision);
@@ -332,7 +332,7 @@
 
   private static Leader leader(Reply.Item item) {
     LeaderRecord record = read(item, LeaderRecord.class);
-    return new Leader(record.node(), record.run(), record.lease(), item.version());
+    return new Leader(record.node(), record.runId(), record.lease(), item.version());
   }
 
   private void applyCatalog(Reply.Item item) {
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -78,7 +78,7 @@
     Replica.Leader leader = replica.leader();
     // Seen at the start of an outage: a peer that had not noticed yet made the others believe they
     // were isolated.
-    boolean served = now < lastServedMicros + SERVED_WITHIN_MICROS && replica.loaded();
+    boolean served = now < lastServedMicros + SERVED_WITHIN_MICROS && replica.isLoaded();
     return leader == null
         ? new Answer.StateServiceStatus(served, null, 0)
         : new Answer.StateServiceStatus(served, leader.node(), leader.term());
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -95,12 +95,12 @@
   }
 
   /** All tasks of the job are done: writes its final state. */
-  public void finished(Job job) {
+  public void writeFinished(Job job) {
     jobs.finished(job);
   }
 
   /** The job has progress that is to be written. */
-  public void progressed(Job job) {
+  public void writeProgress(Job job) {
     jobs.progressed(job);
   }
 
@@ -178,7 +178,7 @@
         new Request.StoreTxn(batch.conditions(), batch.writes()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
-            replica.proves(sentMicros, applied.revision());
+            replica.recordAnswer(sentMicros, applied.revision());
           }
           callback.accept(reply);
         });
@@ -257,7 +257,7 @@
     } else if (found.item() != null) {
       replica.apply(found.item());
     } else {
-      replica.missing(key, found.revision());
+      replica.applyAbsence(key, found.revision());
     }
     pendingReads--;
     if (pendingReads == 0) {
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -275,7 +275,7 @@
 
   private void noteRunning(Job job) {
     if (job.open() && job.durablyRunning() == 0) {
-      stateWriter.progressed(job);
+      stateWriter.writeProgress(job);
     }
   }
 
@@ -295,9 +295,9 @@
       if (job.markCompleted(task.index())) {
         machine.failures().reset();
         if (job.allTasksCompleted()) {
-          stateWriter.finished(job);
+          stateWriter.writeFinished(job);
         } else {
-          stateWriter.progressed(job);
+          stateWriter.writeProgress(job);
         }
       }
       // Forgotten only once durable: until then the machine's own record is the only proof.
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -66,18 +66,18 @@
         new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, listener);
     Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
     finished.advanceProgressTo(4);
-    writer.finished(finished);
+    writer.writeFinished(finished);
     Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
     for (int index : new int[] {0, 1, 2, 3, 4, 5, 9}) {
       progressed.markCompleted(index);
     }
-    writer.progressed(progressed);
+    writer.writeProgress(progressed);
     Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
     for (int i = 0; i < 1000; i += 2) {
       scattered.markCompleted(i);
     }
-    writer.progressed(scattered);
-    writer.progressed(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
+    writer.writeProgress(scattered);
+    writer.writeProgress(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
     for (boolean spot : new boolean[] {true, false}) {
       Machine machine =
           new Machine(spot ? "i-1" : "i-2", LeaderBench.TERM, Machine.Phase.CONFIRMED, 0);
@@ -220,7 +220,7 @@
   @Example
   void whenAJobWasCreatedIsRead() throws MalformedMessageException {
     LeaderBench bench = new LeaderBench();
-    bench.replica.at(5_000_000);
+    bench.replica.advanceTo(5_000_000);
     read("created:e/job/job-9", 11).forEach(bench.replica::apply);
     Job job = bench.replica.job("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -155,7 +155,7 @@
     reply(new Reply.LeaseGranted(1));
     reply(new Reply.Applied(++versions));
     // The watch has brought the election, so the picture is current.
-    replica.proves(now, versions);
+    replica.recordAnswer(now, versions);
     Effect.Call watch =
         (Effect.Call)
             effects.stream()
@@ -255,7 +255,7 @@
   /** The lease was renewed and the picture shown to be current just now. */
   public void renew() {
     leadership.bounds().renewed(now);
-    replica.proves(now, replica.revision());
+    replica.recordAnswer(now, replica.revision());
   }
 
   /** The replica has read the state service's keys, of which there are none. */
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -177,7 +177,7 @@
   @Example
   void unheardMachinesMayHoldJobsCancelledLately() {
     Job gone = job(1, "red", Priority.NORMAL, 6, 1);
-    replica.at(NOW);
+    replica.advanceTo(NOW);
     replica.apply(
         new Reply.Item(StateKeys.job(gone.id), JobRecord.cancelled(gone.spec(), 0, 0), ++versions));
     versions = TERM;
--- a/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
+++ b/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
@@ -207,7 +207,7 @@
           new StandbyRecord(
               standby.term(),
               standby.node(),
-              standby.run(),
+              standby.runId(),
               standby.takenOver(),
               UnknownFields.NONE));
     } else {
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -559,7 +559,7 @@
       }
       world.nodes[0].tick(10_000);
     }
-    assertEquals("b1", world.record.run());
+    assertEquals("b1", world.record.runId());
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -42,7 +42,7 @@
 
   private void at(long micros) {
     now = micros;
-    replica.at(now);
+    replica.advanceTo(now);
     replica.tick(now);
   }
 
@@ -80,14 +80,14 @@
             12));
     for (String key :
         List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
-      replica.missing(key, 11);
+      replica.applyAbsence(key, 11);
     }
     assertTrue(replica.isRegistered("i-1"));
     assertNotNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
     assertEquals(12, replica.leader().term());
     for (String key :
         List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
-      replica.missing(key, 13);
+      replica.applyAbsence(key, 13);
     }
     assertFalse(replica.isRegistered("i-1"));
     assertNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
@@ -105,7 +105,7 @@
     assertEquals(100 * SECOND, replica.currentMicros());
     // A compare sent at 105 s tells of a change that the watch has yet to bring.
     at(106 * SECOND);
-    replica.proves(105 * SECOND, 11);
+    replica.recordAnswer(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.currentMicros());
     bench.sink.replied(watch.callId(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
     assertEquals(105 * SECOND, replica.currentMicros());
@@ -127,7 +127,7 @@
     Effect.Call silent = watching(10);
     at(103 * SECOND);
     assertNull(call(), "nothing tells of changes");
-    replica.proves(now, 12);
+    replica.recordAnswer(now, 12);
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
@@ -148,10 +148,10 @@
   void cancelledJobsAreRememberedForAsLongAsAnybodyCountsThem() {
     watching(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
-    replica.cancelledElsewhere(new Cancellation(job.id, job.version() + 5, 0));
+    replica.applyCancellation(new Cancellation(job.id, job.version() + 5, 0));
     long bound = bench.settings.cancelMicros() + 5 * SECOND;
-    assertTrue(replica.cancelledLately(now + bound).contains(job));
-    assertFalse(replica.cancelledLately(now + bound + 1).contains(job));
+    assertTrue(replica.recentlyCancelled(now + bound).contains(job));
+    assertFalse(replica.recentlyCancelled(now + bound + 1).contains(job));
   }
 
   /** Taken at once; what is older than what is known here changes nothing. */
@@ -159,12 +159,12 @@
   void aPeersWordOfACancellationIsANewerVersion() {
     watching(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
-    replica.cancelledElsewhere(new Cancellation(job.id, job.version(), 1));
+    replica.applyCancellation(new Cancellation(job.id, job.version(), 1));
     assertTrue(job.open());
-    replica.cancelledElsewhere(new Cancellation(job.id, job.version() + 5, 1));
+    replica.applyCancellation(new Cancellation(job.id, job.version() + 5, 1));
     assertEquals(Job.State.CANCELLED, job.state());
     assertFalse(replica.openJobs().contains(job));
-    replica.cancelledElsewhere(new Cancellation("job-unknown", 99, 0));
+    replica.applyCancellation(new Cancellation("job-unknown", 99, 0));
     assertNull(replica.job("job-unknown"));
   }
 
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -64,7 +64,7 @@
       stateWriter.putDuty(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
-      stateWriter.finished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
+      stateWriter.writeFinished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
     }
     List<Request.Write> first = next();
     assertEquals(3, finished.size());
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -196,7 +196,7 @@
     }
     for (LeaderBench leader : leaders) {
       leader.now = now;
-      leader.replica.at(now);
+      leader.replica.advanceTo(now);
       leader.leadership.setTime(now);
     }
     action.run();
@@ -240,7 +240,7 @@
     second.lead();
     addJob(second);
     if (cancelled) {
-      second.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
+      second.replica.applyCancellation(new Cancellation(JOB, 6, 0));
     }
     second.replica.apply(
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
@@ -274,7 +274,7 @@
   private void cancel() {
     cancelled = true;
     LeaderBench leader = newestLeader();
-    leader.replica.cancelledElsewhere(new Cancellation(JOB, 6, 0));
+    leader.replica.applyCancellation(new Cancellation(JOB, 6, 0));
     leader.workers.jobOver(leader.replica.job(JOB));
   }
 
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -83,7 +83,7 @@
   }
 
   private void cancel(Job job) {
-    bench.replica.cancelledElsewhere(new Cancellation(job.id, bench.versions + 1_000, 0));
+    bench.replica.applyCancellation(new Cancellation(job.id, bench.versions + 1_000, 0));
     bench.workers.jobOver(job);
   }
 
