--- a/src/main/java/org/eiderstair/core/standby/ReplicationStream.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationStream.java
@@ -14,7 +14,12 @@
   /** Fits well into what a peer takes at once. */
   static final int MAX_BATCH_CHANGES = 400;
 
+  /**
+   * So many changes may wait beside a snapshot, whose size is that of the cluster: two minutes of
+   * what 4,000 machines launch and end.
+   */
   private static final int MAX_QUEUED_CHANGES = 200_000;
+
   private static final long HEARTBEAT_MICROS = 300_000;
 
   /** Longer than a healthy standby takes, shorter than anyone notices that launches wait. */
@@ -40,7 +45,11 @@
   private String peerRunId = "";
 
   private long snapshot;
+  private long snapshotSize;
+
+  /** The peer may be named when it has acknowledged all up to here. */
   private long snapshotEnd;
+
   private long lastSequence;
   private long acknowledgedSequence;
   private boolean awaitingAcknowledgement;
@@ -62,6 +71,7 @@
     snapshot++;
     acknowledgedSequence = 0;
     lastSequence = queue.size();
+    snapshotSize = lastSequence;
     snapshotEnd = lastSequence;
     awaitingAcknowledgement = false;
     active = true;
@@ -112,11 +122,16 @@
     }
     queue.add(change);
     lastSequence++;
-    if (queue.size() > MAX_QUEUED_CHANGES) {
+    if (queuedBesideSnapshot() > MAX_QUEUED_CHANGES) {
       listener.failed("too far behind");
     }
   }
 
+  private long queuedBesideSnapshot() {
+    long sentSequence = lastSequence - queue.size();
+    return lastSequence - Math.max(sentSequence, snapshotSize);
+  }
+
   /** Sends the next batch when it is due, or gives up on one that was not acknowledged in time. */
   void send() {
     if (awaitingAcknowledgement) {
