--- a/src/test/java/org/eiderstair/sim/ClusterSize.java
+++ b/src/test/java/org/eiderstair/sim/ClusterSize.java
@@ -20,4 +20,9 @@
   static ClusterSize fleet(int nodes) {
     return new ClusterSize(nodes, 1600, 2000, 6400, 600, 240);
   }
+
+  /** The size that no fixed limit may stand below. */
+  static ClusterSize full(int nodes) {
+    return new ClusterSize(nodes, 4000, 5000, 16_000, 1500, 240);
+  }
 }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -277,4 +277,28 @@
     assertTrue(logged("standby recovery -> ELECTED") >= 2);
     assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
   }
+
+  /**
+   * A part of a day with 4,000 machines: all have come up when the leader ends, and its successor
+   * goes on. Whole days by hand: {@code WholeDayTest} with {@code -Dsim.full}.
+   */
+  @Example
+  void aFailoverAtTheFullSizeKeepsEveryRule() {
+    ClusterSize size = ClusterSize.full(5);
+    SimulatedCluster day = SimulatedDay.prepare(1, size);
+    day.logs = logs::add;
+    day.clock.after(3 * SECOND, () -> day.faults.begin(FaultInjector.Kind.OVERLOAD, 100 * SECOND));
+    day.clock.runUntil(41 * SECOND);
+    assertEquals(size.machines(), day.cloud.machines(), "all machines have come up");
+    int leader = day.leader();
+    int started = day.tasks.starts();
+    day.outages.crash(leader, 3 * SECOND);
+    day.clock.runUntil(53 * SECOND);
+    assertEquals(List.of(), day.rules.violations());
+    assertTrue(day.leader() != leader, "another controller leads");
+    assertEquals(2, logged("standby recovery -> ELECTED"), "terms that began by an election");
+    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    int startedSince = day.tasks.starts() - started;
+    assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
+  }
 }
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -51,6 +51,7 @@
   private static final int DAYS = Integer.getInteger("scenario.days", 4);
   private static final int GROWN = Integer.getInteger("scenario.grown", 12);
   private static final int FLEET = Integer.getInteger("scenario.fleet", 1);
+  private static final int FULL = Integer.getInteger("scenario.full", 0);
 
   /**
    * In this order at the larger sizes: late commands at the limits, then the seven of the users'
@@ -353,7 +354,7 @@
 
   /**
    * Others by hand: {@code -Dscenario.grown=30}, one day for each of so many scenarios, and {@code
-   * -Dscenario.fleet=30}.
+   * -Dscenario.fleet=30}, and with 4,000 machines {@code -Dscenario.full=30}.
    */
   @Example
   void someScenariosAtTheGrownSizeKeepEveryRule() {
@@ -365,6 +366,11 @@
     assertEquals(List.of(), failures(ClusterSize.fleet(3), 1, firstOf(LARGE, FLEET)));
   }
 
+  @Example
+  void chosenScenariosAtTheFullSizeKeepEveryRule() {
+    assertEquals(List.of(), failures(ClusterSize.full(3), 1, firstOf(LARGE, FULL)));
+  }
+
   /** By their numbers, the first of these and then the rest. */
   private static Predicate<String> firstOf(List<String> preferred, int count) {
     List<String> order = new ArrayList<>(preferred);
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -6,6 +6,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.IntFunction;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Order;
@@ -16,6 +17,7 @@
   private static final int DAYS = Integer.getInteger("sim.days", 60);
   private static final int GROWN_DAYS = Integer.getInteger("sim.grown", 3);
   private static final int FLEET_DAYS = Integer.getInteger("sim.fleet", 2);
+  private static final int FULL_DAYS = Integer.getInteger("sim.full", 0);
   private static final long FIRST = Long.getLong("sim.first", 1);
 
   @Example
@@ -51,16 +53,28 @@
   }
 
   /**
-   * Half as many machines again as the largest deployment, with three and with five controllers.
+   * Half as many machines again as the largest deployment had at first, with three and with five
+   * controllers.
    */
   @Example
-  void everyRuleHoldsAtTheFleetSizeAndNobodyIsLeftBehind() {
-    for (long seed = FIRST; seed < FIRST + FLEET_DAYS; seed++) {
-      SimulatedCluster day = SimulatedDay.play(seed, ClusterSize.fleet(seed % 2 == 0 ? 3 : 5));
+  void everyRuleHoldsAtTheFleetSizeAndNobodyStarves() {
+    assertDaysKeepEveryRule(FLEET_DAYS, ClusterSize::fleet);
+  }
+
+  /** By hand: {@code -Dsim.full=2} plays so many whole days with 4,000 machines. */
+  @Example
+  void everyRuleHoldsAtTheFullSizeAndNobodyStarves() {
+    assertDaysKeepEveryRule(FULL_DAYS, ClusterSize::full);
+  }
+
+  private static void assertDaysKeepEveryRule(int days, IntFunction<ClusterSize> sizeFor) {
+    for (long seed = FIRST; seed < FIRST + days; seed++) {
+      SimulatedCluster day = SimulatedDay.play(seed, sizeFor.apply(seed % 2 == 0 ? 3 : 5));
       assertEquals(List.of(), day.rules.violations(), "seed " + seed);
       assertEquals(List.of(), day.users.unfinished(), "seed " + seed);
       assertTrue(day.tasks.starts() > 5000, "seed " + seed + " started " + day.tasks.starts());
-      assertTrue(day.completedShare() >= 0.5, "seed " + seed + " served " + day.completedShare());
+      assertTrue(
+          day.completedShare() >= 0.5, "seed " + seed + " completed share " + day.completedShare());
     }
   }
 
