--- a/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
+++ b/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
@@ -44,7 +44,7 @@
     membership.heartbeatReceived(event.report().machine(), nowMicros);
     String leader = leaderNode();
     String target = settings.node().equals(leader) ? null : leader;
-    relay.reported(event.exchange(), event.report(), target, nowMicros);
+    relay.receive(event.exchange(), event.report(), target, nowMicros);
   }
 
   /** Null when no leader is known. */
--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -108,7 +108,7 @@
   /** A worker's heartbeat; it is answered in the next pass. */
   void heartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed, long nowMicros) {
     if (started) {
-      workers.reported(exchange, heartbeat, relayed, nowMicros);
+      workers.receive(exchange, heartbeat, relayed, nowMicros);
     } else {
       sink.respond(exchange, new Answer.Failure(503, "taking over", 0));
     }
@@ -120,7 +120,7 @@
       return;
     }
     if (!job.open()) {
-      workers.jobOver(job);
+      workers.jobEnded(job);
     }
     workers.noteChange();
   }
@@ -222,9 +222,7 @@
     Replica.StoredStandby record = replica.standby();
     workers.takeOver(
         electedMicros.orElse(now),
-        standby
-            .recover(term, replica.revision(), record == null ? null : record.value())
-            .orElse(null),
+        standby.recover(term, replica.revision(), record == null ? null : record.value()),
         now);
     if (record != null || settings.keepsStandby()) {
       standby.startTerm(
@@ -252,13 +250,13 @@
    * alone changes.
    */
   long passDueMicros() {
-    boolean soon = workers.changed() || workers.hasPendingAnswers();
+    boolean soon = workers.hasChanged() || workers.hasPendingAnswers();
     return lastPassMicros + (soon ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and answers the machines. */
   private void runPass() {
-    boolean placementDue = workers.changed() || now >= lastPassMicros + QUIET_PASS_MICROS;
+    boolean placementDue = workers.hasChanged() || now >= lastPassMicros + QUIET_PASS_MICROS;
     lastPassMicros = now;
     if (placementDue && leadership.mayLaunch(now)) {
       workers.clearChange();
--- a/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
+++ b/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
@@ -77,7 +77,7 @@
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(StateKeys.CATALOG, record, applied.revision()));
-            workers.typesChanged();
+            workers.catalogChanged();
           } else {
             scheduleIn(RETRY_DELAY_MICROS);
           }
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -133,7 +133,7 @@
           new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
       clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
     }
-    workers.deleted(id);
+    workers.terminated(id);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/model/PendingHeartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/PendingHeartbeat.java
@@ -1,61 +1,88 @@
 package org.eiderstair.core.model;
 
 /**
- * The report of one machine that waits for its answer, and what tells it from reports that no
- * worker waits for any more: a worker has one report in flight, gives it up for the next, and drops
- * the answers to those of an earlier session.
+ * The heartbeat of one machine that waits for its answer, and what tells it from heartbeats that no
+ * worker waits for any more: a worker has one heartbeat in flight, gives it up for the next, and
+ * drops the answers to those of an earlier incarnation.
  */
 public final class PendingHeartbeat {
-  /** What becomes of a report that has come. */
-  public enum Standing {
-    OPEN,
-    OLD_SESSION,
-    OLD_REPORT
-  }
+  /** No heartbeat waits: no exchange has this number. */
+  public static final long NONE = 0;
+
+  /** Whether a worker waits for the answer to a heartbeat. */
+  public enum Freshness {
+    CURRENT(""),
+    EARLIER_INCARNATION("OLD_SESSION"),
+    SUPERSEDED("OLD_REPORT");
 
-  private static final long NOBODY = 0;
+    private final String refusal;
 
-  private long newest;
-  private long exchange;
+    Freshness(String refusal) {
+      this.refusal = refusal;
+    }
 
-  /** What a report is, by its session, the machine's latest, and its number, before it is taken. */
-  public Standing standing(long ofSession, long incarnation, long sequence) {
-    if (ofSession < incarnation) {
-      return Standing.OLD_SESSION;
+    /** The reason that the sender is given; its text is sent to workers and stays as it is. */
+    public String refusal() {
+      return refusal;
     }
-    return ofSession == incarnation && sequence <= newest ? Standing.OLD_REPORT : Standing.OPEN;
   }
 
+  private long newestSequence;
+  private long exchange = NONE;
+
   /**
-   * The one function for every change: a report waits from now on, or with exchange 0 none does.
-   * The exchange that waited before is given back, 0 if none did.
+   * Compares a heartbeat with those received before it.
    *
-   * <p>Found by the simulator (reports of three sessions held by a cut): numbers were compared
-   * without their sessions. A report of a dead session stayed; launches went with its answer, which
-   * nobody read, and were to be settled by a report with a larger number, which in the new session
-   * took five minutes to come: the tasks stood still beside room.
+   * <p>Numbers are compared only within an incarnation. Compared without it, a heartbeat of a dead
+   * incarnation stayed the newest one: launches left with its answer, which nobody read, and waited
+   * minutes for a heartbeat with a larger number to settle them.
+   *
+   * @param incarnation the heartbeat's
+   * @param sequence the heartbeat's
+   * @param machineIncarnation the latest one that is known of its machine
    */
-  public long become(long sequence, long nextExchange) {
+  public Freshness freshness(long incarnation, long sequence, long machineIncarnation) {
+    if (incarnation < machineIncarnation) {
+      return Freshness.EARLIER_INCARNATION;
+    }
+    return incarnation == machineIncarnation && sequence <= newestSequence
+        ? Freshness.SUPERSEDED
+        : Freshness.CURRENT;
+  }
+
+  /**
+   * A heartbeat waits from now on, or with exchange {@link #NONE} none does.
+   *
+   * @return the exchange that waited before, or {@link #NONE}
+   */
+  public long replace(long sequence, long nextExchange) {
     long before = exchange;
-    newest = sequence;
+    newestSequence = sequence;
     exchange = nextExchange;
     return before;
   }
 
-  /** It is answered now. */
-  public long answered() {
-    return become(newest, NOBODY);
+  /**
+   * It is answered now.
+   *
+   * @return its exchange, or {@link #NONE}
+   */
+  public long take() {
+    return replace(newestSequence, NONE);
   }
 
   /**
-   * The machine has begun another session: nobody reads an answer to a report of the one before.
+   * The machine has begun another incarnation: nobody reads an answer to a heartbeat of the one
+   * before.
+   *
+   * @return the exchange that waited before, or {@link #NONE}
    */
-  public long newIncarnation() {
-    return become(0, NOBODY);
+  public long beginIncarnation() {
+    return replace(0, NONE);
   }
 
-  /** Its number; what its answer launches is settled by a later report only. */
+  /** Its sequence; what its answer launches is settled by a later heartbeat only. */
   public long sequence() {
-    return newest;
+    return newestSequence;
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -134,7 +134,7 @@
 
   private void preempt(Attempt victim, Job job) {
     victim.requestStop();
-    workers.killSoon(victim.machine());
+    workers.scheduleKills(victim.machine());
     preemptionsLeft--;
     sink.info(
         "preempting task="
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -4,54 +4,41 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.quota.TeamQuotas;
-import org.eiderstair.core.standby.Standby;
 
 /**
- * Where each attempt stands. It comes to a machine and leaves it in one place each, so that room,
- * the teams' use, queues and the standby's picture are kept by increments.
+ * Places attempts on machines and frees them. Each happens in one method, so that free resources,
+ * the teams' use, queues and the standby's replica are kept by increments.
  */
 final class AttemptTracker {
-  private final EffectSink sink;
-  private final EventTime time;
+  /** The term stands above the counter in an attempt's number, so that none is used twice. */
+  private static final int NUMBER_BITS = 31;
+
+  private final TermContext context;
   private final AvailableMachines availableMachines;
-  private final TeamQuotas teams;
-  private final Standby standby;
-  private final long term;
+  private final TeamQuotas quotas;
+  private final CommandQueue commandQueue;
   private final Set<Machine> queuesToServe = new LinkedHashSet<>();
-  private long attempts;
+  private long attemptCount;
   private Consumer<Job> jobStartedListener = job -> {};
-  private Consumer<Machine> planned = machine -> {};
-
-  /** Set whenever something changed that may let a task be placed. */
   private boolean changed = true;
 
   AttemptTracker(
-      EffectSink sink,
-      EventTime time,
+      TermContext context,
       AvailableMachines availableMachines,
-      TeamQuotas teams,
-      Standby standby,
-      long term) {
-    this.sink = sink;
-    this.time = time;
+      TeamQuotas quotas,
+      CommandQueue commandQueue) {
+    this.context = context;
     this.availableMachines = availableMachines;
-    this.teams = teams;
-    this.standby = standby;
-    this.term = term;
-  }
-
-  /** Who is to be told that a machine has something to launch. */
-  void planned(Consumer<Machine> told) {
-    planned = told;
+    this.quotas = quotas;
+    this.commandQueue = commandQueue;
   }
 
-  /** Machines with waiting attempts that may have got room. */
+  /** Machines with a queue that may have got free resources since the last pass. */
   Set<Machine> queuesToServe() {
     return queuesToServe;
   }
@@ -62,27 +49,27 @@
   }
 
   /** Whether something changed that may let a task be placed. */
-  boolean changed() {
+  boolean hasChanged() {
     return changed;
   }
 
+  /** Something changed that may let a task be placed. */
   void noteChange() {
     changed = true;
   }
 
-  /** Who is to be told when the first task of a job is placed. */
+  /** Sets who is called when the first task of a job is placed. */
   void onJobStarted(Consumer<Job> listener) {
     jobStartedListener = listener;
   }
 
+  /** A new attempt number; never used before, in any term. */
   long nextAttempt() {
-    return Math.addExact(Math.multiplyExact(term, 1L << 31), ++attempts);
+    long base = Math.multiplyExact(context.term(), 1L << NUMBER_BITS);
+    return Math.addExact(base, ++attemptCount);
   }
 
-  /**
-   * An attempt comes to stand on a machine: the one place where that happens, so that room, team
-   * use and queues are kept by increments. One that only waits at the leader uses nothing yet.
-   */
+  /** Places an attempt on its machine. One that only waits at the leader uses no resources yet. */
   void attach(Attempt attempt) {
     attempt.machine().addAttempt(attempt);
     attempt.job().addAttempt(attempt);
@@ -93,13 +80,13 @@
     }
   }
 
-  /** A waiting attempt gets its machine's room, or a new one comes with it. */
+  /** Reserves the resources of an attempt; one that waited for them is planned. */
   void occupy(Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
       attempt.plan();
     }
-    teams.acquire(attempt.spec());
+    quotas.acquire(attempt.spec());
     attempt.machine().reserve(attempt.spec());
     if (attempt.job().markStarted()) {
       jobStartedListener.accept(attempt.job());
@@ -107,7 +94,7 @@
     if (attempt.phase() == Attempt.Phase.PLANNED) {
       attempt.machine().useImage(attempt.spec());
       attempt.machine().planLaunch(attempt);
-      planned.accept(attempt.machine());
+      commandQueue.scheduleLaunches(attempt.machine());
     }
     if (!attempt.machine().hasFreeResources()) {
       availableMachines.remove(attempt.machine());
@@ -119,7 +106,7 @@
     attempt.job().dequeue(attempt);
   }
 
-  /** An attempt is gone from its machine: the opposite of {@link #attach}. */
+  /** Removes an attempt from its machine: the opposite of {@link #attach}. */
   void remove(Attempt attempt) {
     if (!attempt.machine().removeAttempt(attempt)) {
       return;
@@ -127,54 +114,55 @@
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
     } else {
-      teams.release(attempt.spec());
+      quotas.release(attempt.spec());
       attempt.machine().release(attempt.spec());
       if (attempt.phase() == Attempt.Phase.PLANNED) {
         attempt.machine().cancelLaunch(attempt);
       } else {
-        tell(attempt, false);
+        replicate(attempt, false);
       }
-      roomChanged(attempt.machine());
+      freeResourcesChanged(attempt.machine());
     }
     attempt.job().removeAttempt(attempt);
-    attempt.machine().markInUse(time.nowMicros());
+    attempt.machine().markInUse(context.nowMicros());
     changed = true;
   }
 
-  void free(Attempt attempt, String why) {
-    sink.debug(
-        "task "
+  /** Removes an attempt that is proven not to be on its machine; its task is placed again. */
+  void free(Attempt attempt, String reason) {
+    context.debug(
+        "task="
             + attempt.task()
-            + " attempt "
+            + " attempt="
             + attempt.number()
-            + " free from "
+            + " freed from machine="
             + attempt.machine().id()
             + ": "
-            + why
-            + ", term="
-            + term);
+            + reason);
     remove(attempt);
   }
 
-  void freeAll(Machine machine, String why) {
+  /** Frees everything on a machine that is proven to hold nothing. */
+  void freeAll(Machine machine, String reason) {
     for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-      free(attempt, why);
+      free(attempt, reason);
     }
     machine.clearReportedTasks();
     machine.forgetImages();
   }
 
+  /** Frees what has not been sent to a machine that gets no more work. */
   void unplan(Machine machine) {
     availableMachines.remove(machine);
     for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-      if (attempt.phase() == Attempt.Phase.QUEUED || attempt.phase() == Attempt.Phase.PLANNED) {
+      if (!attempt.mayBeOnMachine()) {
         free(attempt, "machine not usable");
       }
     }
   }
 
-  /** The machine may have got room: it gets its token, and what waits for it its turn. */
-  void roomChanged(Machine machine) {
+  /** A machine may have got free resources: it is offered for placement, and so is its queue. */
+  void freeResourcesChanged(Machine machine) {
     if (machine.plan() == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
       availableMachines.offer(machine);
       if (!machine.queue().isEmpty()) {
@@ -183,15 +171,23 @@
     }
   }
 
-  /** Tells the standby of an attempt that may be on its machine from now on, or is not any more. */
-  void tell(Attempt attempt, boolean there) {
-    standby.replicate(
-        new ReplicationBatch.Change(
-            there,
-            attempt.machine().id(),
-            attempt.machine().incarnation(),
-            attempt.job().id,
-            attempt.index(),
-            attempt.number()));
+  /**
+   * Tells the standby of an attempt.
+   *
+   * @param present whether it may be on its machine from now on, or is not any more
+   */
+  void replicate(Attempt attempt, boolean present) {
+    context.standby().replicate(change(attempt, present));
+  }
+
+  /** What the standby is told of an attempt. */
+  static ReplicationBatch.Change change(Attempt attempt, boolean present) {
+    return new ReplicationBatch.Change(
+        present,
+        attempt.machine().id(),
+        attempt.machine().incarnation(),
+        attempt.job().id,
+        attempt.index(),
+        attempt.number());
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/EventTime.java
+++ b/src/main/java/org/eiderstair/core/workers/EventTime.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.workers;
 
-/** The time at which the event at hand happened, for all parts of a leader's picture. */
+/** The time of the event that is being handled, which all parts of a term's state share. */
 final class EventTime {
   private long nowMicros;
 
@@ -8,7 +8,8 @@
     return nowMicros;
   }
 
-  void at(long micros) {
+  /** Another event is handled from now on. */
+  void advanceTo(long micros) {
     nowMicros = micros;
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -9,130 +9,145 @@
 import org.eiderstair.core.model.Heartbeat;
 
 /**
- * A follower's dealings with workers. It sends them to the leader; one that is soon back could not
- * reach the leader, so for a while its reports are passed on, and what the leader answers is passed
- * back. A follower never makes an answer of its own: only the leader may renew a lease.
+ * What a follower does with heartbeats. It redirects workers to the leader; one that returns early
+ * could not reach the leader, so for a while its heartbeats are relayed, and so are the leader's
+ * answers. A follower never makes an answer of its own: only the leader may renew a lease.
  */
 public final class HeartbeatRelay {
-  private static final long BACK_SOON_MICROS = 12_000_000;
+  /** A worker that is here again within this time after its redirect did not reach the leader. */
+  private static final long EARLY_RETURN_MICROS = 12_000_000;
+
   private static final long RELAY_MICROS = 20_000_000;
-  private static final long UNREACHED_MICROS = 2_000_000;
+  private static final long FAILED_RELAY_PAUSE_MICROS = 2_000_000;
   private static final long FORGET_MICROS = 120_000_000;
+  private static final int MAX_ROUTES_BEFORE_CLEANUP = 1000;
 
-  /** So many workers that soon came back from one leader are no chance. */
-  private static final int MANY_BACK = 3;
+  /** So many early returns from one leader are no coincidence. */
+  private static final int UNREACHABLE_EARLY_RETURNS = 3;
 
-  private static final long COUNTED_MICROS = 10_000_000;
+  private static final long COUNTING_MICROS = 10_000_000;
 
-  /** REDIRECTED was sent to the leader; RELAYED is passed on until its time is over. */
-  private enum State {
+  /** Where a worker's heartbeats go. RELAYED holds until its time is over. */
+  private enum RouteKind {
     REDIRECTED,
     RELAYED
   }
 
   /**
-   * Whether workers here reach the leader, as far as this node can tell; OUT_OF_REACH is believed
-   * for a while.
+   * Whether workers reach the leader, as far as those tell that come to this node; UNREACHABLE is
+   * assumed for a while.
    */
-  private enum Reach {
-    REACHED,
-    OUT_OF_REACH
+  private enum LeaderState {
+    REACHABLE,
+    UNREACHABLE
   }
 
-  private record Visitor(State state, String leader, long sinceMicros) {}
+  private record Route(RouteKind kind, String leader, long sinceMicros) {}
 
   private final EffectSink sink;
-  private long unreachedUntilMicros;
-  private final Map<String, Visitor> visitors = new HashMap<>();
-  private Reach reach = Reach.REACHED;
-  private String judged = "";
-  private int back;
-  private long countedSinceMicros;
-  private long believedUntilMicros;
+  private final Map<String, Route> routes = new HashMap<>();
+  private long relayFailedUntilMicros;
+  private LeaderState leaderState = LeaderState.REACHABLE;
+  private String observedLeader = "";
+  private int earlyReturns;
+  private long countingSinceMicros;
+  private long unreachableUntilMicros;
 
   public HeartbeatRelay(EffectSink sink) {
     this.sink = sink;
   }
 
-  /** A worker's heartbeat: redirects the worker to the leader, or relays it. */
-  public void reported(long exchange, Heartbeat report, String leader, long nowMicros) {
+  /**
+   * Redirects a worker to the leader, or relays its heartbeat.
+   *
+   * @param exchange where the answer goes
+   * @param leader the leader's node; null if none is known
+   */
+  public void receive(long exchange, Heartbeat heartbeat, String leader, long nowMicros) {
     if (leader == null) {
       sink.respond(exchange, new Answer.Redirect(null));
       return;
     }
-    Visitor next = next(report.machine(), leader, nowMicros);
-    visitors.put(report.machine(), next);
-    if (visitors.size() > 1000) {
-      visitors.values().removeIf(v -> nowMicros > v.sinceMicros() + FORGET_MICROS);
-    }
-    if (next.state() == State.REDIRECTED) {
+    Route route = nextRoute(heartbeat.machine(), leader, nowMicros);
+    remember(heartbeat.machine(), route, nowMicros);
+    if (route.kind() == RouteKind.REDIRECTED) {
       sink.respond(exchange, new Answer.Redirect(leader));
-      return;
-    }
-    if (nowMicros < unreachedUntilMicros) {
+    } else if (nowMicros < relayFailedUntilMicros) {
       sink.respond(exchange, new Answer.Redirect(null));
-      return;
+    } else {
+      relay(exchange, heartbeat, leader, nowMicros);
+    }
+  }
+
+  private void remember(String machine, Route route, long nowMicros) {
+    routes.put(machine, route);
+    if (routes.size() > MAX_ROUTES_BEFORE_CLEANUP) {
+      routes.values().removeIf(known -> nowMicros > known.sinceMicros() + FORGET_MICROS);
     }
+  }
+
+  private void relay(long exchange, Heartbeat heartbeat, String leader, long nowMicros) {
     sink.call(
-        new Request.PeerRelay(leader, report),
+        new Request.PeerRelay(leader, heartbeat),
         reply -> {
           if (reply instanceof Reply.Relayed relayed) {
             sink.respond(exchange, relayed.answer());
             return;
           }
-          // When the leader has crashed, every worker comes here: one try tells, the rest would
-          // only cost time.
-          unreachedUntilMicros = nowMicros + UNREACHED_MICROS;
+          // When the leader has crashed, every worker comes here: one attempt tells, the others
+          // would only cost time.
+          relayFailedUntilMicros = nowMicros + FAILED_RELAY_PAUSE_MICROS;
           sink.respond(exchange, new Answer.Redirect(null));
         });
   }
 
-  /**
-   * A worker came back soon from the leader. When several have, the others need not try it first:
-   * each try costs one its time limit, and its machine the work of that time.
-   */
-  private void cameBack(String leader, long nowMicros) {
-    if (!leader.equals(judged) || nowMicros > countedSinceMicros + COUNTED_MICROS) {
-      judged = leader;
-      back = 0;
-      countedSinceMicros = nowMicros;
-    }
-    if (++back >= MANY_BACK) {
-      believedUntilMicros = nowMicros + RELAY_MICROS;
-      become(Reach.OUT_OF_REACH);
+  private Route nextRoute(String machine, String leader, long nowMicros) {
+    Route last = routes.get(machine);
+    if (last != null && last.leader().equals(leader)) {
+      long ageMicros = nowMicros - last.sinceMicros();
+      if (last.kind() == RouteKind.RELAYED && ageMicros < RELAY_MICROS) {
+        return last;
+      }
+      if (last.kind() == RouteKind.REDIRECTED && ageMicros < EARLY_RETURN_MICROS) {
+        recordEarlyReturn(leader, nowMicros);
+        sink.debug("machine=" + machine + " is back early from leader=" + leader + ": relaying");
+        return new Route(RouteKind.RELAYED, leader, nowMicros);
+      }
     }
+    RouteKind kind = isUnreachable(leader, nowMicros) ? RouteKind.RELAYED : RouteKind.REDIRECTED;
+    return new Route(kind, leader, nowMicros);
   }
 
-  /** The one function for every change of what is believed of the leader. */
-  private void become(Reach next) {
-    if (next != reach) {
-      reach = next;
-      sink.info("workers here: leader " + judged + " is " + next);
+  /**
+   * Counts a worker that did not reach the leader. When several have not, the others need not try
+   * it first: each attempt costs a worker its time limit, and its machine the work of that time.
+   */
+  private void recordEarlyReturn(String leader, long nowMicros) {
+    if (!leader.equals(observedLeader) || nowMicros > countingSinceMicros + COUNTING_MICROS) {
+      observedLeader = leader;
+      earlyReturns = 0;
+      countingSinceMicros = nowMicros;
+    }
+    earlyReturns++;
+    if (earlyReturns >= UNREACHABLE_EARLY_RETURNS) {
+      unreachableUntilMicros = nowMicros + RELAY_MICROS;
+      changeLeaderState(LeaderState.UNREACHABLE);
     }
   }
 
-  private boolean outOfReach(String leader, long nowMicros) {
-    if (reach == Reach.OUT_OF_REACH
-        && (!leader.equals(judged) || nowMicros > believedUntilMicros)) {
-      become(Reach.REACHED);
+  private boolean isUnreachable(String leader, long nowMicros) {
+    boolean expired = nowMicros > unreachableUntilMicros || !leader.equals(observedLeader);
+    if (leaderState == LeaderState.UNREACHABLE && expired) {
+      changeLeaderState(LeaderState.REACHABLE);
     }
-    return reach == Reach.OUT_OF_REACH;
+    return leaderState == LeaderState.UNREACHABLE;
   }
 
-  private Visitor next(String machine, String leader, long nowMicros) {
-    Visitor last = visitors.get(machine);
-    boolean same = last != null && last.leader().equals(leader);
-    if (same && last.state() == State.RELAYED && nowMicros < last.sinceMicros() + RELAY_MICROS) {
-      return last;
-    }
-    if (same
-        && last.state() == State.REDIRECTED
-        && nowMicros < last.sinceMicros() + BACK_SOON_MICROS) {
-      cameBack(leader, nowMicros);
-      sink.debug("machine " + machine + " is back soon from " + leader + ": relaying its reports");
-      return new Visitor(State.RELAYED, leader, nowMicros);
+  /** The one function for every change of what is assumed of the leader. */
+  private void changeLeaderState(LeaderState next) {
+    if (next != leaderState) {
+      leaderState = next;
+      sink.info("leader=" + observedLeader + " is " + next + " for workers that come here");
     }
-    return new Visitor(
-        outOfReach(leader, nowMicros) ? State.RELAYED : State.REDIRECTED, leader, nowMicros);
   }
 }
--- /dev/null
+++ b/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
@@ -0,0 +1,173 @@
+package org.eiderstair.core.workers;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.Set;
+import org.eiderstair.core.model.Attempt;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.model.TaskId;
+import org.eiderstair.core.state.Replica;
+import org.eiderstair.core.state.StateWriter;
+
+/**
+ * Reconciles the tasks in a heartbeat with the attempts that are known on its machine. An attempt
+ * is freed only on proof: a newer heartbeat without it once its launch is settled, or its end.
+ */
+final class TaskReconciler {
+  private final TermContext context;
+  private final Replica replica;
+  private final StateWriter stateWriter;
+  private final AttemptTracker tracker;
+  private final FailureAccounting failures;
+
+  TaskReconciler(
+      TermContext context,
+      Replica replica,
+      StateWriter stateWriter,
+      AttemptTracker tracker,
+      FailureAccounting failures) {
+    this.context = context;
+    this.replica = replica;
+    this.stateWriter = stateWriter;
+    this.tracker = tracker;
+    this.failures = failures;
+  }
+
+  /**
+   * Reconciles.
+   *
+   * @param settlesAnswers whether the heartbeat shows what became of launches in the answers to
+   *     earlier heartbeats
+   * @param settlesCommands whether it shows what became of launches by command
+   */
+  void reconcile(
+      Machine machine, Heartbeat heartbeat, boolean settlesAnswers, boolean settlesCommands) {
+    machine.clearReportedTasks();
+    Set<TaskId> reported = new HashSet<>();
+    for (Heartbeat.Entry entry : heartbeat.tasks()) {
+      reported.add(entry.task());
+      if (entry.state() == Heartbeat.TaskState.ENDED) {
+        reconcileEnded(machine, entry);
+      } else {
+        reconcileRunning(machine, entry);
+      }
+    }
+    for (Attempt attempt : new ArrayList<>(machine.attempts())) {
+      boolean settled = isSettled(attempt, heartbeat.sequence(), settlesAnswers, settlesCommands);
+      if (settled && !reported.contains(attempt.task())) {
+        tracker.free(attempt, "not in a heartbeat");
+      }
+    }
+    if (!machine.attempts().isEmpty()) {
+      machine.markInUse(context.nowMicros());
+    }
+    machine.recomputeFreeResources();
+    tracker.freeResourcesChanged(machine);
+  }
+
+  private static boolean isSettled(
+      Attempt attempt, long sequence, boolean settlesAnswers, boolean settlesCommands) {
+    return switch (attempt.phase()) {
+      case QUEUED, PLANNED -> false;
+      case SENT ->
+          attempt.sentSequence() == Attempt.SENT_BY_COMMAND
+              ? settlesCommands
+              : settlesAnswers && sequence > attempt.sentSequence();
+      case REPORTED -> true;
+    };
+  }
+
+  /** A task that has not ended: it confirms its attempt, or is found, or is to be killed. */
+  private void reconcileRunning(Machine machine, Heartbeat.Entry entry) {
+    Attempt known = machine.attempt(entry.task());
+    if (known != null && known.number() == entry.attempt()) {
+      confirm(machine, known, entry.state());
+      return;
+    }
+    Job job = replica.job(entry.task().job());
+    if (known == null && isUnplacedTask(job, entry.task().index())) {
+      context.debug("task=" + entry.task() + " found on machine=" + machine.id());
+      adopt(machine, job, entry);
+      noteRunning(job);
+    } else if (known == null && job != null && !job.open() && job.spec() != null) {
+      // A task of an ended job counts until the machine shows that it is not there.
+      adopt(machine, job, entry);
+    } else {
+      machine.addUntrackedTask(new Order.Kill(entry.task(), entry.attempt(), 0));
+    }
+  }
+
+  private static boolean isUnplacedTask(Job job, int index) {
+    return job != null
+        && job.open()
+        && index < job.tasks()
+        && !job.isCompleted(index)
+        && !job.isAttempted(index);
+  }
+
+  private void confirm(Machine machine, Attempt attempt, Heartbeat.TaskState state) {
+    attempt.confirm();
+    if (attempt.reportedState() == state) {
+      return;
+    }
+    attempt.recordState(state, context.nowMicros());
+    machine.useImage(attempt.spec());
+    if (state == Heartbeat.TaskState.RUNNING) {
+      noteRunning(attempt.job());
+    }
+  }
+
+  private void adopt(Machine machine, Job job, Heartbeat.Entry entry) {
+    Attempt attempt =
+        new Attempt(job, entry.task().index(), entry.attempt(), machine, Attempt.Phase.REPORTED);
+    attempt.recordFound(entry.state(), context.nowMicros());
+    machine.useImage(job.spec());
+    tracker.attach(attempt);
+    tracker.replicate(attempt, true);
+  }
+
+  private void noteRunning(Job job) {
+    if (job.open() && job.durablyRunning() == 0) {
+      stateWriter.writeProgress(job);
+    }
+  }
+
+  /** A task that has ended: its attempt is freed, and its outcome is recorded. */
+  private void reconcileEnded(Machine machine, Heartbeat.Entry entry) {
+    TaskId task = entry.task();
+    Order.Acknowledge acknowledge = new Order.Acknowledge(task, entry.attempt());
+    Attempt known = machine.attempt(task);
+    boolean isKnown = known != null && known.number() == entry.attempt();
+    if (isKnown) {
+      tracker.remove(known);
+    }
+    Job job = replica.job(task.job());
+    boolean jobOpen = job != null && job.open();
+    if (entry.exit() == Heartbeat.Exit.DONE && jobOpen && task.index() < job.tasks()) {
+      if (job.markCompleted(task.index())) {
+        recordCompletion(machine, job);
+      }
+      // Forgotten only once durable: until then the machine's own record is the only proof.
+      if (job.isDurablyCompleted(task.index())) {
+        machine.acknowledge(acknowledge);
+      }
+      return;
+    }
+    machine.acknowledge(acknowledge);
+    if (isKnown && jobOpen) {
+      failures.recordExit(machine, job, task, entry.exit());
+    }
+  }
+
+  private void recordCompletion(Machine machine, Job job) {
+    machine.failures().reset();
+    if (job.allTasksCompleted()) {
+      stateWriter.writeFinished(job);
+    } else {
+      stateWriter.writeProgress(job);
+    }
+  }
+}
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -22,27 +23,38 @@
 import org.eiderstair.core.state.StateWriter;
 
 /**
- * The machines of one term and what may be on them: the type to enter by. {@link WorkerRegistry}
- * knows the machines, {@link AttemptTracker} what may be on them, {@link HeartbeatHandler} reads
- * what they show, {@link CommandDispatcher} tells them what was decided.
+ * The machines of one term and what may be on them: the one type through which other packages use
+ * this one.
+ *
+ * <ul>
+ *   <li>{@link WorkerRegistry}: the machines; {@link AttemptTracker}: what may be on them
+ *   <li>{@link HeartbeatHandler}, {@link TaskReconciler}, {@link FailureAccounting}, {@link
+ *       LeaseMonitor}: what heartbeats, or their absence, prove
+ *   <li>{@link HeartbeatResponder}, {@link CommandSender}, {@link WorkerProber}: what machines are
+ *       sent
+ *   <li>{@link WorkerRecovery}: what a failover hands on
+ * </ul>
  */
 public final class WorkerManager {
-  private static final long LEASE_MARGIN_MICROS = 1_500_000;
-
   private final Settings settings;
-  private final EffectSink sink;
-  private final Replica replica;
   private final StateWriter stateWriter;
   private final AvailableMachines availableMachines;
-  private final Standby standby;
-  private final long term;
   private final EventTime time = new EventTime();
+  private final TermContext context;
+  private final CommandQueue commandQueue = new CommandQueue();
   private final WorkerRegistry registry;
   private final AttemptTracker tracker;
-  private final CommandDispatcher dispatcher;
-  private final WorkerReachability reach;
-  private final HeartbeatHandler reports;
-  private long takenOverMicros;
+  private final LaunchReplication launchReplication;
+  private final HeartbeatResponder responder;
+  private final WorkerCommandClient commandClient;
+  private final CommandSender commandSender;
+  private final WorkerProber prober;
+  private final MachineDrain drain;
+  private final LeaseMonitor leaseMonitor;
+  private final WorkerReachability reachability;
+  private final WorkerRecovery recovery;
+  private final HeartbeatHandler heartbeatHandler;
+  private long tookOverMicros;
 
   public WorkerManager(
       Settings settings,
@@ -51,41 +63,42 @@
       Leadership leadership,
       StateWriter stateWriter,
       AvailableMachines availableMachines,
-      TeamQuotas teams,
+      TeamQuotas quotas,
       Standby standby,
       long term) {
-    this.standby = standby;
     this.settings = settings;
-    this.sink = sink;
-    this.replica = replica;
     this.stateWriter = stateWriter;
     this.availableMachines = availableMachines;
-    this.term = term;
-    registry = new WorkerRegistry(replica, time, term);
-    tracker = new AttemptTracker(sink, time, availableMachines, teams, standby, term);
-    dispatcher =
-        new CommandDispatcher(
-            settings, sink, time, leadership, standby, availableMachines, registry, tracker, term);
-    reach = new WorkerReachability(settings, time, registry);
-    reports =
+    context = new TermContext(settings, sink, time, leadership, standby, term);
+    registry = new WorkerRegistry(replica, context);
+    tracker = new AttemptTracker(context, availableMachines, quotas, commandQueue);
+    launchReplication = new LaunchReplication(context, tracker, commandQueue);
+    responder = new HeartbeatResponder(context, registry, launchReplication);
+    commandClient = new WorkerCommandClient(context, registry, availableMachines, commandQueue);
+    commandSender = new CommandSender(context, commandQueue, launchReplication, commandClient);
+    prober = new WorkerProber(context, registry, commandClient);
+    drain = new MachineDrain(registry, tracker, commandQueue);
+    leaseMonitor = new LeaseMonitor(context, registry, tracker, availableMachines);
+    reachability = new WorkerReachability(settings, time, registry);
+    recovery = new WorkerRecovery(context, replica, registry, tracker);
+    FailureAccounting failures = new FailureAccounting(context, availableMachines, drain);
+    heartbeatHandler =
         new HeartbeatHandler(
-            sink,
-            time,
-            replica,
-            leadership,
+            context,
             stateWriter,
-            availableMachines,
-            standby,
             registry,
             tracker,
-            dispatcher,
-            reach,
-            term);
+            responder,
+            prober,
+            reachability,
+            new TaskReconciler(context, replica, stateWriter, tracker, failures),
+            drain);
+    commandClient.onReply(heartbeatHandler::receiveReply);
   }
 
   /** Whether the machines reach this leader. */
   public WorkerReachability reach() {
-    return reach;
+    return reachability;
   }
 
   /** The machines by name. */
@@ -93,7 +106,7 @@
     return registry.machines();
   }
 
-  /** Machines that may hold work of earlier terms, since they have not been heard. */
+  /** Machines that may hold work of earlier terms, until a heartbeat confirms what they hold. */
   public Set<Machine> unconfirmed() {
     return registry.unconfirmed();
   }
@@ -103,19 +116,21 @@
     return registry.queueable();
   }
 
-  /** Machines with waiting attempts that may have got room. */
+  /** Machines with a queue that may have got free resources since the last pass. */
   public Set<Machine> queuesToServe() {
     return tracker.queuesToServe();
   }
 
-  /** Deleted by this term: a late report or list must not bring one back. */
+  /**
+   * Whether a machine was deleted in this term: a late heartbeat or list must not bring it back.
+   */
   public boolean isTerminated(String id) {
     return registry.isTerminated(id);
   }
 
   /** Whether something changed that may let a task be placed. */
-  public boolean changed() {
-    return tracker.changed();
+  public boolean hasChanged() {
+    return tracker.hasChanged();
   }
 
   /** Something changed that may let a task be placed. */
@@ -128,14 +143,17 @@
     tracker.clearChange();
   }
 
-  /** Who is to be told when the first task of a job is placed. */
+  /** Sets who is called when the first task of a job is placed. */
   public void onJobStarted(Consumer<Job> listener) {
     tracker.onJobStarted(listener);
   }
 
-  /** What is marked as leaving, also by an earlier term: nothing may be placed on it. */
-  public void leaving(Predicate<String> marked) {
-    registry.leaving(marked);
+  /**
+   * Sets what tells whether a machine is being released, also by an earlier term: nothing is placed
+   * on such a machine.
+   */
+  public void setReleasing(Predicate<String> predicate) {
+    registry.setReleasing(predicate);
   }
 
   /** Adds a machine. */
@@ -143,7 +161,7 @@
     registry.add(machine);
   }
 
-  /** A machine is rented, or was found: it holds nothing yet. */
+  /** Adds a machine that is rented or was found; it holds nothing yet. */
   public Machine expect(String id, String address, String type, String zone, boolean spot) {
     return registry.expect(id, address, type, zone, spot);
   }
@@ -153,126 +171,89 @@
     return tracker.nextAttempt();
   }
 
-  /** Puts an attempt on its machine. */
+  /** Places an attempt on its machine. */
   public void attach(Attempt attempt) {
     tracker.attach(attempt);
   }
 
-  /** Takes room for an attempt that waited for it. */
+  /** Reserves the resources of an attempt that waited for them. */
   public void occupy(Attempt attempt) {
     tracker.occupy(attempt);
   }
 
-  /** Takes an attempt off its machine. */
+  /** Removes an attempt from its machine. */
   public void remove(Attempt attempt) {
     tracker.remove(attempt);
   }
 
   /** Gives the machine no new work. */
   public void drain(Machine machine) {
-    reports.drain(machine);
+    drain.drain(machine);
   }
 
   /** Sends the machine's kills with the next flush. */
-  public void killSoon(Machine machine) {
-    dispatcher.killSoon(machine);
+  public void scheduleKills(Machine machine) {
+    commandQueue.scheduleKills(machine);
   }
 
-  /** Whether reports wait for their answers. */
+  /** Whether heartbeats wait for their answers. */
   public boolean hasPendingAnswers() {
-    return dispatcher.hasPendingAnswers();
+    return responder.hasPending();
   }
 
   /** The term is over: nothing is answered or sent any more. */
   public void close() {
-    dispatcher.close();
+    commandClient.close();
+    responder.close();
   }
 
-  /** A worker's report; its answer is decided in the next pass. */
-  public void reported(long exchange, Heartbeat report, boolean relayed, long nowMicros) {
-    time.at(nowMicros);
-    reports.reported(exchange, report, relayed);
+  /**
+   * Takes a worker's heartbeat; its answer is decided in the next pass.
+   *
+   * @param exchange where its answer goes
+   * @param relayed whether it came through a peer
+   */
+  public void receive(long exchange, Heartbeat heartbeat, boolean relayed, long nowMicros) {
+    time.advanceTo(nowMicros);
+    heartbeatHandler.receive(exchange, heartbeat, relayed);
   }
 
-  /** Tells the machines what was decided. */
+  /** Sends the machines what was decided: in the answers to their heartbeats, else by command. */
   public void flush(long nowMicros) {
-    time.at(nowMicros);
-    dispatcher.flush();
+    time.advanceTo(nowMicros);
+    boolean mayLaunch =
+        context.leadership().mayLaunch(nowMicros) && context.standby().admitsLaunches();
+    boolean mayKill = context.leadership().mayKill(nowMicros);
+    responder.answerPending(mayLaunch);
+    commandSender.sendDue(mayLaunch, mayKill);
   }
 
   /**
-   * Take-over: everything rostered may hold work of earlier terms until it has been heard, but no
-   * more than what the picture shows where there is one. A machine that it does not show holds
-   * nothing.
+   * Failover: the registered machines become known, each with what may be on it.
+   *
+   * @param electedMicros when this node was elected
+   * @param replicated what was replicated to this node as the standby of the term before; empty if
+   *     that is not known to be complete
    */
-  public void takeOver(long electedMicros, Map<String, RecoveredMachine> picture, long nowMicros) {
-    time.at(nowMicros);
-    takenOverMicros = nowMicros;
-    reach.begin();
-    FailoverTimeline failover = new FailoverTimeline(sink, term, electedMicros);
-    for (Replica.RegisteredWorker entry : replica.registeredWorkers()) {
-      Machine.Phase phase = picture == null ? Machine.Phase.UNCONFIRMED : Machine.Phase.RECOVERED;
-      Machine machine = new Machine(entry.machine(), term, phase, nowMicros);
-      registry.describe(machine, entry.address(), entry.type(), entry.zone(), entry.spot());
-      machine.markRegistered();
-      registry.add(machine);
-      if (picture != null && picture.containsKey(machine.id())) {
-        inherit(machine, picture.get(machine.id()));
-      }
-    }
-    registry.follow(failover);
-    dispatcher.follow(failover);
-    failover.replicaCaughtUp(registry.unconfirmedCount(), picture != null, nowMicros);
-  }
-
-  private void inherit(Machine machine, RecoveredMachine held) {
-    machine.recoverIncarnation(held.incarnation());
-    held.attempts()
-        .forEach(
-            (id, tasks) ->
-                tasks.forEach(
-                    (index, number) -> {
-                      Job job = replica.job(id);
-                      // What is durably done or over without a description can only be stopped,
-                      // once it is shown.
-                      if (job != null
-                          && job.spec() != null
-                          && index < job.tasks()
-                          && !job.isCompleted(index)
-                          && !job.isAttempted(index)) {
-                        tracker.attach(
-                            new Attempt(job, index, number, machine, Attempt.Phase.REPORTED));
-                      }
-                    }));
-    machine.recomputeFreeResources();
-    registry.updateQueueable(machine);
-    tracker.roomChanged(machine);
+  public void takeOver(
+      long electedMicros, Optional<Map<String, RecoveredMachine>> replicated, long nowMicros) {
+    time.advanceTo(nowMicros);
+    tookOverMicros = nowMicros;
+    reachability.begin();
+    recovery.recover(replicated);
+    FailoverTimeline failover = new FailoverTimeline(context.sink(), context.term(), electedMicros);
+    registry.recordIn(failover);
+    launchReplication.recordIn(failover);
+    failover.replicaCaughtUp(registry.unconfirmedCount(), replicated.isPresent(), nowMicros);
   }
 
-  /** All that a standby must know of this leader's picture. */
-  public void snapshot(Consumer<ReplicationBatch.Change> each) {
-    for (Machine machine : registry.machines().values()) {
-      if (machine.incarnation() > 0) {
-        each.accept(
-            new ReplicationBatch.Change(true, machine.id(), machine.incarnation(), "", 0, 0));
-      }
-      for (Attempt attempt : machine.attempts()) {
-        if (attempt.mayBeOnMachine()) {
-          each.accept(
-              new ReplicationBatch.Change(
-                  true,
-                  machine.id(),
-                  machine.incarnation(),
-                  attempt.job().id,
-                  attempt.index(),
-                  attempt.number()));
-        }
-      }
-    }
+  /** Gives out all that a standby must know of the machines. */
+  public void snapshot(Consumer<ReplicationBatch.Change> consumer) {
+    recovery.snapshot(consumer);
   }
 
   /** The catalogue has changed. */
-  public void typesChanged() {
+  public void catalogChanged() {
     for (Machine machine : registry.machines().values()) {
       registry.resolveType(machine);
       machine.recomputeFreeResources();
@@ -282,32 +263,33 @@
   }
 
   /**
-   * A machine that was to leave is kept: its mark is gone, and no request to delete it can arrive
-   * any more.
+   * A machine that was to be deleted is kept: its mark is removed, and no request to delete it can
+   * arrive any more.
    */
   public void keep(String id) {
     Machine machine = registry.machines().get(id);
-    if (machine != null && machine.plan() == Machine.Plan.TERMINATE) {
-      machine.reactivate();
-      if (!machine.isRegistered() && machine.phase() != Machine.Phase.BOOTING) {
-        stateWriter.register(machine);
-      }
-      registry.updateQueueable(machine);
-      machine.recomputeFreeResources();
-      tracker.roomChanged(machine);
-      tracker.noteChange();
+    if (machine == null || machine.plan() != Machine.Plan.TERMINATE) {
+      return;
     }
+    machine.reactivate();
+    if (!machine.isRegistered() && machine.phase() != Machine.Phase.BOOTING) {
+      stateWriter.register(machine);
+    }
+    registry.updateQueueable(machine);
+    machine.recomputeFreeResources();
+    tracker.freeResourcesChanged(machine);
+    tracker.noteChange();
   }
 
-  /** The cloud confirmed that the machine is gone, with everything on it. */
-  public void deleted(String id) {
+  /** The platform confirmed that the machine is terminated, with everything on it. */
+  public void terminated(String id) {
     Machine machine = registry.remove(id);
     stateWriter.unregister(id);
     if (machine != null) {
       availableMachines.remove(machine);
-      tracker.freeAll(machine, "machine deleted");
-      dispatcher.forget(machine);
-      standby.replicate(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
+      tracker.freeAll(machine, "machine terminated");
+      commandQueue.remove(machine);
+      context.standby().replicate(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
     }
     tracker.noteChange();
   }
@@ -323,40 +305,27 @@
   }
 
   /**
-   * @param busy whether reports wait: each tells as much as an answer to a question, and costs no
-   *     more
+   * Expires leases and probes machines that are not confirmed.
+   *
+   * @param busy whether heartbeats wait: just after a failover each tells as much as the reply to a
+   *     probe, and costs no more
    */
   public void tick(long nowMicros, boolean busy) {
-    time.at(nowMicros);
-    endLeases();
-    boolean patient = busy && nowMicros < takenOverMicros + settings.reportMicros();
-    if (!patient) {
-      dispatcher.askDue();
+    time.advanceTo(nowMicros);
+    leaseMonitor.expireDue();
+    boolean heartbeatsSuffice = busy && nowMicros < tookOverMicros + settings.reportMicros();
+    if (!heartbeatsSuffice) {
+      prober.probeDue();
     }
   }
 
-  private void endLeases() {
-    long lease = settings.leaseMicros() + settings.leaseMicros() / 1000 + LEASE_MARGIN_MICROS;
-    Set<Machine> leased = registry.leased();
-    while (!leased.isEmpty()) {
-      Machine machine = leased.iterator().next();
-      if (time.nowMicros() <= machine.answeredMicros() + lease) {
-        break;
-      }
-      sink.info("machine " + machine.id() + " has lost its lease, term=" + term);
-      registry.become(machine, Machine.Phase.LEASE_EXPIRED);
-      availableMachines.remove(machine);
-      tracker.freeAll(machine, "lease over");
-    }
-  }
-
-  /** The job is over: what waits for room goes at once, what may be on machines is killed. */
-  public void jobOver(Job job) {
+  /** A job has ended: what was not sent is freed at once, what may be on machines is killed. */
+  public void jobEnded(Job job) {
     for (Attempt attempt : new ArrayList<>(job.attempts())) {
-      if (attempt.phase() == Attempt.Phase.QUEUED || attempt.phase() == Attempt.Phase.PLANNED) {
-        tracker.remove(attempt);
+      if (attempt.mayBeOnMachine()) {
+        commandQueue.scheduleKills(attempt.machine());
       } else {
-        dispatcher.killSoon(attempt.machine());
+        tracker.remove(attempt);
       }
     }
     tracker.noteChange();
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -11,101 +11,110 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * The machines that the leader of one term knows, by name and by what is known of them. The sets
- * follow each change of phase, so that one report costs one machine and not a walk over all.
+ * The machines that the leader of one term knows, by name and by phase. The sets follow each change
+ * of phase, so that one heartbeat costs one machine and not a walk over all.
  */
 final class WorkerRegistry {
-  /** Far more than can still be on their way in late reports or lists. */
+  /** Far more than can still be on their way in late heartbeats or lists. */
   private static final int MAX_TERMINATED = 10_000;
 
   private final Replica replica;
-  private final EventTime time;
-  private final long term;
+  private final TermContext context;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-
-  /** May hold work of earlier terms, since they have not been heard. */
   private final Set<Machine> unconfirmed = new LinkedHashSet<>();
-
-  /** Not heard in this term, but known from the standby's picture. */
   private final Set<Machine> recovered = new LinkedHashSet<>();
-
   private final Set<Machine> fencing = new LinkedHashSet<>();
-
-  /**
-   * Machines that have shown our token, the one answered longest ago first: their leases end in
-   * this order.
-   */
   private final Set<Machine> leased = new LinkedHashSet<>();
-
-  /** Machines that may be given waiting attempts. */
   private final IndexedMachineList queueable = new IndexedMachineList();
-
-  /** Deleted by this term: a late report or list must not bring one back. */
-  private final Set<String> gone = new LinkedHashSet<>();
-
-  private Predicate<String> leaving = id -> false;
+  private final Set<String> terminated = new LinkedHashSet<>();
+  private Predicate<String> isReleasing = id -> false;
   private FailoverTimeline failover;
 
-  WorkerRegistry(Replica replica, EventTime time, long term) {
+  WorkerRegistry(Replica replica, TermContext context) {
     this.replica = replica;
-    this.time = time;
-    this.term = term;
+    this.context = context;
   }
 
-  /** Who follows how many machines are not known yet, from now on. */
-  void follow(FailoverTimeline timeline) {
+  /** Records in the failover's timeline how many machines are not confirmed yet. */
+  void recordIn(FailoverTimeline timeline) {
     failover = timeline;
   }
 
+  /** Sets what tells whether a machine is being released, also by an earlier term. */
+  void setReleasing(Predicate<String> predicate) {
+    isReleasing = predicate;
+  }
+
+  /** All machines, by name. */
   Map<String, Machine> machines() {
     return machines;
   }
 
-  Set<Machine> fencing() {
-    return fencing;
+  /** Machines that may hold work of earlier terms, until a heartbeat confirms what they hold. */
+  Set<Machine> unconfirmed() {
+    return unconfirmed;
   }
 
+  /** Machines that sent no heartbeat in this term, but are known from the standby's replica. */
   Set<Machine> recovered() {
     return recovered;
   }
 
+  /** Machines whose fence was raised, until they show it. */
+  Set<Machine> fencing() {
+    return fencing;
+  }
+
+  /**
+   * Machines that have shown our token, the one answered longest ago first: their leases expire in
+   * this order.
+   */
   Set<Machine> leased() {
     return leased;
   }
 
+  /** Machines that may be given waiting attempts; for reading. */
   List<Machine> queueable() {
     return queueable.all();
   }
 
+  /**
+   * Whether a machine was deleted in this term: a late heartbeat or list must not bring it back.
+   */
   boolean isTerminated(String id) {
-    return gone.contains(id);
+    return terminated.contains(id);
   }
 
-  /** How many machines hold something that only they, or the standby's picture, can tell. */
+  /** How many machines hold something that only they, or the standby's replica, can tell. */
   int unconfirmedCount() {
     return unconfirmed.size() + recovered.size();
   }
 
-  /** A machine comes into the picture. */
+  /** Whether no machine needs a probe. */
+  boolean areAllConfirmed() {
+    return unconfirmed.isEmpty() && recovered.isEmpty() && fencing.isEmpty();
+  }
+
+  /** Adds a machine. */
   void add(Machine machine) {
     machines.put(machine.id(), machine);
-    enter(machine);
+    addToSets(machine);
   }
 
-  /** The one function for a change of a machine's phase: the sets above follow it. */
-  void become(Machine machine, Machine.Phase next) {
+  /** Changes the phase of a machine, in the one place where that happens: the sets follow it. */
+  void changePhase(Machine machine, Machine.Phase next) {
     unconfirmed.remove(machine);
     recovered.remove(machine);
     fencing.remove(machine);
     leased.remove(machine);
     machine.enterPhase(next);
-    enter(machine);
+    addToSets(machine);
     if (failover != null) {
-      failover.unconfirmedMachines(unconfirmedCount(), time.nowMicros());
+      failover.unconfirmedMachines(unconfirmedCount(), context.nowMicros());
     }
   }
 
-  private void enter(Machine machine) {
+  private void addToSets(Machine machine) {
     switch (machine.phase()) {
       case UNCONFIRMED -> unconfirmed.add(machine);
       case RECOVERED -> recovered.add(machine);
@@ -119,67 +128,62 @@
     updateQueueable(machine);
   }
 
-  void answered(Machine machine) {
-    machine.recordAnswer(time.nowMicros());
+  /** A machine's lease runs from now on: its heartbeat is answered, or it may have begun anew. */
+  void renewLease(Machine machine) {
+    machine.recordAnswer(context.nowMicros());
     if (leased.remove(machine)) {
       leased.add(machine);
     }
   }
 
+  /** Adds or removes a machine among those that may be given waiting attempts. */
   void updateQueueable(Machine machine) {
-    boolean open =
+    boolean mayQueue =
         machine.known()
             && machine.plan() == Machine.Plan.ACTIVE
             && machine.isRegistered()
             && machine.type() != null;
-    if (open == queueable.contains(machine)) {
+    if (mayQueue == queueable.contains(machine)) {
       return;
     }
-    if (open) {
+    if (mayQueue) {
       queueable.add(machine);
     } else {
       queueable.remove(machine);
     }
   }
 
-  /** What is marked as leaving, also by an earlier term: nothing may be placed on it. */
-  void leaving(Predicate<String> marked) {
-    leaving = marked;
-  }
-
+  /** Adds a machine that is rented or was found; it holds nothing yet. */
   Machine expect(String id, String address, String type, String zone, boolean spot) {
-    Machine machine = new Machine(id, term, Machine.Phase.BOOTING, time.nowMicros());
+    Machine machine = new Machine(id, context.term(), Machine.Phase.BOOTING, context.nowMicros());
     describe(machine, address, type, zone, spot);
-    if (leaving.test(id)) {
+    if (isReleasing.test(id)) {
       machine.terminate();
     }
     add(machine);
     return machine;
   }
 
+  /** Records what is known of a machine, and looks up its type. */
   void describe(Machine machine, String address, String typeName, String zone, boolean spot) {
     machine.describe(address, typeName, zone, spot);
     resolveType(machine);
   }
 
+  /** Looks up the type of a machine in the catalogue. */
   void resolveType(Machine machine) {
     machine.resolveType(replica.catalog());
   }
 
-  /** Machines that may hold work of earlier terms, since they have not been heard. */
-  Set<Machine> unconfirmed() {
-    return unconfirmed;
-  }
-
-  /** The machine is gone; whatever still comes of it is late. */
+  /** Removes a terminated machine; null if it is not known. */
   Machine remove(String id) {
     Machine machine = machines.remove(id);
-    gone.add(id);
-    if (gone.size() > MAX_TERMINATED) {
-      gone.remove(gone.iterator().next());
+    terminated.add(id);
+    if (terminated.size() > MAX_TERMINATED) {
+      terminated.remove(terminated.iterator().next());
     }
     if (machine != null) {
-      become(machine, Machine.Phase.TERMINATED);
+      changePhase(machine, Machine.Phase.TERMINATED);
     }
     return machine;
   }
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -127,7 +127,7 @@
         bytes(
             i -> {
               bench.now += 1_000;
-              bench.workers.reported(
+              bench.workers.receive(
                   ++bench.exchange,
                   WorkerMessages.decodeHeartbeat(bodies.get(i)),
                   false,
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -7,6 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -71,7 +72,7 @@
         bench.replica.apply(
             new Reply.Item(StateKeys.worker("m-" + i), new WorkerRecord("x", "t", "a", false), 1));
       }
-      bench.workers.takeOver(bench.now, null, bench.now);
+      bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
       assertEquals(machines, bench.workers.unconfirmed().size());
       assertTrue(bench.effects.isEmpty(), "nothing is sent in a burst");
     }
@@ -87,7 +88,7 @@
           new Reply.Item(
               StateKeys.worker("m-" + i), new WorkerRecord("x" + i, "t", "a", false), 1));
     }
-    bench.workers.takeOver(bench.now, null, bench.now);
+    bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
     // None of them answers, for less than a time limit.
     for (int i = 0; i < 100; i++) {
       bench.workers.tick(bench.now += 20_000, false);
@@ -127,7 +128,7 @@
                     StateKeys.job(job.id),
                     JobRecord.cancelled(job.spec(), 0, 0),
                     ++bench.versions));
-            bench.workers.jobOver(job);
+            bench.workers.jobEnded(job);
           }
         }
         case 2 -> {
@@ -137,7 +138,7 @@
         }
         case 3 -> {
           if (m != null && random.nextInt(8) == 0) {
-            bench.workers.deleted(m.id());
+            bench.workers.terminated(m.id());
           }
         }
         default -> {
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -346,7 +346,7 @@
     }
     Heartbeat account = account(m, entries);
     now += 1_000;
-    workers.reported(++exchange, account, false, now);
+    workers.receive(++exchange, account, false, now);
   }
 
   /** Stands for the commands and answers that bring what was planned to the machines. */
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -6,6 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.eiderstair.core.LeaderBench;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Effect;
@@ -244,7 +245,7 @@
     }
     second.replica.apply(
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
-    second.workers.takeOver(now, picture, now);
+    second.workers.takeOver(now, Optional.ofNullable(picture), now);
     Machine m = second.workers.machines().get(MACHINE);
     m.assignType(LeaderBench.TYPE);
     m.recomputeFreeResources();
@@ -275,7 +276,7 @@
     cancelled = true;
     LeaderBench leader = newestLeader();
     leader.replica.applyCancellation(new Cancellation(JOB, 6, 0));
-    leader.workers.jobOver(leader.replica.job(JOB));
+    leader.workers.jobEnded(leader.replica.job(JOB));
   }
 
   private void deliver(InFlightHeartbeat r) {
@@ -286,7 +287,7 @@
       return;
     }
     r.exchange = ++leader.exchange;
-    leader.workers.reported(r.exchange, r.content, false, now);
+    leader.workers.receive(r.exchange, r.content, false, now);
   }
 
   private void answered() {
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -84,7 +84,7 @@
 
   private void cancel(Job job) {
     bench.replica.applyCancellation(new Cancellation(job.id, bench.versions + 1_000, 0));
-    bench.workers.jobOver(job);
+    bench.workers.jobEnded(job);
   }
 
   private Reply.Report reply(Machine m, boolean executed, Entry... entries) {
@@ -286,7 +286,7 @@
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
     FencingToken earlierToken = new FencingToken(7);
-    bench.workers.reported(
+    bench.workers.receive(
         1,
         new Heartbeat(
             "m-gone",
@@ -315,7 +315,7 @@
     bench.lead();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id, 0), 5, TaskState.RUNNING, Exit.NONE, false);
-    bench.workers.reported(
+    bench.workers.receive(
         1,
         new Heartbeat(
             "m-0",
@@ -348,7 +348,7 @@
   @Example
   void aMachineThatHasJustBootedIsNotAsked() {
     bench.lead();
-    bench.workers.reported(
+    bench.workers.receive(
         1,
         new Heartbeat(
             "m-new", "x", "t", "a", true, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of()),
--- a/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
+++ b/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
@@ -20,7 +20,7 @@
   /** What becomes of a report: the name of the effect. */
   private String report(String machine, String leader, long nowMicros) {
     effects.clear();
-    relay.reported(
+    relay.receive(
         ++exchange,
         new Heartbeat(machine, "x", "t", "a", true, 1, 1, FencingToken.NONE, -1, List.of()),
         leader,
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -138,7 +138,7 @@
   }
 
   private void reported(Heartbeat report, long nowMicros) {
-    workers.reported(++exchange, report, false, nowMicros);
+    workers.receive(++exchange, report, false, nowMicros);
   }
 
   private Heartbeat report(
@@ -236,7 +236,7 @@
             1);
     launched(Attempt.Phase.REPORTED);
     other.add(machine);
-    other.reported(9, report(1, 1, machine.fencingToken(), -1), false, 1_000_000);
+    other.receive(9, report(1, 1, machine.fencingToken(), -1), false, 1_000_000);
     other.flush(1_000_000);
     assertTrue(
         sent.stream()
@@ -313,7 +313,7 @@
   private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
     bench.effects.clear();
     Heartbeat report = bench.account(m, List.of(entry));
-    bench.workers.reported(++bench.exchange, report, false, bench.now);
+    bench.workers.receive(++bench.exchange, report, false, bench.now);
     bench.workers.flush(bench.now);
     return bench.effects.stream()
         .filter(e -> e instanceof Effect.Respond)
