--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -25,7 +25,6 @@
  */
 public final class Core {
   private static final long MAX_TICK_MICROS = 50_000;
-  private static final int NOT_SUPPORTED = 404;
 
   private final Settings settings;
   private final EffectSink sink;
@@ -180,8 +179,7 @@
     if (reply instanceof Reply.PeerMembership membership) {
       return new PeerAnswer.Digest(membership.digest());
     }
-    boolean unsupported =
-        reply instanceof Reply.Refused refused && refused.status() == NOT_SUPPORTED;
+    boolean unsupported = reply instanceof Reply.Refused refused && refused.isNotFound();
     return unsupported ? new PeerAnswer.Unsupported() : new PeerAnswer.NoAnswer();
   }
 
@@ -241,7 +239,7 @@
       if (leaderTerm == null) {
         followerHeartbeats.received(event, now);
       } else {
-        leaderTerm.heartbeatReceived(event.exchange(), event.report(), event.relayed(), now);
+        leaderTerm.heartbeatReceived(event.exchange(), event.heartbeat(), event.relayed(), now);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
+++ b/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
@@ -41,10 +41,10 @@
       sink.respond(event.exchange(), new Answer.Redirect(null));
       return;
     }
-    membership.heartbeatReceived(event.report().machine(), nowMicros);
+    membership.heartbeatReceived(event.heartbeat().machine(), nowMicros);
     String leader = leaderNode();
     String target = settings.node().equals(leader) ? null : leader;
-    relay.receive(event.exchange(), event.report(), target, nowMicros);
+    relay.receive(event.exchange(), event.heartbeat(), target, nowMicros);
   }
 
   /** Null when no leader is known. */
--- a/src/main/java/org/eiderstair/core/StandbyReplication.java
+++ b/src/main/java/org/eiderstair/core/StandbyReplication.java
@@ -61,11 +61,11 @@
   @Override
   public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
     sink.call(
-        new Request.StoreTxn(
+        new Request.StoreTransaction(
             List.of(
                 new Request.Condition(StateKeys.LEADER, term),
                 new Request.Condition(StateKeys.STANDBY, version)),
-            List.of(new Request.Write(StateKeys.STANDBY, record, 0))),
+            List.of(Request.Write.put(StateKeys.STANDBY, record))),
         reply -> callback.accept(written(record, reply)));
   }
 
@@ -85,13 +85,11 @@
   }
 
   private static RecordRead found(Reply reply) {
-    if (!(reply instanceof Reply.Found found)) {
-      return new RecordRead.Unknown();
+    if (reply instanceof Reply.Found found) {
+      Reply.Item item = found.item();
+      return new RecordRead.Found(item.version(), (StandbyRecord) item.value());
     }
-    Reply.Item item = found.item();
-    return item == null
-        ? new RecordRead.Absent()
-        : new RecordRead.Found(item.version(), (StandbyRecord) item.value());
+    return reply instanceof Reply.Absent ? new RecordRead.Absent() : new RecordRead.Unknown();
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/StandbyTakeover.java
+++ b/src/main/java/org/eiderstair/core/StandbyTakeover.java
@@ -70,11 +70,11 @@
     sink.info(
         "taking over from leader=" + leader.node() + ", which is silent, term=" + leader.term());
     sink.call(
-        new Request.StoreTxn(
+        new Request.StoreTransaction(
             List.of(
                 new Request.Condition(StateKeys.LEADER, leader.term()),
                 new Request.Condition(StateKeys.STANDBY, record.version())),
-            List.of(new Request.Write(StateKeys.STANDBY, takenOver, 0))),
+            List.of(Request.Write.put(StateKeys.STANDBY, takenOver))),
         reply -> {
           underWay = false;
           nextAttemptMicros = nowMicros.getAsLong() + RETRY_MICROS;
--- a/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
+++ b/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
@@ -69,11 +69,11 @@
 
   private void write(CatalogRecord record) {
     sink.call(
-        new Request.StoreTxn(
+        new Request.StoreTransaction(
             List.of(
                 new Request.Condition(StateKeys.LEADER, term),
                 new Request.Condition(StateKeys.CATALOG, replica.catalogVersion())),
-            List.of(new Request.Write(StateKeys.CATALOG, record, 0))),
+            List.of(Request.Write.put(StateKeys.CATALOG, record))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(StateKeys.CATALOG, record, applied.revision()));
--- a/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
@@ -76,9 +76,9 @@
         JobRecord.cancelled(
             job.spec(), job.durablyCompleted(), replica.dayMicros(nowMicros.getAsLong()));
     sink.call(
-        new Request.StoreTxn(
+        new Request.StoreTransaction(
             List.of(new Request.Condition(key, job.version())),
-            List.of(new Request.Write(key, record, 0))),
+            List.of(Request.Write.put(key, record))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, record, applied.revision()));
--- a/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
@@ -79,7 +79,7 @@
     underWay = true;
     nextMicros = now + settings.gatherMicros();
     sink.call(
-        new Request.StoreTxn(compares, List.of()),
+        new Request.StoreTransaction(compares, List.of()),
         reply -> {
           underWay = false;
           finish(batch, reply);
@@ -88,7 +88,7 @@
 
   /** Moves to the batch what one transaction can compare; each job is compared once. */
   private List<Request.Condition> takeBatch(List<Pending> batch) {
-    int maxCompares = settings.stateTxnOps() * COMPARES_PER_WRITE;
+    int maxCompares = settings.stateTransactionOps() * COMPARES_PER_WRITE;
     Map<String, Long> versions = new LinkedHashMap<>();
     List<Pending> later = new ArrayList<>();
     for (Pending pending : waiting) {
@@ -134,14 +134,14 @@
     sink.call(
         new Request.StoreGet(StateKeys.job(pending.id())),
         reply -> {
-          if (!(reply instanceof Reply.Found found)) {
-            unconfirmed(pending);
-            return;
-          }
-          if (found.item() != null) {
+          if (reply instanceof Reply.Found found) {
             replica.apply(found.item());
+            pending.complete(replica.job(pending.id()));
+          } else if (reply instanceof Reply.Absent) {
+            pending.complete(replica.job(pending.id()));
+          } else {
+            unconfirmed(pending);
           }
-          pending.complete(replica.job(pending.id()));
         });
   }
 
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -75,8 +75,8 @@
     JobRecord record = JobRecord.open(spec, replica.dayMicros(nowMicros));
     String key = StateKeys.job(spec.id());
     sink.call(
-        new Request.StoreTxn(
-            List.of(new Request.Condition(key, 0)), List.of(new Request.Write(key, record, 0))),
+        new Request.StoreTransaction(
+            List.of(Request.Condition.absent(key)), List.of(Request.Write.put(key, record))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(key, record, applied.revision()));
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -66,8 +66,8 @@
   void createLeaderKey(long lease, long nowMicros) {
     var value = new LeaderRecord(settings.node(), lease, runId);
     sink.call(
-        new Request.StoreTxn(
-            List.of(new Request.Condition(StateKeys.LEADER, 0)),
+        new Request.StoreTransaction(
+            List.of(Request.Condition.absent(StateKeys.LEADER)),
             List.of(new Request.Write(StateKeys.LEADER, value, lease))),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -248,7 +248,8 @@
     }
     long sentMicros = now;
     sink.call(
-        new Request.StoreTxn(List.of(new Request.Condition(StateKeys.LEADER, term)), List.of()),
+        new Request.StoreTransaction(
+            List.of(new Request.Condition(StateKeys.LEADER, term)), List.of()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.recordAnswer(sentMicros, applied.revision());
--- a/src/main/java/org/eiderstair/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaseRenewal.java
@@ -21,7 +21,6 @@
     void renewalFailed();
   }
 
-  private static final int LEASE_UNKNOWN = 404;
   private static final long RETRY_MICROS = 400_000;
 
   private final EffectSink sink;
@@ -71,7 +70,7 @@
     if (reply instanceof Reply.Applied) {
       renewedAt(sentMicros);
       holder.renewed(sentMicros);
-    } else if (reply instanceof Reply.Refused refused && refused.status() == LEASE_UNKNOWN) {
+    } else if (reply instanceof Reply.Refused refused && refused.isNotFound()) {
       holder.leaseExpired();
     } else {
       holder.renewalFailed();
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -130,7 +130,7 @@
   }
 
   /** A worker reports; {@code relayed} when it came through another node. */
-  record HeartbeatReceived(long exchange, Heartbeat report, boolean relayed) implements Event {
+  record HeartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
       handler.heartbeatReceived(this);
--- a/src/main/java/org/eiderstair/core/settings/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -21,7 +21,7 @@
     long cancelMicros,
     double stateRps,
     double stateWriteRps,
-    int stateTxnOps,
+    int stateTransactionOps,
     double cloudRps,
     Tuning tuning,
     Map<String, String> nodeZones,
@@ -45,7 +45,7 @@
       long cancelMicros,
       double stateRps,
       double stateWriteRps,
-      int stateTxnOps,
+      int stateTransactionOps,
       double cloudRps,
       Tuning tuning) {
     this(
@@ -59,7 +59,7 @@
         cancelMicros,
         stateRps,
         stateWriteRps,
-        stateTxnOps,
+        stateTransactionOps,
         cloudRps,
         tuning,
         Map.of(),
--- a/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
+++ b/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
@@ -17,9 +17,6 @@
   /** Longer than a slow answer of the state service takes. */
   private static final long SILENT_MICROS = 1_500_000;
 
-  /** The status with which the state service says that it no longer has older changes. */
-  private static final int STATUS_COMPACTED = 410;
-
   /** LOADING reads every key; FOLLOWING has them and waits for changes. */
   private enum State {
     IDLE,
@@ -181,7 +178,7 @@
       // Changes that come close together cost one request, not one each.
       watchAgainAfter(changed.changes().isEmpty() ? 0 : settings.gatherMicros());
       watchIfDue();
-    } else if (reply instanceof Reply.Refused refused && refused.status() == STATUS_COMPACTED) {
+    } else if (reply instanceof Reply.Refused refused && refused.isCompacted()) {
       sink.info("watch fell behind revision " + currency.revision() + ": reading all keys again");
       transitionTo(State.IDLE);
       nextLoadMicros = now;
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -29,7 +29,6 @@
   public record PeerLeader(String node, long term) {}
 
   private static final PeerLeader NO_LEADER = new PeerLeader(null, 0);
-  private static final int STATUS_UNAVAILABLE = 503;
   private static final long PROBE_AFTER_MICROS = 1_000_000;
 
   /** An older answer may be from before the outage in which a peer asks. */
@@ -93,7 +92,7 @@
   }
 
   private static boolean isForStateService(Request request) {
-    return request instanceof Request.StoreTxn
+    return request instanceof Request.StoreTransaction
         || request instanceof Request.StoreGet
         || request instanceof Request.StoreList
         || request instanceof Request.StoreWatch
@@ -102,8 +101,7 @@
   }
 
   private static boolean isServed(Reply reply) {
-    boolean unavailable =
-        reply instanceof Reply.Refused refused && refused.status() == STATUS_UNAVAILABLE;
+    boolean unavailable = reply instanceof Reply.Refused refused && refused.isUnavailable();
     return !unavailable && !(reply instanceof Reply.NoResponse);
   }
 
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -83,7 +83,8 @@
     this.replica = replica;
     this.term = term;
     this.writes = new RateBudget(settings.stateWriteRps() * SHARE_OF_WRITES);
-    this.duties = new PendingDuties(replica, Math.max(1, settings.stateTxnOps() / DUTIES_PART));
+    this.duties =
+        new PendingDuties(replica, Math.max(1, settings.stateTransactionOps() / DUTIES_PART));
     this.jobs = new PendingJobs(job -> listener.jobFinished(job));
     this.registrations =
         new PendingRegistrations(replica, machine -> listener.workerRegistered(machine));
@@ -150,7 +151,8 @@
 
   /** What is most urgent goes first, as far as there is room. */
   private WriteBatch nextBatch() {
-    WriteBatch batch = emptyBatch((int) Math.min(settings.stateTxnOps(), writes.available(now)));
+    WriteBatch batch =
+        emptyBatch((int) Math.min(settings.stateTransactionOps(), writes.available(now)));
     duties.addTo(batch);
     jobs.addFinishedTo(batch);
     registrations.addTo(batch);
@@ -175,7 +177,7 @@
   private void send(WriteBatch batch, Consumer<Reply> callback) {
     long sentMicros = now;
     sink.call(
-        new Request.StoreTxn(batch.conditions(), batch.writes()),
+        new Request.StoreTransaction(batch.conditions(), batch.writes()),
         reply -> {
           if (reply instanceof Reply.Applied applied) {
             replica.recordAnswer(sentMicros, applied.revision());
@@ -252,12 +254,12 @@
     if (closed) {
       return;
     }
-    if (!(reply instanceof Reply.Found found)) {
-      readFailed = true;
-    } else if (found.item() != null) {
+    if (reply instanceof Reply.Found found) {
       replica.apply(found.item());
+    } else if (reply instanceof Reply.Absent absent) {
+      replica.applyAbsence(key, absent.revision());
     } else {
-      replica.applyAbsence(key, found.revision());
+      readFailed = true;
     }
     pendingReads--;
     if (pendingReads == 0) {
--- a/src/main/java/org/eiderstair/core/state/WriteBatch.java
+++ b/src/main/java/org/eiderstair/core/state/WriteBatch.java
@@ -10,8 +10,6 @@
  * known, and somebody may wait for it.
  */
 final class WriteBatch {
-  private static final long NO_LEASE = 0;
-
   private final List<Request.Condition> conditions = new ArrayList<>();
   private final List<Request.Write> writes = new ArrayList<>();
   private final List<Runnable> onDurable = new ArrayList<>();
@@ -48,12 +46,12 @@
 
   /** Puts a value. */
   void put(String key, StoredValue value) {
-    writes.add(new Request.Write(key, value, NO_LEASE));
+    writes.add(Request.Write.put(key, value));
   }
 
   /** Removes a key. */
   void remove(String key) {
-    writes.add(new Request.Write(key, null, NO_LEASE));
+    writes.add(Request.Write.delete(key));
   }
 
   /** Runs once all of the batch is durable, in the order of these calls. */
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -88,7 +88,7 @@
 
   private void relay(long exchange, Heartbeat heartbeat, String leader, long nowMicros) {
     sink.call(
-        new Request.PeerRelay(leader, heartbeat),
+        new Request.PeerRelayHeartbeat(leader, heartbeat),
         reply -> {
           if (reply instanceof Reply.Relayed relayed) {
             sink.respond(exchange, relayed.answer());
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -137,11 +137,11 @@
 
   /** Takes the heartbeat that is the reply to a command; false when there is none. */
   private boolean takeReply(Machine machine, Reply reply, boolean noCommandInFlight) {
-    if (!(reply instanceof Reply.Report answer)
-        || !answer.report().machine().equals(machine.id())) {
+    if (!(reply instanceof Reply.WorkerStatus answer)
+        || !answer.heartbeat().machine().equals(machine.id())) {
       return false;
     }
-    Heartbeat heartbeat = answer.report();
+    Heartbeat heartbeat = answer.heartbeat();
     if (heartbeat.fencingToken().term() > context.term()) {
       context
           .leadership()
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -109,7 +109,7 @@
   }
 
   private void dispatch(long call, Request request) {
-    if (request instanceof Request.StoreTxn txn) {
+    if (request instanceof Request.StoreTransaction txn) {
       exchange(
           call,
           state,
@@ -221,7 +221,7 @@
           "/status",
           null,
           WORKER_MICROS,
-          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), false),
+          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false),
           null);
     } else if (request instanceof Request.WorkerCommands c) {
       exchangeBytes(
@@ -231,15 +231,15 @@
           "/commands",
           WorkerMessages.encodeCommand(c.fencingToken(), c.incarnation(), c.orders()),
           WORKER_MICROS,
-          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), true),
-          content -> new Reply.Report(WorkerMessages.decodeHeartbeat(content), false));
-    } else if (request instanceof Request.PeerRelay relay) {
+          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), true),
+          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false));
+    } else if (request instanceof Request.PeerRelayHeartbeat relay) {
       peer(
           call,
           relay.peer(),
           POST,
           PeerMessages.RELAY_PATH,
-          PeerMessages.encodeHeartbeat(relay.report()),
+          PeerMessages.encodeHeartbeat(relay.heartbeat()),
           content -> new Reply.Relayed(PeerMessages.decodeHeartbeatAnswer(content)));
     } else if (request instanceof Request.PeerStateServiceStatus ask) {
       peer(
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -15,7 +15,7 @@
   private StoreMessages() {}
 
   /** Encodes a compare-and-swap of several keys. */
-  public static byte[] encodeTransaction(Request.StoreTxn transaction) {
+  public static byte[] encodeTransaction(Request.StoreTransaction transaction) {
     List<Object> conditions = new ArrayList<>();
     for (Request.Condition condition : transaction.conditions()) {
       conditions.add(encode(condition));
@@ -79,12 +79,12 @@
   public static Reply decodeFound(Map<String, Object> message) throws MalformedMessageException {
     Fields fields = new Fields(message);
     long version = fields.count(WireFields.VERSION);
-    return new Reply.Found(item(fields.text(WireFields.KEY), fields, version), version);
+    return new Reply.Found(item(fields.text(WireFields.KEY), fields, version));
   }
 
   /** Decodes that a key does not exist, and as of which revision. */
   public static Reply decodeMissing(Map<String, Object> message) throws MalformedMessageException {
-    return new Reply.Found(null, new Fields(message).count(WireFields.REVISION));
+    return new Reply.Absent(new Fields(message).count(WireFields.REVISION));
   }
 
   /** Decodes one page of keys. */
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -32,6 +32,6 @@
     bench.effects.clear();
     service.submit(1, new Submission.Readable(spec));
     Effect.Call call = (Effect.Call) bench.effects.get(0);
-    return ((Request.StoreTxn) call.request()).writes().get(0);
+    return ((Request.StoreTransaction) call.request()).writes().get(0);
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
@@ -40,13 +40,13 @@
 
     @Override
     public void put(String key, StoredValue value, Runnable onDurable) {
-      writes.add(new Request.Write(key, value, 0));
+      writes.add(Request.Write.put(key, value));
       durable.add(onDurable);
     }
 
     @Override
     public void remove(String key) {
-      writes.add(new Request.Write(key, null, 0));
+      writes.add(Request.Write.delete(key));
     }
 
     @Override
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -51,7 +51,7 @@
 
     @Override
     public void write(long version, StandbyRecord value, Consumer<RecordWrite> callback) {
-      writes.add(new Request.Write(StateKeys.STANDBY, value, 0));
+      writes.add(Request.Write.put(StateKeys.STANDBY, value));
       callback.accept(
           stored == null ? new RecordWrite.Written(version + 1) : new RecordWrite.Uncertain());
     }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -48,11 +48,11 @@
           new MachineType("c4", 64, 0, 256, 100, 1, 3, 0, 0, List.of()));
 
   private static byte[] written(Request.Write write) {
-    return StoreMessages.encodeTransaction(new Request.StoreTxn(List.of(), List.of(write)));
+    return StoreMessages.encodeTransaction(new Request.StoreTransaction(List.of(), List.of(write)));
   }
 
   /** The transactions of a leader's writer, with all that was to be written. */
-  private static List<Request.StoreTxn> leaderTransactions() {
+  private static List<Request.StoreTransaction> leaderTransactions() {
     LeaderBench bench = new LeaderBench();
     StateWriter.Listener listener =
         new StateWriter.Listener() {
@@ -84,14 +84,14 @@
       machine.describe("10.0.0.1:80", "t", spot ? "a" : null, spot);
       writer.register(machine);
     }
-    List<Request.StoreTxn> transactions = new ArrayList<>();
+    List<Request.StoreTransaction> transactions = new ArrayList<>();
     bench.effects.clear();
     writer.tick(10_000_000);
     Effect.Call lost = (Effect.Call) bench.effects.remove(0);
-    transactions.add((Request.StoreTxn) lost.request());
+    transactions.add((Request.StoreTransaction) lost.request());
     bench.sink.replied(lost.callId(), new Reply.NoResponse("timeout"));
     writer.tick(11_000_000);
-    transactions.add((Request.StoreTxn) ((Effect.Call) bench.effects.remove(0)).request());
+    transactions.add((Request.StoreTransaction) ((Effect.Call) bench.effects.remove(0)).request());
     return transactions;
   }
 
@@ -103,8 +103,8 @@
     writes.add(new Request.Write(StateKeys.CATALOG, new CatalogRecord(List.of()), 0));
     for (JobSpec spec : specs()) {
       String key = StateKeys.job(spec.id());
-      writes.add(new Request.Write(key, JobRecord.open(spec, 0), 0));
-      writes.add(new Request.Write(key, JobRecord.cancelled(spec, 2, DAY), 0));
+      writes.add(Request.Write.put(key, JobRecord.open(spec, 0)));
+      writes.add(Request.Write.put(key, JobRecord.cancelled(spec, 2, DAY)));
     }
     writes.add(
         new Request.Write("e/prog/job-1", ProgressRecord.of(new BitSet(), Integer.MAX_VALUE), 0));
@@ -128,7 +128,7 @@
     Request.Write created = CreatedJob.write(SampleSpecs.full("job-9"));
     all.put("created:" + created.key(), written(created));
     number = 0;
-    for (Request.StoreTxn transaction : leaderTransactions()) {
+    for (Request.StoreTransaction transaction : leaderTransactions()) {
       all.put("transaction-" + ++number, StoreMessages.encodeTransaction(transaction));
     }
     number = 0;
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -295,7 +295,7 @@
               UserMessages.decodeJobId(message);
               jobService.submit(1, new Submission.Readable(UserMessages.decodeSubmission(message)));
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-              StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
+              StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
               bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
@@ -312,7 +312,7 @@
               jobService.poll(1, "job-" + (500_000 + i));
               jobService.tick(now[0] += 1_000_000);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
-              StoreMessages.encodeTransaction((Request.StoreTxn) call.request());
+              StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
               bench.sink.replied(call.callId(), new Reply.Applied(0));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -60,7 +60,7 @@
     reply(Request.StoreList.class, new Reply.Listed(List.of(), false, 5));
     core.handle(new Event.Tick(), now);
     reply(Request.LeaseGrant.class, new Reply.LeaseGranted(7));
-    reply(Request.StoreTxn.class, new Reply.Applied(6));
+    reply(Request.StoreTransaction.class, new Reply.Applied(6));
     reply(Request.StoreWatch.class, new Reply.Changed(List.of(), 6));
     core.handle(new Event.Tick(), now);
     assertTrue(core.isLeader());
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -82,7 +82,7 @@
     capacity.tick(bench.now += 1_000_000);
     assertEquals(1, capacity.pendingRentalCount());
     stateWriter.tick(bench.now);
-    reply(Request.StoreTxn.class, new Reply.Applied(60));
+    reply(Request.StoreTransaction.class, new Reply.Applied(60));
     capacity.tick(bench.now);
     reply(Request.CloudRent.class, new Reply.Refused(503));
     assertEquals(0, capacity.pendingRentalCount());
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -119,7 +119,7 @@
     leaderKeyDeleted(nowMicros);
     core.handle(new Event.Tick(), nowMicros + 1_000);
     replied(Request.LeaseGrant.class, new Reply.LeaseGranted(9), nowMicros + 2_000);
-    replied(Request.StoreTxn.class, new Reply.Applied(12), nowMicros + 3_000);
+    replied(Request.StoreTransaction.class, new Reply.Applied(12), nowMicros + 3_000);
   }
 
   private String lastTransition() {
--- a/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
@@ -67,7 +67,7 @@
     assertTrue(health.isIsolated());
     assertEquals(Optional.of(new StateServiceHealth.PeerLeader("n2", 9)), health.newerLeader(8));
     assertEquals(Optional.empty(), health.newerLeader(9));
-    pass(1, new Reply.Found(null, 9), null);
+    pass(1, new Reply.Absent(9), null);
     assertFalse(health.isIsolated());
   }
 
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -50,7 +50,7 @@
     now += 1_000_000;
     stateWriter.tick(now);
     Effect.Call call = (Effect.Call) bench.effects.get(0);
-    Request.StoreTxn txn = (Request.StoreTxn) call.request();
+    Request.StoreTransaction txn = (Request.StoreTransaction) call.request();
     assertEquals(
         new Request.Condition(StateKeys.LEADER, LeaderBench.TERM), txn.conditions().get(0));
     bench.sink.replied(call.callId(), new Reply.Applied(++bench.versions));
@@ -68,8 +68,8 @@
     }
     List<Request.Write> first = next();
     assertEquals(3, finished.size());
-    assertEquals(bench.settings.stateTxnOps() / 4, durable[0]);
-    assertTrue(first.size() <= bench.settings.stateTxnOps());
+    assertEquals(bench.settings.stateTransactionOps() / 4, durable[0]);
+    assertTrue(first.size() <= bench.settings.stateTransactionOps());
   }
 
   /**
@@ -94,7 +94,8 @@
   void aCreationWithoutAnAnswerIsDeadOnceTheBarrierIsWritten() {
     Machine machine = new Machine("i-1", LeaderBench.TERM, Machine.Phase.CONFIRMED, now);
     stateWriter.register(machine);
-    Request.StoreTxn lost = (Request.StoreTxn) answered(r -> new Reply.NoResponse("timeout"));
+    Request.StoreTransaction lost =
+        (Request.StoreTransaction) answered(r -> new Reply.NoResponse("timeout"));
     assertTrue(lost.conditions().contains(new Request.Condition(StateKeys.worker("i-1"), 0)));
     long before =
         lost.conditions().stream()
@@ -102,8 +103,8 @@
             .findFirst()
             .orElseThrow()
             .version();
-    Request.StoreTxn barrier =
-        (Request.StoreTxn) answered(r -> new Reply.Applied(++bench.versions));
+    Request.StoreTransaction barrier =
+        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
     assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
     assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
@@ -113,15 +114,15 @@
       Request read =
           answered(
               r ->
-                  new Reply.Found(
-                      ((Request.StoreGet) r).key().equals(StateKeys.LEADER)
-                          ? new Reply.Item(
-                              StateKeys.LEADER, new LeaderRecord("n0", 1, "run"), LeaderBench.TERM)
-                          : null,
-                      bench.versions));
+                  ((Request.StoreGet) r).key().equals(StateKeys.LEADER)
+                      ? new Reply.Found(
+                          new Reply.Item(
+                              StateKeys.LEADER, new LeaderRecord("n0", 1, "run"), LeaderBench.TERM))
+                      : new Reply.Absent(bench.versions));
       assertTrue(read instanceof Request.StoreGet);
     }
-    Request.StoreTxn again = (Request.StoreTxn) answered(r -> new Reply.Applied(++bench.versions));
+    Request.StoreTransaction again =
+        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
     assertTrue(
         again.conditions().stream()
             .anyMatch(c -> c.key().equals(StateKeys.BARRIER) && c.version() > before));
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -314,7 +314,7 @@
       worker.fencingToken = c.request.fencingToken();
       execute(c.request.orders());
     }
-    c.reply = new Reply.Report(worker.view(), valid);
+    c.reply = new Reply.WorkerStatus(worker.view(), valid);
     if (c.givenUp) {
       commands.remove(c);
     }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -87,8 +87,8 @@
     bench.workers.jobEnded(job);
   }
 
-  private Reply.Report reply(Machine m, boolean executed, Entry... entries) {
-    return new Reply.Report(bench.account(m, List.of(entries)), executed);
+  private Reply.WorkerStatus reply(Machine m, boolean executed, Entry... entries) {
+    return new Reply.WorkerStatus(bench.account(m, List.of(entries)), executed);
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/workers/InFlightCommand.java
+++ b/src/test/java/org/eiderstair/core/workers/InFlightCommand.java
@@ -9,7 +9,7 @@
   final long call;
   final Request.WorkerCommands request;
   boolean givenUp;
-  Reply.Report reply;
+  Reply.WorkerStatus reply;
 
   InFlightCommand(int leader, long call, Request.WorkerCommands request) {
     this.leader = leader;
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -55,7 +55,7 @@
     key.append(c.request.fencingToken()).append('/').append(c.request.incarnation());
     orders(c.request.orders());
     if (c.reply != null) {
-      content(c.reply.report());
+      content(c.reply.heartbeat());
     }
   }
 
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -37,7 +37,7 @@
   /** A write counts with the fields and in the order in which it goes to the state service. */
   private static String text(Effect effect) {
     if (!(effect instanceof Effect.Call call
-        && call.request() instanceof Request.StoreTxn transaction)) {
+        && call.request() instanceof Request.StoreTransaction transaction)) {
       return effect.toString();
     }
     List<StoredWrite> writes =
--- a/src/test/java/org/eiderstair/sim/RequestTransport.java
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -37,11 +37,11 @@
       toWorker(from, commands.address(), request, callback);
     } else if (request instanceof Request.WorkerStatus status) {
       toWorker(from, status.address(), request, callback);
-    } else if (request instanceof Request.PeerRelay relay) {
+    } else if (request instanceof Request.PeerRelayHeartbeat relay) {
       toPeer(
           from,
           relay.peer(),
-          exchange -> new Event.HeartbeatReceived(exchange, relay.report(), true),
+          exchange -> new Event.HeartbeatReceived(exchange, relay.heartbeat(), true),
           Reply.Relayed::new,
           callback);
     } else if (request instanceof Request.PeerMembership membership) {
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -50,7 +50,7 @@
   private boolean down;
   private final Set<String> refusedNodes = new HashSet<>();
   private final Set<String> nodesWithHeldWatches = new HashSet<>();
-  private Function<Request.StoreTxn, Fate> fate = txn -> Fate.ANSWERED;
+  private Function<Request.StoreTransaction, Fate> fate = txn -> Fate.ANSWERED;
   private int maxWrites;
   private final Map<String, StoredValue> everWritten = new HashMap<>();
 
@@ -88,7 +88,7 @@
   }
 
   /** Decides from now on what becomes of each transaction. */
-  void decideFates(Function<Request.StoreTxn, Fate> newFate) {
+  void decideFates(Function<Request.StoreTransaction, Fate> newFate) {
     fate = newFate;
   }
 
@@ -148,11 +148,11 @@
       callback.accept(new Reply.Refused(503));
     } else if (request instanceof Request.StoreWatch watch) {
       watch(node, watch, callback);
-    } else if (request instanceof Request.StoreTxn txn) {
+    } else if (request instanceof Request.StoreTransaction txn) {
       serve(txn, callback);
     } else if (request instanceof Request.StoreGet get) {
       Reply.Item item = items.get(get.key());
-      callback.accept(new Reply.Found(item, item == null ? revision : item.version()));
+      callback.accept(item == null ? new Reply.Absent(revision) : new Reply.Found(item));
     } else if (request instanceof Request.StoreList list) {
       callback.accept(list(list));
     } else if (request instanceof Request.LeaseGrant grant) {
@@ -186,7 +186,7 @@
     return new Reply.Listed(page, false, revision);
   }
 
-  private void serve(Request.StoreTxn txn, Consumer<Reply> callback) {
+  private void serve(Request.StoreTransaction txn, Consumer<Reply> callback) {
     switch (fate.apply(txn)) {
       case ANSWERED -> callback.accept(commit(txn));
       case ANSWER_LOST -> commit(txn);
@@ -196,7 +196,7 @@
     }
   }
 
-  private void commitLate(Request.StoreTxn txn) {
+  private void commitLate(Request.StoreTransaction txn) {
     if (down) {
       clock.after(RETRY_LATE_MICROS, () -> commitLate(txn));
     } else {
@@ -204,7 +204,7 @@
     }
   }
 
-  private Reply commit(Request.StoreTxn txn) {
+  private Reply commit(Request.StoreTransaction txn) {
     maxWrites = Math.max(maxWrites, txn.writes().size());
     if (txn.writes().stream()
         .anyMatch(write -> write.lease() != 0 && !leases.containsKey(write.lease()))) {
--- a/src/test/java/org/eiderstair/sim/SimulatedWorker.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedWorker.java
@@ -294,7 +294,7 @@
       commands.orders().forEach(this::execute);
       executed = true;
     }
-    callback.accept(new Reply.Report(heartbeat(), executed));
+    callback.accept(new Reply.WorkerStatus(heartbeat(), executed));
   }
 
   private void execute(Order order) {
