--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Event;
@@ -16,6 +15,7 @@
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 
 /**
  * An event that throws half-way leaves a state that nobody knows: a leader must not go on with it.
@@ -23,20 +23,7 @@
 class CoreFailureTest {
   private static final long SECOND = 1_000_000;
   private final Settings settings =
-      new Settings(
-          "n0",
-          List.of("n1"),
-          List.of("a"),
-          Map.of("red", new Settings.Team("red", 0, 0, 0, 0)),
-          List.of(),
-          3 * SECOND,
-          20 * SECOND,
-          40 * SECOND,
-          100,
-          50,
-          16,
-          5,
-          Settings.Tuning.defaults());
+      SettingsBuilder.settings().peers("n1").team("red", 0, 0).build();
   private final List<Effect> effects = new ArrayList<>();
   private final Core core = new Core(settings, "run", 0, n -> 0, effects::add);
   private long now = SECOND;
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -20,6 +20,7 @@
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.JobSpecBuilder;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.placement.Placement;
@@ -28,9 +29,11 @@
 import org.eiderstair.core.record.StandbyRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 import org.eiderstair.core.standby.InstantHost;
 import org.eiderstair.core.standby.RecordWrite;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
 import org.eiderstair.core.workers.AvailableMachines;
@@ -65,39 +68,12 @@
   public LeaderBench(long term) {
     versions = term;
     settings =
-        new Settings(
-            "n0",
-            List.of(),
-            List.of("a", "b", "c"),
-            Map.of(
-                "red",
-                new Settings.Team("red", 40, 4000, 0, 0),
-                "blue",
-                new Settings.Team("blue", 40, 0, 0, 0)),
-            List.of(),
-            3_000_000,
-            20_000_000,
-            40_000_000,
-            100,
-            50,
-            16,
-            5,
-            Settings.Tuning.defaults());
-    replica =
-        new Replica(
-            settings,
-            sink,
-            new Replica.Listener() {
-              @Override
-              public void leaderChanged() {}
-
-              @Override
-              public void jobChanged(Job job, boolean isNew) {}
-
-              @Override
-              public void loaded() {}
-            },
-            0);
+        SettingsBuilder.settings()
+            .zones("a", "b", "c")
+            .team("red", 40, 4000)
+            .team("blue", 40, 0)
+            .build();
+    replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
     teams = new TeamQuotas(settings);
     availableMachines = new AvailableMachines(settings.tuning().tokenListSize());
     StateWriter stateWriter = new StateWriter(settings, sink, replica, term, null);
@@ -282,27 +258,12 @@
   /** Creates an open job. */
   public Job job(String team, JobSpec.Priority priority, int tasks, double cpus) {
     JobSpec spec =
-        new JobSpec(
-            "job-" + versions,
-            "c",
-            team,
-            JobSpec.Shape.ARRAY,
-            priority,
-            tasks,
-            cpus,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            20_000_000,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-" + versions)
+            .team(team)
+            .priority(priority)
+            .tasks(tasks)
+            .cpus(cpus)
+            .build();
     replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     Job job = replica.job(spec.id());
     job.setDurableProgress(new BitSet(), 1);
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.eiderstair.core.Core;
 import org.eiderstair.core.message.Effect;
@@ -16,25 +15,13 @@
 import org.eiderstair.core.record.LeaderRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 
 /** Who campaigns first when the leader key is free, and what keeps a leader in its term. */
 class LeadershipTest {
   private static final long SECOND = 1_000_000;
   private final Settings settings =
-      new Settings(
-          "n0",
-          List.of("n1"),
-          List.of("a"),
-          Map.of("red", new Settings.Team("red", 0, 0, 0, 0)),
-          List.of(),
-          3 * SECOND,
-          20 * SECOND,
-          40 * SECOND,
-          100,
-          50,
-          16,
-          5,
-          Settings.Tuning.defaults());
+      SettingsBuilder.settings().peers("n1").team("red", 0, 0).build();
   private final List<Effect.Call> calls = new ArrayList<>();
   private final List<String> logs = new ArrayList<>();
   private Core core = core();
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -15,13 +15,16 @@
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.JobSpec.Priority;
+import org.eiderstair.core.model.JobSpecBuilder;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.quota.TeamQuotas;
 import org.eiderstair.core.record.JobRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.workers.AvailableMachines;
 import org.eiderstair.core.workers.WorkerManager;
@@ -33,40 +36,14 @@
       new MachineType("t", 8, 0, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a", "b"));
 
   private final Settings settings =
-      new Settings(
-          "n0",
-          List.of(),
-          List.of("a", "b"),
-          Map.of(
-              "red",
-              new Settings.Team("red", 4, 8, 0, 0),
-              "blue",
-              new Settings.Team("blue", 4, 0, 0, 0)),
-          List.of(new Settings.Objective("wait", "c1", 5_000_000, 0.9)),
-          3_000_000,
-          20_000_000,
-          40_000_000,
-          100,
-          50,
-          16,
-          5,
-          Settings.Tuning.defaults());
+      SettingsBuilder.settings()
+          .zones("a", "b")
+          .team("red", 4, 8)
+          .team("blue", 4, 0)
+          .objectives(new Settings.Objective("wait", "c1", 5_000_000, 0.9))
+          .build();
   private final EffectSink sink = new EffectSink(e -> {});
-  private final Replica replica =
-      new Replica(
-          settings,
-          sink,
-          new Replica.Listener() {
-            @Override
-            public void leaderChanged() {}
-
-            @Override
-            public void jobChanged(Job job, boolean isNew) {}
-
-            @Override
-            public void loaded() {}
-          },
-          0);
+  private final Replica replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
   private final TeamQuotas teams = new TeamQuotas(settings);
   private final AvailableMachines availableMachines = new AvailableMachines(10);
   private final WorkerManager workers =
@@ -88,27 +65,13 @@
 
   private Job job(int number, String team, Priority priority, int tasks, double cpus) {
     JobSpec spec =
-        new JobSpec(
-            "job-" + number,
-            "c" + number,
-            team,
-            JobSpec.Shape.ARRAY,
-            priority,
-            tasks,
-            cpus,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            20_000_000,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-" + number)
+            .jobClass("c" + number)
+            .team(team)
+            .priority(priority)
+            .tasks(tasks)
+            .cpus(cpus)
+            .build();
     replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     return replica.job(spec.id());
   }
@@ -288,51 +251,21 @@
 
   @Example
   void zoneRulesHoldAcrossPasses() {
-    JobSpec.Shape array = JobSpec.Shape.ARRAY;
     JobSpec one =
-        new JobSpec(
-            "job-8",
-            "c",
-            "blue",
-            array,
-            Priority.NORMAL,
-            6,
-            4,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            true,
-            false,
-            true,
-            1_000_000,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-8")
+            .team("blue")
+            .tasks(6)
+            .cpus(4)
+            .oneZone(true)
+            .estimateMicros(1_000_000)
+            .build();
     JobSpec spread =
-        new JobSpec(
-            "job-9",
-            "c",
-            "blue",
-            array,
-            Priority.NORMAL,
-            5,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            true,
-            true,
-            1_000_000,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-9")
+            .team("blue")
+            .tasks(5)
+            .spread(true)
+            .estimateMicros(1_000_000)
+            .build();
     for (JobSpec spec : List.of(one, spread)) {
       replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
     }
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -9,6 +9,7 @@
 import net.jqwik.api.Example;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.JobSpecBuilder;
 
 /** Which jobs are boosted, when, and how many of them. */
 class StarvationGuardTest {
@@ -20,27 +21,12 @@
 
   private Job job(String jobClass, int tasks, long submittedMicros) {
     JobSpec spec =
-        new JobSpec(
-            "job-" + ++numbers,
-            jobClass,
-            "red",
-            JobSpec.Shape.ARRAY,
-            JobSpec.Priority.LOW,
-            tasks,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            SECOND,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-" + ++numbers)
+            .jobClass(jobClass)
+            .priority(JobSpec.Priority.LOW)
+            .tasks(tasks)
+            .estimateMicros(SECOND)
+            .build();
     Job job = new Job(spec.id(), submittedMicros);
     job.transitionTo(Job.State.OPEN, numbers, tasks, spec, 0);
     open.add(job);
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/settings/SettingsBuilder.java
@@ -0,0 +1,62 @@
+package org.eiderstair.core.settings;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Builds the settings of tests: those of node n0, alone and in one zone, unless said otherwise. */
+public final class SettingsBuilder {
+  private List<String> peers = List.of();
+  private List<String> zones = List.of("a");
+  private final Map<String, Settings.Team> teams = new LinkedHashMap<>();
+  private List<Settings.Objective> objectives = List.of();
+
+  private SettingsBuilder() {}
+
+  /** Heartbeats every 3 s, leases of 20 s, cancellations within 40 s, and no team. */
+  public static SettingsBuilder settings() {
+    return new SettingsBuilder();
+  }
+
+  /** Sets the other controllers. */
+  public SettingsBuilder peers(String... names) {
+    peers = List.of(names);
+    return this;
+  }
+
+  /** Sets the zones. */
+  public SettingsBuilder zones(String... names) {
+    zones = List.of(names);
+    return this;
+  }
+
+  /** Adds a team with its guarantee and its limit, 0 for none. */
+  public SettingsBuilder team(String name, double guaranteedCpus, double maxCpus) {
+    teams.put(name, new Settings.Team(name, guaranteedCpus, maxCpus, 0, 0));
+    return this;
+  }
+
+  /** Sets the objectives. */
+  public SettingsBuilder objectives(Settings.Objective... values) {
+    objectives = List.of(values);
+    return this;
+  }
+
+  /** The settings as they were described. */
+  public Settings build() {
+    return new Settings(
+        "n0",
+        peers,
+        zones,
+        teams,
+        objectives,
+        3_000_000,
+        20_000_000,
+        40_000_000,
+        100,
+        50,
+        16,
+        5,
+        Settings.Tuning.defaults());
+  }
+}
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/settings/package-info.java
@@ -0,0 +1,2 @@
+/** Settings for tests. */
+package org.eiderstair.core.settings;
--- a/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
@@ -6,7 +6,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import net.jqwik.api.Example;
 import org.eiderstair.core.message.Effect;
@@ -14,25 +13,12 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 
 /** A refusal that only this node gets against an outage for all. */
 class StateServiceHealthTest {
   private static final long SECOND = 1_000_000;
-  private final Settings settings =
-      new Settings(
-          "n0",
-          List.of("n1", "n2"),
-          List.of("a"),
-          Map.of(),
-          List.of(),
-          3 * SECOND,
-          20 * SECOND,
-          40 * SECOND,
-          100,
-          50,
-          16,
-          5,
-          Settings.Tuning.defaults());
+  private final Settings settings = SettingsBuilder.settings().peers("n1", "n2").build();
   private long now;
   private final List<Effect.Call> calls = new ArrayList<>();
   private final EffectSink sink =
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -19,6 +19,7 @@
 import org.eiderstair.core.model.Heartbeat.TaskState;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.JobSpecBuilder;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
@@ -75,28 +76,7 @@
   }
 
   private void addJob(LeaderBench leader) {
-    JobSpec spec =
-        new JobSpec(
-            JOB,
-            "c",
-            "red",
-            JobSpec.Shape.ARRAY,
-            JobSpec.Priority.NORMAL,
-            taskCount,
-            1,
-            0,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            20 * SECOND,
-            0,
-            0,
-            JobSpec.NO_DEADLINE);
+    JobSpec spec = JobSpecBuilder.job(JOB).tasks(taskCount).build();
     leader.replica.apply(new Reply.Item(StateKeys.job(JOB), JobRecord.open(spec, 0), 5));
     leader.replica.job(JOB).setDurableProgress(new BitSet(), 1);
   }
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -7,7 +7,6 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.eiderstair.core.LeaderBench;
 import org.eiderstair.core.leadership.Leadership;
@@ -24,6 +23,7 @@
 import org.eiderstair.core.model.Heartbeat.TaskState;
 import org.eiderstair.core.model.Job;
 import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.JobSpecBuilder;
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 import org.eiderstair.core.model.Order;
@@ -32,28 +32,16 @@
 import org.eiderstair.core.record.JobRecord;
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
+import org.eiderstair.core.settings.SettingsBuilder;
 import org.eiderstair.core.standby.Standby;
+import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 
 /** What a report may and may not prove. */
 class WorkerManagerTest {
   private static final MachineType TYPE =
       new MachineType("t", 8, 2, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
-  private final Settings settings =
-      new Settings(
-          "n0",
-          List.of(),
-          List.of("a"),
-          Map.of("red", new Settings.Team("red", 0, 0, 0, 0)),
-          List.of(),
-          3_000_000,
-          20_000_000,
-          40_000_000,
-          100,
-          50,
-          16,
-          5,
-          Settings.Tuning.defaults());
+  private final Settings settings = SettingsBuilder.settings().team("red", 0, 0).build();
   private final List<Answer.Command> answers = new ArrayList<>();
   private final List<Effect.Respond> responds = new ArrayList<>();
   private final EffectSink sink =
@@ -66,21 +54,7 @@
               answers.add(c);
             }
           });
-  private final Replica replica =
-      new Replica(
-          settings,
-          sink,
-          new Replica.Listener() {
-            @Override
-            public void leaderChanged() {}
-
-            @Override
-            public void jobChanged(Job job, boolean isNew) {}
-
-            @Override
-            public void loaded() {}
-          },
-          0);
+  private final Replica replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
   private final WorkerManager workers =
       new WorkerManager(
           settings,
@@ -100,27 +74,11 @@
 
   private void launched(Attempt.Phase phase) {
     JobSpec spec =
-        new JobSpec(
-            "job-1",
-            "c",
-            "red",
-            JobSpec.Shape.ARRAY,
-            JobSpec.Priority.NORMAL,
-            2,
-            1,
-            1,
-            1,
-            "img",
-            1,
-            null,
-            null,
-            false,
-            false,
-            true,
-            20_000_000,
-            30_000_000,
-            4_000_000,
-            JobSpec.NO_DEADLINE);
+        JobSpecBuilder.job("job-1")
+            .tasks(2)
+            .accelerators(1)
+            .checkpoints(30_000_000, 4_000_000)
+            .build();
     replica.apply(new Reply.Item(StateKeys.job("job-1"), JobRecord.open(spec, 0), 5));
     job = replica.job("job-1");
     job.setDurableProgress(new BitSet(), 1);
