--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -14,10 +14,11 @@
  */
 final class HeartbeatTracker {
   /**
-   * Twice the machines of a large cluster. The oldest changes are dropped first, and a peer that
-   * knew less gets all of them.
+   * So many machines that are silent are remembered, to report their silence; the oldest are
+   * dropped first, and a peer that knew less gets all changes. Those that are reachable are never
+   * dropped: their end could not be reported any more.
    */
-  private static final int MAX_MACHINES = 8_192;
+  static final int MAX_SILENT_MACHINES = 8_192;
 
   /** REACHABLE sends heartbeats here; SILENT did, and now sends them elsewhere or nowhere. */
   private enum State {
@@ -45,6 +46,9 @@
   /** The reachable ones, the one with the oldest heartbeat first. */
   private final Map<String, TrackedMachine> reachable = new LinkedHashMap<>();
 
+  /** The silent ones, in the order in which they became so. */
+  private final Map<String, TrackedMachine> silent = new LinkedHashMap<>();
+
   private long lastSequence;
 
   /** Changes up to this number may have been dropped. */
@@ -74,17 +78,21 @@
     machine.state = next;
     machine.sequence = ++lastSequence;
     byLastChange.put(machine.id, machine);
-    if (byLastChange.size() > MAX_MACHINES) {
-      dropOldest();
+    silent.remove(machine.id);
+    if (next == State.SILENT) {
+      silent.put(machine.id, machine);
+      dropOldestSilent();
     }
   }
 
-  private void dropOldest() {
-    Iterator<TrackedMachine> machines = byLastChange.values().iterator();
-    TrackedMachine oldest = machines.next();
-    machines.remove();
-    reachable.remove(oldest.id);
-    droppedSequence = oldest.sequence;
+  private void dropOldestSilent() {
+    if (silent.size() > MAX_SILENT_MACHINES) {
+      Iterator<TrackedMachine> machines = silent.values().iterator();
+      TrackedMachine oldest = machines.next();
+      machines.remove();
+      byLastChange.remove(oldest.id);
+      droppedSequence = oldest.sequence;
+    }
   }
 
   private void expire(long nowMicros) {
