--- a/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
+++ b/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
@@ -14,6 +14,6 @@
    */
   long lastHeartbeatMicros();
 
-  /** Whether work of earlier terms may be on it, and waits until it is confirmed or terminated. */
+  /** Whether it may hold work of earlier terms that no heartbeat has confirmed yet. */
   boolean unconfirmed();
 }
--- a/src/main/java/org/eiderstair/core/model/Order.java
+++ b/src/main/java/org/eiderstair/core/model/Order.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.model;
 
-/** A command to a worker. */
+/** What a worker is told about one attempt, in an answer to its heartbeat or by command. */
 public sealed interface Order {
   /** The task that it is about. */
   TaskId task();
@@ -11,9 +11,9 @@
   /** Starts an attempt; without effect where the machine has it already. */
   record Launch(TaskId task, long attempt) implements Order {}
 
-  /** Stops an attempt, which may save its progress first if the leeway suffices. */
+  /** Stops an attempt, which may first save a checkpoint if the grace period suffices. */
   record Kill(TaskId task, long attempt, long graceMicros) implements Order {}
 
-  /** Removes an ended attempt from the machine's reports. */
+  /** The end of an attempt is known: the worker may forget it and leaves it out of heartbeats. */
   record Acknowledge(TaskId task, long attempt) implements Order {}
 }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -91,7 +91,7 @@
     }
     // Queued attempts that yielded to more urgent work take the room that is left.
     queues.serve(ALL_PRIORITIES, nowMicros);
-    workers.queuesToServe().clear();
+    workers.clearQueuesToServe();
   }
 
   private double cpusInUse() {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -23,6 +24,7 @@
   private final TeamQuotas quotas;
   private final CommandQueue commandQueue;
   private final Set<Machine> queuesToServe = new LinkedHashSet<>();
+  private final Set<Machine> queuesToServeView = Collections.unmodifiableSet(queuesToServe);
   private long attemptCount;
   private Consumer<Job> jobStartedListener = job -> {};
   private boolean changed = true;
@@ -40,7 +42,12 @@
 
   /** Machines with a queue that may have got free resources since the last pass. */
   Set<Machine> queuesToServe() {
-    return queuesToServe;
+    return queuesToServeView;
+  }
+
+  /** All queues have been served. */
+  void clearQueuesToServe() {
+    queuesToServe.clear();
   }
 
   /** From now on only what changes later counts. */
--- a/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
+++ b/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
@@ -4,7 +4,7 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * The bounded list of machines that reported free room: the dispatcher's memory of the paper's
+ * The bounded list of machines that reported free resources: the dispatcher's memory of the paper's
  * section 3.1, whose entries the paper calls tokens. A machine is listed at most once, and not when
  * the list is full; a later heartbeat tries again.
  */
@@ -19,7 +19,7 @@
     this.capacity = capacity;
   }
 
-  /** Adds a machine that has room, unless it is listed already or the list is full. */
+  /** Adds a machine that has free resources, unless it is listed already or the list is full. */
   public void offer(Machine machine) {
     if (!machines.contains(machine) && size() < capacity) {
       machines.add(machine);
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -101,7 +101,7 @@
     return reachability;
   }
 
-  /** The machines by name. */
+  /** The machines by name, for reading. */
   public Map<String, Machine> machines() {
     return registry.machines();
   }
@@ -121,6 +121,11 @@
     return tracker.queuesToServe();
   }
 
+  /** All queues have been served. */
+  public void clearQueuesToServe() {
+    tracker.clearQueuesToServe();
+  }
+
   /**
    * Whether a machine was deleted in this term: a late heartbeat or list must not bring it back.
    */
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -1,5 +1,6 @@
 package org.eiderstair.core.workers;
 
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -27,6 +28,11 @@
   private final Set<Machine> leased = new LinkedHashSet<>();
   private final IndexedMachineList queueable = new IndexedMachineList();
   private final Set<String> terminated = new LinkedHashSet<>();
+  private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
+  private final Set<Machine> unconfirmedView = Collections.unmodifiableSet(unconfirmed);
+  private final Set<Machine> recoveredView = Collections.unmodifiableSet(recovered);
+  private final Set<Machine> fencingView = Collections.unmodifiableSet(fencing);
+  private final Set<Machine> leasedView = Collections.unmodifiableSet(leased);
   private Predicate<String> isReleasing = id -> false;
   private FailoverTimeline failover;
 
@@ -45,24 +51,24 @@
     isReleasing = predicate;
   }
 
-  /** All machines, by name. */
+  /** All machines, by name; for reading, like the sets below. */
   Map<String, Machine> machines() {
-    return machines;
+    return machinesView;
   }
 
   /** Machines that may hold work of earlier terms, until a heartbeat confirms what they hold. */
   Set<Machine> unconfirmed() {
-    return unconfirmed;
+    return unconfirmedView;
   }
 
   /** Machines that sent no heartbeat in this term, but are known from the standby's replica. */
   Set<Machine> recovered() {
-    return recovered;
+    return recoveredView;
   }
 
   /** Machines whose fence was raised, until they show it. */
   Set<Machine> fencing() {
-    return fencing;
+    return fencingView;
   }
 
   /**
@@ -70,7 +76,7 @@
    * this order.
    */
   Set<Machine> leased() {
-    return leased;
+    return leasedView;
   }
 
   /** Machines that may be given waiting attempts; for reading. */
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -38,8 +38,8 @@
   }
 
   private static CommandWorld replay(
-      int taskCount, boolean withPicture, Mistake mistake, List<String> path) {
-    CommandWorld world = new CommandWorld(taskCount, withPicture);
+      int taskCount, boolean withReplica, Mistake mistake, List<String> path) {
+    CommandWorld world = new CommandWorld(taskCount, withReplica);
     for (String step : path) {
       Runnable action = world.actions().get(step);
       world.act(action);
@@ -73,16 +73,16 @@
   }
 
   /** Searches breadth first; the first state that breaks something, with its path. */
-  private String search(int taskCount, boolean withPicture, Mistake mistake) {
+  private String search(int taskCount, boolean withReplica, Mistake mistake) {
     ArrayDeque<List<String>> open = new ArrayDeque<>();
     Set<String> known = new HashSet<>();
     open.add(List.of());
     while (!open.isEmpty() && known.size() < STATES) {
       List<String> path = open.poll();
-      for (String step : replay(taskCount, withPicture, mistake, path).actions().keySet()) {
+      for (String step : replay(taskCount, withReplica, mistake, path).actions().keySet()) {
         List<String> next = new ArrayList<>(path);
         next.add(step);
-        CommandWorld world = replay(taskCount, withPicture, mistake, next);
+        CommandWorld world = replay(taskCount, withReplica, mistake, next);
         if (world.broken.isEmpty() && known.add(StateKey.of(world))) {
           if (next.size() < DEPTH && world.commands.size() <= MAX_IN_FLIGHT) {
             open.add(next);
@@ -99,12 +99,12 @@
 
   @Example
   void noOrderOfMessagesBreaksARule() {
-    for (boolean withPicture : new boolean[] {false, true}) {
+    for (boolean withReplica : new boolean[] {false, true}) {
       for (int taskCount = 1; taskCount <= 2; taskCount++) {
         assertEquals(
             "",
-            search(taskCount, withPicture, Mistake.NONE),
-            "tasks " + taskCount + ", picture " + withPicture);
+            search(taskCount, withReplica, Mistake.NONE),
+            "tasks " + taskCount + ", replica " + withReplica);
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -41,7 +41,7 @@
 
   final List<LeaderBench> leaders = new ArrayList<>();
   final int taskCount;
-  final boolean withPicture;
+  final boolean withReplica;
   final SearchWorker worker = new SearchWorker();
   final List<InFlightCommand> commands = new ArrayList<>();
   InFlightHeartbeat report;
@@ -52,9 +52,9 @@
   long now = SECOND;
   final List<String> broken = new ArrayList<>();
 
-  CommandWorld(int taskCount, boolean withPicture) {
+  CommandWorld(int taskCount, boolean withReplica) {
     this.taskCount = taskCount;
-    this.withPicture = withPicture;
+    this.withReplica = withReplica;
     LeaderBench first = new LeaderBench();
     first.now = now;
     first.lead();
@@ -212,8 +212,8 @@
 
   private void takeOver() {
     LeaderBench first = leaders.get(0);
-    Map<String, RecoveredMachine> picture = withPicture ? picture(first) : null;
-    if (!withPicture) {
+    Map<String, RecoveredMachine> recovered = withReplica ? recovered(first) : null;
+    if (!withReplica) {
       now += first.settings.tuning().leaderTtlMicros();
     }
     LeaderBench second = new LeaderBench(SECOND_TERM);
@@ -225,19 +225,19 @@
     }
     second.replica.apply(
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
-    second.workers.takeOver(now, Optional.ofNullable(picture), now);
+    second.workers.takeOver(now, Optional.ofNullable(recovered), now);
     Machine m = second.workers.machines().get(MACHINE);
     m.assignType(LeaderBench.TYPE);
     m.recomputeFreeResources();
     leaders.add(second);
-    if (withPicture) {
+    if (withReplica) {
       // Its standby has taken over the term: it never launches again.
       first.workers.close();
       first.leadership.deposed("claimed");
     }
   }
 
-  private Map<String, RecoveredMachine> picture(LeaderBench first) {
+  private Map<String, RecoveredMachine> recovered(LeaderBench first) {
     Map<Integer, Long> held = new HashMap<>();
     long[] incarnation = new long[1];
     first.workers.snapshot(
