--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -19,7 +19,7 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.state.StateWriter;
 
-/** What the leader makes of rentals, its own and those it finds. */
+/** How the leader treats rentals, its own and those of earlier terms. */
 class CapacityManagerTest {
   private final LeaderBench bench = new LeaderBench();
   private final Membership membership =
@@ -57,9 +57,9 @@
   }
 
   private void reply(Class<? extends Request> kind, Reply reply) {
-    for (Effect e : List.copyOf(bench.effects)) {
-      if (e instanceof Effect.Call call && kind.isInstance(call.request())) {
-        bench.effects.remove(e);
+    for (Effect effect : List.copyOf(bench.effects)) {
+      if (effect instanceof Effect.Call call && kind.isInstance(call.request())) {
+        bench.effects.remove(effect);
         bench.sink.replied(call.callId(), reply);
         return;
       }
@@ -68,11 +68,11 @@
   }
 
   /**
-   * Refusals come every 15 s for each kind and zone, with up to 50 machines each that stood for
-   * what was asked for.
+   * Refusals come every 15 s for each option, with up to 50 stand-ins each, which would otherwise
+   * add up.
    */
   @Example
-  void whatStoodForARefusedRentalIsForgotten() {
+  void aRefusedRentalNoLongerCountsAsBootingMachines() {
     begin();
     Job job = bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
@@ -88,9 +88,9 @@
     assertEquals(0, capacity.pendingRentalCount());
   }
 
-  /** A record that throws in each leader's hands would end one after another. */
+  /** A record that makes a leader fail would end each of its successors. */
   @Example
-  void aRentalOfATypeThatIsNoMoreStopsNothing() {
+  void aRentalOfATypeThatIsNoLongerOfferedStopsNothing() {
     String key = StateKeys.rental("r-0-1");
     bench.replica.apply(
         new Reply.Item(key, new RentalIntentRecord("gone", "a", true, 5, 0, 0, null), 40));
@@ -102,9 +102,9 @@
         bench.effects.stream()
             .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.CloudRent)
             .count(),
-        "it is settled");
+        "the cloud is asked for the old rental, under its id");
     assertTrue(
         capacity.summary().startsWith("rentals=2 "),
-        "and others are decided: " + capacity.summary());
+        "and a new one is decided: " + capacity.summary());
   }
 }
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
@@ -0,0 +1,50 @@
+package org.eiderstair.core.capacity;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import net.jqwik.api.Example;
+import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.model.JobSpec;
+import org.eiderstair.core.model.Machine;
+
+/** How demand is assigned to a machine of 8 processors. */
+class PlannedMachineTest {
+  private final LeaderBench bench = new LeaderBench();
+
+  private PlannedMachine machine() {
+    Machine machine = new Machine("m", LeaderBench.TERM, Machine.Phase.BOOTING, 0);
+    machine.describe(null, "t", "a", true);
+    machine.assignType(LeaderBench.TYPE);
+    return new PlannedMachine(machine);
+  }
+
+  private JobSpec job(double cpus) {
+    return bench.job("blue", JobSpec.Priority.NORMAL, 10, cpus).spec();
+  }
+
+  @Example
+  void tasksAreAssignedUntilTheScarcestResourceIsUsed() {
+    PlannedMachine machine = machine();
+    assertTrue(machine.isUnassigned());
+    assertEquals(3, machine.assign(job(2), 3), 1e-9);
+    assertFalse(machine.isUnassigned());
+    assertEquals(1, machine.assign(job(2), 3), 1e-9, "a quarter was left");
+    assertEquals(0, machine.assign(job(2), 3), 1e-9, "nothing is left");
+  }
+
+  @Example
+  void aPartOfATaskMayBeAssigned() {
+    PlannedMachine machine = machine();
+    assertEquals(2.0 / 3, machine.assign(job(8), 2.0 / 3), 1e-9);
+    assertEquals(1.0 / 3, machine.assign(job(8), 1), 1e-9);
+  }
+
+  @Example
+  void nothingIsAssignedThatTheMachineDoesNotAllow() {
+    PlannedMachine machine = machine();
+    assertEquals(0, machine.assign(job(9), 1), 0);
+    assertTrue(machine.isUnassigned());
+  }
+}
--- a/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
+++ b/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
@@ -25,35 +25,35 @@
 import org.eiderstair.core.record.StoredValueCodec;
 
 /**
- * Holders replaced in the middle of everything, requests and answers that come minutes late:
- * nothing twice, nothing lost.
+ * Leaders that are replaced at any step, and requests and answers that arrive minutes late: nothing
+ * is rented twice, deleted in use or lost.
  */
 class ProvisioningControllerTest {
   private static final RentalOption OPTION = new RentalOption("t", "a", true);
   private static final long SECOND = 1_000_000;
 
   /**
-   * A state service that refuses writes of older epochs, a cloud, and messages that arrive when the
-   * test says.
+   * A state service that refuses writes of earlier terms, a cloud, and messages that arrive when
+   * the test says.
    */
-  private static final class World {
+  private static final class Platform {
     final TreeMap<String, StoredValue> store = new TreeMap<>();
-    final Set<String> everMarked = new HashSet<>();
+    final Set<String> everReleased = new HashSet<>();
     final Map<String, List<String>> machinesByRequest = new LinkedHashMap<>();
     final Set<String> running = new HashSet<>();
     final Set<String> registeredWorkers = new HashSet<>();
 
-    /** By machine, the latest epoch that placed something on it. */
-    final Map<String, Long> usedIn = new HashMap<>();
+    /** By machine, the latest term that placed something on it. */
+    final Map<String, Long> lastTermUsed = new HashMap<>();
 
-    final List<Runnable> onTheWay = new ArrayList<>();
-    final List<String> broken = new ArrayList<>();
-    int decided;
+    final List<Runnable> inFlight = new ArrayList<>();
+    final List<String> violations = new ArrayList<>();
+    int rentalsDecided;
 
     /** Whether a late copy of the next request follows it; its answer reaches nobody. */
-    boolean copies;
+    boolean duplicatesNext;
 
-    long epoch;
+    long term;
     long now;
 
     /** The state service holds a record in this form. */
@@ -62,63 +62,64 @@
     }
 
     void toCloud(Runnable request, Runnable answer) {
-      onTheWay.add(
+      inFlight.add(
           () -> {
             request.run();
-            onTheWay.add(answer);
+            inFlight.add(answer);
           });
-      if (copies) {
-        onTheWay.add(request);
+      if (duplicatesNext) {
+        inFlight.add(request);
       }
     }
 
     void deliver(int index) {
-      onTheWay.remove(index).run();
+      inFlight.remove(index).run();
     }
 
     void deliverAll() {
-      while (!onTheWay.isEmpty()) {
+      while (!inFlight.isEmpty()) {
         deliver(0);
       }
     }
   }
 
-  /** One holder; it may go on after it was replaced, which it then does not know. */
-  private static final class Holder implements ProvisioningHost {
-    final World world;
-    final long epoch;
+  /** A leader of one term; it may go on after it was replaced, which it then does not know. */
+  private static final class Leader implements ProvisioningHost {
+    final Platform platform;
+    final long term;
     final ProvisioningController controller;
     final Set<String> booting = new HashSet<>();
     final Set<String> terminated = new HashSet<>();
     final List<String> errors = new ArrayList<>();
     final ArrayDeque<Runnable> writes = new ArrayDeque<>();
-    boolean refusedByCloud;
+    boolean cloudRefuses;
 
-    Holder(World world) {
-      this.world = world;
-      this.epoch = world.epoch += 10;
-      this.controller = new ProvisioningController(this, epoch, 30 * SECOND, 0);
-      controller.resume(new TreeMap<>(world.store), world.now);
+    Leader(Platform platform) {
+      this.platform = platform;
+      this.term = platform.term += 10;
+      this.controller = new ProvisioningController(this, term, 30 * SECOND, 0);
+      controller.resume(new TreeMap<>(platform.store), platform.now);
     }
 
-    /** Writes of one holder are carried out in their order, as the stateWriter does. */
+    /** Writes of one leader are carried out in their order, as StateWriter does. */
     private void write(String key, StoredValue value, Runnable durable) {
       writes.add(
           () -> {
-            // Conditioned on the leader key: a replaced holder's write fails, and it hears nothing.
-            if (epoch == world.epoch) {
+            // On condition of the leader key: the write of a replaced leader fails without an
+            // answer.
+            if (term == platform.term) {
               if (value == null) {
-                world.store.remove(key);
+                platform.store.remove(key);
               } else {
-                world.store.put(key, value);
+                platform.store.put(key, value);
                 if (value instanceof ReleaseRecord release) {
-                  world.everMarked.addAll(release.machines());
+                  platform.everReleased.addAll(release.machines());
                 }
               }
-              world.onTheWay.add(durable);
+              platform.inFlight.add(durable);
             }
           });
-      world.onTheWay.add(() -> writes.remove().run());
+      platform.inFlight.add(() -> writes.remove().run());
     }
 
     @Override
@@ -140,22 +141,22 @@
     public void requestMachines(RentalRequest request, RentalResponseHandler handler) {
       String requestId = request.requestId();
       List<String> names = new ArrayList<>();
-      world.toCloud(
+      platform.toCloud(
           () -> {
-            if (!world.store.containsKey(StateKeys.rental(requestId))
-                && !world.machinesByRequest.containsKey(requestId)) {
-              world.broken.add("asked for " + requestId + " before it was durable");
+            if (!platform.store.containsKey(StateKeys.rental(requestId))
+                && !platform.machinesByRequest.containsKey(requestId)) {
+              platform.violations.add("requested " + requestId + " before it was durable");
             }
             names.clear();
             names.addAll(
-                world.machinesByRequest.computeIfAbsent(
+                platform.machinesByRequest.computeIfAbsent(
                     requestId,
                     id -> {
                       List<String> made = new ArrayList<>();
                       for (int i = 0; i < request.count(); i++) {
                         made.add(id + "/" + i);
                       }
-                      world.running.addAll(made);
+                      platform.running.addAll(made);
                       return made;
                     }));
           },
@@ -164,19 +165,20 @@
 
     @Override
     public void deleteMachines(List<String> machines, Consumer<DeletionResult> callback) {
-      if (refusedByCloud) {
-        world.onTheWay.add(() -> callback.accept(DeletionResult.REFUSED));
+      if (cloudRefuses) {
+        platform.inFlight.add(() -> callback.accept(DeletionResult.REFUSED));
         return;
       }
-      world.toCloud(
+      platform.toCloud(
           () -> {
             for (String machine : machines) {
-              if (!world.everMarked.contains(machine)) {
-                world.broken.add(machine + " deleted without a mark");
+              if (!platform.everReleased.contains(machine)) {
+                platform.violations.add(machine + " deleted without a release record");
               }
-              if (world.running.remove(machine) && world.usedIn.getOrDefault(machine, 0L) > epoch) {
-                world.broken.add(
-                    machine + " deleted by epoch " + epoch + " while in use by a later one");
+              if (platform.running.remove(machine)
+                  && platform.lastTermUsed.getOrDefault(machine, 0L) > term) {
+                platform.violations.add(
+                    machine + " deleted by term " + term + " while in use by a later one");
               }
             }
           },
@@ -194,7 +196,7 @@
     @Override
     public void machineTerminated(String machine) {
       terminated.add(machine);
-      world.registeredWorkers.remove(machine);
+      platform.registeredWorkers.remove(machine);
     }
 
     @Override
@@ -210,7 +212,7 @@
 
     @Override
     public boolean isRegistered(String machine) {
-      return world.registeredWorkers.contains(machine);
+      return platform.registeredWorkers.contains(machine);
     }
 
     @Override
@@ -223,174 +225,175 @@
   }
 
   @Property(tries = 400, seed = "31")
-  void whoeverHoldsAndHoweverLate(@ForAll long seed) {
+  void nothingIsRentedTwiceOrDeletedInUseHoweverLateMessagesAre(@ForAll long seed) {
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 17);
-    World world = new World();
-    List<Holder> holders = new ArrayList<>(List.of(new Holder(world)));
+    Platform platform = new Platform();
+    List<Leader> leaders = new ArrayList<>(List.of(new Leader(platform)));
     for (int step = 0; step < 150; step++) {
-      world.now += random.nextInt(400_000);
-      // A replaced holder goes on until it hears of it; its clock and its controller run.
-      Holder h = holders.get(random.nextInt(holders.size()));
-      Holder latest = holders.get(holders.size() - 1);
+      platform.now += random.nextInt(400_000);
+      // A replaced leader goes on until it learns of that.
+      Leader acting = leaders.get(random.nextInt(leaders.size()));
+      Leader latest = leaders.get(leaders.size() - 1);
       switch (random.nextInt(8)) {
         case 0 -> {
-          if (world.decided < 12) {
-            world.decided++;
-            h.controller.scaleOut(OPTION, 1 + random.nextInt(3));
+          if (platform.rentalsDecided < 12) {
+            platform.rentalsDecided++;
+            acting.controller.scaleOut(OPTION, 1 + random.nextInt(3));
           }
         }
         case 1 -> {
-          List<String> running = new ArrayList<>(world.running);
+          List<String> running = new ArrayList<>(platform.running);
           if (!running.isEmpty()) {
-            h.controller.scaleIn(running.get(random.nextInt(running.size())));
+            acting.controller.scaleIn(running.get(random.nextInt(running.size())));
           }
         }
         case 2 -> {
-          for (String machine : world.running) {
+          for (String machine : platform.running) {
             if (latest.booting.contains(machine) && !latest.controller.isReleasing(machine)) {
-              world.usedIn.put(machine, latest.epoch);
+              platform.lastTermUsed.put(machine, latest.term);
             }
           }
         }
         case 3 -> {
-          for (String machine : List.copyOf(world.running)) {
-            if (latest.booting.contains(machine) && world.registeredWorkers.add(machine)) {
+          for (String machine : List.copyOf(platform.running)) {
+            if (latest.booting.contains(machine) && platform.registeredWorkers.add(machine)) {
               latest.controller.machineRegistered(machine);
               break;
             }
           }
         }
         case 4 -> {
-          List<String> running = new ArrayList<>(world.running);
+          List<String> running = new ArrayList<>(platform.running);
           if (!running.isEmpty()) {
-            h.controller.cancelScaleIn(running.get(random.nextInt(running.size())));
+            acting.controller.cancelScaleIn(running.get(random.nextInt(running.size())));
           }
         }
         case 5 -> {
-          if (random.nextInt(6) == 0 && holders.size() < 5) {
-            holders.add(new Holder(world));
+          if (random.nextInt(6) == 0 && leaders.size() < 5) {
+            leaders.add(new Leader(platform));
           }
         }
         default -> {
-          if (!world.onTheWay.isEmpty()) {
-            world.deliver(random.nextInt(world.onTheWay.size()));
+          if (!platform.inFlight.isEmpty()) {
+            platform.deliver(random.nextInt(platform.inFlight.size()));
           }
         }
       }
-      h.refusedByCloud = random.nextInt(10) == 0;
-      world.copies = random.nextInt(5) == 0;
-      h.controller.tick(world.now);
-      latest.controller.tick(world.now);
+      acting.cloudRefuses = random.nextInt(10) == 0;
+      platform.duplicatesNext = random.nextInt(5) == 0;
+      acting.controller.tick(platform.now);
+      latest.controller.tick(platform.now);
     }
-    assertEquals(List.of(), world.broken);
-    // All that was ever written is settled by the last holder, and it knows every machine.
-    Holder last = holders.get(holders.size() - 1);
-    last.refusedByCloud = false;
-    world.copies = false;
+    assertEquals(List.of(), platform.violations);
+    // All that was ever written is settled by the last leader, and it knows every machine.
+    Leader last = leaders.get(leaders.size() - 1);
+    last.cloudRefuses = false;
+    platform.duplicatesNext = false;
     for (int i = 0; i < 400; i++) {
-      world.now += SECOND / 2;
-      holders.forEach(x -> x.controller.tick(world.now));
-      world.deliverAll();
-      // Deleted by a holder that was replaced, and not known to be gone: it never comes up, and is
-      // given back.
+      platform.now += SECOND / 2;
+      leaders.forEach(each -> each.controller.tick(platform.now));
+      platform.deliverAll();
+      // Deleted by a replaced leader, which the last does not know: it never boots, and is
+      // released.
       last.booting.stream()
-          .filter(m -> !world.running.contains(m) && !last.terminated.contains(m))
+          .filter(m -> !platform.running.contains(m) && !last.terminated.contains(m))
           .forEach(last.controller::scaleIn);
-      for (String machine : List.copyOf(world.running)) {
-        if (last.booting.contains(machine) && world.registeredWorkers.add(machine)) {
+      for (String machine : List.copyOf(platform.running)) {
+        if (last.booting.contains(machine) && platform.registeredWorkers.add(machine)) {
           last.controller.machineRegistered(machine);
         }
       }
     }
-    assertEquals(List.of(), world.broken);
-    assertTrue(world.store.isEmpty(), "left over: " + world.store);
+    assertEquals(List.of(), platform.violations);
+    assertTrue(platform.store.isEmpty(), "left over: " + platform.store);
     assertEquals(List.of(), last.controller.pendingRentals());
   }
 
   @Example
-  void theSameRentalAskedForByTwoIsOne() {
-    World world = new World();
-    Holder first = new Holder(world);
+  void aRentalRequestedByTwoLeadersIsOne() {
+    Platform platform = new Platform();
+    Leader first = new Leader(platform);
     first.controller.scaleOut(OPTION, 3);
-    world.deliver(0);
-    world.deliver(0);
+    platform.deliver(0);
+    platform.deliver(0);
     first.controller.tick(SECOND);
     // The request of the first is on its way when the second takes over.
-    Holder second = new Holder(world);
+    Leader second = new Leader(platform);
     second.controller.tick(2 * SECOND);
-    world.deliverAll();
-    assertEquals(1, world.machinesByRequest.size());
+    platform.deliverAll();
+    assertEquals(1, platform.machinesByRequest.size());
     assertEquals(3, second.booting.size());
-    assertEquals(3, world.running.size());
+    assertEquals(3, platform.running.size());
   }
 
   @Example
-  void aMarkedMachineIsLeftAloneByTheNextAndADeletionMinutesLateHitsNothing() {
-    World world = new World();
-    Holder first = new Holder(world);
-    world.running.add("m");
+  void aReleasedMachineIsNotUsedByTheNextLeaderSoALateDeletionHitsNothing() {
+    Platform platform = new Platform();
+    Leader first = new Leader(platform);
+    platform.running.add("m");
     first.controller.scaleIn("m");
     first.controller.tick(SECOND);
-    world.deliver(0);
-    world.deliver(0);
-    // It stands still between the mark and the request, is replaced, and goes on.
-    Holder second = new Holder(world);
+    platform.deliver(0);
+    platform.deliver(0);
+    // It is paused between the record and the request, is replaced, and goes on.
+    Leader second = new Leader(platform);
     assertTrue(second.controller.isReleasing("m"), "nothing is placed on it");
     first.controller.tick(200 * SECOND);
     second.controller.tick(200 * SECOND);
-    world.deliverAll();
-    assertEquals(List.of(), world.broken);
-    assertFalse(world.running.contains("m"));
+    platform.deliverAll();
+    assertEquals(List.of(), platform.violations);
+    assertFalse(platform.running.contains("m"));
     assertTrue(second.terminated.contains("m"));
   }
 
   @Example
-  void aMachineIsTakenBackOnlyWhileNoRequestForItMayArrive() {
-    World world = new World();
-    Holder holder = new Holder(world);
-    world.running.add("m");
-    holder.controller.scaleIn("m");
-    assertTrue(holder.controller.cancelScaleIn("m"), "not written yet");
-    holder.controller.scaleIn("m");
-    holder.refusedByCloud = true;
-    holder.controller.tick(SECOND);
-    world.deliverAll();
-    holder.controller.tick(2 * SECOND);
-    assertFalse(holder.controller.cancelScaleIn("m"), "a request is on its way");
-    world.deliverAll();
-    assertTrue(holder.controller.cancelScaleIn("m"), "refused for certain");
-    assertTrue(holder.controller.isReleasing("m"), "not before that is durable");
-    world.deliverAll();
-    assertFalse(holder.controller.isReleasing("m"));
-    holder.controller.scaleIn("m");
-    holder.refusedByCloud = false;
-    holder.controller.tick(4 * SECOND);
-    world.deliverAll();
-    assertTrue(new Holder(world).controller.isReleasing("m"));
+  void aReleaseIsCancelledOnlyWhileNoDeletionMayArrive() {
+    Platform platform = new Platform();
+    Leader leader = new Leader(platform);
+    platform.running.add("m");
+    leader.controller.scaleIn("m");
+    assertTrue(leader.controller.cancelScaleIn("m"), "not written yet");
+    leader.controller.scaleIn("m");
+    leader.cloudRefuses = true;
+    leader.controller.tick(SECOND);
+    platform.deliverAll();
+    leader.controller.tick(2 * SECOND);
+    assertFalse(leader.controller.cancelScaleIn("m"), "a request is on its way");
+    platform.deliverAll();
+    assertTrue(leader.controller.cancelScaleIn("m"), "refused for certain");
+    assertTrue(leader.controller.isReleasing("m"), "not before that is durable");
+    platform.deliverAll();
+    assertFalse(leader.controller.isReleasing("m"));
+    leader.controller.scaleIn("m");
+    leader.cloudRefuses = false;
+    leader.controller.tick(4 * SECOND);
+    platform.deliverAll();
+    assertTrue(new Leader(platform).controller.isReleasing("m"));
     assertFalse(
-        new Holder(world).controller.cancelScaleIn("m"), "what an earlier epoch sent is not known");
+        new Leader(platform).controller.cancelScaleIn("m"),
+        "what an earlier term sent is not known");
   }
 
   @Example
-  void whatCannotBeReadIsNamedAndStopsNothing() {
-    World world = new World();
-    world.read(
+  void anUnreadableRecordIsNamedAndStopsNothing() {
+    Platform platform = new Platform();
+    platform.read(
         StateKeys.rental("r-1-1"), Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
-    world.read(
+    platform.read(
         StateKeys.rental("r-1-2"),
         Map.of("type", "t", "zone", "a", "n", 0L, "epoch", 1L, "at", 0L));
-    world.read(StateKeys.release("1-3"), Map.of("epoch", 1L, "ids", "m"));
-    world.read(
+    platform.read(StateKeys.release("1-3"), Map.of("epoch", 1L, "ids", "m"));
+    platform.read(
         StateKeys.rental("r-1-4"),
         Map.of("type", "t", "zone", "a", "n", 2L, "epoch", 1L, "at", 0L, "later", true));
-    Holder holder = new Holder(world);
-    assertEquals(3, holder.errors.size());
+    Leader leader = new Leader(platform);
+    assertEquals(3, leader.errors.size());
     assertTrue(
-        holder.errors.get(0).contains(StateKeys.release("1-3"))
-            && holder.errors.get(0).contains("ids"));
-    assertTrue(holder.errors.get(1).contains("r-1-1") && holder.errors.get(1).contains("zone"));
-    holder.controller.tick(SECOND);
-    world.deliverAll();
-    assertEquals(2, holder.booting.size());
+        leader.errors.get(0).contains(StateKeys.release("1-3"))
+            && leader.errors.get(0).contains("ids"));
+    assertTrue(leader.errors.get(1).contains("r-1-1") && leader.errors.get(1).contains("zone"));
+    leader.controller.tick(SECOND);
+    platform.deliverAll();
+    assertEquals(2, leader.booting.size());
   }
 }
--- a/src/test/java/org/eiderstair/core/provisioning/package-info.java
+++ b/src/test/java/org/eiderstair/core/provisioning/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of capacity and giving back. */
+/** Tests of {@code org.eiderstair.core.provisioning}. */
 package org.eiderstair.core.provisioning;
