--- a/src/main/java/org/eiderstair/core/record/StateKeys.java
+++ b/src/main/java/org/eiderstair/core/record/StateKeys.java
@@ -11,7 +11,7 @@
   /** The machine types that can be rented. */
   public static final String CATALOG = "e/catalog";
 
-  /** Never dropped; its version is a condition of every transaction of a leader. */
+  /** Never removed; its version is a condition of every transaction of a leader. */
   public static final String BARRIER = "e/duty/barrier";
 
   /** Names the standby that is in sync. */
--- a/src/main/java/org/eiderstair/core/state/RateBudget.java
+++ b/src/main/java/org/eiderstair/core/state/RateBudget.java
@@ -1,13 +1,16 @@
 package org.eiderstair.core.state;
 
-/**
- * A token bucket worth one second, so that this node stays below a limit of the platform by itself.
- */
+/** A token bucket that holds one second's worth, to stay below a rate limit of the platform. */
 public final class RateBudget {
+  private static final double MICROS_PER_SECOND = 1e6;
+
   private final double perSecond;
   private double available;
-  private long atMicros;
+  private long refilledMicros;
 
+  /**
+   * @param perSecond what may be spent in a second, and at once after a pause
+   */
   public RateBudget(double perSecond) {
     this.perSecond = perSecond;
     this.available = perSecond;
@@ -15,8 +18,10 @@
 
   /** What may be spent now. */
   public double available(long nowMicros) {
-    available = Math.min(perSecond, available + (nowMicros - atMicros) * perSecond / 1e6);
-    atMicros = nowMicros;
+    available =
+        Math.min(
+            perSecond, available + (nowMicros - refilledMicros) * perSecond / MICROS_PER_SECOND);
+    refilledMicros = nowMicros;
     return available;
   }
 
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -33,7 +33,7 @@
  */
 public final class Replica {
 
-  /** Told of what changed after the replica holds it. */
+  /** Is called once the replica holds a change. */
   public interface Listener {
     /** The leader key has changed. */
     void leaderChanged();
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -16,8 +16,8 @@
 public final class StateServiceHealth {
 
   /**
-   * SUSPECT had no answer for a while and asks its peers; ISOLATED was told by one of them that it
-   * is served.
+   * SUSPECT had no answer for a while and asks its peers; ISOLATED knows from one of them that the
+   * state service serves it.
    */
   private enum State {
     REACHABLE,
@@ -51,7 +51,7 @@
   private long nextProbeMicros;
   private long nextAskMicros;
 
-  /** Of the highest term that a peer has told of. */
+  /** Of the highest term that a peer has named. */
   private PeerLeader peerLeader = NO_LEADER;
 
   public StateServiceHealth(Settings settings, EffectSink sink, Replica replica) {
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -48,7 +48,7 @@
     READING
   }
 
-  /** Who is told of completed writes. */
+  /** Is called when a write is durable. */
   public interface Listener {
     /** The job's final state is durable. */
     void jobFinished(Job job);
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -100,7 +100,7 @@
     return host.claimed;
   }
 
-  /** A peer that holds all that the leader of the term told. */
+  /** A peer that holds all that the leader of the term has sent. */
   static final class Follower {
     private final Standby standby = new Standby("b", "run-b", text -> {});
 
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -54,15 +54,15 @@
     return watch;
   }
 
-  private static Reply.Item rosterItem(String machine, long version) {
+  private static Reply.Item registration(String machine, long version) {
     return new Reply.Item(
         StateKeys.worker(machine), new WorkerRecord("x", "t", "a", true), version);
   }
 
   /**
-   * A machine is written to the roster after a read that found nothing, and the watch tells of it
-   * before the read's answer is here. A node that forgot it would not ask that machine after a
-   * take-over, and start its tasks elsewhere too.
+   * A machine is registered after a read that found nothing, and the watch brings it before the
+   * read's answer is here. A node that forgot it would not ask that machine after a take-over, and
+   * start its tasks elsewhere too.
    */
   @Example
   void whatIsMissingIsMissingAsOfARevision() {
@@ -71,7 +71,7 @@
         watch.callId(),
         new Reply.Changed(
             List.of(
-                rosterItem("i-1", 12),
+                registration("i-1", 12),
                 new Reply.Item(
                     StateKeys.rental("r-1-1"),
                     new RentalIntentRecord("t", "a", true, 1, 1, 1, null),
@@ -93,7 +93,7 @@
     assertNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
     assertNull(replica.leader());
     // A late list of the time before brings nothing back; a new leader is learnt again.
-    replica.apply(rosterItem("i-1", 12));
+    replica.apply(registration("i-1", 12));
     assertFalse(replica.isRegistered("i-1"));
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n2", 4, "run"), 15));
     assertEquals(15, replica.leader().term());
@@ -107,7 +107,7 @@
     at(106 * SECOND);
     replica.recordAnswer(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.currentMicros());
-    bench.sink.replied(watch.callId(), new Reply.Changed(List.of(rosterItem("i-1", 11)), 11));
+    bench.sink.replied(watch.callId(), new Reply.Changed(List.of(registration("i-1", 11)), 11));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The watch itself is as new as its sending, not its answer.
     at(107 * SECOND);
@@ -131,7 +131,7 @@
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
-    bench.sink.replied(second.callId(), new Reply.Changed(List.of(rosterItem("i-2", 12)), 12));
+    bench.sink.replied(second.callId(), new Reply.Changed(List.of(registration("i-2", 12)), 12));
     assertEquals(105 * SECOND, replica.currentMicros());
     // The one given up changes nothing when it answers at last, and opens no third.
     bench.sink.replied(silent.callId(), new Reply.Changed(List.of(), 10));
@@ -178,7 +178,7 @@
     watching(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n1", 3, "run"), 12));
-    replica.apply(rosterItem("i-1", 12));
+    replica.apply(registration("i-1", 12));
     String progress = StateKeys.progress(job.id());
     bench.effects.clear();
     replica.apply(read(progress, Map.of("done", "x:1", "run", 2L), 20));
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -58,7 +58,7 @@
   }
 
   @Example
-  void hundredsOfNotesHoldUpNoCompletionAndWaitForNone() {
+  void hundredsOfRecordsHoldUpNoCompletionAndWaitForNone() {
     int[] durable = new int[1];
     for (int i = 0; i < 300; i++) {
       stateWriter.putDuty(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
@@ -87,8 +87,8 @@
   }
 
   /**
-   * A transaction that creates a roster entry gets no answer, is carried out long after the entry
-   * was written again and dropped, and would bring back a machine that is gone.
+   * A transaction that registers a worker gets no answer, is carried out long after the worker was
+   * registered again and unregistered, and would bring back a machine that is terminated.
    */
   @Example
   void aCreationWithoutAnAnswerIsDeadOnceTheBarrierIsWritten() {
@@ -129,23 +129,23 @@
   }
 
   @Example
-  void theLatestValueCountsAndEveryoneIsTold() {
-    List<String> told = new ArrayList<>();
+  void theLatestValueCountsAndEveryCallbackRuns() {
+    List<String> durable = new ArrayList<>();
     String key = StateKeys.release("1-1");
-    stateWriter.putDuty(key, release(1), () -> told.add("first"));
-    stateWriter.putDuty(key, release(2), () -> told.add("second"));
+    stateWriter.putDuty(key, release(1), () -> durable.add("first"));
+    stateWriter.putDuty(key, release(2), () -> durable.add("second"));
     assertEquals(release(2), next().get(0).value());
-    assertEquals(List.of("first", "second"), told);
+    assertEquals(List.of("first", "second"), durable);
     // One that comes while another value is on its way waits for its own.
-    stateWriter.putDuty(key, release(3), () -> told.add("third"));
+    stateWriter.putDuty(key, release(3), () -> durable.add("third"));
     bench.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
-    stateWriter.removeDuty(key, () -> told.add("dropped"));
+    stateWriter.removeDuty(key, () -> durable.add("removed"));
     bench.sink.replied(
         ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.versions));
-    assertEquals(List.of("first", "second", "third"), told);
+    assertEquals(List.of("first", "second", "third"), durable);
     assertEquals(null, next().get(0).value());
-    assertEquals(List.of("first", "second", "third", "dropped"), told);
+    assertEquals(List.of("first", "second", "third", "removed"), durable);
   }
 }
