--- a/src/main/java/org/eiderstair/core/model/TaskSet.java
+++ b/src/main/java/org/eiderstair/core/model/TaskSet.java
@@ -9,51 +9,77 @@
  * bounds the length at 16.7 KB for the largest job of 100,000 tasks.
  */
 public final class TaskSet {
+  private static final String RANGES = "r:";
+  private static final String BITMAP = "b:";
+
+  /** Ranges are easier to read, so they may be this much longer than the bitmap. */
+  private static final int RANGES_MAY_BE_LONGER_BY = 64;
+
   private TaskSet() {}
 
-  /** A set of task numbers as text: ranges or a bitmap, whichever is shorter. */
+  /** A set of task numbers as text: ranges, or a bitmap if that is a good deal shorter. */
   public static String write(BitSet set) {
-    int bitmapLength = (set.length() + 23) / 24 * 4;
-    StringBuilder ranges = new StringBuilder("r:");
-    for (int from = set.nextSetBit(0); from >= 0; ) {
+    int maxLength = base64Length(set.length()) + RANGES_MAY_BE_LONGER_BY;
+    StringBuilder ranges = new StringBuilder(RANGES);
+    int from = set.nextSetBit(0);
+    while (from >= 0) {
       int to = set.nextClearBit(from) - 1;
-      if (ranges.length() > 2) {
-        ranges.append(',');
-      }
-      ranges.append(from);
-      if (to > from) {
-        ranges.append('-').append(to);
-      }
-      if (ranges.length() > bitmapLength + 64) {
-        return "b:" + Base64.getEncoder().encodeToString(set.toByteArray());
+      appendRange(ranges, from, to);
+      if (ranges.length() > maxLength) {
+        return BITMAP + Base64.getEncoder().encodeToString(set.toByteArray());
       }
       from = set.nextSetBit(to + 1);
     }
     return ranges.toString();
   }
 
-  /** Reads what {@link #write} wrote. */
+  /** Four characters stand for three bytes of eight bits each. */
+  private static int base64Length(int bits) {
+    return (bits + 23) / 24 * 4;
+  }
+
+  private static void appendRange(StringBuilder ranges, int from, int to) {
+    if (ranges.length() > RANGES.length()) {
+      ranges.append(',');
+    }
+    ranges.append(from);
+    if (to > from) {
+      ranges.append('-').append(to);
+    }
+  }
+
+  /**
+   * Reads what {@link #write} wrote.
+   *
+   * @throws IllegalArgumentException if the text is no task set
+   */
   public static BitSet read(String text) {
-    if (text.startsWith("b:")) {
-      return BitSet.valueOf(Base64.getDecoder().decode(text.substring(2)));
+    if (text.startsWith(BITMAP)) {
+      return BitSet.valueOf(Base64.getDecoder().decode(text.substring(BITMAP.length())));
     }
-    if (!text.startsWith("r:")) {
+    if (!text.startsWith(RANGES)) {
       throw new IllegalArgumentException("not a task set: " + text);
     }
     BitSet set = new BitSet();
-    int at = 2;
-    while (at < text.length()) {
-      int end = text.indexOf(',', at);
-      end = end < 0 ? text.length() : end;
-      int dash = text.indexOf('-', at);
-      if (dash > 0 && dash < end) {
-        set.set(
-            Integer.parseInt(text, at, dash, 10), Integer.parseInt(text, dash + 1, end, 10) + 1);
-      } else {
-        set.set(Integer.parseInt(text, at, end, 10));
-      }
-      at = end + 1;
+    int start = RANGES.length();
+    while (start < text.length()) {
+      int comma = text.indexOf(',', start);
+      int end = comma < 0 ? text.length() : comma;
+      readRange(text, start, end, set);
+      start = end + 1;
     }
     return set;
   }
+
+  /** Without a copy of each part: a set may have thousands. */
+  private static void readRange(String text, int start, int end, BitSet set) {
+    int dash = text.indexOf('-', start);
+    if (dash > 0 && dash < end) {
+      int from = Integer.parseInt(text, start, dash, 10);
+      int to = Integer.parseInt(text, dash + 1, end, 10);
+      set.set(from, to + 1);
+    } else {
+      set.set(Integer.parseInt(text, start, end, 10));
+    }
+  }
 }
