--- a/src/main/java/org/eiderstair/core/placement/package-info.java
+++ b/src/main/java/org/eiderstair/core/placement/package-info.java
@@ -1,2 +1,5 @@
-/** Where tasks go, and in which order they are served. */
+/**
+ * Decides on which machine each task runs, and in which order jobs are served. The type to enter by
+ * is {@link org.eiderstair.core.placement.Placement}.
+ */
 package org.eiderstair.core.placement;
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -44,7 +44,7 @@
           .build();
   private final EffectSink sink = new EffectSink(e -> {});
   private final Replica replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
-  private final TeamQuotas teams = new TeamQuotas(settings);
+  private final TeamQuotas quotas = new TeamQuotas(settings);
   private final AvailableMachines availableMachines = new AvailableMachines(10);
   private final WorkerManager workers =
       new WorkerManager(
@@ -54,13 +54,13 @@
           null,
           null,
           availableMachines,
-          teams,
+          quotas,
           new Standby("n0", "run", text -> {}),
           1);
   private final Demand demand = new Demand(settings, replica);
   private final Placement placement =
       new Placement(
-          settings, sink, replica, workers, availableMachines, teams, TERM, demand, n -> 0);
+          settings, sink, replica, workers, availableMachines, quotas, TERM, demand, n -> 0);
   private long versions = 1;
 
   private Job job(int number, String team, Priority priority, int tasks, double cpus) {
@@ -77,17 +77,22 @@
   }
 
   private Machine machine(String id, String zone, boolean spot) {
-    Machine m = new Machine(id, 1, Machine.Phase.CONFIRMED, 0);
-    m.describe(null, "t", zone, spot);
-    m.assignType(TYPE);
-    m.markRegistered();
-    workers.add(m);
-    m.recomputeFreeResources();
-    availableMachines.offer(m);
-    return m;
+    Machine machine = new Machine(id, 1, Machine.Phase.CONFIRMED, 0);
+    machine.describe(null, "t", zone, spot);
+    machine.assignType(TYPE);
+    machine.markRegistered();
+    workers.add(machine);
+    machine.recomputeFreeResources();
+    availableMachines.offer(machine);
+    return machine;
   }
 
-  private static void seen(Job job) {
+  private static long planned(Job job) {
+    return job.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count();
+  }
+
+  /** The machines show what was planned for them. */
+  private static void confirmPlanned(Job job) {
     job.attempts().stream()
         .filter(a -> a.phase() == Attempt.Phase.PLANNED)
         .forEach(
@@ -101,16 +106,16 @@
   void higherPriorityGoesFirstAndTheRestQueuesOrWaits() {
     Job low = job(1, "blue", Priority.LOW, 12, 1);
     Job high = job(2, "blue", Priority.HIGH, 6, 1);
-    Machine m = machine("m", "a", true);
+    Machine machine = machine("m", "a", true);
     placement.place(NOW);
     assertEquals(6, high.attemptCount());
     assertEquals(4, low.attemptCount(), "two run and two queue");
-    assertEquals(2, m.queue().size());
-    assertEquals(8, m.plannedLaunches().size());
+    assertEquals(2, machine.queue().size());
+    assertEquals(8, machine.plannedLaunches().size());
   }
 
   @Example
-  void aTeamStaysInsideItsLimitWhateverUnheardMachinesHold() {
+  void aTeamStaysWithinItsLimit() {
     Job red = job(1, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
     machine("n", "a", true);
@@ -120,10 +125,10 @@
 
   /**
    * A whole unconfirmed zone held up every team, although a team can have no more there than its
-   * own unseen tasks.
+   * own unaccounted tasks.
    */
   @Example
-  void unheardMachinesCountAgainstATeamWithItsUnseenTasksOnly() {
+  void unconfirmedMachinesCountAgainstATeamWithItsUnaccountedTasksOnly() {
     Job older = job(1, "red", Priority.NORMAL, 3, 1);
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
@@ -132,18 +137,20 @@
     unconfirmed.assignType(TYPE);
     workers.add(unconfirmed);
     placement.place(NOW);
-    assertEquals(0, older.attemptCount(), "may be on the unheard machine");
+    assertEquals(0, older.attemptCount(), "may be on the unconfirmed machine");
     assertEquals(5, newer.attemptCount());
   }
 
   /** A worker may run the tasks of a job cancelled just now; long after, none can. */
   @Example
-  void unheardMachinesMayHoldJobsCancelledLately() {
-    Job gone = job(1, "red", Priority.NORMAL, 6, 1);
+  void unconfirmedMachinesMayHoldJobsCancelledLately() {
+    Job cancelled = job(1, "red", Priority.NORMAL, 6, 1);
     replica.advanceTo(NOW);
     replica.apply(
         new Reply.Item(
-            StateKeys.job(gone.id()), JobRecord.cancelled(gone.spec(), 0, 0), ++versions));
+            StateKeys.job(cancelled.id()),
+            JobRecord.cancelled(cancelled.spec(), 0, 0),
+            ++versions));
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
     machine("m", "a", true);
@@ -151,11 +158,9 @@
     unconfirmed.assignType(TYPE);
     workers.add(unconfirmed);
     placement.place(NOW);
-    assertEquals(
-        2, newer.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+    assertEquals(2, planned(newer));
     placement.place(NOW + settings.cancelMicros() + 6_000_000);
-    assertEquals(
-        8, newer.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+    assertEquals(8, planned(newer));
   }
 
   /**
@@ -163,7 +168,7 @@
    * free machines.
    */
   @Example
-  void partOfTheLimitIsKeptForMoreUrgentWork() {
+  void partOfTheLimitIsReservedForMoreUrgentWork() {
     Job urgent = job(1, "red", Priority.HIGH, 4, 1);
     demand.measure(NOW);
     replica.apply(new Reply.Item(StateKeys.job(urgent.id()), JobRecord.done(4), ++versions));
@@ -173,25 +178,25 @@
     machine("n", "a", true);
     placement.place(NOW);
     assertTrue(normal.attemptCount() < 8, "placed " + normal.attemptCount());
-    assertTrue(normal.attemptCount() >= 4, "at most half of the limit is kept");
+    assertTrue(normal.attemptCount() >= 4, "at most half of the limit is reserved");
   }
 
   /**
-   * Seen in an incident: a victim that was itself guaranteed was placed again first, and stopped
-   * again.
+   * Seen in an incident: a victim that was itself within its guarantee was placed again first, and
+   * preempted again.
    */
   @Example
-  void aJobInsideItsGuaranteeIsNotStopped() {
-    Job inside = job(1, "blue", Priority.NORMAL, 4, 1);
+  void aJobWithinItsGuaranteeIsNotPreempted() {
+    Job within = job(1, "blue", Priority.NORMAL, 4, 1);
     Job beyond = job(2, "blue", Priority.NORMAL, 4, 1);
     machine("m", "a", true);
     placement.place(NOW);
-    seen(inside);
-    seen(beyond);
+    confirmPlanned(within);
+    confirmPlanned(beyond);
     Job waiting = job(3, "red", Priority.NORMAL, 3, 1);
     assertEquals(0, waiting.submittedMicros());
     placement.place(NOW + 1_000_000);
-    assertTrue(inside.attempts().stream().noneMatch(a -> a.isStopRequested()));
+    assertTrue(within.attempts().stream().noneMatch(a -> a.isStopRequested()));
     assertEquals(3, beyond.attempts().stream().filter(a -> a.isStopRequested()).count());
   }
 
@@ -200,12 +205,12 @@
    * found room.
    */
   @Example
-  void roomGathersForALargerTaskInTheQueue() {
+  void roomAccumulatesForALargerTaskInTheQueue() {
     Job small = job(1, "blue", Priority.LOW, 20, 1);
-    Machine m = machine("m", "a", true);
+    Machine machine = machine("m", "a", true);
     placement.place(NOW);
-    assertEquals(8, m.plannedLaunches().size());
-    seen(small);
+    assertEquals(8, machine.plannedLaunches().size());
+    confirmPlanned(small);
     Job large = job(2, "blue", Priority.NORMAL, 1, 4);
     placement.place(NOW + 1);
     assertTrue(large.hasQueuedAttempts());
@@ -220,33 +225,30 @@
   }
 
   /**
-   * Dear machines rented for a backlog stayed busy with work that cheap ones could have done, until
-   * the day's end.
+   * On-demand machines rented for a backlog stayed busy with work that spot machines could have
+   * done, until the day's end.
    */
   @Example
-  void dearMachinesBeyondTheDemandTakeNoWorkThatCouldGoElsewhere() {
-    Machine dear = machine("o", "a", false);
-    dear.setReservedForOnDemand(true);
+  void onDemandMachinesBeyondTheDemandTakeNoWorkThatMayRunOnSpot() {
+    Machine onDemand = machine("o", "a", false);
+    onDemand.setReservedForOnDemand(true);
     Job flexible = job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
-    assertEquals(
-        0, flexible.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
-    dear.setReservedForOnDemand(false);
+    assertEquals(0, planned(flexible));
+    onDemand.setReservedForOnDemand(false);
     placement.place(NOW + 1);
-    assertEquals(4, dear.plannedLaunches().size());
+    assertEquals(4, onDemand.plannedLaunches().size());
   }
 
   /** A guarantee holds against what other teams borrow, also for work of low priority. */
   @Example
-  void workInsideAGuaranteeGoesBeforeBorrowedWork() {
+  void workWithinAGuaranteeGoesBeforeBorrowedWork() {
     Job borrowed = job(1, "blue", Priority.NORMAL, 40, 1);
-    Job inside = job(2, "red", Priority.LOW, 4, 1);
+    Job within = job(2, "red", Priority.LOW, 4, 1);
     machine("m", "a", true);
     placement.place(NOW);
-    assertEquals(
-        4, inside.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
-    assertEquals(
-        4, borrowed.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count());
+    assertEquals(4, planned(within));
+    assertEquals(4, planned(borrowed));
   }
 
   @Example
@@ -286,12 +288,12 @@
   }
 
   @Example
-  void ordinaryMachinesAreLeftToWorkThatNeedsThem() {
-    Machine ordinary = machine("o", "a", false);
+  void onDemandMachinesAreLeftToWorkThatNeedsThem() {
+    Machine onDemand = machine("o", "a", false);
     Machine spot = machine("s", "a", true);
     job(1, "blue", Priority.NORMAL, 4, 1);
     placement.place(NOW);
     assertEquals(4, spot.plannedLaunches().size());
-    assertTrue(ordinary.plannedLaunches().isEmpty());
+    assertTrue(onDemand.plannedLaunches().isEmpty());
   }
 }
