--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.workers;
 
 import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.ReplicationBatch;
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
@@ -18,6 +19,7 @@
   private static final int UNAVAILABLE = 503;
 
   private final TermContext context;
+  private final EffectSink sink;
   private final StateWriter stateWriter;
   private final WorkerRegistry registry;
   private final AttemptTracker tracker;
@@ -38,6 +40,7 @@
       TaskReconciler reconciler,
       MachineDrain drain) {
     this.context = context;
+    sink = context.sink();
     this.stateWriter = stateWriter;
     this.registry = registry;
     this.tracker = tracker;
@@ -58,7 +61,7 @@
    */
   void receive(long exchange, Heartbeat heartbeat, boolean relayed) {
     if (heartbeat.fencingToken().term() > context.term()) {
-      context.sink().respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
       context
           .leadership()
           .deposed(
@@ -69,7 +72,7 @@
       return;
     }
     if (registry.isTerminated(heartbeat.machine())) {
-      context.sink().respond(exchange, new Answer.Failure(UNAVAILABLE, TERMINATED, 0));
+      sink.respond(exchange, new Answer.Failure(UNAVAILABLE, TERMINATED, 0));
       return;
     }
     Machine machine = findOrAdd(heartbeat);
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatResponder.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatResponder.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Machine;
@@ -21,6 +22,7 @@
   private static final int UNAVAILABLE = 503;
 
   private final TermContext context;
+  private final EffectSink sink;
   private final WorkerRegistry registry;
   private final LaunchReplication launchReplication;
   private final Set<Machine> pending = new LinkedHashSet<>();
@@ -29,6 +31,7 @@
   HeartbeatResponder(
       TermContext context, WorkerRegistry registry, LaunchReplication launchReplication) {
     this.context = context;
+    sink = context.sink();
     this.registry = registry;
     this.launchReplication = launchReplication;
   }
@@ -50,7 +53,7 @@
   /** Refuses a heartbeat, unless there is none (exchange 0). */
   void refuse(long exchange, String reason) {
     if (exchange != PendingHeartbeat.NONE) {
-      context.sink().respond(exchange, new Answer.Failure(UNAVAILABLE, reason, 0));
+      sink.respond(exchange, new Answer.Failure(UNAVAILABLE, reason, 0));
     }
   }
 
@@ -68,13 +71,13 @@
   }
 
   /**
-   * Redirects heartbeats that still wait, since this node may not renew leases any more. So does
-   * every later answer.
+   * Redirects heartbeats that still wait, since this node may not renew leases any more; from now
+   * on no lease is renewed.
    */
   void close() {
     closed = true;
     for (Machine machine : pending) {
-      context.sink().respond(machine.pendingHeartbeat().take(), new Answer.Redirect(null));
+      sink.respond(machine.pendingHeartbeat().take(), new Answer.Redirect(null));
     }
     pending.clear();
   }
@@ -97,26 +100,22 @@
     launchReplication.send(
         launches,
         () ->
-            context
-                .sink()
-                .respond(
-                    exchange,
-                    new Answer.Command(fencingToken, WorkerOrders.withLaunches(orders, launches)),
-                    context.leadership().bounds().launchEndMicros()),
+            sink.respond(
+                exchange,
+                new Answer.Command(fencingToken, WorkerOrders.withLaunches(orders, launches)),
+                context.leadership().bounds().launchEndMicros()),
         () -> respondWithoutLaunches(exchange, fencingToken, orders));
   }
 
   private void respondWithoutLaunches(
       long exchange, FencingToken fencingToken, List<Order> orders) {
     if (closed) {
-      context.sink().respond(exchange, new Answer.Redirect(null));
+      sink.respond(exchange, new Answer.Redirect(null));
       return;
     }
-    context
-        .sink()
-        .respond(
-            exchange,
-            new Answer.Command(fencingToken, orders),
-            context.leadership().bounds().answerEndMicros());
+    sink.respond(
+        exchange,
+        new Answer.Command(fencingToken, orders),
+        context.leadership().bounds().answerEndMicros());
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import org.eiderstair.core.leadership.LeadershipBounds;
+import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Attempt;
@@ -31,6 +32,7 @@
   private static final long PROBE_AFTER_SILENCE_MICROS = 300_000;
 
   private final TermContext context;
+  private final EffectSink sink;
   private final WorkerRegistry registry;
   private final AvailableMachines availableMachines;
   private final CommandQueue commandQueue;
@@ -43,6 +45,7 @@
       AvailableMachines availableMachines,
       CommandQueue commandQueue) {
     this.context = context;
+    sink = context.sink();
     this.registry = registry;
     this.availableMachines = availableMachines;
     this.commandQueue = commandQueue;
@@ -83,13 +86,11 @@
   /** Sends a command that only kills. It may be repeated, and may come before or after anything. */
   void kill(Machine machine, List<Order> kills) {
     machine.commands().beginKill();
-    context
-        .sink()
-        .call(
-            new Request.WorkerCommands(
-                machine.address(), machine.fencingToken(), machine.incarnation(), kills),
-            context.leadership().bounds().answerEndMicros(),
-            reply -> killReplied(machine, reply));
+    sink.call(
+        new Request.WorkerCommands(
+            machine.address(), machine.fencingToken(), machine.incarnation(), kills),
+        context.leadership().bounds().answerEndMicros(),
+        reply -> killReplied(machine, reply));
   }
 
   private void killReplied(Machine machine, Reply reply) {
@@ -106,16 +107,14 @@
 
   private void call(Machine machine, Request request, List<Attempt> launches, Runnable ended) {
     LeadershipBounds bounds = context.leadership().bounds();
-    context
-        .sink()
-        .call(
-            request,
-            launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
-            reply -> {
-              machine.commands().end();
-              ended.run();
-              replied(machine, launches, reply);
-            });
+    sink.call(
+        request,
+        launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
+        reply -> {
+          machine.commands().end();
+          ended.run();
+          replied(machine, launches, reply);
+        });
   }
 
   private void replied(Machine machine, List<Attempt> launches, Reply reply) {
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -50,19 +50,19 @@
 
   /** The state after each step, as a service with that mistake would have it. */
   private static void make(Mistake mistake, CommandWorld world) {
-    Machine m = world.newestLeader().workers.machines().get(CommandWorld.MACHINE);
+    Machine machine = world.newestLeader().workers.machines().get(CommandWorld.MACHINE);
     switch (mistake) {
       case NONE -> {}
       case FORGETS_LAUNCHES -> {
-        if (!m.commands().isInFlight()) {
-          new ArrayList<>(m.attempts())
+        if (!machine.commands().isInFlight()) {
+          new ArrayList<>(machine.attempts())
               .stream()
                   .filter(a -> a.phase() == Attempt.Phase.SENT)
                   .forEach(world.newestLeader().workers::remove);
         }
       }
       case FORGETS_CANCELLED -> {
-        for (Attempt a : new ArrayList<>(m.attempts())) {
+        for (Attempt a : new ArrayList<>(machine.attempts())) {
           if (!a.job().open()) {
             world.newestLeader().workers.remove(a);
           }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -37,7 +37,7 @@
   static final String MACHINE = "m-0";
   private static final long SECOND = 1_000_000;
   private static final long SECOND_TERM = 1_000;
-  private static final int MAX_SESSIONS = 2;
+  private static final int MAX_INCARNATIONS = 2;
 
   final List<LeaderBench> leaders = new ArrayList<>();
   final int taskCount;
@@ -59,9 +59,9 @@
     first.now = now;
     first.lead();
     first.machines(1);
-    Machine m = first.workers.machines().get(MACHINE);
-    m.recordAnswer(now);
-    worker.fencingToken = m.fencingToken();
+    Machine machine = first.workers.machines().get(MACHINE);
+    machine.recordAnswer(now);
+    worker.fencingToken = machine.fencingToken();
     worker.answeredSentMicros = now;
     addJob(first);
     leaders.add(first);
@@ -107,7 +107,7 @@
                     new Entry(entry.task(), entry.attempt(), TaskState.ENDED, Exit.DONE, false)));
       }
     }
-    if (worker.incarnation <= MAX_SESSIONS) {
+    if (worker.incarnation <= MAX_INCARNATIONS) {
       all.put("a lease passes", () -> now += newestLeader().settings.leaseMicros() + SECOND);
     }
     return all;
@@ -144,29 +144,29 @@
     }
   }
 
-  private void commandActions(Map<String, Runnable> all, InFlightCommand c, int number) {
-    if (c.reply == null) {
-      all.put("command " + number + " arrives", () -> arrives(c));
-    } else if (!c.givenUp) {
+  private void commandActions(Map<String, Runnable> all, InFlightCommand command, int number) {
+    if (command.reply == null) {
+      all.put("command " + number + " arrives", () -> arrives(command));
+    } else if (!command.givenUp) {
       all.put(
           "reply " + number + " arrives",
           () -> {
-            commands.remove(c);
-            leaders.get(c.leader).sink.replied(c.call, c.reply);
+            commands.remove(command);
+            leaders.get(command.leader).sink.replied(command.call, command.reply);
           });
     }
-    if (!c.givenUp) {
+    if (!command.givenUp) {
       all.put(
           "command " + number + " is given up",
           () -> {
-            c.givenUp = true;
-            if (c.reply != null) {
-              commands.remove(c);
+            command.givenUp = true;
+            if (command.reply != null) {
+              commands.remove(command);
             }
-            leaders.get(c.leader).sink.replied(c.call, new Reply.NoResponse("timeout"));
+            leaders.get(command.leader).sink.replied(command.call, new Reply.NoResponse("timeout"));
           });
     } else {
-      all.put("command " + number + " is lost", () -> commands.remove(c));
+      all.put("command " + number + " is lost", () -> commands.remove(command));
     }
   }
 
@@ -226,9 +226,9 @@
     second.replica.apply(
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
     second.workers.takeOver(now, Optional.ofNullable(recovered), now);
-    Machine m = second.workers.machines().get(MACHINE);
-    m.assignType(LeaderBench.TYPE);
-    m.recomputeFreeResources();
+    Machine machine = second.workers.machines().get(MACHINE);
+    machine.assignType(LeaderBench.TYPE);
+    machine.recomputeFreeResources();
     leaders.add(second);
     if (withReplica) {
       // Its standby has taken over the term: it never launches again.
@@ -259,24 +259,24 @@
     leader.workers.jobEnded(leader.replica.job(JOB));
   }
 
-  private void deliver(InFlightHeartbeat r) {
-    LeaderBench leader = leaders.get(r.leader);
+  private void deliver(InFlightHeartbeat heartbeat) {
+    LeaderBench leader = leaders.get(heartbeat.leader);
     if (!leader.leadership.isLeader()) {
-      r.answer = new Answer.Redirect(null);
-      r.exchange = -1;
+      heartbeat.answer = new Answer.Redirect(null);
+      heartbeat.exchange = -1;
       return;
     }
-    r.exchange = ++leader.exchange;
-    leader.workers.receive(r.exchange, r.content, false, now);
+    heartbeat.exchange = ++leader.exchange;
+    leader.workers.receive(heartbeat.exchange, heartbeat.content, false, now);
   }
 
   private void answered() {
-    if (report.answer instanceof Answer.Command c
-        && c.fencingToken().isAtLeast(worker.fencingToken)
+    if (report.answer instanceof Answer.Command command
+        && command.fencingToken().isAtLeast(worker.fencingToken)
         && report.content.incarnation() == worker.incarnation) {
-      worker.fencingToken = c.fencingToken();
+      worker.fencingToken = command.fencingToken();
       worker.answeredSentMicros = report.sentMicros;
-      execute(c.orders());
+      execute(command.orders());
     }
     earlier = report.content;
     report = null;
@@ -286,17 +286,17 @@
     orders.stream().filter(o -> !losesKills || !(o instanceof Order.Kill)).forEach(worker::execute);
   }
 
-  private void arrives(InFlightCommand c) {
+  private void arrives(InFlightCommand command) {
     boolean valid =
-        c.request.fencingToken().isAtLeast(worker.fencingToken)
-            && c.request.incarnation() == worker.incarnation;
+        command.request.fencingToken().isAtLeast(worker.fencingToken)
+            && command.request.incarnation() == worker.incarnation;
     if (valid) {
-      worker.fencingToken = c.request.fencingToken();
-      execute(c.request.orders());
+      worker.fencingToken = command.request.fencingToken();
+      execute(command.request.orders());
     }
-    c.reply = new Reply.WorkerStatus(worker.view(), valid);
-    if (c.givenUp) {
-      commands.remove(c);
+    command.reply = new Reply.WorkerStatus(worker.view(), valid);
+    if (command.givenUp) {
+      commands.remove(command);
     }
   }
 
@@ -304,16 +304,17 @@
   private void collect(LeaderBench leader) {
     int k = leaders.indexOf(leader);
     for (Effect effect : leader.effects) {
-      if (effect instanceof Effect.Respond r
+      if (effect instanceof Effect.Respond respond
           && report != null
           && report.leader == k
-          && report.exchange == r.exchange()) {
-        report.answer = r.answer();
-        noteLaunches(k, r.answer() instanceof Answer.Command c ? c.orders() : List.of());
-      } else if (effect instanceof Effect.Call c
-          && c.request() instanceof Request.WorkerCommands w) {
-        commands.add(new InFlightCommand(k, c.callId(), w));
-        noteLaunches(k, w.orders());
+          && report.exchange == respond.exchange()) {
+        report.answer = respond.answer();
+        noteLaunches(
+            k, respond.answer() instanceof Answer.Command command ? command.orders() : List.of());
+      } else if (effect instanceof Effect.Call call
+          && call.request() instanceof Request.WorkerCommands command) {
+        commands.add(new InFlightCommand(k, call.callId(), command));
+        noteLaunches(k, command.orders());
       }
     }
     leader.effects.clear();
@@ -356,16 +357,16 @@
     boolean byCommand =
         commands.stream()
             .anyMatch(
-                c ->
-                    c.reply == null
-                        && c.request.fencingToken().isAtLeast(worker.fencingToken)
-                        && c.request.incarnation() == worker.incarnation
-                        && launches(c.request.orders(), task));
+                command ->
+                    command.reply == null
+                        && command.request.fencingToken().isAtLeast(worker.fencingToken)
+                        && command.request.incarnation() == worker.incarnation
+                        && launches(command.request.orders(), task));
     boolean byAnswer =
         report != null
-            && report.answer instanceof Answer.Command c
-            && c.fencingToken().isAtLeast(worker.fencingToken)
-            && launches(c.orders(), task);
+            && report.answer instanceof Answer.Command command
+            && command.fencingToken().isAtLeast(worker.fencingToken)
+            && launches(command.orders(), task);
     return byCommand || byAnswer;
   }
 
@@ -375,9 +376,9 @@
 
   /** All messages are lost or over, and nothing fails any more. */
   void settle() {
-    for (InFlightCommand c : new ArrayList<>(commands)) {
-      if (!c.givenUp) {
-        leaders.get(c.leader).sink.replied(c.call, new Reply.NoResponse("timeout"));
+    for (InFlightCommand command : new ArrayList<>(commands)) {
+      if (!command.givenUp) {
+        leaders.get(command.leader).sink.replied(command.call, new Reply.NoResponse("timeout"));
       }
     }
     commands.clear();
@@ -393,10 +394,10 @@
         act(this::answered);
       }
       report = null;
-      for (InFlightCommand c : new ArrayList<>(commands)) {
-        act(() -> arrives(c));
-        commands.remove(c);
-        act(() -> leaders.get(c.leader).sink.replied(c.call, c.reply));
+      for (InFlightCommand command : new ArrayList<>(commands)) {
+        act(() -> arrives(command));
+        commands.remove(command);
+        act(() -> leaders.get(command.leader).sink.replied(command.call, command.reply));
       }
     }
     Job job = newestLeader().replica.job(JOB);
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -46,14 +46,16 @@
 
   private List<Answer.Command> answers() {
     return bench.effects.stream()
-        .filter(e -> e instanceof Effect.Respond r && r.answer() instanceof Answer.Command)
+        .filter(
+            e -> e instanceof Effect.Respond respond && respond.answer() instanceof Answer.Command)
         .map(e -> (Answer.Command) ((Effect.Respond) e).answer())
         .toList();
   }
 
   private List<Effect.Call> commands() {
     return bench.effects.stream()
-        .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.WorkerCommands)
+        .filter(
+            e -> e instanceof Effect.Call call && call.request() instanceof Request.WorkerCommands)
         .map(e -> (Effect.Call) e)
         .toList();
   }
@@ -71,11 +73,11 @@
   }
 
   /** One task runs on the machine. */
-  private Job running(Machine m) {
+  private Job running(Machine machine) {
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
     assertEquals(1, job.attemptCount());
     bench.effects.clear();
@@ -87,8 +89,8 @@
     bench.workers.jobEnded(job);
   }
 
-  private Reply.WorkerStatus reply(Machine m, boolean executed, Entry... entries) {
-    return new Reply.WorkerStatus(bench.account(m, List.of(entries)), executed);
+  private Reply.WorkerStatus reply(Machine machine, boolean executed, Entry... entries) {
+    return new Reply.WorkerStatus(bench.account(machine, List.of(entries)), executed);
   }
 
   /**
@@ -97,12 +99,12 @@
    */
   @Example
   void killsAndRenewalsDoNotWaitForAStandbyThatDoesNotAnswer() {
-    Machine m = leadsOneMachine();
-    Job cancelled = running(m);
+    Machine machine = leadsOneMachine();
+    Job cancelled = running(machine);
     bench.defersAcknowledgements = true;
     bench.defersRecords = true;
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(m, 0);
+    bench.report(machine, 0);
     cancel(cancelled);
     pass();
     assertEquals(List.of(), answers(), "waits for the acknowledgement");
@@ -114,7 +116,7 @@
     assertEquals(1, kept.attemptCount(), "planned as before");
 
     bench.effects.clear();
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
     assertEquals(1, answers().size(), "nothing waits for the record");
     assertEquals(List.of(), commands(), "and nothing is launched before it");
@@ -127,11 +129,11 @@
 
   @Example
   void whatIsCancelledWhileItsLaunchWaitsForTheStandbyIsNotStarted() {
-    Machine m = leadsOneMachine();
+    Machine machine = leadsOneMachine();
     bench.defersAcknowledgements = true;
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
     assertEquals(List.of(), answers(), "waits for the acknowledgement");
     cancel(cancelled);
@@ -151,10 +153,10 @@
     bench.defersRecords = true;
     bench.standbyOfTheTermBefore();
     bench.machines(1);
-    Machine m = bench.workers.machines().get("m-0");
+    Machine machine = bench.workers.machines().get("m-0");
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
     assertEquals(1, answers().size(), "its lease is renewed");
     assertEquals(
@@ -174,10 +176,10 @@
    */
   @Example
   void anAnswerThatWaitsForTheStandbyIsRedirectedWhenTheTermEnds() {
-    Machine m = leadsOneMachine();
+    Machine machine = leadsOneMachine();
     bench.defersAcknowledgements = true;
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(m, 0);
+    bench.report(machine, 0);
     pass();
     bench.effects.clear();
     bench.workers.close();
@@ -195,8 +197,8 @@
    */
   @Example
   void aKillLeavesBesideALaunchThatIsNotAnswered() {
-    Machine m = leadsOneMachine();
-    Job cancelled = running(m);
+    Machine machine = leadsOneMachine();
+    Job cancelled = running(machine);
     Job other = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     pass();
     assertEquals(1, commands().size(), "the launch is on its way");
@@ -206,12 +208,12 @@
     assertEquals(List.of(cancelled.id()), killed(orders(commands().get(1))));
     // The reply to the kill was written before the launch arrived, which is late: it does not prove
     // that the launch is dead.
-    bench.sink.replied(commands().get(1).callId(), reply(m, true));
+    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
     assertEquals(1, other.attemptCount(), "still on its way");
     assertEquals(0, cancelled.attemptCount());
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
-    bench.sink.replied(commands().get(1).callId(), reply(m, true));
-    assertEquals(Machine.Phase.FENCING, m.phase());
+    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
+    assertEquals(Machine.Phase.FENCING, machine.phase());
     assertEquals(1, other.attemptCount(), "may still arrive");
   }
 
@@ -221,18 +223,18 @@
    */
   @Example
   void aKillLeavesWhileAMachineIsBeingFenced() {
-    Machine m = leadsOneMachine();
-    Job cancelled = running(m);
+    Machine machine = leadsOneMachine();
+    Job cancelled = running(machine);
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     pass();
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
-    assertEquals(Machine.Phase.FENCING, m.phase());
+    assertEquals(Machine.Phase.FENCING, machine.phase());
     bench.effects.clear();
     cancel(cancelled);
     pass();
     assertEquals(List.of(cancelled.id()), killed(orders(commands().get(0))));
     assertEquals(
-        m.fencingToken(),
+        machine.fencingToken(),
         ((Request.WorkerCommands) commands().get(0).request()).fencingToken(),
         "and shows the raised fence");
   }
@@ -243,7 +245,7 @@
    */
   @Example
   void aKillThatMayHaveComeBeforeItsLaunchIsRepeated() {
-    Machine m = leadsOneMachine();
+    Machine machine = leadsOneMachine();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.placement.place(bench.now);
     Attempt attempt = job.attempt(0);
@@ -252,10 +254,10 @@
     cancel(job);
     pass();
     assertEquals(List.of(job.id()), killed(orders(commands().get(1))));
-    bench.sink.replied(commands().get(1).callId(), reply(m, true));
+    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
     Entry running =
         new Entry(attempt.task(), attempt.number(), TaskState.RUNNING, Exit.NONE, false);
-    bench.sink.replied(commands().get(0).callId(), reply(m, true, running));
+    bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
     pass();
     assertEquals(3, commands().size());
     assertEquals(List.of(job.id()), killed(orders(commands().get(2))));
@@ -264,8 +266,8 @@
   /** A machine that cannot be reached is told again, but not at every pass. */
   @Example
   void aKillWithoutAnAnswerIsRepeatedAfterAPause() {
-    Machine m = leadsOneMachine();
-    Job job = running(m);
+    Machine machine = leadsOneMachine();
+    Job job = running(machine);
     cancel(job);
     pass();
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("refused"));
@@ -274,7 +276,7 @@
     bench.now += SECOND;
     pass();
     assertEquals(2, commands().size());
-    assertTrue(m.commands().isKillInFlight());
+    assertTrue(machine.commands().isKillInFlight());
   }
 
   /**
@@ -332,14 +334,14 @@
             List.of(running)),
         false,
         bench.now);
-    Machine m = bench.workers.machines().get("m-0");
-    assertEquals(Machine.Phase.FENCING, m.phase());
-    assertEquals(bench.now, m.idleSinceMicros(), "idle from now, not since it was expected");
+    Machine machine = bench.workers.machines().get("m-0");
+    assertEquals(Machine.Phase.FENCING, machine.phase());
+    assertEquals(bench.now, machine.idleSinceMicros(), "idle from now, not since it was expected");
     bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
     bench.sequences.put("m-0", 9L);
-    bench.sink.replied(commands().get(0).callId(), reply(m, true, running));
-    assertEquals(Machine.Phase.CONFIRMED, m.phase());
+    bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
+    assertEquals(Machine.Phase.CONFIRMED, machine.phase());
     assertEquals(1, job.attemptCount());
   }
 
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -50,12 +50,12 @@
     entries(List.copyOf(worker.tasks.values()));
   }
 
-  private void command(InFlightCommand c) {
-    key.append("|c").append(c.leader).append(c.givenUp);
-    key.append(c.request.fencingToken()).append('/').append(c.request.incarnation());
-    orders(c.request.orders());
-    if (c.reply != null) {
-      content(c.reply.heartbeat());
+  private void command(InFlightCommand command) {
+    key.append("|c").append(command.leader).append(command.givenUp);
+    key.append(command.request.fencingToken()).append('/').append(command.request.incarnation());
+    orders(command.request.orders());
+    if (command.reply != null) {
+      content(command.reply.heartbeat());
     }
   }
 
@@ -63,9 +63,9 @@
     if (world.report != null) {
       key.append("|r").append(world.report.leader).append(world.report.exchange > 0);
       content(world.report.content);
-      if (world.report.answer instanceof Answer.Command c) {
-        key.append(c.fencingToken());
-        orders(c.orders());
+      if (world.report.answer instanceof Answer.Command command) {
+        key.append(command.fencingToken());
+        orders(command.orders());
       } else {
         key.append(world.report.answer);
       }
@@ -77,25 +77,25 @@
   }
 
   private void leader(LeaderBench leader) {
-    Machine m = leader.workers.machines().get(CommandWorld.MACHINE);
+    Machine machine = leader.workers.machines().get(CommandWorld.MACHINE);
     Job job = leader.replica.job(CommandWorld.JOB);
-    ranks.add(m.incarnation(), m.sequence());
+    ranks.add(machine.incarnation(), machine.sequence());
     key.append('#')
         .append(leader.leadership.isLeader())
         .append(job.completedTasks())
         .append(job.state());
-    key.append(m.phase())
-        .append(m.fencingToken())
-        .append(m.commands().isInFlight())
-        .append(m.commands().isKillInFlight())
-        .append(m.commands().areKillsPending());
-    key.append(m.acknowledgements().size())
-        .append(m.untrackedTasks().size())
-        .append(world.now >= m.holdUntilMicros());
-    key.append((world.now - m.answeredMicros()) / ALIKE_MICROS);
-    for (Attempt a : m.attempts()) {
+    key.append(machine.phase())
+        .append(machine.fencingToken())
+        .append(machine.commands().isInFlight())
+        .append(machine.commands().isKillInFlight())
+        .append(machine.commands().areKillsPending());
+    key.append(machine.acknowledgements().size())
+        .append(machine.untrackedTasks().size())
+        .append(world.now >= machine.holdUntilMicros());
+    key.append((world.now - machine.answeredMicros()) / ALIKE_MICROS);
+    for (Attempt a : machine.attempts()) {
       key.append(a.index()).append(a.phase()).append(attempts.of(a.number()));
-      ranks.add(m.incarnation(), a.sentSequence());
+      ranks.add(machine.incarnation(), a.sentSequence());
     }
   }
 
@@ -116,10 +116,10 @@
     }
   }
 
-  private void content(Heartbeat r) {
-    ranks.add(r.incarnation(), r.sequence());
-    key.append(r.fencingToken());
-    entries(r.tasks());
+  private void content(Heartbeat heartbeat) {
+    ranks.add(heartbeat.incarnation(), heartbeat.sequence());
+    key.append(heartbeat.fencingToken());
+    entries(heartbeat.tasks());
   }
 
   /** Replaces numbers by the order in which they are met. */
