--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -48,8 +48,8 @@
 
   /**
    * @param runId differs for every run of a node, so that it can tell its own earlier runs
-   * @param dayOffsetMicros the time of day less the steady time, to tell other nodes and later runs
-   *     how old a job is
+   * @param dayOffsetMicros the time of day less the steady time, by which other nodes and later
+   *     runs know how old a job is
    * @param random a uniformly random number below its argument
    */
   public Core(
@@ -72,7 +72,7 @@
             settings.peers(),
             settings.nodeZones(),
             runId,
-            settings.reportMicros(),
+            settings.workerTimings().heartbeatMicros(),
             this::requestMembership,
             sink::info);
     this.standby = new Standby(settings.node(), runId, sink::info);
--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -10,7 +10,7 @@
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateServiceHealth;
 
-/** Answers what other controllers ask and tell. */
+/** Handles the requests of other controllers. */
 final class PeerRequestHandler {
   private final EffectSink sink;
   private final Replica replica;
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -70,7 +70,7 @@
     this.workers = workers;
     this.leadership = leadership;
     this.membership = membership;
-    cloud = new CloudCalls(sink, leadership, clock, settings.cloudRps());
+    cloud = new CloudCalls(sink, leadership, clock, settings.cloudRequestsPerSecond());
     catalog = new CatalogRefresh(sink, replica, workers, cloud, clock, term);
     pendingMachines = new PendingMachines(replica, clock, term);
     RentalOptionSelector selector = new RentalOptionSelector(replica, membership, clock);
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -135,7 +135,7 @@
    */
   private void releaseHoldersOfCancelledWork() {
     long now = clock.nowMicros();
-    long cancelledBefore = now - settings.cancelMicros() + RELEASE_DURATION_MICROS;
+    long cancelledBefore = now - settings.workerTimings().cancelMicros() + RELEASE_DURATION_MICROS;
     for (Job job : replica.recentlyCancelled(now)) {
       if (job.cancelledMicros() < cancelledBefore) {
         for (Attempt attempt : new ArrayList<>(job.attempts())) {
--- a/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
@@ -88,7 +88,7 @@
 
   /** Moves to the batch what one transaction can compare; each job is compared once. */
   private List<Request.Condition> takeBatch(List<Pending> batch) {
-    int maxCompares = settings.stateTransactionOps() * COMPARES_PER_WRITE;
+    int maxCompares = settings.stateLimits().transactionOps() * COMPARES_PER_WRITE;
     Map<String, Long> versions = new LinkedHashMap<>();
     List<Pending> later = new ArrayList<>();
     for (Pending pending : waiting) {
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -41,8 +41,8 @@
   }
 
   private static long answerPeriodMicros(Settings settings) {
-    long cancel = settings.cancelMicros();
-    return cancel - settings.leaseMicros() - cancel / DRIFT_PARTS - TASK_END_MICROS;
+    long cancel = settings.workerTimings().cancelMicros();
+    return cancel - settings.workerTimings().leaseMicros() - cancel / DRIFT_PARTS - TASK_END_MICROS;
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * A peer asks which machines this node hears, as changes after what a run of this node has told
-   * it already.
+   * A peer asks which machines reach this node, as changes after a sequence number of one of this
+   * node's runs.
    */
   record MembershipRequested(long exchange, String run, long after) implements Event {
     @Override
@@ -105,7 +105,7 @@
     }
   }
 
-  /** A leader tells what changed in its picture. */
+  /** A leader replicates changes of its state to this node. */
   record ReplicationReceived(long exchange, ReplicationBatch batch) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
@@ -113,7 +113,7 @@
     }
   }
 
-  /** A peer tells of cancellations that it has committed. */
+  /** A peer sends cancellations that it has committed. */
   record CancellationsReceived(long exchange, List<Cancellation> cancellations) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
@@ -129,7 +129,7 @@
     }
   }
 
-  /** A worker reports; {@code relayed} when it came through another node. */
+  /** A worker sends a heartbeat; {@code relayed} when it came through another node. */
   record HeartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
--- a/src/main/java/org/eiderstair/core/settings/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -4,11 +4,20 @@
 import java.util.Map;
 
 /**
- * What the core needs to know of its deployment. Read from the platform's file and the operators'
+ * What the core needs to know of its deployment, read from the platform's file and the operators'
  * own.
  *
- * @param cpuShare of one core that this node has; 0 when that is not known
+ * @param node the name of this node
+ * @param peers the names of the other controllers
+ * @param zones in which machines can be rented
+ * @param teams by name
+ * @param objectives the service-level objectives by class of jobs
+ * @param workerTimings how often workers send heartbeats, and when their work ends
+ * @param stateLimits what the state service accepts
+ * @param cloudRequestsPerSecond what the cloud accepts
+ * @param tuning the operators' own settings
  * @param nodeZones the zone of each controller, this one included, as far as it is known
+ * @param cpuShare of one core that this node has; 0 when that is not known
  */
 public record Settings(
     String node,
@@ -16,79 +25,68 @@
     List<String> zones,
     Map<String, Team> teams,
     List<Objective> objectives,
-    long reportMicros,
-    long leaseMicros,
-    long cancelMicros,
-    double stateRps,
-    double stateWriteRps,
-    int stateTransactionOps,
-    double cloudRps,
+    WorkerTimings workerTimings,
+    StateServiceLimits stateLimits,
+    double cloudRequestsPerSecond,
     Tuning tuning,
     Map<String, String> nodeZones,
     double cpuShare) {
 
   /**
-   * Streaming to a standby costs a leader and its standby about a fiftieth of a core each at the
+   * Replication to a standby costs a leader and its standby about a fiftieth of a core each at the
    * fleet size.
    */
-  private static final double STANDBY_SHARE = 0.2;
+  private static final double MIN_CPU_SHARE_FOR_STANDBY = 0.2;
 
-  /** Where it is not known in which zones the controllers are. */
-  public Settings(
-      String node,
-      List<String> peers,
-      List<String> zones,
-      Map<String, Team> teams,
-      List<Objective> objectives,
-      long reportMicros,
-      long leaseMicros,
-      long cancelMicros,
-      double stateRps,
-      double stateWriteRps,
-      int stateTransactionOps,
-      double cloudRps,
-      Tuning tuning) {
-    this(
-        node,
-        peers,
-        zones,
-        teams,
-        objectives,
-        reportMicros,
-        leaseMicros,
-        cancelMicros,
-        stateRps,
-        stateWriteRps,
-        stateTransactionOps,
-        cloudRps,
-        tuning,
-        Map.of(),
-        0);
-  }
+  static final double UNKNOWN_CPU_SHARE = 0;
+
+  /** Divided by the accepted requests per second, it is the gathering time of a single node. */
+  private static final double GATHER_MICROS_PER_REQUEST = 3e6;
 
   /**
-   * How long requests of one kind are gathered before one asks the state service for all of them:
-   * with watching and confirming on every node, about two thirds of its limit at the most.
+   * How long requests of one kind are gathered before one asks the state service for all of them.
+   * With the watches and confirmations of all nodes this makes about two thirds of the requests
+   * that it accepts, at most.
    */
   public long gatherMicros() {
-    return (long) (3e6 * (peers.size() + 1) / stateRps);
+    int nodes = peers.size() + 1;
+    return (long) (GATHER_MICROS_PER_REQUEST * nodes / stateLimits.requestsPerSecond());
   }
 
   /**
-   * Whether a leader keeps a standby in sync: where the machine is large enough, and operators did
-   * not turn it off.
+   * Whether a leader keeps a standby in sync: where its share of a core is large enough or not
+   * known, and operators did not turn it off.
    */
   public boolean keepsStandby() {
-    return tuning.standbys() > 0 && (cpuShare <= 0 || cpuShare >= STANDBY_SHARE);
+    boolean affordable = cpuShare <= UNKNOWN_CPU_SHARE || cpuShare >= MIN_CPU_SHARE_FOR_STANDBY;
+    return tuning.standbys() > 0 && affordable;
   }
 
   /** A team's guarantee and limit; a limit of 0 means none. */
   public record Team(
       String name, double cpus, double cpusMax, double accelerators, double acceleratorsMax) {}
 
-  /** What users expect of a class of jobs. */
+  /** The service-level objective of a class: this share of its jobs within that time. */
   public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
+  /**
+   * The times that workers keep.
+   *
+   * @param heartbeatMicros from one heartbeat to the next
+   * @param leaseMicros after which a worker ends its tasks, counted from its last heartbeat that
+   *     was answered
+   * @param cancelMicros within which a cancelled job's tasks must have ended
+   */
+  public record WorkerTimings(long heartbeatMicros, long leaseMicros, long cancelMicros) {}
+
+  /**
+   * What the state service accepts from all controllers together.
+   *
+   * @param transactionOps writes in one transaction
+   */
+  public record StateServiceLimits(
+      double requestsPerSecond, double writesPerSecond, int transactionOps) {}
+
   /** The operators' own settings; docs/operating.md describes each. */
   public record Tuning(
       int tokenListSize,
--- a/src/main/java/org/eiderstair/core/state/JobTable.java
+++ b/src/main/java/org/eiderstair/core/state/JobTable.java
@@ -113,7 +113,7 @@
 
   /** Cancelled jobs whose tasks a worker may still run; older ones are forgotten here. */
   Collection<Job> recentlyCancelled(long nowMicros) {
-    long since = nowMicros - settings.cancelMicros() - CANCEL_MARGIN_MICROS;
+    long since = nowMicros - settings.workerTimings().cancelMicros() - CANCEL_MARGIN_MICROS;
     while (!cancelled.isEmpty() && cancelled.peek().cancellationSeenMicros() < since) {
       cancelled.poll();
     }
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -82,9 +82,10 @@
     this.sink = sink;
     this.replica = replica;
     this.term = term;
-    this.writes = new RateBudget(settings.stateWriteRps() * SHARE_OF_WRITES);
+    this.writes = new RateBudget(settings.stateLimits().writesPerSecond() * SHARE_OF_WRITES);
     this.duties =
-        new PendingDuties(replica, Math.max(1, settings.stateTransactionOps() / DUTIES_PART));
+        new PendingDuties(
+            replica, Math.max(1, settings.stateLimits().transactionOps() / DUTIES_PART));
     this.jobs = new PendingJobs(job -> listener.jobFinished(job));
     this.registrations =
         new PendingRegistrations(replica, machine -> listener.workerRegistered(machine));
@@ -152,7 +153,7 @@
   /** What is most urgent goes first, as far as there is room. */
   private WriteBatch nextBatch() {
     WriteBatch batch =
-        emptyBatch((int) Math.min(settings.stateTransactionOps(), writes.available(now)));
+        emptyBatch((int) Math.min(settings.stateLimits().transactionOps(), writes.available(now)));
     duties.addTo(batch);
     jobs.addFinishedTo(batch);
     registrations.addTo(batch);
--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -67,7 +67,7 @@
    * next heartbeat, which is soon here, carries the orders instead.
    */
   private boolean isReachedThroughPeer(Machine machine) {
-    long relayedMicros = context.settings().reportMicros() * RELAYED_INTERVALS;
+    long relayedMicros = context.settings().workerTimings().heartbeatMicros() * RELAYED_INTERVALS;
     return machine.isRelayed() && context.nowMicros() < machine.lastContactMicros() + relayedMicros;
   }
 
--- a/src/main/java/org/eiderstair/core/workers/LeaseMonitor.java
+++ b/src/main/java/org/eiderstair/core/workers/LeaseMonitor.java
@@ -32,7 +32,7 @@
 
   /** Expires leases. */
   void expireDue() {
-    long leaseMicros = context.settings().leaseMicros();
+    long leaseMicros = context.settings().workerTimings().leaseMicros();
     long boundMicros = leaseMicros + leaseMicros / DRIFT_DIVISOR + MARGIN_MICROS;
     Set<Machine> leased = registry.leased();
     while (!leased.isEmpty()) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -318,7 +318,8 @@
   public void tick(long nowMicros, boolean busy) {
     time.advanceTo(nowMicros);
     leaseMonitor.expireDue();
-    boolean heartbeatsSuffice = busy && nowMicros < tookOverMicros + settings.reportMicros();
+    boolean heartbeatsSuffice =
+        busy && nowMicros < tookOverMicros + settings.workerTimings().heartbeatMicros();
     if (!heartbeatsSuffice) {
       prober.probeDue();
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -48,10 +48,14 @@
     long window =
         Math.max(
             QUIET_MICROS,
-            REPORTS * settings.reportMicros() / Math.max(1, registry.leased().size()));
+            REPORTS
+                * settings.workerTimings().heartbeatMicros()
+                / Math.max(1, registry.leased().size()));
     if (now >= windowMicros + window) {
       double expected =
-          (double) (now - windowMicros) * registry.leased().size() / settings.reportMicros();
+          (double) (now - windowMicros)
+              * registry.leased().size()
+              / settings.workerTimings().heartbeatMicros();
       unreached =
           windowMicros > sinceMicros
               && registry.leased().size() >= FEW
@@ -77,7 +81,7 @@
    * heard.
    */
   public boolean outOfReach() {
-    long patience = settings.reportMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
+    long patience = settings.workerTimings().heartbeatMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
     long now = time.nowMicros();
     int silent = 0;
     int heard = 0;
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -159,7 +159,7 @@
     workers.add(unconfirmed);
     placement.place(NOW);
     assertEquals(2, planned(newer));
-    placement.place(NOW + settings.cancelMicros() + 6_000_000);
+    placement.place(NOW + settings.workerTimings().cancelMicros() + 6_000_000);
     assertEquals(8, planned(newer));
   }
 
--- a/src/test/java/org/eiderstair/core/settings/SettingsBuilder.java
+++ b/src/test/java/org/eiderstair/core/settings/SettingsBuilder.java
@@ -50,13 +50,11 @@
         zones,
         teams,
         objectives,
-        3_000_000,
-        20_000_000,
-        40_000_000,
-        100,
-        50,
-        16,
+        new Settings.WorkerTimings(3_000_000, 20_000_000, 40_000_000),
+        new Settings.StateServiceLimits(100, 50, 16),
         5,
-        Settings.Tuning.defaults());
+        Settings.Tuning.defaults(),
+        Map.of(),
+        Settings.UNKNOWN_CPU_SHARE);
   }
 }
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -149,7 +149,7 @@
     watching(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version() + 5, 0));
-    long bound = bench.settings.cancelMicros() + 5 * SECOND;
+    long bound = bench.settings.workerTimings().cancelMicros() + 5 * SECOND;
     assertTrue(replica.recentlyCancelled(now + bound).contains(job));
     assertFalse(replica.recentlyCancelled(now + bound + 1).contains(job));
   }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -108,7 +108,9 @@
       }
     }
     if (worker.incarnation <= MAX_INCARNATIONS) {
-      all.put("a lease passes", () -> now += newestLeader().settings.leaseMicros() + SECOND);
+      all.put(
+          "a lease passes",
+          () -> now += newestLeader().settings.workerTimings().leaseMicros() + SECOND);
     }
     return all;
   }
@@ -172,7 +174,7 @@
 
   void act(Runnable action) {
     now += 1_000;
-    if (now > worker.answeredSentMicros + newestLeader().settings.leaseMicros()) {
+    if (now > worker.answeredSentMicros + newestLeader().settings.workerTimings().leaseMicros()) {
       newIncarnation();
     }
     for (LeaderBench leader : leaders) {
@@ -181,7 +183,7 @@
       leader.leadership.setTime(now);
     }
     action.run();
-    if (now > worker.answeredSentMicros + newestLeader().settings.leaseMicros()) {
+    if (now > worker.answeredSentMicros + newestLeader().settings.workerTimings().leaseMicros()) {
       newIncarnation();
     }
     leaders.forEach(this::collect);
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -307,9 +307,10 @@
         bench.now);
     assertEquals(1, job.attemptCount(), "counts at first: nothing has shown that it is not there");
     pass();
-    bench.workers.tick(bench.now + bench.settings.leaseMicros(), false);
+    bench.workers.tick(bench.now + bench.settings.workerTimings().leaseMicros(), false);
     assertEquals(1, job.attemptCount());
-    bench.workers.tick(bench.now + bench.settings.leaseMicros() + 2 * SECOND, false);
+    bench.workers.tick(
+        bench.now + bench.settings.workerTimings().leaseMicros() + 2 * SECOND, false);
     assertEquals(0, job.attemptCount(), "its lease is over");
   }
 
