--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -126,7 +126,7 @@
     return provisioning.summary();
   }
 
-  /** How many rentals count by stand-ins for their machines. */
+  /** How many rentals have stand-ins for machines whose names are not known yet. */
   int pendingRentalCount() {
     return pendingMachines.rentalCount();
   }
--- a/src/main/java/org/eiderstair/core/capacity/CapacityPlanner.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityPlanner.java
@@ -54,14 +54,8 @@
           .select(estimate.spec(), machinesByZone)
           .ifPresent(
               candidate -> {
-                boolean onDemandOnly = freesOnDemand && !candidate.option().spot();
-                double missingTasks = wantedTasks(estimate, onDemandOnly) - assigned;
-                if (missingTasks > MIN_MISSING_TASKS) {
-                  missing.merge(
-                      candidate.option(),
-                      missingMachines(estimate.spec(), candidate, missingTasks, machines),
-                      Double::sum);
-                }
+                double missingTasks = wantedTasks(estimate, candidate, freesOnDemand) - assigned;
+                addMissing(missing, estimate.spec(), candidate, missingTasks, machines);
               });
     }
     return new CapacityPlan(machines, wholeMachines(missing), freesOnDemand);
@@ -118,14 +112,24 @@
     return currentOnly ? estimate.currentTasks() : estimate.tasks();
   }
 
-  private static double missingMachines(
+  private static double wantedTasks(
+      Demand.Estimate estimate, RentalOptionSelector.Candidate candidate, boolean freesOnDemand) {
+    return wantedTasks(estimate, freesOnDemand && !candidate.option().spot());
+  }
+
+  /** Adds the machines that tasks without a machine need; a whole one if no machine allows them. */
+  private static void addMissing(
+      Map<RentalOption, Double> missing,
       JobSpec spec,
       RentalOptionSelector.Candidate candidate,
-      double tasks,
+      double missingTasks,
       List<PlannedMachine> machines) {
-    double missing = tasks * PlannedMachine.taskShare(spec, candidate.type());
+    if (missingTasks <= MIN_MISSING_TASKS) {
+      return;
+    }
+    double needed = missingTasks * PlannedMachine.taskShare(spec, candidate.type());
     boolean noneAllows = machines.stream().noneMatch(machine -> machine.allows(spec));
-    return noneAllows ? Math.max(1, missing) : missing;
+    missing.merge(candidate.option(), noneAllows ? Math.max(1, needed) : needed, Double::sum);
   }
 
   private static Map<RentalOption, Integer> wholeMachines(Map<RentalOption, Double> missing) {
