--- a/src/main/java/org/eiderstair/core/model/TaskId.java
+++ b/src/main/java/org/eiderstair/core/model/TaskId.java
@@ -1,6 +1,11 @@
 package org.eiderstair.core.model;
 
-/** A task of a job, by its number. */
+/**
+ * A task of a job.
+ *
+ * @param job the job's id
+ * @param index its number in the job, from 0
+ */
 public record TaskId(String job, int index) {
   // Written out: the ones a record makes are linked at run time, and this is the busiest key of
   // all.
--- a/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
+++ b/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
@@ -48,19 +48,19 @@
    * @param withheld what follows when they may not leave; they are planned as before by then
    */
   void send(List<Attempt> launches, Runnable send, Runnable withheld) {
-    context
-        .standby()
-        .launch(
-            () -> {
-              if (failover != null) {
-                failover.taskLaunched(context.nowMicros());
-              }
-              send.run();
-            },
-            () -> {
-              planAgain(launches);
-              withheld.run();
-            });
+    context.standby().launch(() -> release(send), () -> withhold(launches, withheld));
+  }
+
+  private void release(Runnable send) {
+    if (failover != null) {
+      failover.taskLaunched(context.nowMicros());
+    }
+    send.run();
+  }
+
+  private void withhold(List<Attempt> launches, Runnable withheld) {
+    planAgain(launches);
+    withheld.run();
   }
 
   private void planAgain(List<Attempt> launches) {
