--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -134,7 +134,7 @@
     for (SettingsTable objective : settings.tables("objectives")) {
       objectives.add(
           new Settings.Objective(
-              objective.optionalText("kind"),
+              Settings.Objective.Kind.of(objective.optionalText("kind")),
               objective.optionalText("class"),
               objective.optionalMicros("within_s"),
               objective.optionalNumber("share")));
--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -75,7 +75,7 @@
     this.term = term;
     this.stateWriter = new StateWriter(settings, sink, replica, term, this);
     AvailableMachines availableMachines = new AvailableMachines(settings.tuning().tokenListSize());
-    TeamQuotas teams = new TeamQuotas(settings);
+    TeamQuotas quotas = new TeamQuotas(settings);
     this.workers =
         new WorkerManager(
             settings,
@@ -84,13 +84,13 @@
             leadership,
             stateWriter,
             availableMachines,
-            teams,
+            quotas,
             standby,
             term);
     Demand demand = new Demand(settings, replica);
     this.placement =
         new Placement(
-            settings, sink, replica, workers, availableMachines, teams, term, demand, random);
+            settings, sink, replica, workers, availableMachines, quotas, term, demand, random);
     this.capacity =
         new CapacityManager(
             settings, sink, replica, workers, leadership, stateWriter, demand, membership, term);
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -157,7 +157,8 @@
 
   private boolean hasWaitObjective(JobSpec spec) {
     for (Settings.Objective objective : settings.objectives()) {
-      if (objective.kind().equals("wait") && objective.jobClass().equals(spec.jobClass())) {
+      if (objective.kind() == Settings.Objective.Kind.WAIT
+          && objective.jobClass().equals(spec.jobClass())) {
         return true;
       }
     }
@@ -213,9 +214,9 @@
   /** The time that the objective gives a job from submission to end; 0 if none. */
   private static double within(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
-      case "deadline" -> spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
-      case "wait" -> objective.withinMicros() + spec.estimateMicros();
-      default -> objective.withinMicros();
+      case DEADLINE -> spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
+      case WAIT -> objective.withinMicros() + spec.estimateMicros();
+      case OTHER -> objective.withinMicros();
     };
   }
 
--- a/src/main/java/org/eiderstair/core/settings/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -66,8 +66,31 @@
   public record Team(
       String name, double cpus, double cpusMax, double accelerators, double acceleratorsMax) {}
 
-  /** The service-level objective of a class: this share of its jobs within that time. */
-  public record Objective(String kind, String jobClass, long withinMicros, double share) {}
+  /**
+   * A service-level objective of a class of jobs: what share of them is to keep a time.
+   *
+   * @param withinMicros the time; 0 where the objective states none
+   */
+  public record Objective(Kind kind, String jobClass, long withinMicros, double share) {
+    /** What the time is measured to. */
+    public enum Kind {
+      /** The end of a job, within the deadline that its user gave. */
+      DEADLINE,
+      /** The start of a job. */
+      WAIT,
+      /** Any other: jobs are planned to end within the time, if there is one. */
+      OTHER;
+
+      /** The kind of an objective by its name in the platform's file. */
+      public static Kind of(String name) {
+        return switch (name) {
+          case "deadline" -> DEADLINE;
+          case "wait" -> WAIT;
+          default -> OTHER;
+        };
+      }
+    }
+  }
 
   /**
    * The times that workers keep.
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -172,7 +172,7 @@
     }
     for (String team : bench.settings.teams().keySet()) {
       assertEquals(
-          use.getOrDefault(team, 0.0), bench.teams.cpusInUse(team), 1e-6, "use of " + team);
+          use.getOrDefault(team, 0.0), bench.quotas.cpusInUse(team), 1e-6, "use of " + team);
     }
     for (Job job : bench.replica.openJobs()) {
       assertEquals(
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -49,7 +49,7 @@
   public final List<Effect> effects = new ArrayList<>();
   public final EffectSink sink = new EffectSink(effects::add);
   public final Replica replica;
-  public final TeamQuotas teams;
+  public final TeamQuotas quotas;
   final AvailableMachines availableMachines;
   public final Leadership leadership;
   public final WorkerManager workers;
@@ -74,7 +74,7 @@
             .team("blue", 40, 0)
             .build();
     replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
-    teams = new TeamQuotas(settings);
+    quotas = new TeamQuotas(settings);
     availableMachines = new AvailableMachines(settings.tuning().tokenListSize());
     StateWriter stateWriter = new StateWriter(settings, sink, replica, term, null);
     leadership =
@@ -107,7 +107,7 @@
             leadership,
             stateWriter,
             availableMachines,
-            teams,
+            quotas,
             standby,
             term);
     Demand demand = new Demand(settings, replica);
@@ -118,7 +118,7 @@
             replica,
             workers,
             availableMachines,
-            teams,
+            quotas,
             term,
             demand,
             random::nextInt);
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -40,7 +40,7 @@
           .zones("a", "b")
           .team("red", 4, 8)
           .team("blue", 4, 0)
-          .objectives(new Settings.Objective("wait", "c1", 5_000_000, 0.9))
+          .objectives(new Settings.Objective(Settings.Objective.Kind.WAIT, "c1", 5_000_000, 0.9))
           .build();
   private final EffectSink sink = new EffectSink(e -> {});
   private final Replica replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/quota/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.quota}. */
+package org.eiderstair.core.quota;
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -350,8 +350,8 @@
                 + " is free for the leader, and a launch of it may yet be executed");
       }
     }
-    if (whole && !cancelled && used > leader.teams.cpusInUse("red") + 1e-6) {
-      broken.add("quota: uses " + used + ", counted " + leader.teams.cpusInUse("red"));
+    if (whole && !cancelled && used > leader.quotas.cpusInUse("red") + 1e-6) {
+      broken.add("quota: uses " + used + ", counted " + leader.quotas.cpusInUse("red"));
     }
   }
 
