--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -135,7 +135,7 @@
   /**
    * Whether this node is likely cut off: most machines are silent, or none reaches it any more. In
    * the second case those that are silent the longest are merely the first to time out; in one cut
-   * 33 were given back in the second before peers reached them.
+   * 33 were released in the second before peers reached them.
    */
   private boolean isLeaderIsolated() {
     return silent >= MIN_CORRELATED && (leaderUnreached || silent * 2 > all);
--- a/src/main/java/org/eiderstair/core/membership/ZonePartitions.java
+++ b/src/main/java/org/eiderstair/core/membership/ZonePartitions.java
@@ -7,7 +7,7 @@
 
 /** Which zones are cut off from this node and its peers, and since when. */
 final class ZonePartitions {
-  /** A zone whose machines were all given back has none that could show that it is back. */
+  /** A zone whose machines were all released has none that could show that it is back. */
   private static final long MAX_PARTITIONED_MICROS = 120_000_000;
 
   /**
--- a/src/main/java/org/eiderstair/core/record/ReleaseRecord.java
+++ b/src/main/java/org/eiderstair/core/record/ReleaseRecord.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * Machines that are given back, written before the cloud is asked.
+ * Machines that are released, written before the cloud is asked.
  *
  * @param term the one that decided it
  */
--- a/src/main/java/org/eiderstair/core/record/StateKeys.java
+++ b/src/main/java/org/eiderstair/core/record/StateKeys.java
@@ -76,7 +76,7 @@
     return RENTAL + request;
   }
 
-  /** The key of machines that are given back together. */
+  /** The key of machines that are released together. */
   public static String release(String name) {
     return RELEASE + name;
   }
--- a/src/main/java/org/eiderstair/core/record/StoredValue.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValue.java
@@ -40,7 +40,7 @@
     /** For a rental. */
     T rentalIntent(RentalIntentRecord value);
 
-    /** For machines that are given back. */
+    /** For machines that are released. */
     T release(ReleaseRecord value);
 
     /** For the standby. */
