--- a/src/main/java/org/eiderstair/core/record/StoredFields.java
+++ b/src/main/java/org/eiderstair/core/record/StoredFields.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.record;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -108,7 +109,7 @@
         texts.add(text);
       }
     }
-    return texts;
+    return Collections.unmodifiableList(texts);
   }
 
   /** A list that is there and holds nothing but text. */
@@ -123,7 +124,7 @@
       }
       texts.add(text);
     }
-    return texts;
+    return Collections.unmodifiableList(texts);
   }
 
   /** The maps in a list; none when the list is missing. */
--- a/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
@@ -1,6 +1,7 @@
 package org.eiderstair.core.record;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -71,7 +72,7 @@
               type.wholeOr("boot", 0),
               type.textsOrNull("zones")));
     }
-    return new CatalogRecord(types);
+    return new CatalogRecord(Collections.unmodifiableList(types));
   }
 
   private static JobRecord job(String id, StoredFields fields) {
--- a/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
+++ b/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
@@ -282,6 +282,22 @@
     assertEquals(new UnreadableValue("s: not a text"), StoredValueCodec.decode(JOB, Map.of()));
   }
 
+  @Example
+  void listsThatWereReadCannotBeChanged() throws MalformedMessageException {
+    CatalogRecord catalog =
+        (CatalogRecord) throughBytes(StateKeys.CATALOG, SAMPLES.get(StateKeys.CATALOG));
+    ReleaseRecord release = (ReleaseRecord) throughBytes(RELEASE, SAMPLES.get(RELEASE));
+    JobRecord job = (JobRecord) throughBytes(JOB, SAMPLES.get(JOB));
+    for (List<?> list :
+        List.of(
+            catalog.types(),
+            catalog.types().get(0).zones(),
+            release.machines(),
+            job.spec().machineTypes())) {
+      assertThrows(UnsupportedOperationException.class, list::clear);
+    }
+  }
+
   @Example
   void aRentalOfNoMachineIsUnreadable() {
     Map<String, Object> fields = new LinkedHashMap<>(StoredValueCodec.encode(SAMPLES.get(RENTAL)));
