--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -18,6 +18,7 @@
 import org.eiderstair.core.standby.Standby;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateServiceHealth;
+import org.eiderstair.core.workers.OverloadMonitor;
 
 /**
  * One controller without input, output, clock or thread: events come in with the time, effects go
@@ -36,6 +37,7 @@
   private final StateServiceHealth stateServiceHealth;
   private final Membership membership;
   private final Standby standby;
+  private final OverloadMonitor overload;
   private final StandbyTakeover standbyTakeover;
   private final FollowerHeartbeats followerHeartbeats;
   private final PeerRequestHandler peerRequests;
@@ -76,6 +78,7 @@
             this::requestMembership,
             sink::info);
     this.standby = new Standby(settings.node(), runId, sink::info);
+    this.overload = new OverloadMonitor(settings, sink);
     this.leadership =
         new Leadership(settings, sink, replica, runId, random, new LeadershipChanges());
     this.standbyTakeover = new StandbyTakeover(sink, replica, leadership, standby, () -> now);
@@ -193,6 +196,11 @@
       sink.replied(event.callId(), event.reply());
     }
 
+    @Override
+    public void overloaded(Event.Overloaded event) {
+      overload.noteOverload(event, now);
+    }
+
     @Override
     public void submit(Event.Submit event) {
       jobService.submit(event.exchange(), event.submission());
@@ -283,7 +291,8 @@
     @Override
     public void leadershipGained(long term) {
       leaderTerm =
-          new LeaderTerm(settings, sink, replica, leadership, membership, standby, term, random);
+          new LeaderTerm(
+              settings, sink, replica, leadership, membership, standby, overload, term, random);
     }
 
     @Override
--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -20,6 +20,7 @@
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
 import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.OverloadMonitor;
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
@@ -28,6 +29,13 @@
  */
 final class LeaderTerm implements StateWriter.Listener {
   private static final long PASS_GAP_MICROS = 30_000;
+
+  /** A pass costs the same for one event as for hundreds, so that fewer passes are less work. */
+  private static final long OVERLOADED_PASS_GAP_MICROS = 200_000;
+
+  /** Capacity can wait while heartbeats cannot: a comparison with the demand looks at the fleet. */
+  private static final long OVERLOADED_CAPACITY_INTERVAL_MICROS = 4_000_000;
+
   private static final long QUIET_PASS_MICROS = 1_000_000;
 
   /** A scheduling pass that is late by so much shows that there is more to do than can be done. */
@@ -45,6 +53,7 @@
   private final Leadership leadership;
   private final Membership membership;
   private final Standby standby;
+  private final OverloadMonitor overload;
   private final long term;
   private final StateWriter stateWriter;
   private final WorkerManager workers;
@@ -53,6 +62,7 @@
   private boolean started;
   private OptionalLong electedMicros = OptionalLong.empty();
   private long nextReachabilityCheckMicros;
+  private long nextOverloadedCapacityMicros;
   private long nextSummaryMicros;
   private long lastPassMicros = Long.MIN_VALUE / 2;
   private long now;
@@ -64,6 +74,7 @@
       Leadership leadership,
       Membership membership,
       Standby standby,
+      OverloadMonitor overload,
       long term,
       IntUnaryOperator random) {
     this.settings = settings;
@@ -72,6 +83,7 @@
     this.leadership = leadership;
     this.membership = membership;
     this.standby = standby;
+    this.overload = overload;
     this.term = term;
     this.stateWriter = new StateWriter(settings, sink, replica, term, this);
     AvailableMachines availableMachines = new AvailableMachines(settings.tuning().tokenListSize());
@@ -86,6 +98,7 @@
             availableMachines,
             quotas,
             standby,
+            overload,
             term);
     Demand demand = new Demand(settings, replica);
     this.placement =
@@ -140,7 +153,10 @@
     }
     logSummaryIfDue();
     standby.tick(now);
-    capacity.tick(now);
+    if (!overload.putsOffWork(now) || now >= nextOverloadedCapacityMicros) {
+      nextOverloadedCapacityMicros = now + OVERLOADED_CAPACITY_INTERVAL_MICROS;
+      capacity.tick(now);
+    }
     if (now >= passDueMicros()) {
       runPass();
     }
@@ -250,8 +266,11 @@
    * alone changes.
    */
   long passDueMicros() {
-    boolean soon = workers.hasChanged() || workers.hasPendingAnswers();
-    return lastPassMicros + (soon ? PASS_GAP_MICROS : QUIET_PASS_MICROS);
+    if (!workers.hasChanged() && !workers.hasPendingAnswers()) {
+      return lastPassMicros + QUIET_PASS_MICROS;
+    }
+    return lastPassMicros
+        + (overload.putsOffWork(now) ? OVERLOADED_PASS_GAP_MICROS : PASS_GAP_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and answers the machines. */
@@ -260,7 +279,7 @@
     lastPassMicros = now;
     if (placementDue && leadership.mayLaunch(now)) {
       workers.clearChange();
-      placement.place(now);
+      placement.place(now, !overload.putsOffWork(now));
     }
     workers.flush(now);
     standby.tick(now);
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -106,12 +106,16 @@
     return reason.isEmpty() && verdict.isOverdue();
   }
 
+  /**
+   * While this node is overloaded, no machine is released because its heartbeats are missing: one
+   * that really died is listed as failed by the cloud.
+   */
   private Optional<String> reasonToRelease(
       Machine machine, Verdict verdict, ReachabilityClassifier classifier) {
     if (machine.phase() == Machine.Phase.BOOTING) {
       return bootTimedOut(machine) ? Optional.of("did not boot in time") : Optional.empty();
     }
-    if (verdict == Verdict.UNREACHABLE) {
+    if (verdict == Verdict.UNREACHABLE && !workers.reach().overloaded()) {
       return Optional.of("unreachable: " + classifier.evidence(machine));
     }
     boolean drained =
@@ -125,7 +129,8 @@
     long bootMicros =
         machine.type() == null ? UNKNOWN_TYPE_BOOT_MICROS : machine.type().bootMicros();
     return clock.nowMicros() > machine.sinceMicros() + bootMicros * BOOT_TIME_FACTOR
-        && !membership.isReachableByPeer(machine.id());
+        && !membership.isReachableByPeer(machine.id())
+        && !workers.reach().overloaded();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -42,6 +42,9 @@
     /** Answers whether this node takes requests. */
     void readyProbe(ReadyProbe event);
 
+    /** Notes that heartbeats may be missing because this node is overloaded. */
+    void overloaded(Overloaded event);
+
     /** Answers, redirects or relays a worker's heartbeat. */
     void heartbeatReceived(HeartbeatReceived event);
   }
@@ -129,6 +132,17 @@
     }
   }
 
+  /**
+   * This node has more to do than it can: it refused connections for want of a socket since it said
+   * so last, or so many events wait for longer than a moment.
+   */
+  record Overloaded(int refusedConnections, int waitingEvents) implements Event {
+    @Override
+    public void dispatchTo(Handler handler) {
+      handler.overloaded(this);
+    }
+  }
+
   /** A worker sends a heartbeat; {@code relayed} when it came through another node. */
   record HeartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed) implements Event {
     @Override
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -69,8 +69,18 @@
     return steps.total();
   }
 
-  /** Makes one pass: places what can be placed now. */
+  /** Makes one pass: places what can be placed now, and preempts for what cannot. */
   public void place(long nowMicros) {
+    place(nowMicros, true);
+  }
+
+  /**
+   * Makes one pass: places what can be placed now.
+   *
+   * @param preempts whether work of other teams may be preempted for what cannot be placed; the
+   *     search for it looks at the whole fleet, so that an overloaded leader goes without
+   */
+  public void place(long nowMicros, boolean preempts) {
     admission.beginPass(nowMicros);
     if (nowMicros >= nextOrderUpdateMicros) {
       nextOrderUpdateMicros = nowMicros + ORDER_UPDATE_MICROS;
@@ -85,7 +95,7 @@
     queues.serve(highestPriority, nowMicros);
     for (Job job : jobs) {
       placer.place(job, nowMicros);
-      if (job.hasWaitingTasks()) {
+      if (preempts && job.hasWaitingTasks()) {
         preemption.preemptFor(job, nowMicros);
       }
     }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -20,7 +20,6 @@
   private static final long RELAY_MICROS = 20_000_000;
   private static final long FAILED_RELAY_PAUSE_MICROS = 2_000_000;
   private static final long FORGET_MICROS = 120_000_000;
-  private static final int MAX_ROUTES_BEFORE_CLEANUP = 1000;
 
   /** So many early returns from one leader are no coincidence. */
   private static final int UNREACHABLE_EARLY_RETURNS = 3;
@@ -46,6 +45,7 @@
 
   private final EffectSink sink;
   private final Map<String, Route> routes = new HashMap<>();
+  private long nextCleanupMicros;
   private long relayFailedUntilMicros;
   private LeaderState leaderState = LeaderState.REACHABLE;
   private String observedLeader = "";
@@ -81,7 +81,9 @@
 
   private void remember(String machine, Route route, long nowMicros) {
     routes.put(machine, route);
-    if (routes.size() > MAX_ROUTES_BEFORE_CLEANUP) {
+    // Goes through thousands of routes where there are as many machines: not at each heartbeat.
+    if (nowMicros >= nextCleanupMicros) {
+      nextCleanupMicros = nowMicros + FORGET_MICROS;
       routes.values().removeIf(known -> nowMicros > known.sinceMicros() + FORGET_MICROS);
     }
   }
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -65,6 +65,7 @@
       AvailableMachines availableMachines,
       TeamQuotas quotas,
       Standby standby,
+      OverloadMonitor overload,
       long term) {
     this.settings = settings;
     this.stateWriter = stateWriter;
@@ -79,7 +80,7 @@
     prober = new WorkerProber(context, registry, commandClient);
     drain = new MachineDrain(registry, tracker, commandQueue);
     leaseMonitor = new LeaseMonitor(context, registry, tracker, availableMachines);
-    reachability = new WorkerReachability(settings, time, registry);
+    reachability = new WorkerReachability(settings, time, registry, overload);
     recovery = new WorkerRecovery(context, replica, registry, tracker);
     FailureAccounting failures = new FailureAccounting(context, availableMachines, drain);
     heartbeatHandler =
--- a/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -14,6 +14,7 @@
   private final Settings settings;
   private final EventTime time;
   private final WorkerRegistry registry;
+  private final OverloadMonitor overload;
 
   /** Reports that came from machines themselves, not through a peer, since the window began. */
   private int direct;
@@ -22,7 +23,9 @@
   private long sinceMicros;
   private boolean unreached;
 
-  WorkerReachability(Settings settings, EventTime time, WorkerRegistry registry) {
+  WorkerReachability(
+      Settings settings, EventTime time, WorkerRegistry registry, OverloadMonitor overload) {
+    this.overload = overload;
     this.settings = settings;
     this.time = time;
     this.registry = registry;
@@ -39,9 +42,17 @@
   }
 
   /**
-   * Whether hardly any machine reaches this leader by itself: over the time that ten reports of the
-   * fleet take, less than a tenth of them came. That alone may be the machines' fault as well as
-   * its own: peers tell.
+   * Whether heartbeats may be missing because this node is overloaded: then their absence is no
+   * reason to hand over or to give machines back. Another leader would be overloaded as well.
+   */
+  public boolean overloaded() {
+    return overload.explainsSilence(time.nowMicros());
+  }
+
+  /**
+   * Whether hardly any machine reaches this leader by itself, though it is not overloaded: over the
+   * time that ten reports of the fleet take, less than a tenth of them came. That alone may be the
+   * machines' fault as well as its own: peers tell.
    */
   public boolean unreached() {
     long now = time.nowMicros();
@@ -63,7 +74,7 @@
       windowMicros = now;
       direct = 0;
     }
-    return unreached;
+    return unreached && !overloaded();
   }
 
   /** How many machines that this leader knows a peer hears. */
@@ -78,9 +89,12 @@
   /**
    * Whether this leader seems cut off from its machines: many of those it had heard are silent, and
    * hardly any is not. Dead machines alone do not look like that, and relayed reports count as
-   * heard.
+   * heard; nor does an overloaded leader.
    */
   public boolean outOfReach() {
+    if (overloaded()) {
+      return false;
+    }
     long patience = settings.workerTimings().heartbeatMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
     long now = time.nowMicros();
     int silent = 0;
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -76,20 +76,23 @@
    */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  private final int mostIdle;
+  /** Destinations with requests that wait for a socket of the commands' share. */
+  private final Set<Destination> starved = new LinkedHashSet<>();
+
+  private final ConnectionBudget budget;
 
   /**
-   * @param mostIdle so many connections to workers may be kept without use
+   * @param budget bounds the connections to workers
    */
   public HttpClientPool(
       Sockets sockets,
       String stateAddress,
       String cloudAddress,
       Map<String, String> peerAddresses,
-      int mostIdle,
+      ConnectionBudget budget,
       LongSupplier clock,
       BiConsumer<Long, Reply> replies) {
-    this.mostIdle = mostIdle;
+    this.budget = budget;
     this.sockets = sockets;
     this.state = stateAddress;
     this.cloud = cloudAddress;
@@ -368,6 +371,7 @@
       long timeoutMicros,
       Exchange.Outcome outcome) {
     ClientConnection use;
+    ClientConnection evicted = null;
     Exchange exchange;
     Destination connect = null;
     synchronized (this) {
@@ -382,6 +386,7 @@
       } else {
         to.waiting.add(exchange);
         connect = wantsConnection(to);
+        evicted = connect == null && starved.contains(to) ? takeIdleLongest() : null;
       }
       if (!exchange.over) {
         underWay.add(exchange);
@@ -393,6 +398,8 @@
       ask(use, exchange);
     } else if (connect != null) {
       connect(connect);
+    } else if (evicted != null) {
+      evicted.close();
     }
   }
 
@@ -401,10 +408,56 @@
     if (to.waiting.isEmpty() || to.connections >= MOST_CONNECTIONS) {
       return null;
     }
+    if (isWorker(to.address) && !budget.openCommand()) {
+      starved.add(to);
+      return null;
+    }
     to.connections++;
     return to;
   }
 
+  /** Guarded by this: a connection ended or was not made; its socket may serve another one. */
+  private Destination release(Destination of) {
+    of.connections--;
+    if (isWorker(of.address)) {
+      budget.closeCommand();
+    }
+    Destination connect = wantsConnection(of);
+    return connect != null ? connect : nextStarved();
+  }
+
+  /**
+   * Guarded by this: counts a connection for the destination that has waited longest for one; null
+   * if none waits or no socket is left.
+   */
+  private Destination nextStarved() {
+    for (Iterator<Destination> it = starved.iterator(); it.hasNext(); ) {
+      Destination next = it.next();
+      if (next.waiting.isEmpty()) {
+        it.remove();
+      } else if (budget.openCommand()) {
+        it.remove();
+        next.connections++;
+        return next;
+      } else {
+        return null;
+      }
+    }
+    return null;
+  }
+
+  /** Guarded by this: takes the connection without a command that was idle longest; else null. */
+  private ClientConnection takeIdleLongest() {
+    if (idle.isEmpty()) {
+      return null;
+    }
+    ClientConnection longest = idle.iterator().next();
+    // Not to be asked between here and its end.
+    idle.remove(longest);
+    longest.destination.free.remove(longest);
+    return longest;
+  }
+
   private void connect(Destination to) {
     sockets.connect(
         to.socket,
@@ -415,14 +468,18 @@
   /** Nothing was sent to where nobody answers: all that waits there has failed. */
   private void notConnected(Destination to, String why) {
     List<Exchange> lost;
+    Destination connect;
     synchronized (this) {
-      to.connections--;
       lost = new ArrayList<>(to.waiting);
       to.waiting.clear();
       lost.forEach(this::end);
+      connect = release(to);
       forgetIfUnused(to);
     }
     lost.forEach(e -> e.outcome().failed(why));
+    if (connect != null) {
+      connect(connect);
+    }
   }
 
   private void ask(ClientConnection connection, Exchange exchange) {
@@ -448,6 +505,7 @@
 
   private void forgetIfUnused(Destination to) {
     if (to.unused()) {
+      starved.remove(to);
       destinations.remove(to.address, to);
     }
   }
@@ -470,12 +528,8 @@
         connection.destination.free.addFirst(connection);
         if (isWorker(connection.destination.address)) {
           idle.add(connection);
-          tooMany = idle.size() > mostIdle ? idle.iterator().next() : null;
-          if (tooMany != null) {
-            // Not to be asked between here and its end.
-            idle.remove(tooMany);
-            tooMany.destination.free.remove(tooMany);
-          }
+          boolean excess = !starved.isEmpty() || idle.size() > budget.maxIdleCommands();
+          tooMany = excess ? takeIdleLongest() : null;
         }
       } else {
         next.connection = connection;
@@ -515,9 +569,8 @@
       Destination to = connection.destination;
       to.free.remove(connection);
       idle.remove(connection);
-      to.connections--;
       ended = exchange != null && end(exchange);
-      connect = wantsConnection(to);
+      connect = release(to);
       forgetIfUnused(to);
     }
     if (ended) {
@@ -528,25 +581,41 @@
     }
   }
 
-  /** Called by the thread that owns the core, now and then: ends what has taken too long. */
+  /**
+   * Called by the thread that owns the core, now and then: ends what has taken too long, closes
+   * idle connections whose sockets are needed for something else by now, and connects where there
+   * was no socket before.
+   */
   public void expire(long nowMicros) {
     List<Exchange> expired = null;
+    List<ClientConnection> evicted = new ArrayList<>();
+    List<Destination> connects = new ArrayList<>();
     synchronized (this) {
       if (nowMicros < nextExpireMicros) {
         return;
       }
       nextExpireMicros = nowMicros + EXPIRE_EVERY_MICROS;
+      int maxIdle = budget.maxIdleCommands();
+      while (idle.size() > maxIdle) {
+        evicted.add(takeIdleLongest());
+      }
+      for (Destination next = nextStarved(); next != null; next = nextStarved()) {
+        connects.add(next);
+      }
       for (Iterator<Exchange> it = underWay.iterator(); it.hasNext(); ) {
         Exchange exchange = it.next();
         if (nowMicros >= exchange.deadlineMicros) {
           it.remove();
           exchange.over = true;
           exchange.destination().waiting.remove(exchange);
+          forgetIfUnused(exchange.destination());
           expired = expired == null ? new ArrayList<>() : expired;
           expired.add(exchange);
         }
       }
     }
+    evicted.forEach(ClientConnection::close);
+    connects.forEach(this::connect);
     if (expired != null) {
       for (Exchange exchange : expired) {
         if (exchange.connection != null) {
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -5,7 +5,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import java.util.function.LongSupplier;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.Submission;
@@ -23,11 +25,15 @@
   /** For what is refused before the core has seen it. */
   private static final int RETRY_AFTER_S = 1;
 
+  /** A worker waits 4 s for its answer, the time on the network included. */
+  private static final long MAX_HEARTBEAT_WAIT_MICROS = 3_500_000;
+
+  private static final String HEARTBEAT = "/agent/beat";
   private static final String WORK = "/work";
   private static final String CANCEL = "/cancel";
   private static final byte[] NOTHING = UserMessages.encodeError("");
 
-  private record Open(ServerConnection connection, boolean ofPeer) {}
+  private record Open(ServerConnection connection, boolean ofPeer, long receivedMicros) {}
 
   /** What to do with a body once it has been read. */
   private interface BodyUse {
@@ -35,29 +41,36 @@
   }
 
   private final Consumer<Event> events;
+  private final BooleanSupplier overloaded;
+  private final LongSupplier clock;
   private final int mostHeld;
   private final AtomicInteger held = new AtomicInteger();
   private final AtomicLong lastExchange = new AtomicLong();
   private final Map<Long, Open> open = new ConcurrentHashMap<>();
 
   /**
+   * @param overloaded whether this node is behind with its work; polls are refused meanwhile, since
+   *     their answers can wait longest
    * @param mostHeld how many bytes of requests may be here at once: more are refused, rather than
    *     that the memory of a small machine runs out when many large ones come together
    */
-  public HttpRequestRouter(Consumer<Event> events, int mostHeld) {
+  public HttpRequestRouter(
+      Consumer<Event> events, BooleanSupplier overloaded, LongSupplier clock, int mostHeld) {
     this.events = events;
+    this.overloaded = overloaded;
+    this.clock = clock;
     this.mostHeld = mostHeld;
   }
 
   /** Listens for users and workers; says on which port. */
-  public int listen(Sockets sockets, String host, int port, int mostConnections)
+  public int listen(Sockets sockets, String host, int port, ConnectionBudget budget)
       throws IOException {
-    return sockets.listen(host, port, mostConnections, new Others());
+    return sockets.listen(host, port, budget, new Others());
   }
 
   /** Listens for the other controllers. */
   public void listenForPeers(Sockets sockets, String host, int port) throws IOException {
-    sockets.listen(host, port, Integer.MAX_VALUE, new Peers());
+    sockets.listen(host, port, ConnectionBudget.unlimited(), new Peers());
   }
 
   /** What all connections have in common. */
@@ -89,13 +102,18 @@
       return UserMessages.MAX_BYTES;
     }
 
+    @Override
+    public boolean isHeartbeat(String path) {
+      return path.equals(HEARTBEAT);
+    }
+
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
-      Open exchange = new Open(from, false);
+      Open exchange = new Open(from, false, clock.getAsLong());
       switch (path) {
         case "/ready" ->
             with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.ReadyProbe(id)));
-        case "/agent/beat" ->
+        case HEARTBEAT ->
             with(
                 exchange,
                 method,
@@ -119,9 +137,14 @@
       return PeerMessages.MAX_BYTES;
     }
 
+    @Override
+    public boolean isHeartbeat(String path) {
+      return false;
+    }
+
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
-      Open exchange = new Open(from, true);
+      Open exchange = new Open(from, true, clock.getAsLong());
       if (path.equals(PeerMessages.STATE_SERVICE_STATUS_PATH)) {
         with(
             exchange,
@@ -181,6 +204,10 @@
       fail(exchange.connection(), 404, "no such job");
     } else if (cancel) {
       with(exchange, method, "POST", body, (e, b) -> events.accept(new Event.Cancel(e, id)));
+    } else if (overloaded.getAsBoolean() && method.equals("GET")) {
+      exchange
+          .connection()
+          .answer(503, RETRY_AFTER_S, null, UserMessages.encodeError("overloaded"), false);
     } else {
       with(exchange, method, "GET", body, (e, b) -> events.accept(new Event.Poll(e, id)));
     }
@@ -213,6 +240,25 @@
     events.accept(new Event.Submit(exchange, submission));
   }
 
+  /**
+   * Refuses a heartbeat that has waited for so long that its worker would not read the answer: what
+   * is left of this node's time goes to those that still can be answered.
+   *
+   * @return whether it was refused, and needs no answer any more
+   */
+  public boolean refusedAsLate(Event event) {
+    if (!(event instanceof Event.HeartbeatReceived heartbeat) || heartbeat.relayed()) {
+      return false;
+    }
+    Open exchange = open.get(heartbeat.exchange());
+    if (exchange == null
+        || clock.getAsLong() < exchange.receivedMicros() + MAX_HEARTBEAT_WAIT_MICROS) {
+      return false;
+    }
+    respond(heartbeat.exchange(), new Answer.Failure(503, "overloaded", 0));
+    return true;
+  }
+
   /** The core's answer to an exchange. */
   public void respond(long id, Answer answer) {
     Open exchange = open.remove(id);
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -46,6 +46,9 @@
 
     int mostBytes(String path);
 
+    /** Whether requests for this path are heartbeats of workers. */
+    boolean isHeartbeat(String path);
+
     /** Whether so many more bytes of bodies may be held; they are held until {@link #release}. */
     boolean hold(int bytes);
 
@@ -55,13 +58,14 @@
   private static final long IDLE_MS = 120_000;
 
   private final Requests requests;
-  private final Runnable over;
+  private final ConnectionBudget budget;
   private final Callback fillable =
       Callback.from(
           Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
   private final HttpParser parser = new HttpParser(this, MOST_HEAD, HttpCompliance.RFC7230);
   private final Body body = new Body();
   private State state = State.READING;
+  private ConnectionBudget.InboundUse use = ConnectionBudget.InboundUse.USER;
 
   /** There was more to read while the answer was awaited. */
   private boolean paused;
@@ -76,10 +80,11 @@
   private int held;
   private int drained;
 
-  ServerConnection(EndPoint endPoint, Executor executor, Requests requests, Runnable over) {
+  ServerConnection(
+      EndPoint endPoint, Executor executor, Requests requests, ConnectionBudget budget) {
     super(endPoint, executor);
     this.requests = requests;
-    this.over = over;
+    this.budget = budget;
     // A cache of its own would cost each connection 100 KB: more than the machine has, with one
     // worker on each.
     parser.setHeaderCacheSize(0);
@@ -165,9 +170,30 @@
 
   private void handOver() {
     become(State.ANSWERING);
+    if (requests.isHeartbeat(path)) {
+      countAsHeartbeat();
+    }
     requests.request(this, method, path, body.take());
   }
 
+  private synchronized void countAsHeartbeat() {
+    if (use == ConnectionBudget.InboundUse.USER && state != State.CLOSED) {
+      use = ConnectionBudget.InboundUse.HEARTBEAT;
+      budget.becomeHeartbeat();
+    }
+  }
+
+  /** Whether the budget needs this connection's socket for something else. */
+  private synchronized boolean isReclaimed() {
+    if (use == ConnectionBudget.InboundUse.HEARTBEAT
+        && state != State.CLOSED
+        && budget.reclaimHeartbeat()) {
+      use = ConnectionBudget.InboundUse.CLOSING;
+      return true;
+    }
+    return false;
+  }
+
   /**
    * The one answer to the request that was handed over; {@code allow} is null but for a wrong
    * method.
@@ -177,7 +203,7 @@
       return;
     }
     ByteBuffer head = Buffers.out();
-    boolean close = last || !keep;
+    boolean close = last || !keep || isReclaimed();
     HttpHeads.response(head, status, retryAfterS, allow, content.length, close);
     Buffers.write(getEndPoint(), head, content, new Written(close));
   }
@@ -258,9 +284,15 @@
   @Override
   public void onClose(Throwable cause) {
     super.onClose(cause);
-    become(State.CLOSED);
+    boolean counted;
+    synchronized (this) {
+      counted = state != State.CLOSED;
+      state = State.CLOSED;
+    }
     letGo();
-    over.run();
+    if (counted) {
+      budget.closeInbound(use);
+    }
   }
 
   @Override
--- a/src/main/java/org/eiderstair/http/Sockets.java
+++ b/src/main/java/org/eiderstair/http/Sockets.java
@@ -13,7 +13,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import org.eclipse.jetty.io.ArrayByteBufferPool;
 import org.eclipse.jetty.io.ClientConnectionFactory;
@@ -48,31 +47,13 @@
     }
   }
 
-  /** A port that others connect to. */
+  /**
+   * A port that others connect to. A connection beyond the budget is accepted and closed: were the
+   * port not listened to for a while, a connection that ends in the same moment could make it
+   * register twice, and the connector would then close it for good.
+   */
   private record Port(
-      ServerSocketChannel channel,
-      ServerConnection.Requests requests,
-      int most,
-      AtomicInteger connections) {
-
-    /**
-     * Sockets for the state service, the cloud, workers and peers must be left when users take all
-     * others. One too many is taken and closed: were the port not listened to for a while, a
-     * connection that ends in the same moment could make it register twice, and the connector would
-     * then close it for good.
-     */
-    boolean takesOneMore() {
-      if (connections.incrementAndGet() <= most) {
-        return true;
-      }
-      closed();
-      return false;
-    }
-
-    void closed() {
-      connections.decrementAndGet();
-    }
-  }
+      ServerSocketChannel channel, ServerConnection.Requests requests, ConnectionBudget budget) {}
 
   private final Map<Integer, Port> ports = new ConcurrentHashMap<>();
   private final ScheduledExecutorScheduler timer;
@@ -101,10 +82,10 @@
   }
 
   /**
-   * Listens on an address, for at most so many connections at once; says on which port, if the
+   * Listens on an address, for as many connections as the budget allows; says on which port, if the
    * system chose it.
    */
-  int listen(String host, int number, int most, ServerConnection.Requests requests)
+  int listen(String host, int number, ConnectionBudget budget, ServerConnection.Requests requests)
       throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -112,7 +93,7 @@
     channel.bind(new InetSocketAddress(host, number), BACKLOG);
     addBean(channel);
     int bound = ((InetSocketAddress) channel.getLocalAddress()).getPort();
-    ports.put(bound, new Port(channel, requests, most, new AtomicInteger()));
+    ports.put(bound, new Port(channel, requests, budget));
     getSelectorManager().acceptor(channel);
     return bound;
   }
@@ -153,7 +134,7 @@
     protected void accepted(SelectableChannel channel) throws IOException {
       int number = ((InetSocketAddress) ((SocketChannel) channel).getLocalAddress()).getPort();
       Port port = ports.get(number);
-      if (!port.takesOneMore()) {
+      if (!port.budget.openInbound()) {
         channel.close();
         return;
       }
@@ -161,8 +142,8 @@
           channel,
           context(
               (endPoint, c) ->
-                  new ServerConnection(endPoint, getExecutor(), port.requests, port::closed),
-              why -> port.closed()));
+                  new ServerConnection(endPoint, getExecutor(), port.requests, port.budget),
+              why -> port.budget.closeInbound(ConnectionBudget.InboundUse.USER)));
     }
   }
 
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -6,7 +6,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.function.IntSupplier;
 import java.util.function.LongConsumer;
+import java.util.function.Predicate;
 import org.eiderstair.core.Core;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Event;
@@ -34,7 +36,10 @@
   private long nextLoadMicros;
   private Core core;
   private Consumer<Effect> effects;
+  private Predicate<Event> refusedAsLate = event -> false;
+  private int refusedLate;
   private LongConsumer timeouts = now -> {};
+  private final OverloadDetector overload = new OverloadDetector();
 
   /**
    * Connects the loop with the core that it drives and with the consumer of its effects. Call once,
@@ -50,6 +55,21 @@
     timeouts = look;
   }
 
+  /** Sets who refuses events that have waited for so long that they are of no use any more. */
+  public void refuseLate(Predicate<Event> refusal) {
+    refusedAsLate = refusal;
+  }
+
+  /** Sets who counts the connections that were refused since it was asked last. */
+  public void refusedConnections(IntSupplier refusals) {
+    overload.refusedConnections(refusals);
+  }
+
+  /** Whether this node is so far behind that what can wait is to be refused. */
+  public boolean isBehind() {
+    return overload.isBehind();
+  }
+
   /** Hands an event to the core's thread; may be called from any thread. */
   public void offer(Event event) {
     if (event instanceof Event.ReplyReceived) {
@@ -98,6 +118,7 @@
           takeOutcomes();
           event = taken < MOST_AT_ONCE ? events.poll() : null;
         }
+        checkOverload();
         core.tick(nowMicros());
         timeouts.accept(nowMicros());
         if (LOG.isInfoEnabled()) {
@@ -123,15 +144,24 @@
     nextLoadMicros = now + LOAD_EVERY_MICROS;
     Runtime runtime = Runtime.getRuntime();
     LOG.info(
-        "load: {}, most waiting {}, heap {} of {} MB",
+        "load: {}, refused as late {}, most waiting {}, heap {} of {} MB",
         counts,
+        refusedLate,
         mostWaiting,
         (runtime.totalMemory() - runtime.freeMemory()) >> 20,
         runtime.maxMemory() >> 20);
     counts.clear();
+    refusedLate = 0;
     mostWaiting = 0;
   }
 
+  private void checkOverload() {
+    Event.Overloaded overloaded = overload.check(events.size(), nowMicros());
+    if (overloaded != null) {
+      take(overloaded);
+    }
+  }
+
   private void takeOutcomes() {
     for (Event outcome = outcomes.poll(); outcome != null; outcome = outcomes.poll()) {
       take(outcome);
@@ -139,6 +169,10 @@
   }
 
   private void take(Event event) {
+    if (refusedAsLate.test(event)) {
+      refusedLate++;
+      return;
+    }
     if (LOG.isInfoEnabled()) {
       counts.merge(event.getClass().getSimpleName(), 1, Integer::sum);
     }
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -7,6 +7,7 @@
 import org.eiderstair.core.Core;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Event;
+import org.eiderstair.http.ConnectionBudget;
 import org.eiderstair.http.HttpClientPool;
 import org.eiderstair.http.HttpRequestRouter;
 import org.eiderstair.http.Sockets;
@@ -23,14 +24,6 @@
   /** Of the heap, for requests that are here: what is made of one takes several times its room. */
   private static final int HELD_PART = 16;
 
-  private static final int KEPT_SOCKETS = 200;
-
-  /**
-   * Of all sockets, for connections to workers between two commands; workers' reports, users and
-   * the rest come first.
-   */
-  private static final int IDLE_PART = 5;
-
   private final ExecutorService threads;
   private final Sockets sockets;
   private final Thread coreThread;
@@ -42,16 +35,19 @@
     LOG.info("node {} starts", config.settings().node());
     sockets = new Sockets(threads);
     HttpRequestRouter inbound =
-        new HttpRequestRouter(loop::offer, (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
-    int mostIdle =
-        config.maxConnections() > 0 ? config.maxConnections() / IDLE_PART : Integer.MAX_VALUE;
+        new HttpRequestRouter(
+            loop::offer,
+            loop::isBehind,
+            CoreLoop::nowMicros,
+            (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
+    ConnectionBudget budget = ConnectionBudget.of(config.maxConnections());
     HttpClientPool outbound =
         new HttpClientPool(
             sockets,
             config.stateAddress(),
             config.cloudAddress(),
             config.peerAddresses(),
-            mostIdle,
+            budget,
             CoreLoop::nowMicros,
             (call, reply) -> loop.offer(new Event.ReplyReceived(call, reply)));
     // Runs of one node differ in their time or their process; nothing here needs to be hard to
@@ -87,13 +83,11 @@
           }
         });
     loop.timeouts(outbound::expire);
+    loop.refusedConnections(budget::takeRefusals);
+    loop.refuseLate(inbound::refusedAsLate);
     coreThread = new Thread(null, loop, "core", 512 * 1024);
     coreThread.start();
-    int most =
-        config.maxConnections() > KEPT_SOCKETS
-            ? config.maxConnections() - KEPT_SOCKETS
-            : Integer.MAX_VALUE;
-    port = inbound.listen(sockets, config.bindHost(), config.bindPort(), most);
+    port = inbound.listen(sockets, config.bindHost(), config.bindPort(), budget);
     inbound.listenForPeers(sockets, config.peerHost(), config.peerPort());
     LOG.info("node {} listens on port {}", config.settings().node(), port);
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -37,6 +37,7 @@
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.state.StateWriter;
 import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.OverloadMonitor;
 import org.eiderstair.core.workers.WorkerManager;
 
 /** A leader's core with nothing round it: machines are made up, and commands stay unanswered. */
@@ -65,6 +66,8 @@
     this(TERM);
   }
 
+  public final OverloadMonitor overload;
+
   public LeaderBench(long term) {
     versions = term;
     settings =
@@ -99,6 +102,7 @@
               @Override
               public void leadershipLost(String why) {}
             });
+    overload = new OverloadMonitor(settings, sink);
     workers =
         new WorkerManager(
             settings,
@@ -109,6 +113,7 @@
             availableMachines,
             quotas,
             standby,
+            overload,
             term);
     Demand demand = new Demand(settings, replica);
     placement =
--- a/src/test/java/org/eiderstair/core/LeaderTermTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -13,6 +13,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.workers.OverloadMonitor;
 
 /** How a leader's term begins. */
 class LeaderTermTest {
@@ -53,6 +54,7 @@
             bench.leadership,
             membership,
             bench.standby,
+            new OverloadMonitor(bench.settings, bench.sink),
             term,
             n -> 0);
     leaderTerm.tick(bench.now);
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -9,6 +9,7 @@
 import org.eiderstair.core.LeaderBench;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Event;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Job;
@@ -67,6 +68,37 @@
     throw new AssertionError("no " + kind.getSimpleName() + " in " + bench.effects);
   }
 
+  private long releasesOfSilentMachines() {
+    return bench.effects.stream()
+        .filter(e -> e instanceof Effect.Log log && log.text().contains(": unreachable: "))
+        .count();
+  }
+
+  /**
+   * Four thousand machines were not heard for a minute. A leader whose own sockets are used up, or
+   * whose queue is full, keeps them; any other one takes them for dead.
+   */
+  @Example
+  void anOverloadedLeaderReleasesNoMachineForMissingHeartbeats() {
+    bench.machines(4_000);
+    bench.now += 60_000_000;
+    begin();
+    bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
+    bench.workers.tick(bench.now, false);
+    capacity.tick(bench.now += 1_000_000);
+    assertEquals(0, releasesOfSilentMachines());
+  }
+
+  @Example
+  void aLeaderThatIsNotOverloadedReleasesSilentMachines() {
+    bench.machines(4_000);
+    bench.now += 60_000_000;
+    begin();
+    bench.workers.tick(bench.now, false);
+    capacity.tick(bench.now += 1_000_000);
+    assertTrue(releasesOfSilentMachines() > 0);
+  }
+
   /**
    * Refusals come every 15 s for each option, with up to 50 stand-ins each, which would otherwise
    * add up.
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -27,6 +27,7 @@
 import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 import org.eiderstair.core.workers.AvailableMachines;
+import org.eiderstair.core.workers.OverloadMonitor;
 import org.eiderstair.core.workers.WorkerManager;
 
 class PlacementTest {
@@ -56,6 +57,7 @@
           availableMachines,
           quotas,
           new Standby("n0", "run", text -> {}),
+          new OverloadMonitor(settings, sink),
           1);
   private final Demand demand = new Demand(settings, replica);
   private final Placement placement =
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -65,6 +65,7 @@
           new AvailableMachines(10),
           new TeamQuotas(settings),
           new Standby("n0", "run", text -> {}),
+          new OverloadMonitor(settings, sink),
           1);
   private final Machine machine = new Machine("m", 1, Machine.Phase.CONFIRMED, 0);
   private final TaskId task = new TaskId("job-1", 0);
@@ -191,6 +192,7 @@
             new AvailableMachines(10),
             new TeamQuotas(settings),
             new Standby("n0", "run", text -> {}),
+            new OverloadMonitor(settings, sending),
             1);
     launched(Attempt.Phase.REPORTED);
     other.add(machine);
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -40,7 +40,7 @@
               "127.0.0.1:1",
               "127.0.0.1:2",
               Map.of(),
-              MOST_IDLE,
+              new ConnectionBudget(Integer.MAX_VALUE, 0, 0, MOST_IDLE),
               () -> System.nanoTime() / 1000,
               (call, reply) -> {
                 replies.put(call, reply);
@@ -72,12 +72,60 @@
     }
   }
 
-  /** Answers every request alike. */
+  /** A share of ten sockets for commands to sixty workers at once: they wait, and none fails. */
+  @Example
+  void commandsWaitForASocketOfTheirShare() throws Exception {
+    int share = 10;
+    ExecutorService threads = Executors.newCachedThreadPool();
+    AtomicInteger open = new AtomicInteger();
+    AtomicInteger mostOpen = new AtomicInteger();
+    CountDownLatch answered = new CountDownLatch(3 * WORKERS);
+    Map<Long, Reply> replies = new ConcurrentHashMap<>();
+    ConnectionBudget budget = new ConnectionBudget(2 * share, 0, share, 2 * share);
+    for (int i = 0; i < share; i++) {
+      assertTrue(budget.openInbound());
+      budget.becomeHeartbeat();
+    }
+    try (ServerSocket server = new ServerSocket(0, 200, InetAddress.getByName("0.0.0.0"))) {
+      threads.execute(() -> serve(server, threads, open, mostOpen));
+      Sockets sockets = new Sockets(threads);
+      HttpClientPool outbound =
+          new HttpClientPool(
+              sockets,
+              "127.0.0.1:1",
+              "127.0.0.1:2",
+              Map.of(),
+              budget,
+              () -> System.nanoTime() / 1000,
+              (call, reply) -> {
+                replies.put(call, reply);
+                answered.countDown();
+              });
+      for (long call = 1; call <= 3 * WORKERS; call++) {
+        String address = "127.0.0." + (2 + call % WORKERS) + ":" + server.getLocalPort();
+        outbound.send(call, new Request.WorkerCommands(address, new FencingToken(1), 1, List.of()));
+      }
+      assertTrue(answered.await(20, TimeUnit.SECONDS));
+      replies.values().forEach(r -> assertEquals(new Reply.Refused(400), r));
+      // The server sees the end of a connection a little after this side, which then opens another.
+      assertTrue(mostOpen.get() <= 2 * share, "open at once " + mostOpen.get());
+      sockets.stop();
+    } finally {
+      threads.shutdownNow();
+    }
+  }
+
   private static void serve(ServerSocket server, ExecutorService threads, AtomicInteger open) {
+    serve(server, threads, open, new AtomicInteger());
+  }
+
+  /** Answers every request alike. */
+  private static void serve(
+      ServerSocket server, ExecutorService threads, AtomicInteger open, AtomicInteger mostOpen) {
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        open.incrementAndGet();
+        mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
         threads.execute(
             () -> {
               try (socket;
--- a/src/test/java/org/eiderstair/http/ServerConnectionTest.java
+++ b/src/test/java/org/eiderstair/http/ServerConnectionTest.java
@@ -35,8 +35,8 @@
   static void start() throws Exception {
     threads = Executors.newFixedThreadPool(2);
     sockets = new Sockets(threads);
-    inbound = new HttpRequestRouter(ServerConnectionTest::event, HELD);
-    port = inbound.listen(sockets, "127.0.0.1", 0, 1000);
+    inbound = new HttpRequestRouter(ServerConnectionTest::event, () -> false, () -> 0, HELD);
+    port = inbound.listen(sockets, "127.0.0.1", 0, bounded(1000));
   }
 
   @AfterContainer
@@ -55,6 +55,11 @@
     }
   }
 
+  /** Room for so many inbound connections, whatever they are used for. */
+  private static ConnectionBudget bounded(int connections) {
+    return new ConnectionBudget(connections, 0, 0, 0);
+  }
+
   private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.US_ASCII);
   }
@@ -148,8 +153,9 @@
    */
   @Example
   void bodiesTogetherStayWithinTheirBound() throws Exception {
-    HttpRequestRouter tight = new HttpRequestRouter(ServerConnectionTest::event, 20_000);
-    int tightPort = tight.listen(sockets, "127.0.0.1", 0, 8);
+    HttpRequestRouter tight =
+        new HttpRequestRouter(ServerConnectionTest::event, () -> false, () -> 0, 20_000);
+    int tightPort = tight.listen(sockets, "127.0.0.1", 0, bounded(8));
     String head = "POST /work HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n";
     for (int round = 0; round < 3; round++) {
       try (Socket one = new Socket("127.0.0.1", tightPort);
@@ -181,7 +187,7 @@
    */
   @Example
   void connectionsAreBounded() throws Exception {
-    int few = inbound.listen(sockets, "127.0.0.1", 0, 3);
+    int few = inbound.listen(sockets, "127.0.0.1", 0, bounded(3));
     for (int round = 0; round < 20; round++) {
       List<Socket> open = new ArrayList<>();
       try {
