--- a/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
@@ -44,10 +44,6 @@
     this.electedMicros = electedMicros;
   }
 
-  Phase phase() {
-    return phase;
-  }
-
   /** The one function for every change of phase. */
   private void transitionTo(Phase next, long nowMicros) {
     phase = next;
