--- a/src/test/java/org/eiderstair/core/standby/StandbyScaleTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyScaleTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Replication in a cluster of 4,000 machines, as full as the largest snapshot that was tried with
- * fewer. Longer by {@code -Dstandby.machines=20000 -Dstandby.seconds=600}.
+ * fewer. Longer by {@code -Dstandby.machines=8000 -Dstandby.seconds=600}.
  */
 class StandbyScaleTest {
   private static final int MACHINES = Integer.getInteger("standby.machines", 4_000);
