--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -54,10 +54,10 @@
     return (THREADS.getCurrentThreadAllocatedBytes() - before) / ROUNDS;
   }
 
-  private static void within(String what, int machines, long bytes, long most) {
+  private static void within(String what, int machines, long bytes, long maxBytes) {
     assertTrue(
-        bytes <= most,
-        what + " at " + machines + " machines: " + bytes + " bytes, at most " + most);
+        bytes <= maxBytes,
+        what + " at " + machines + " machines: " + bytes + " bytes, at most " + maxBytes);
   }
 
   private static LeaderBench busy(int machines) {
@@ -69,18 +69,19 @@
     return bench;
   }
 
-  private static byte[] report(LeaderBench bench, Machine m) {
+  private static byte[] report(LeaderBench bench, Machine machine) {
     List<Object> tasks = new ArrayList<>();
-    for (Attempt attempt : m.attempts()) {
+    for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() != Attempt.Phase.QUEUED) {
         tasks.add(SampleMessages.runningTask(attempt.task().toString(), attempt.number()));
       }
     }
     SampleMessages.Worker worker =
-        new SampleMessages.Worker(m.id(), "10.0.0.1:9000", "t", m.zone(), m.isSpot());
+        new SampleMessages.Worker(
+            machine.id(), "10.0.0.1:9000", "t", machine.zone(), machine.isSpot());
     return MessagePackCodec.write(
         SampleMessages.heartbeat(
-            worker, bench.sequences.merge(m.id(), 1L, Long::sum), m.fencingToken().value(), tasks));
+            worker, bench.nextSequence(machine), machine.fencingToken().value(), tasks));
   }
 
   /**
@@ -113,7 +114,7 @@
             i -> {
               bench.now += 1_000;
               bench.workers.receive(
-                  ++bench.exchange,
+                  bench.nextExchange(),
                   WorkerMessages.decodeHeartbeat(bodies.get(i)),
                   false,
                   bench.now);
@@ -147,7 +148,7 @@
     }
   }
 
-  private static void placedTasks(LeaderBench bench, int machines, long most)
+  private static void placedTasks(LeaderBench bench, int machines, long maxBytes)
       throws MalformedMessageException {
     for (int i = 0; i < 20; i++) {
       bench.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
@@ -158,8 +159,8 @@
             i -> {
               bench.report(bench.workers.machines().get("m-" + i % machines), 4);
               bench.placement.place(bench.now);
-              for (Machine m : bench.workers.machines().values()) {
-                placed[0] += i >= ROUNDS ? m.plannedLaunches().size() : 0;
+              for (Machine machine : bench.workers.machines().values()) {
+                placed[0] += i >= ROUNDS ? machine.plannedLaunches().size() : 0;
               }
               bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
@@ -167,7 +168,7 @@
               bench.effects.clear();
             });
     assertTrue(placed[0] > ROUNDS, "placed " + placed[0]);
-    within("placed task", machines, all * ROUNDS / placed[0], most);
+    within("placed task", machines, all * ROUNDS / placed[0], maxBytes);
   }
 
   @Example
@@ -226,7 +227,8 @@
     bench.replica.apply(
         new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 2));
     bench.load();
-    JobService jobService = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
+    JobService jobService =
+        new JobService(bench.settings, bench.sink, bench.replica, cancellation -> {});
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
       bodies.add(
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -47,8 +47,8 @@
         bench.report(bench.workers.machines().get("m-" + (round * reports + i) % machines), 1);
       }
       bench.placement.place(bench.now);
-      for (Machine m : bench.workers.machines().values()) {
-        placed += m.plannedLaunches().size();
+      for (Machine machine : bench.workers.machines().values()) {
+        placed += machine.plannedLaunches().size();
       }
       bench.deliver();
     }
@@ -65,7 +65,7 @@
   }
 
   @Example
-  void aTakeOverSendsNothingInABurst() {
+  void aFailoverSendsNothingInABurst() {
     for (int machines : new int[] {50, 500, 2000}) {
       LeaderBench bench = new LeaderBench();
       for (int i = 0; i < machines; i++) {
@@ -112,7 +112,7 @@
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 3);
     for (int step = 0; step < 60; step++) {
       List<Machine> machines = new ArrayList<>(bench.workers.machines().values());
-      Machine m = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
+      Machine machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
       switch (random.nextInt(6)) {
         case 0 ->
             bench.job(
@@ -132,18 +132,18 @@
           }
         }
         case 2 -> {
-          if (m != null && random.nextInt(4) == 0) {
-            bench.workers.drain(m);
+          if (machine != null && random.nextInt(4) == 0) {
+            bench.workers.drain(machine);
           }
         }
         case 3 -> {
-          if (m != null && random.nextInt(8) == 0) {
-            bench.workers.terminated(m.id());
+          if (machine != null && random.nextInt(8) == 0) {
+            bench.workers.terminated(machine.id());
           }
         }
         default -> {
-          if (m != null) {
-            bench.report(m, random.nextInt(3));
+          if (machine != null) {
+            bench.report(machine, random.nextInt(3));
           }
         }
       }
@@ -157,18 +157,18 @@
 
   private static void check(LeaderBench bench) {
     Map<String, Double> use = new LinkedHashMap<>();
-    for (Machine m : bench.workers.machines().values()) {
+    for (Machine machine : bench.workers.machines().values()) {
       double free = LeaderBench.TYPE.cpus();
-      for (Attempt a : m.attempts()) {
+      for (Attempt a : machine.attempts()) {
         if (a.phase() != Attempt.Phase.QUEUED) {
           use.merge(a.spec().team(), a.spec().cpus(), Double::sum);
           free -= a.spec().cpus();
         }
       }
-      assertEquals(Math.max(0, free), m.freeCpus(), 1e-6, "room of " + m.id());
+      assertEquals(Math.max(0, free), machine.freeCpus(), 1e-6, "room of " + machine.id());
       assertEquals(
-          m.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
-          m.queue().size());
+          machine.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
+          machine.queue().size());
     }
     for (String team : bench.settings.teams().keySet()) {
       assertEquals(
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -59,8 +59,8 @@
   final UniformRandomProvider random = new XoRoShiRo128PlusPlus(5, 7);
   public long now = 1_000_000;
   public long versions;
-  public long exchange;
-  public final Map<String, Long> sequences = new LinkedHashMap<>();
+  private long exchange;
+  private final Map<String, Long> sequences = new LinkedHashMap<>();
 
   public LeaderBench() {
     this(TERM);
@@ -135,7 +135,7 @@
     leadership.tick(now);
     reply(new Reply.LeaseGranted(1));
     reply(new Reply.Applied(++versions));
-    // The watch has brought the election, so the picture is current.
+    // The watch has brought the election, so the replica is current.
     replica.recordAnswer(now, versions);
     Effect.Call watch =
         (Effect.Call)
@@ -161,11 +161,46 @@
    * What the standby has acknowledged and the state service has written, once somebody lets this
    * leader know.
    */
-  public final List<Runnable> acknowledgements = new ArrayList<>();
+  private final List<Runnable> acknowledgements = new ArrayList<>();
 
-  public final List<Runnable> records = new ArrayList<>();
-  public boolean defersAcknowledgements;
-  public boolean defersRecords;
+  private final List<Runnable> records = new ArrayList<>();
+  private boolean acknowledgementsDeferred;
+  private boolean recordsDeferred;
+
+  /** From now on the standby's acknowledgements wait for {@link #deliverAcknowledgements}. */
+  public void deferAcknowledgements() {
+    acknowledgementsDeferred = true;
+  }
+
+  /** From now on writes of the standby's record wait for {@link #completeRecords}. */
+  public void deferRecords() {
+    recordsDeferred = true;
+  }
+
+  /** The acknowledgements that were held back arrive. */
+  public void deliverAcknowledgements() {
+    acknowledgements.forEach(Runnable::run);
+  }
+
+  /** The writes of the standby's record that were held back succeed. */
+  public void completeRecords() {
+    records.forEach(Runnable::run);
+  }
+
+  /** The number of a machine's next heartbeat. */
+  public long nextSequence(Machine machine) {
+    return sequences.merge(machine.id(), 1L, Long::sum);
+  }
+
+  /** The machine's worker goes on from that number. */
+  public void continueSequenceFrom(String machine, long sequence) {
+    sequences.put(machine, sequence);
+  }
+
+  /** The number under which the next request is answered. */
+  public long nextExchange() {
+    return ++exchange;
+  }
 
   /** A standby in sync that answers at once, unless its acknowledgements are deferred. */
   public void keepStandby() {
@@ -184,7 +219,7 @@
               ReplicationBatch batch,
               Consumer<Optional<ReplicationBatch.Ack>> callback) {
             ReplicationBatch.Ack ack = other.receive(batch, true, now);
-            if (defersAcknowledgements) {
+            if (acknowledgementsDeferred) {
               acknowledgements.add(() -> callback.accept(Optional.of(ack)));
             } else {
               callback.accept(Optional.of(ack));
@@ -193,7 +228,7 @@
 
           @Override
           public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
-            if (defersRecords) {
+            if (recordsDeferred) {
               records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
             } else {
               callback.accept(new RecordWrite.Written(version + 1));
@@ -233,7 +268,7 @@
         5);
   }
 
-  /** The lease was renewed and the picture shown to be current just now. */
+  /** The lease was renewed and the replica shown to be current just now. */
   public void renew() {
     leadership.bounds().renewed(now);
     replica.recordAnswer(now, replica.revision());
@@ -249,14 +284,14 @@
   /** Adds confirmed machines of the default type that hold nothing. */
   public void machines(int count) {
     for (int i = 0; i < count; i++) {
-      Machine m = new Machine("m-" + i, TERM, Machine.Phase.CONFIRMED, now);
-      m.describe("x", "t", TYPE.zones().get(i % 3), false);
-      m.assignType(TYPE);
-      m.markRegistered();
-      m.recoverIncarnation(1);
-      workers.add(m);
-      m.recomputeFreeResources();
-      availableMachines.offer(m);
+      Machine machine = new Machine("m-" + i, TERM, Machine.Phase.CONFIRMED, now);
+      machine.describe("x", "t", TYPE.zones().get(i % 3), false);
+      machine.assignType(TYPE);
+      machine.markRegistered();
+      machine.recoverIncarnation(1);
+      workers.add(machine);
+      machine.recomputeFreeResources();
+      availableMachines.offer(machine);
     }
   }
 
@@ -275,18 +310,18 @@
     return job;
   }
 
-  /** A machine's next account of itself, with the token of this term. */
-  public Heartbeat account(Machine m, List<Heartbeat.Entry> entries) {
-    long sequence = sequences.merge(m.id(), 1L, Long::sum);
+  /** A machine's next heartbeat, with the fencing token of this term. */
+  public Heartbeat heartbeat(Machine machine, List<Heartbeat.Entry> entries) {
+    long sequence = nextSequence(machine);
     return new Heartbeat(
-        m.id(),
+        machine.id(),
         "x",
         "t",
-        m.zone(),
-        m.isSpot(),
-        m.incarnation(),
+        machine.zone(),
+        machine.isSpot(),
+        machine.incarnation(),
         sequence,
-        m.fencingToken(),
+        machine.fencingToken(),
         Heartbeat.NO_NOTICE,
         entries);
   }
@@ -295,10 +330,10 @@
    * The machine tells what is on it as if all orders had reached it; {@code ended} of its tasks are
    * over.
    */
-  public void report(Machine m, int ended) {
+  public void report(Machine machine, int ended) {
     List<Heartbeat.Entry> entries = new ArrayList<>();
     int over = ended;
-    for (Attempt a : m.attempts()) {
+    for (Attempt a : machine.attempts()) {
       if (a.phase() == Attempt.Phase.SENT || a.phase() == Attempt.Phase.REPORTED) {
         boolean ends = over-- > 0;
         entries.add(
@@ -310,12 +345,12 @@
                 false));
       }
     }
-    Heartbeat account = account(m, entries);
+    Heartbeat heartbeat = heartbeat(machine, entries);
     now += 1_000;
-    workers.receive(++exchange, account, false, now);
+    workers.receive(nextExchange(), heartbeat, false, now);
   }
 
-  /** Stands for the commands and answers that bring what was planned to the machines. */
+  /** As if commands and answers had brought what was planned to the machines. */
   void deliver() {
     for (Machine machine : workers.machines().values()) {
       // An iterator of an empty list for each machine would show in AllocationTest's figures.
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -110,7 +110,7 @@
   }
 
   @Example
-  void theSearchFindsWhatIsWrongOnPurpose() {
+  void theSearchFindsPlantedMistakes() {
     assertTrue(search(1, false, Mistake.FORGETS_LAUNCHES).startsWith("ran_twice"));
     assertTrue(search(1, false, Mistake.FORGETS_CANCELLED).startsWith("ran_twice"));
     assertTrue(search(1, true, Mistake.NEVER_KILLS).startsWith("ran_cancelled"));
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -198,11 +198,11 @@
     report = null;
   }
 
-  private void pass(int k) {
-    LeaderBench leader = leaders.get(k);
+  private void pass(int leaderIndex) {
+    LeaderBench leader = leaders.get(leaderIndex);
     now += 2 * SECOND;
     leader.now = now;
-    if (k == newest()) {
+    if (leaderIndex == newest()) {
       leader.renew();
     }
     leader.workers.tick(now, false);
@@ -268,7 +268,7 @@
       heartbeat.exchange = -1;
       return;
     }
-    heartbeat.exchange = ++leader.exchange;
+    heartbeat.exchange = leader.nextExchange();
     leader.workers.receive(heartbeat.exchange, heartbeat.content, false, now);
   }
 
@@ -304,26 +304,29 @@
 
   /** Takes what a leader has sent. */
   private void collect(LeaderBench leader) {
-    int k = leaders.indexOf(leader);
+    int leaderIndex = leaders.indexOf(leader);
     for (Effect effect : leader.effects) {
       if (effect instanceof Effect.Respond respond
           && report != null
-          && report.leader == k
+          && report.leader == leaderIndex
           && report.exchange == respond.exchange()) {
         report.answer = respond.answer();
         noteLaunches(
-            k, respond.answer() instanceof Answer.Command command ? command.orders() : List.of());
+            leaderIndex,
+            respond.answer() instanceof Answer.Command command ? command.orders() : List.of());
       } else if (effect instanceof Effect.Call call
           && call.request() instanceof Request.WorkerCommands command) {
-        commands.add(new InFlightCommand(k, call.callId(), command));
-        noteLaunches(k, command.orders());
+        commands.add(new InFlightCommand(leaderIndex, call.callId(), command));
+        noteLaunches(leaderIndex, command.orders());
       }
     }
     leader.effects.clear();
   }
 
-  private void noteLaunches(int k, List<Order> orders) {
-    if (cancelled && k == newest() && orders.stream().anyMatch(o -> o instanceof Order.Launch)) {
+  private void noteLaunches(int leaderIndex, List<Order> orders) {
+    if (cancelled
+        && leaderIndex == newest()
+        && orders.stream().anyMatch(o -> o instanceof Order.Launch)) {
       broken.add("launched what is cancelled");
     }
   }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -90,7 +90,7 @@
   }
 
   private Reply.WorkerStatus reply(Machine machine, boolean executed, Entry... entries) {
-    return new Reply.WorkerStatus(bench.account(machine, List.of(entries)), executed);
+    return new Reply.WorkerStatus(bench.heartbeat(machine, List.of(entries)), executed);
   }
 
   /**
@@ -101,8 +101,8 @@
   void killsAndRenewalsDoNotWaitForAStandbyThatDoesNotAnswer() {
     Machine machine = leadsOneMachine();
     Job cancelled = running(machine);
-    bench.defersAcknowledgements = true;
-    bench.defersRecords = true;
+    bench.deferAcknowledgements();
+    bench.deferRecords();
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
     cancel(cancelled);
@@ -120,7 +120,7 @@
     pass();
     assertEquals(1, answers().size(), "nothing waits for the record");
     assertEquals(List.of(), commands(), "and nothing is launched before it");
-    bench.records.forEach(Runnable::run);
+    bench.completeRecords();
     pass();
     assertEquals(
         List.of(kept.id()),
@@ -130,14 +130,14 @@
   @Example
   void whatIsCancelledWhileItsLaunchWaitsForTheStandbyIsNotStarted() {
     Machine machine = leadsOneMachine();
-    bench.defersAcknowledgements = true;
+    bench.deferAcknowledgements();
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
     pass();
     assertEquals(List.of(), answers(), "waits for the acknowledgement");
     cancel(cancelled);
-    bench.acknowledgements.forEach(Runnable::run);
+    bench.deliverAcknowledgements();
     assertEquals(List.of(kept.id()), launched(answers().get(0).orders()));
     assertEquals(
         1, cancelled.attemptCount(), "counts until the machine shows that it is not there");
@@ -150,7 +150,7 @@
   @Example
   void whatIsCancelledBeforeTheRecordIsClearedIsNotStarted() {
     bench.lead();
-    bench.defersRecords = true;
+    bench.deferRecords();
     bench.standbyOfTheTermBefore();
     bench.machines(1);
     Machine machine = bench.workers.machines().get("m-0");
@@ -163,7 +163,7 @@
         List.of(), answers().get(0).orders(), "nothing is launched before the record names nobody");
     assertEquals(List.of(), commands());
     cancel(cancelled);
-    bench.records.forEach(Runnable::run);
+    bench.completeRecords();
     pass();
     assertEquals(
         List.of(kept.id()),
@@ -177,7 +177,7 @@
   @Example
   void anAnswerThatWaitsForTheStandbyIsRedirectedWhenTheTermEnds() {
     Machine machine = leadsOneMachine();
-    bench.defersAcknowledgements = true;
+    bench.deferAcknowledgements();
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
     pass();
@@ -340,7 +340,7 @@
     assertEquals(bench.now, machine.idleSinceMicros(), "idle from now, not since it was expected");
     bench.workers.tick(bench.now, false);
     assertEquals(1, commands().size(), "is asked, with this term's token");
-    bench.sequences.put("m-0", 9L);
+    bench.continueSequenceFrom("m-0", 9L);
     bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
     assertEquals(Machine.Phase.CONFIRMED, machine.phase());
     assertEquals(1, job.attemptCount());
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -93,26 +93,26 @@
         .append(machine.untrackedTasks().size())
         .append(world.now >= machine.holdUntilMicros());
     key.append((world.now - machine.answeredMicros()) / ALIKE_MICROS);
-    for (Attempt a : machine.attempts()) {
-      key.append(a.index()).append(a.phase()).append(attempts.of(a.number()));
-      ranks.add(machine.incarnation(), a.sentSequence());
+    for (Attempt attempt : machine.attempts()) {
+      key.append(attempt.index()).append(attempt.phase()).append(attempts.of(attempt.number()));
+      ranks.add(machine.incarnation(), attempt.sentSequence());
     }
   }
 
   private void orders(List<Order> orders) {
-    for (Order o : orders) {
-      key.append(o.getClass().getSimpleName())
-          .append(o.task().index())
-          .append(attempts.of(o.attempt()));
+    for (Order order : orders) {
+      key.append(order.getClass().getSimpleName())
+          .append(order.task().index())
+          .append(attempts.of(order.attempt()));
     }
   }
 
   private void entries(List<Entry> entries) {
-    for (Entry e : entries) {
-      key.append(e.task().index())
-          .append(attempts.of(e.attempt()))
-          .append(e.state())
-          .append(e.exit());
+    for (Entry entry : entries) {
+      key.append(entry.task().index())
+          .append(attempts.of(entry.attempt()))
+          .append(entry.state())
+          .append(entry.exit());
     }
   }
 
@@ -142,7 +142,9 @@
     @Override
     public String toString() {
       List<long[]> sorted = new ArrayList<>(positions);
-      sorted.sort((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
+      sorted.sort(
+          (attempt, b) ->
+              attempt[0] != b[0] ? Long.compare(attempt[0], b[0]) : Long.compare(attempt[1], b[1]));
       StringBuilder ranks = new StringBuilder();
       for (long[] position : positions) {
         int rank = 0;
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -272,8 +272,8 @@
 
   private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
     bench.effects.clear();
-    Heartbeat report = bench.account(m, List.of(entry));
-    bench.workers.receive(++bench.exchange, report, false, bench.now);
+    Heartbeat report = bench.heartbeat(m, List.of(entry));
+    bench.workers.receive(bench.nextExchange(), report, false, bench.now);
     bench.workers.flush(bench.now);
     return bench.effects.stream()
         .filter(e -> e instanceof Effect.Respond)
--- a/src/test/java/org/eiderstair/node/BadInputTest.java
+++ b/src/test/java/org/eiderstair/node/BadInputTest.java
@@ -105,7 +105,7 @@
   }
 
   @Example
-  void whatIsWrongIsNamedAndHarmsNothingElse() throws Exception {
+  void aMalformedFieldIsNamedAndNothingElseIsHarmed() throws Exception {
     http = new HttpClient();
     http.start();
     try (FakePlatform standIn = new FakePlatform(0, 0);
@@ -236,7 +236,7 @@
                 Map.of("Piece", "job-900009/0", "Try", 1L, "Tide", "running", "Colour", "blue")));
     ContentResponse answer = post("/agent/beat", MessagePackCodec.write(known));
     assertEquals(200, answer.getStatus());
-    // No such job was ever accepted: it is told to stop, and nothing else came of all these
+    // No such job was ever accepted: it gets an order to stop, and nothing else came of all these
     // reports.
     assertEquals(1, ((List<?>) MessagePackCodec.readMap(answer.getContent()).get("Orders")).size());
   }
--- a/src/test/java/org/eiderstair/node/NodeTest.java
+++ b/src/test/java/org/eiderstair/node/NodeTest.java
@@ -68,7 +68,7 @@
   }
 
   @Example
-  void aJobsLifeAndWhatIsRefused() throws Exception {
+  void aJobRunsToItsEndAndBadRequestsAreRefused() throws Exception {
     HttpClient http = new HttpClient();
     http.start();
     try (FakePlatform standIn = new FakePlatform(1, 0);
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Cancelled work must be gone by the leases alone, whatever cannot be reached: 20 s, 4.5 s, 3 s
-   * and the drift of clocks.
+   * Cancelled work must have ended by the leases alone, whatever cannot be reached: 20 s, 4.5 s, 3
+   * s and the drift of clocks.
    */
   @Example
   void settingsUnderWhichCancelledWorkCouldOutliveItsBoundAreRefused() throws Exception {
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -38,7 +38,7 @@
     day.clock.runUntil(480 * SECOND);
     assertEquals(List.of(), day.rules.violations());
     assertEquals(List.of(), day.users.unfinished());
-    assertTrue(day.completedShare() >= 0.5, "served " + day.completedShare());
+    assertTrue(day.completedShare() >= 0.5, "completed share " + day.completedShare());
     return day;
   }
 
@@ -68,7 +68,9 @@
               d.outages.cutNodeFromWorkers(d.leader(), 40 * SECOND);
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
     assertEquals(1, logged("no machine reaches this node while peers receive heartbeats of"));
   }
 
@@ -76,7 +78,9 @@
   void aLeaderCutFromItsPeersGoesOn() {
     SimulatedCluster day =
         play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 40 * SECOND));
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
     assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
   }
 
@@ -90,14 +94,16 @@
               d.outages.cutNodeFromWorkers(leader, 40 * SECOND);
               d.outages.cutNodeFromPeers(leader, 40 * SECOND);
             });
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /**
    * Rentals of a leader that the cloud does not answer are settled by the next, under their names.
    */
   @Example
-  void whatALeaderCutFromTheCloudLeftOpenIsSettledByTheNext() {
+  void openRentalsOfALeaderCutFromTheCloudAreSettledByTheNext() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
@@ -106,13 +112,15 @@
               d.outages.cutNodeFromCloud(leader, 60 * SECOND);
               d.clock.after(20 * SECOND, () -> d.outages.crash(leader, 3 * SECOND));
             });
-    assertTrue(logged("provisioning RECOVERING, term=") >= 2, "taken over");
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(logged("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /** Nobody rents where nobody sees, while there is room elsewhere. */
   @Example
-  void aZoneThatIsCutIsToldFromMachinesThatDied() {
+  void aPartitionedZoneIsNotTakenForDeadMachines() {
     String[] zone = new String[1];
     int[] there = new int[2];
     play(
@@ -128,7 +136,7 @@
         });
     assertEquals(1, logged("zone=" + zone[0] + " -> PARTITIONED"));
     assertEquals(1, logged("zone=" + zone[0] + " -> REACHABLE"));
-    assertEquals(there[0], there[1], "rented where nobody sees");
+    assertEquals(there[0], there[1], "no machine is rented in a partitioned zone");
   }
 
   /**
@@ -159,10 +167,10 @@
       String what = "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
       assertTrue(machines[1] > machines[0] / 2, what);
       // None that died is paid for any more.
-      assertEquals(0, machines[2], "dead a minute ago, and still there");
+      assertEquals(0, machines[2], "machines that died a minute ago are returned");
       assertTrue(
           day.cloud.returnedAlive() < machines[0] / 50,
-          "given back alive " + day.cloud.returnedAlive());
+          "machines returned while alive: " + day.cloud.returnedAlive());
       before += machines[0];
       after += machines[1];
     }
@@ -174,7 +182,7 @@
    * again by the next.
    */
   @Example
-  void aNewLeaderDoesNotFindWhatTheLastOneGaveBack() {
+  void aNewLeaderDoesNotReturnMachinesASecondTime() {
     int[] given = new int[1];
     play(
         ClusterSize.GROWN,
@@ -208,7 +216,9 @@
                 d.outages.crash(i, 300_000 + i * 150_000);
               }
             });
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /**
@@ -216,7 +226,7 @@
    * had decided.
    */
   @Example
-  void aLeaderThatStandsStillIsReplacedByItsStandbyAndDoesNoHarm() {
+  void aPausedLeaderIsReplacedByItsStandbyAndDoesNoHarm() {
     long[] takeovers = new long[2];
     long[] recoveries = new long[2];
     SimulatedCluster day =
@@ -236,7 +246,9 @@
     // Before its lease could be over.
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /**
@@ -251,7 +263,7 @@
   }
 
   @Example
-  void threeTakeOversInTenSeconds() {
+  void threeFailoversInTenSecondsLoseNothing() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
@@ -261,12 +273,14 @@
               }
             });
     assertTrue(logged("standby recovery -> ELECTED") >= 4);
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /** Nobody can take over or be elected then; and nobody launches. */
   @Example
-  void theStateServiceIsOutDuringATakeOver() {
+  void aStateServiceOutageDuringAFailoverLosesNothing() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
@@ -275,7 +289,9 @@
               d.outages.stateService(12 * SECOND);
             });
     assertTrue(logged("standby recovery -> ELECTED") >= 2);
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
   }
 
   /**
@@ -297,7 +313,9 @@
     assertEquals(List.of(), day.rules.violations());
     assertTrue(day.leader() != leader, "another controller leads");
     assertEquals(2, logged("standby recovery -> ELECTED"), "terms that began by an election");
-    assertTrue(day.cloud.returnedAlive() < 20, "given back alive " + day.cloud.returnedAlive());
+    assertTrue(
+        day.cloud.returnedAlive() < 20,
+        "machines returned while alive: " + day.cloud.returnedAlive());
     int startedSince = day.tasks.starts() - started;
     assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
   }
--- a/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
@@ -79,7 +79,7 @@
   }
 
   @Example
-  void noRuleBreaksWhereFaultsMeet() {
+  void noRuleBreaksUnderCombinedFaults() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
       String verdict = verdict(play(seed, day -> {}));
@@ -89,7 +89,7 @@
                 + seed
                 + ": "
                 + verdict
-                + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRule* -Ddrawn.first="
+                + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksUnder* -Ddrawn.first="
                 + seed
                 + " -Ddrawn.days=1 -DargLine=-Dsim.log=true");
       }
@@ -102,7 +102,7 @@
    * drawn.
    */
   @Example
-  void noRuleBreaksWhereLateCommandsMeetEachOtherFault() {
+  void noRuleBreaksWithLateCommandsAndAnotherFault() {
     List<String> failures = new ArrayList<>();
     for (FaultInjector.Kind other : KINDS) {
       for (long seed = FIRST; seed < FIRST + LATE_COMMAND_DAYS; seed++) {
@@ -114,7 +114,7 @@
                   + seed
                   + ": "
                   + verdict
-                  + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksWhereLate*"
+                  + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksWithLate*"
                   + " -Ddrawn.first="
                   + seed
                   + " -Ddrawn.late=1 -DargLine=-Dsim.log=true");
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -269,10 +269,10 @@
 
   private static SimulatedCluster play(long seed, ClusterSize size, List<Begin> scenario) {
     SimulatedCluster day = SimulatedDay.prepare(seed, size);
-    for (Begin b : scenario) {
+    for (Begin fault : scenario) {
       day.clock.after(
-          (long) ((AT + b.after()) * SECOND),
-          () -> day.faults.begin(b.kind(), (long) (b.span() * SECOND)));
+          (long) ((AT + fault.after()) * SECOND),
+          () -> day.faults.begin(fault.kind(), (long) (fault.span() * SECOND)));
     }
     day.clock.after(280 * SECOND, day.liveness::faultsAreOver);
     day.clock.runUntil(360 * SECOND);
@@ -286,7 +286,7 @@
    * began. Urgent work that never ends must leave it its part.
    */
   @Example
-  void aFloodThatNeverEndsLeavesNobodyBehind() {
+  void endlessOverloadStarvesNoJobClass() {
     for (long seed = 1; seed <= 3; seed++) {
       SimulatedCluster day = new SimulatedCluster(seed, ClusterSize.SMALL);
       for (int i = 0; i < 75; i++) {
@@ -303,7 +303,7 @@
       day.clock.runUntil(330 * SECOND);
       assertTrue(
           CompletionShares.min(day, 150 * SECOND) >= 0.5,
-          "seed " + seed + " served " + CompletionShares.min(day, 150 * SECOND));
+          "seed " + seed + " completed share " + CompletionShares.min(day, 150 * SECOND));
       assertEquals(List.of(), day.rules.violations());
     }
   }
@@ -336,7 +336,7 @@
                       + day.rules.violations().stream().limit(2).toList()
                       + " unfinished "
                       + day.users.unfinished()
-                      + " served "
+                      + " completed share "
                       + day.completedShare()
                       + "; again: mvn -B test -Dtest=FaultScenariosTest -Dscenario.first="
                       + seed
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -51,7 +51,7 @@
     while (day.tasks.runningJobs().size() < JOBS && day.clock.now() < 150 * SECOND) {
       after(day, SECOND);
     }
-    assertEquals(JOBS, day.tasks.runningJobs().size(), "all run");
+    assertEquals(JOBS, day.tasks.runningJobs().size(), "all jobs run");
     return day;
   }
 
@@ -71,7 +71,7 @@
     }
   }
 
-  private static void assertCancelledGoneAndTheRestDone(SimulatedCluster day) {
+  private static void assertCancelledStoppedAndOthersDone(SimulatedCluster day) {
     assertEquals(List.of(), day.rules.violations());
     for (String id : day.tasks.runningJobs()) {
       assertTrue(day.users.phase(id) != Answer.Phase.CANCELLED, id + " still runs");
@@ -83,7 +83,7 @@
 
   /** With the lease renewed before the watch has answered, which it does only later. */
   @Example
-  void whatWasCancelledInTheGapIsGoneInTimeAndTheRestGoesOn() {
+  void jobsCancelledDuringTheGapEndInTimeAndOthersContinue() {
     for (long seed = 1; seed <= 12; seed++) {
       for (boolean newsArrives : new boolean[] {true, false}) {
         for (long outage : new long[] {9, 10, 36, 50}) {
@@ -102,7 +102,7 @@
           day.outages.watchHangs(leader, outage * SECOND + 40 * SECOND);
           int before = day.rules.startsAfterCancellation();
           after(day, CANCEL + 2 * SECOND);
-          assertCancelledGoneAndTheRestDone(day);
+          assertCancelledStoppedAndOthersDone(day);
           assertTrue(
               day.rules.startsAfterCancellation() == before
                   || day.rules.maxStartAfterCancellationMicros() < LEADER_LEASE,
@@ -119,11 +119,11 @@
   }
 
   /**
-   * Nothing else fails, but the leader's picture is old: its renewals succeed, and prove nothing of
-   * the picture.
+   * Nothing else fails, but the leader's replica is stale: its renewals succeed, and prove nothing
+   * of the replica.
    */
   @Example
-  void aLeaderWhoseWatchHangsEndsItsAnswersInTime() {
+  void aLeaderWhoseWatchHangsStepsDownInTime() {
     for (long seed = 1; seed <= 8; seed++) {
       logs.clear();
       SimulatedCluster day = running(seed);
@@ -134,7 +134,9 @@
       cancelHalf(day, leader);
       after(day, SECOND);
       assertHalfCancelled(day);
-      assertTrue(day.tasks.runningJobs().size() > JOBS / 2, "they run on, unknown to the leader");
+      assertTrue(
+          day.tasks.runningJobs().size() > JOBS / 2,
+          "cancelled jobs run on, since the leader does not know of their cancellation");
       after(day, CANCEL - LEASE);
       assertEquals(
           1,
@@ -142,13 +144,13 @@
               .filter(l -> l.contains("-> FOLLOWING") && l.contains("replica not shown"))
               .count());
       after(day, LEASE);
-      assertCancelledGoneAndTheRestDone(day);
+      assertCancelledStoppedAndOthersDone(day);
     }
   }
 
   /** What a peer tells beside the state service is taken at once: long before any lease is over. */
   @Example
-  void aPeersWordEndsTasksWhileTheStateServiceIsOut() {
+  void cancellationsFromAPeerEndTasksDuringAStateServiceOutage() {
     SimulatedCluster day = running(3);
     int leader = day.leader();
     day.outages.stateServiceRefuses(leader, 14 * SECOND);
@@ -162,6 +164,6 @@
       assertEquals(i % 2 != 0, day.tasks.runningJobs().contains(id(i)), "runs: " + id(i));
     }
     after(day, 30 * SECOND);
-    assertCancelledGoneAndTheRestDone(day);
+    assertCancelledStoppedAndOthersDone(day);
   }
 }
