--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -127,8 +127,10 @@
   public void machineTerminated(String id) {
     Machine machine = workers.machines().get(id);
     if (machine != null && machine.isPresumedDead()) {
-      // Its room at the cloud is free again, and it has to be replaced; one that was idle need not
-      // be. After a partition, hundreds of machines are replaced only if this is not waited for.
+      // What the cloud refused for want of machines may be had now. Without this, replacements wait
+      // until the refusal is 15 s old (seen with 350 machines after a partition of a zone). A
+      // machine
+      // that was idle needs no replacement.
       selector.clearExhausted(
           new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
       clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
