--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -116,6 +116,11 @@
     log.accept("standby recovery -> " + step + ": " + detail);
   }
 
+  private Optional<Map<String, RecoveredMachine>> refused(String reason) {
+    reached(RecoveryStep.REFUSED, reason);
+    return Optional.empty();
+  }
+
   /**
    * What this node as the leader of a new term knows from the last one, by machine; what it does
    * not name is nowhere. Can be recovered once only.
@@ -127,20 +132,16 @@
       long term, long revision, StandbyRecord record) {
     reached(RecoveryStep.ELECTED, "term=" + term);
     if (revision < term) {
-      reached(RecoveryStep.REFUSED, "its keys are of revision " + revision);
-      return Optional.empty();
+      return refused("its keys are of revision " + revision);
     }
     reached(RecoveryStep.CAUGHT_UP, "revision " + revision);
     if (record == null || !record.names(node, runId)) {
-      reached(
-          RecoveryStep.REFUSED,
+      return refused(
           namesAnyNode(record) ? "the record names " + record.node() : "no standby was in sync");
-      return Optional.empty();
     }
     reached(RecoveryStep.NAMED, "term=" + record.term());
     if (!namesThisNode(record)) {
-      reached(RecoveryStep.REFUSED, "its state is " + replica.state() + ", term=" + replica.term());
-      return Optional.empty();
+      return refused("its state is " + replica.state() + ", term=" + replica.term());
     }
     reached(RecoveryStep.COMPLETE, replica.machineCount() + " machines");
     Map<String, RecoveredMachine> machines = replica.recoveredMachines();
