--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -184,18 +184,22 @@
   @Example
   void aNewLeaderDoesNotReturnMachinesASecondTime() {
     int[] given = new int[1];
-    play(
-        ClusterSize.GROWN,
-        d -> {
-          d.cloud.killMachines(30);
-          d.clock.after(
-              14 * SECOND,
-              () -> {
-                given[0] = (int) logged(": unreachable: ");
-                // Back at once, so that the next leader's first list is of the time before.
-                d.outages.crash(d.leader(), SECOND / 3);
-              });
-        });
+    SimulatedCluster day =
+        play(
+            ClusterSize.GROWN,
+            d -> {
+              d.cloud.killMachines(30);
+              d.clock.after(
+                  14 * SECOND,
+                  () -> {
+                    given[0] = (int) logged(": unreachable: ");
+                    // Back at once, so that the next leader's first list is of the time before.
+                    d.outages.crash(d.leader(), SECOND / 3);
+                  });
+            });
+    assertTrue(
+        day.cloud.returnedAsUnreachable() >= given[0],
+        "machines known to be returned as unreachable: " + day.cloud.returnedAsUnreachable());
     assertTrue(given[0] > 20, "given back " + given[0]);
     List<String> returned =
         logs.stream()
--- a/src/test/java/org/eiderstair/sim/FaultInjector.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -177,6 +177,11 @@
     heartbeatCopies.heartbeatSent(worker, node, heartbeat);
   }
 
+  /** How many heartbeats were kept for a new leader, and sent to it. */
+  int heartbeatsDeliveredToNewLeaders() {
+    return heartbeatCopies.deliveredToNewLeaders();
+  }
+
   void newLeader() {
     heartbeatCopies.newLeader();
   }
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -347,6 +347,18 @@
     return failures;
   }
 
+  /** Else the scenarios with kept heartbeats would show nothing. */
+  @Example
+  void keptHeartbeatsAreSentToTheNextLeader() {
+    SCENARIOS.forEach(
+        (name, scenario) -> {
+          if (name.startsWith("11") || name.startsWith("23")) {
+            SimulatedCluster day = play(1, ClusterSize.SMALL, scenario);
+            assertTrue(day.faults.heartbeatsDeliveredToNewLeaders() > 0, name);
+          }
+        });
+  }
+
   @Example
   void everyScenarioKeepsEveryRule() {
     assertEquals(List.of(), failures(ClusterSize.SMALL, DAYS, name -> true));
--- a/src/test/java/org/eiderstair/sim/HeartbeatCopies.java
+++ b/src/test/java/org/eiderstair/sim/HeartbeatCopies.java
@@ -16,6 +16,7 @@
   private final List<Copy> keptForNextLeader = new ArrayList<>();
   private int percent;
   private boolean forNextLeader;
+  private int deliveredToNewLeaders;
 
   HeartbeatCopies(SimulatedCluster cluster) {
     this.cluster = cluster;
@@ -51,9 +52,15 @@
     }
   }
 
+  /** How many kept copies have been sent as a new leader began. */
+  int deliveredToNewLeaders() {
+    return deliveredToNewLeaders;
+  }
+
   /** Kept copies reach every controller just as a new leader begins. */
   void newLeader() {
     for (Copy copy : keptForNextLeader) {
+      deliveredToNewLeaders++;
       for (int i = 0; i < cluster.size.nodes(); i++) {
         int node = i;
         cluster.clock.after(
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -38,7 +38,7 @@
   private final Map<String, Request.CloudRent> requests = new HashMap<>();
 
   private final List<List<Reply.CloudMachine>> snapshots = new ArrayList<>();
-  private final Set<String> returnedAsSilent = new HashSet<>();
+  private final Set<String> returnedAsUnreachable = new HashSet<>();
   private int returnedAlive;
   private int lastNumber;
   private boolean down;
@@ -102,7 +102,7 @@
     SimulatedWorker worker = workers.remove(id);
     if (worker != null) {
       cluster.rules.checkNotUsedSince(worker, returnTerms.get(id));
-      if (!worker.dead() && returnedAsSilent.contains(id)) {
+      if (!worker.dead() && returnedAsUnreachable.contains(id)) {
         returnedAlive++;
       }
       worker.die();
@@ -164,12 +164,17 @@
     }
   }
 
-  /** A leader has said that it gives this machine back for its silence. */
-  void returnedAsSilent(String id) {
-    returnedAsSilent.add(id);
+  /** A leader has said that it gives this machine back since nobody reaches it. */
+  void returnedAsUnreachable(String id) {
+    returnedAsUnreachable.add(id);
   }
 
-  /** How many machines were given back for their silence although they were alive. */
+  /** How many machines leaders have given back as unreachable. */
+  int returnedAsUnreachable() {
+    return returnedAsUnreachable.size();
+  }
+
+  /** How many machines were given back as unreachable although they were alive. */
   int returnedAlive() {
     return returnedAlive;
   }
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -148,11 +148,9 @@
   /** A controller has logged this. */
   void logged(String controller, String text) {
     note(controller + " " + text);
-    if (text.contains(": unreachable: ")) {
-      cloud.returnedAsSilent(text.split("[=:]")[1]);
-    }
+    ControllerLog.machineReturnedAsUnreachable(text).ifPresent(cloud::returnedAsUnreachable);
     logs.accept(text);
-    if (text.contains("-> SYNCHRONIZING") && text.endsWith(": elected")) {
+    if (ControllerLog.isElection(text)) {
       faults.newLeader();
     }
   }
