--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * A report without its tasks: nothing that the protocol lets through, so it stands for any fault
-   * of ours.
+   * A heartbeat without its tasks: nothing that the protocol lets through, so it represents any
+   * fault of ours.
    */
   private static Event broken(long exchange) {
     return new Event.HeartbeatReceived(
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -114,8 +114,8 @@
   }
 
   /**
-   * A watch that stayed open through an outage told of the key's end: what it shows is as old as
-   * its sending. The new leader must neither launch by it nor resign for it.
+   * A watch that stayed open through an outage brought the key's deletion: what it shows is as old
+   * as its sending. The new leader must neither launch by it nor resign for it.
    */
   @Example
   void oneElectedAfterALongOutageWaitsForItsReplicaAndStaysLeader() {
