--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -128,8 +128,8 @@
     Machine machine = workers.machines().get(id);
     if (machine != null && machine.isPresumedDead()) {
       // What the cloud refused for want of machines may be had now. Without this, replacements wait
-      // until the refusal is 15 s old (seen with 350 machines after a partition of a zone). One that
-      // was idle needs no replacement.
+      // until the refusal is 15 s old (seen with 350 machines after a partition of a zone). A lost
+      // machine that was idle needs no replacement.
       selector.clearExhausted(
           new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
       clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
