--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -188,7 +188,7 @@
       return false;
     }
     nextReachabilityCheckMicros = now + REACHABILITY_INTERVAL_MICROS;
-    if (!workers.reach().outOfReach()) {
+    if (!workers.reachability().isIsolated()) {
       return false;
     }
     leadership.resign("no heartbeats from most machines for a while");
@@ -200,9 +200,9 @@
    * that waits for as long as machines may be dead.
    */
   private boolean resignIfMachinesReachPeersOnly() {
-    boolean unreached = workers.reach().unreached();
+    boolean unreached = workers.reachability().isReachedByFew();
     membership.tick(unreached || capacity.hasMissingMachines(), now);
-    int reachingPeers = unreached ? workers.reach().heardBy(membership) : 0;
+    int reachingPeers = unreached ? workers.reachability().countReachableByPeers(membership) : 0;
     if (reachingPeers < MIN_MACHINES_REACHING_PEERS) {
       return false;
     }
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -69,7 +69,7 @@
     ReachabilityClassifier classifier =
         membership.classify(
             workers.machines().values(),
-            workers.reach().unreached(),
+            workers.reachability().isReachedByFew(),
             settings.tuning().unreachableDeleteMicros(),
             settings.tuning().partitionedDeleteMicros(),
             clock.nowMicros());
@@ -115,7 +115,7 @@
     if (machine.phase() == Machine.Phase.BOOTING) {
       return bootTimedOut(machine) ? Optional.of("did not boot in time") : Optional.empty();
     }
-    if (verdict == Verdict.UNREACHABLE && !workers.reach().overloaded()) {
+    if (verdict == Verdict.UNREACHABLE && !workers.reachability().isOverloaded()) {
       return Optional.of("unreachable: " + classifier.evidence(machine));
     }
     boolean drained =
@@ -130,7 +130,7 @@
         machine.type() == null ? UNKNOWN_TYPE_BOOT_MICROS : machine.type().bootMicros();
     return clock.nowMicros() > machine.sinceMicros() + bootMicros * BOOT_TIME_FACTOR
         && !membership.isReachableByPeer(machine.id())
-        && !workers.reach().overloaded();
+        && !workers.reachability().isOverloaded();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -87,7 +87,7 @@
       return;
     }
     if (!relayed) {
-      reachability.reportedDirectly();
+      reachability.noteDirectHeartbeat();
     }
     register(machine, heartbeat);
     machine.setRelayed(relayed);
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -98,7 +98,7 @@
   }
 
   /** Whether the machines reach this leader. */
-  public WorkerReachability reach() {
+  public WorkerReachability reachability() {
     return reachability;
   }
 
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -125,9 +125,9 @@
     bench.machines(MACHINES);
     bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
     bench.workers.tick(bench.now, false);
-    assertFalse(bench.workers.reach().outOfReach());
+    assertFalse(bench.workers.reachability().isIsolated());
     bench.workers.tick(bench.now += 12_000_000, false);
-    assertTrue(bench.workers.reach().outOfReach());
+    assertTrue(bench.workers.reachability().isIsolated());
   }
 
   /**
@@ -141,6 +141,6 @@
     assertTrue(bench.overload.putsOffWork(bench.now + 500_000));
     assertFalse(bench.overload.putsOffWork(bench.now + 11_000_000));
     bench.workers.tick(bench.now + 2_000_000, false);
-    assertTrue(bench.workers.reach().overloaded());
+    assertTrue(bench.workers.reachability().isOverloaded());
   }
 }
