--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -159,15 +159,17 @@
     Map<String, Double> use = new LinkedHashMap<>();
     for (Machine machine : bench.workers.machines().values()) {
       double free = LeaderBench.TYPE.cpus();
-      for (Attempt a : machine.attempts()) {
-        if (a.phase() != Attempt.Phase.QUEUED) {
-          use.merge(a.spec().team(), a.spec().cpus(), Double::sum);
-          free -= a.spec().cpus();
+      for (Attempt attempt : machine.attempts()) {
+        if (attempt.phase() != Attempt.Phase.QUEUED) {
+          use.merge(attempt.spec().team(), attempt.spec().cpus(), Double::sum);
+          free -= attempt.spec().cpus();
         }
       }
       assertEquals(Math.max(0, free), machine.freeCpus(), 1e-6, "room of " + machine.id());
       assertEquals(
-          machine.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
+          machine.attempts().stream()
+              .filter(attempt -> attempt.phase() == Attempt.Phase.QUEUED)
+              .count(),
           machine.queue().size());
     }
     for (String team : bench.settings.teams().keySet()) {
@@ -176,7 +178,9 @@
     }
     for (Job job : bench.replica.openJobs()) {
       assertEquals(
-          job.attempts().stream().filter(a -> a.phase() == Attempt.Phase.QUEUED).count(),
+          job.attempts().stream()
+              .filter(attempt -> attempt.phase() == Attempt.Phase.QUEUED)
+              .count(),
           job.queuedAttemptCount());
     }
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -152,7 +152,10 @@
   private void reply(Reply reply) {
     sink.replied(
         ((Effect.Call)
-                effects.stream().filter(e -> e instanceof Effect.Call).reduce((a, b) -> b).get())
+                effects.stream()
+                    .filter(e -> e instanceof Effect.Call)
+                    .reduce((earlier, later) -> later)
+                    .get())
             .callId(),
         reply);
   }
@@ -333,13 +336,13 @@
   public void report(Machine machine, int ended) {
     List<Heartbeat.Entry> entries = new ArrayList<>();
     int over = ended;
-    for (Attempt a : machine.attempts()) {
-      if (a.phase() == Attempt.Phase.SENT || a.phase() == Attempt.Phase.REPORTED) {
+    for (Attempt attempt : machine.attempts()) {
+      if (attempt.phase() == Attempt.Phase.SENT || attempt.phase() == Attempt.Phase.REPORTED) {
         boolean ends = over-- > 0;
         entries.add(
             new Heartbeat.Entry(
-                a.task(),
-                a.number(),
+                attempt.task(),
+                attempt.number(),
                 ends ? Heartbeat.TaskState.ENDED : Heartbeat.TaskState.RUNNING,
                 ends ? Heartbeat.Exit.DONE : Heartbeat.Exit.NONE,
                 false));
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -57,14 +57,14 @@
         if (!machine.commands().isInFlight()) {
           new ArrayList<>(machine.attempts())
               .stream()
-                  .filter(a -> a.phase() == Attempt.Phase.SENT)
+                  .filter(attempt -> attempt.phase() == Attempt.Phase.SENT)
                   .forEach(world.newestLeader().workers::remove);
         }
       }
       case FORGETS_CANCELLED -> {
-        for (Attempt a : new ArrayList<>(machine.attempts())) {
-          if (!a.job().open()) {
-            world.newestLeader().workers.remove(a);
+        for (Attempt attempt : new ArrayList<>(machine.attempts())) {
+          if (!attempt.job().open()) {
+            world.newestLeader().workers.remove(attempt);
           }
         }
       }
--- a/src/test/java/org/eiderstair/sim/SimulatedNetwork.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedNetwork.java
@@ -25,13 +25,14 @@
     this.random = random;
   }
 
-  private static String pair(String a, String b) {
-    return a.compareTo(b) < 0 ? a + "|" + b : b + "|" + a;
+  private static String pair(String one, String other) {
+    return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
   }
 
-  void cut(String a, String b, long forMicros) {
-    if (cuts.putIfAbsent(pair(a, b), new ArrayList<>()) == null) {
-      clock.after(forMicros, () -> cuts.remove(pair(a, b)).forEach(r -> clock.after(delay(), r)));
+  void cut(String one, String other, long forMicros) {
+    if (cuts.putIfAbsent(pair(one, other), new ArrayList<>()) == null) {
+      clock.after(
+          forMicros, () -> cuts.remove(pair(one, other)).forEach(r -> clock.after(delay(), r)));
     }
   }
 
@@ -45,10 +46,10 @@
   private List<Runnable> held(String from, String to) {
     List<Runnable> held = cuts.get(pair(from, to));
     if (held == null && !cutZones.isEmpty()) {
-      String a = zoneOf.apply(from);
-      String b = zoneOf.apply(to);
-      if (!Objects.equals(a, b)) {
-        held = cutZones.containsKey(a) ? cutZones.get(a) : cutZones.get(b);
+      String zoneFrom = zoneOf.apply(from);
+      String zoneTo = zoneOf.apply(to);
+      if (!Objects.equals(zoneFrom, zoneTo)) {
+        held = cutZones.containsKey(zoneFrom) ? cutZones.get(zoneFrom) : cutZones.get(zoneTo);
       }
     }
     return held;
