--- a/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
@@ -131,7 +131,7 @@
   /** The cloud's lists are old: they may show machines that this leader or the last has deleted. */
   private boolean isDeleted(Reply.CloudMachine entry, Machine known) {
     return workers.isTerminated(entry.id())
-        || known == null && provisioning.isReleasing(entry.id());
+        || (known == null && provisioning.isReleasing(entry.id()));
   }
 
   private void failed(Reply.CloudMachine entry, Machine known) {
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -49,7 +49,7 @@
     } else if (replica.catalog().isEmpty()) {
       answers.unavailable(exchange, "machine types not known yet");
     } else {
-      create(exchange, ((Submission.Readable) submission).spec(), nowMicros);
+      create(exchange, ((Submission.Parsed) submission).spec(), nowMicros);
     }
   }
 
--- a/src/main/java/org/eiderstair/core/jobs/SubmissionValidator.java
+++ b/src/main/java/org/eiderstair/core/jobs/SubmissionValidator.java
@@ -25,7 +25,7 @@
     if (submission instanceof Submission.Malformed malformed) {
       return Optional.of(Refusal.malformed(malformed.fault()));
     }
-    return invalidity(((Submission.Readable) submission).spec()).map(Refusal::invalid);
+    return invalidity(((Submission.Parsed) submission).spec()).map(Refusal::invalid);
   }
 
   private Optional<String> invalidity(JobSpec spec) {
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -119,7 +119,7 @@
     long reported = full ? 0 : sequence;
     List<HeartbeatDigest.Change> changes = new ArrayList<>();
     for (TrackedMachine machine : byLastChange.values()) {
-      if (machine.sequence <= reported || full && machine.state == State.SILENT) {
+      if (machine.sequence <= reported || (full && machine.state == State.SILENT)) {
         continue;
       }
       if (changes.size() == maxChanges) {
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -172,7 +172,7 @@
    */
   private long timeoutOf(MonitoredMachine machine, boolean partitioned) {
     boolean few = unconfirmed * FEW_FRACTION <= all;
-    boolean shortened = machine.unconfirmed() && (partitioned && !isLeaderIsolated() || few);
+    boolean shortened = machine.unconfirmed() && ((partitioned && !isLeaderIsolated()) || few);
     return shortened ? shortenedTimeout() : timeoutMicros;
   }
 
--- a/src/main/java/org/eiderstair/core/message/Submission.java
+++ b/src/main/java/org/eiderstair/core/message/Submission.java
@@ -12,7 +12,7 @@
   String id();
 
   /** All of it could be read; whether it can be accepted is not checked yet. */
-  record Readable(JobSpec spec) implements Submission {
+  record Parsed(JobSpec spec) implements Submission {
     @Override
     public String id() {
       return spec.id();
--- a/src/main/java/org/eiderstair/core/model/FailureHistory.java
+++ b/src/main/java/org/eiderstair/core/model/FailureHistory.java
@@ -40,8 +40,8 @@
    * @param onlyHere whether the job of the last failure has failed on no other machine
    */
   public boolean isFaulty(boolean onlyHere) {
-    return failedJobs.size() >= MIN_JOBS && failuresInRow >= MIN_FAILURES
-        || onlyHere && failuresInRow >= MIN_FAILURES_ONLY_HERE;
+    return (failedJobs.size() >= MIN_JOBS && failuresInRow >= MIN_FAILURES)
+        || (onlyHere && failuresInRow >= MIN_FAILURES_ONLY_HERE);
   }
 
   /** How many jobs failed on the machine. */
--- a/src/main/java/org/eiderstair/core/model/Heartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/Heartbeat.java
@@ -62,6 +62,6 @@
   /** Whether this heartbeat was written after the other one of its machine. */
   public boolean newerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
-        || incarnation == otherIncarnation && sequence > otherSequence;
+        || (incarnation == otherIncarnation && sequence > otherSequence);
   }
 }
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -106,7 +106,7 @@
    */
   public void transitionTo(
       State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
-    if (atVersion <= version || state != State.OPEN && next != state) {
+    if (atVersion <= version || (state != State.OPEN && next != state)) {
       return;
     }
     state = next;
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -183,7 +183,7 @@
 
   /** Whether all that may be on it and its incarnation are known, so that it can be given work. */
   public boolean known() {
-    return phase == Phase.CONFIRMED || phase == Phase.RECOVERED && incarnation > 0;
+    return phase == Phase.CONFIRMED || (phase == Phase.RECOVERED && incarnation > 0);
   }
 
   /** What the leader intends to do with it. */
--- a/src/main/java/org/eiderstair/core/placement/JobPlacer.java
+++ b/src/main/java/org/eiderstair/core/placement/JobPlacer.java
@@ -28,11 +28,11 @@
   void place(Job job, long nowMicros) {
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
-    moveQueuedToAvailable(job, constraints, nowMicros);
-    placeWaiting(job, constraints, nowMicros);
+    moveQueuedToAvailable(job, constraints);
+    placeWaiting(job, constraints);
   }
 
-  private void placeWaiting(Job job, PlacementConstraints constraints, long nowMicros) {
+  private void placeWaiting(Job job, PlacementConstraints constraints) {
     int maxActive = job.isLikelyFaulty() ? 1 : Integer.MAX_VALUE;
     Candidates candidates = null;
     OptionalInt next = job.nextFreeTask(0);
@@ -47,13 +47,13 @@
       }
       Machine machine = selector.draw(candidates);
       if (machine != null) {
-        attach(job, index, machine, Attempt.Phase.PLANNED, nowMicros);
+        attach(job, index, machine, Attempt.Phase.PLANNED);
       } else {
         machine = queues.join(job, constraints);
         if (machine == null) {
           return;
         }
-        attach(job, index, machine, Attempt.Phase.QUEUED, nowMicros);
+        attach(job, index, machine, Attempt.Phase.QUEUED);
       }
       constraints.taskAdded(machine);
       next = job.nextFreeTask(index + 1);
@@ -64,7 +64,7 @@
    * An available machine is preferred to a place in a queue: what waits for one machine moves to
    * another that has room first.
    */
-  private void moveQueuedToAvailable(Job job, PlacementConstraints constraints, long nowMicros) {
+  private void moveQueuedToAvailable(Job job, PlacementConstraints constraints) {
     if (!job.hasQueuedAttempts()) {
       return;
     }
@@ -93,12 +93,12 @@
         return;
       }
       workers.remove(attempt);
-      attach(job, attempt.index(), machine, Attempt.Phase.PLANNED, nowMicros);
+      attach(job, attempt.index(), machine, Attempt.Phase.PLANNED);
       constraints.taskAdded(machine);
     }
   }
 
-  private void attach(Job job, int index, Machine machine, Attempt.Phase phase, long nowMicros) {
+  private void attach(Job job, int index, Machine machine, Attempt.Phase phase) {
     workers.attach(new Attempt(job, index, workers.nextAttempt(), machine, phase));
   }
 }
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -93,7 +93,7 @@
 
   private boolean isShort(List<Attempt> queue, Job job) {
     return queue.size() < maxQueueLength
-        || maxQueueLength > 0 && last(queue).job().isLessUrgentThan(job);
+        || (maxQueueLength > 0 && last(queue).job().isLessUrgentThan(job));
   }
 
   private static Attempt last(List<Attempt> queue) {
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -105,7 +105,7 @@
   }
 
   private boolean beginsAnew(ReplicationBatch batch) {
-    return batch.term() > term || batch.term() == term && batch.snapshot() > snapshot;
+    return batch.term() > term || (batch.term() == term && batch.snapshot() > snapshot);
   }
 
   private boolean isOutdated(ReplicationBatch batch) {
--- a/src/main/java/org/eiderstair/core/state/PendingDuties.java
+++ b/src/main/java/org/eiderstair/core/state/PendingDuties.java
@@ -54,6 +54,8 @@
     }
   }
 
+  // The same object: an equal entry that was queued later still has to be written.
+  @SuppressWarnings("ReferenceEquality")
   private void add(WriteBatch batch, String key, Entry entry, long knownVersion) {
     batch.require(key, knownVersion);
     if (entry.value() == null) {
--- a/src/main/java/org/eiderstair/core/state/PendingJobs.java
+++ b/src/main/java/org/eiderstair/core/state/PendingJobs.java
@@ -72,7 +72,7 @@
   /** Progress may wait, but goes at once with what is written anyway. */
   void addProgressTo(WriteBatch batch, long nowMicros) {
     if (progressed.isEmpty()
-        || !batch.hasWrites() && nowMicros < lastProgressMicros + PROGRESS_EVERY_MICROS) {
+        || (!batch.hasWrites() && nowMicros < lastProgressMicros + PROGRESS_EVERY_MICROS)) {
       return;
     }
     lastProgressMicros = nowMicros;
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -287,7 +287,7 @@
 
   private void applyWorker(String machine, Reply.Item item) {
     RegisteredWorker known = registeredWorkers.get(machine);
-    if (known != null && item.version() <= known.version()
+    if ((known != null && item.version() <= known.version())
         || removed.isRemovedSince(item.key(), item.version())) {
       return;
     }
@@ -310,7 +310,7 @@
 
   private void applyDuty(Reply.Item item) {
     Reply.Item known = duties.get(item.key());
-    if (known != null && item.version() <= known.version()
+    if ((known != null && item.version() <= known.version())
         || removed.isRemovedSince(item.key(), item.version())) {
       return;
     }
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -122,7 +122,8 @@
     if (now < lastServedMicros + SUSPECT_AFTER_MICROS) {
       return;
     }
-    if (state == State.REACHABLE || isIsolated() && now > lastPeerServedMicros + ISOLATED_MICROS) {
+    if (state == State.REACHABLE
+        || (isIsolated() && now > lastPeerServedMicros + ISOLATED_MICROS)) {
       transitionTo(State.SUSPECT);
     }
     if (now >= nextAskMicros) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -18,6 +18,8 @@
   /** Takes the heartbeat in a worker's reply to a command. */
   interface ReplyHandler {
     /**
+     * Handles the reply to one command.
+     *
      * @param noCommandInFlight whether no launch by command can still be on its way, so that the
      *     heartbeat shows what became of every command
      */
--- a/src/main/java/org/eiderstair/http/Destination.java
+++ b/src/main/java/org/eiderstair/http/Destination.java
@@ -38,7 +38,7 @@
         return false;
       }
     }
-    return host.indexOf('.') > 0 && Character.isDigit(host.charAt(0)) || host.indexOf(':') >= 0;
+    return (host.indexOf('.') > 0 && Character.isDigit(host.charAt(0))) || host.indexOf(':') >= 0;
   }
 
   boolean unused() {
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -233,7 +233,7 @@
     String id = UserMessages.decodeJobId(message);
     Submission submission;
     try {
-      submission = new Submission.Readable(UserMessages.decodeSubmission(message));
+      submission = new Submission.Parsed(UserMessages.decodeSubmission(message));
     } catch (MalformedMessageException e) {
       submission = new Submission.Malformed(id, e.getMessage());
     }
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -43,7 +43,7 @@
 
   /**
    * Connects the loop with the core that it drives and with the consumer of its effects. Call once,
-   * before {@link #start}.
+   * before {@link #run}.
    */
   public void attach(Core withCore, Consumer<Effect> withEffects) {
     core = withCore;
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -58,7 +58,7 @@
         Long.toHexString(time) + "-" + process + "-" + Long.toHexString(System.nanoTime());
     var random =
         new XoRoShiRo128PlusPlus(
-            time ^ config.settings().node().hashCode(), System.nanoTime() ^ process | 1);
+            time ^ config.settings().node().hashCode(), (System.nanoTime() ^ process) | 1);
     Core core =
         new Core(
             config.settings(),
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -30,7 +30,7 @@
     JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
     service.tick(AT_MICROS);
     bench.effects.clear();
-    service.submit(1, new Submission.Readable(spec));
+    service.submit(1, new Submission.Parsed(spec));
     Effect.Call call = (Effect.Call) bench.effects.get(0);
     return ((Request.StoreTransaction) call.request()).writes().get(0);
   }
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -242,7 +242,7 @@
               Map<String, Object> message = MessagePackCodec.readMap(bodies.get(i));
               // As the router does it: the id first, then all of the message.
               UserMessages.decodeJobId(message);
-              jobService.submit(1, new Submission.Readable(UserMessages.decodeSubmission(message)));
+              jobService.submit(1, new Submission.Parsed(UserMessages.decodeSubmission(message)));
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
               bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
--- a/src/test/java/org/eiderstair/core/membership/MembershipScaleTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipScaleTest.java
@@ -284,7 +284,7 @@
       }
       if (random.nextInt(1_000) == 0) {
         machine.controller = null;
-      } else if (cut && machine.controller.equals("n0") || random.nextInt(100) == 0) {
+      } else if ((cut && machine.controller.equals("n0")) || random.nextInt(100) == 0) {
         machine.controller = "n" + (cut ? 1 + random.nextInt(2) : random.nextInt(3));
       }
     }
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
@@ -60,8 +61,8 @@
     }
 
     /** What can happen next, each by its name. */
-    TreeMap<String, Runnable> choices() {
-      TreeMap<String, Runnable> all = new TreeMap<>();
+    SortedMap<String, Runnable> choices() {
+      SortedMap<String, Runnable> all = new TreeMap<>();
       for (int i = 0; i < messages.size(); i++) {
         int index = i;
         String name = names.get(i);
--- a/src/test/java/org/eiderstair/core/workers/SearchWorker.java
+++ b/src/test/java/org/eiderstair/core/workers/SearchWorker.java
@@ -37,7 +37,7 @@
     Entry known = tasks.get(order.task());
     boolean same = known != null && known.attempt() == order.attempt();
     if (order instanceof Order.Launch) {
-      if (known == null || !same && known.state() == TaskState.ENDED) {
+      if (known == null || (!same && known.state() == TaskState.ENDED)) {
         tasks.put(
             order.task(),
             new Entry(order.task(), order.attempt(), TaskState.RUNNING, Exit.NONE, false));
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
@@ -134,7 +135,9 @@
                 while (in.read(buffer) > 0) {
                   socket
                       .getOutputStream()
-                      .write("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".getBytes());
+                      .write(
+                          "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
+                              .getBytes(StandardCharsets.UTF_8));
                 }
               } catch (Exception ended) {
                 // The other side closed it.
--- a/src/test/java/org/eiderstair/node/BadInputTest.java
+++ b/src/test/java/org/eiderstair/node/BadInputTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -139,7 +140,7 @@
     for (byte[] body :
         new byte[][] {
           new byte[0],
-          "no MessagePack".getBytes(),
+          "no MessagePack".getBytes(StandardCharsets.UTF_8),
           {(byte) 0xc1},
           {(byte) 0x93, 1, 2, 3},
           {(byte) 0xdf, -1, -1, -1, -1},
--- a/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
+++ b/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
@@ -27,6 +27,8 @@
  * with more machines and a longer life it tells what each part of that life costs in processor time
  * (docs/operating.md).
  */
+// The workload ends with its process: nobody waits for what the timer still has to do.
+@SuppressWarnings("FutureReturnValueIgnored")
 public final class ClassArchiveWorkload {
   private static final String SETTINGS =
       """
--- a/src/test/java/org/eiderstair/node/NodeTest.java
+++ b/src/test/java/org/eiderstair/node/NodeTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -126,7 +127,13 @@
     Map<String, Object> gang = job("job-000004");
     gang.put("Shape", "group");
     assertEquals(
-        400, send(http, HttpMethod.POST, base + "/work", "not MessagePack".getBytes()).getStatus());
+        400,
+        send(
+                http,
+                HttpMethod.POST,
+                base + "/work",
+                "not MessagePack".getBytes(StandardCharsets.UTF_8))
+            .getStatus());
     assertEquals(400, send(http, HttpMethod.POST, base + "/work", new byte[200_000]).getStatus());
     assertEquals(
         400, send(http, HttpMethod.POST, base + "/work", MessagePackCodec.write(gang)).getStatus());
--- a/src/test/java/org/eiderstair/sim/DrawnOutage.java
+++ b/src/test/java/org/eiderstair/sim/DrawnOutage.java
@@ -72,7 +72,7 @@
       case 13 -> worker.failAllTasks();
       default -> {
         if (worker.spot) {
-          cluster.cloud.reclaim(worker, cluster.random.nextInt(2) * 6 * SECOND);
+          cluster.cloud.reclaim(worker, cluster.random.nextInt(2) * 6L * SECOND);
         }
       }
     }
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -292,7 +292,7 @@
       for (int i = 0; i < 75; i++) {
         int number = i;
         day.clock.after(
-            3 * SECOND + i * 4 * SECOND,
+            3 * SECOND + i * 4L * SECOND,
             () -> {
               day.users.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
               if (number % 3 == 0) {
--- a/src/test/java/org/eiderstair/sim/SimulatedUsers.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedUsers.java
@@ -65,7 +65,7 @@
     askAny(
         exchange ->
             new Event.Submit(
-                exchange, new Submission.Readable(cluster.planted.submission.apply(spec))),
+                exchange, new Submission.Parsed(cluster.planted.submission.apply(spec))),
         answer -> {
           if (answer instanceof Answer.JobView view) {
             confirmed[0] = true;
--- a/src/test/java/org/eiderstair/sim/SimulatedWorker.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedWorker.java
@@ -188,7 +188,7 @@
 
   private boolean isHeartbeatTime() {
     return now() >= nextHeartbeatMicros
-        || heartbeatDue && now() >= lastHeartbeatMicros + MIN_HEARTBEAT_PAUSE_MICROS;
+        || (heartbeatDue && now() >= lastHeartbeatMicros + MIN_HEARTBEAT_PAUSE_MICROS);
   }
 
   private void newIncarnation() {
@@ -301,7 +301,7 @@
     Running known = tasks.get(order.task());
     boolean same = known != null && known.attempt == order.attempt();
     if (order instanceof Order.Launch) {
-      if (known == null || !same && !known.uses()) {
+      if (known == null || (!same && !known.uses())) {
         launch(order);
       }
     } else if (same && order instanceof Order.Kill && known.uses()) {
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -162,7 +162,7 @@
   private static Submission submission(String job, JobSpec spec) {
     return spec == null
         ? new Submission.Malformed(job, "Cores is missing")
-        : new Submission.Readable(spec);
+        : new Submission.Parsed(spec);
   }
 
   private void checkAnswer(String job, Answer.Phase before, Answer answer) {
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -13,7 +13,6 @@
 
 /** Whole days with drawn faults, checked against every rule. */
 class WholeDayTest {
-  private static final long SECOND = 1_000_000;
   private static final int DAYS = Integer.getInteger("sim.days", 60);
   private static final int GROWN_DAYS = Integer.getInteger("sim.grown", 3);
   private static final int FLEET_DAYS = Integer.getInteger("sim.fleet", 2);
