--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -31,7 +31,7 @@
 
 /**
  * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM
- * counts for each thread: what stands for processor time in a test without a clock. An event's must
+ * counts for each thread: the measure of processor time in a test without a clock. An event's must
  * not grow with the workers.
  */
 class AllocationTest {
@@ -85,7 +85,7 @@
   }
 
   /**
-   * A report of a machine with eight tasks in which nothing has changed, the most frequent event
+   * A heartbeat of a machine with eight tasks in which nothing has changed, the most frequent event
    * there is.
    */
   @Example
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -39,7 +39,7 @@
     bench.deliver();
     long before = bench.placement.steps();
     int placed = 0;
-    // As many reports as come in one pass at that size: one machine in twenty has a task that
+    // As many heartbeats as come in one pass at that size: one machine in twenty has a task that
     // ended.
     for (int round = 0; round < 20; round++) {
       int reports = Math.max(1, machines / 20);
@@ -78,7 +78,7 @@
     }
   }
 
-  /** Machines that nobody reaches must not keep the others from being asked after a take-over. */
+  /** Machines that nobody reaches must not keep the others from being asked after a failover. */
   @Example
   void machinesOutOfReachDoNotHoldUpTheOthers() {
     LeaderBench bench = new LeaderBench();
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Random reports, ends, cancellations and deletions: team use and room must equal what the
+   * Random heartbeats, ends, cancellations and deletions: team use and room must equal what the
    * attempts add up to.
    */
   @Property(tries = 40, seed = "11")
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -330,8 +330,8 @@
   }
 
   /**
-   * The machine tells what is on it as if all orders had reached it; {@code ended} of its tasks are
-   * over.
+   * The machine reports what is on it as if all orders had reached it; {@code ended} of its tasks
+   * are over.
    */
   public void report(Machine machine, int ended) {
     List<Heartbeat.Entry> entries = new ArrayList<>();
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Four thousand machines were not heard for a minute. A leader whose own sockets are used up, or
-   * whose queue is full, keeps them; any other one takes them for dead.
+   * Four thousand machines sent no heartbeat for a minute. A leader whose own sockets are used up,
+   * or whose queue is full, keeps them; any other one takes them for dead.
    */
   @Example
   void anOverloadedLeaderReleasesNoMachineForMissingHeartbeats() {
--- a/src/test/java/org/eiderstair/core/membership/MembershipTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipTest.java
@@ -182,7 +182,7 @@
   }
 
   /**
-   * Its machines may all have been given back by the leader before: then only its controllers can
+   * Its machines may all have been released by the leader before: then only its controllers can
    * tell of a zone.
    */
   @Example
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -61,7 +61,7 @@
 
   /**
    * A machine is registered after a read that found nothing, and the watch brings it before the
-   * read's answer is here. A node that forgot it would not ask that machine after a take-over, and
+   * read's answer is here. A node that forgot it would not ask that machine after a failover, and
    * start its tasks elsewhere too.
    */
   @Example
@@ -103,7 +103,7 @@
   void onlyAnAnswerWhoseRevisionIsReachedShowsThatItIsCurrent() {
     Effect.Call watch = watching(10);
     assertEquals(100 * SECOND, replica.currentMicros());
-    // A compare sent at 105 s tells of a change that the watch has yet to bring.
+    // A compare sent at 105 s shows a change that the watch has yet to bring.
     at(106 * SECOND);
     replica.recordAnswer(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.currentMicros());
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -14,14 +14,14 @@
 
 /**
  * Every order of a small case, to a stated depth: one machine, two leaders one after the other, one
- * or two tasks of a job that may be cancelled; commands, replies, reports and answers that are
+ * or two tasks of a job that may be cancelled; commands, replies, heartbeats and answers that are
  * delivered, lost, given up and executed late. States that look the same are visited once. Further:
  * {@code mvn -B test -Dtest=CommandSearchTest -Dsearch.states=200000}.
  *
  * <p>What must hold in every state, for the newest leader: a task that it may place elsewhere is
  * not alive on the machine and no launch of it can still be executed there ({@code ran_twice}); it
  * counts at least what the team runs ({@code quota}); no launch leaves for a job that it knows to
- * be cancelled; and once all messages have come or are lost, a few reports later nothing of a
+ * be cancelled; and once all messages have come or are lost, a few heartbeats later nothing of a
  * cancelled job is left ({@code ran_cancelled}), and all of an open one is done or runs.
  */
 class CommandSearchTest {
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -95,7 +95,7 @@
 
   /**
    * An answer that carries a launch used to wait as a whole, for as long as the record could not be
-   * written: the machine's lease ran out, and it was not told to stop what had been cancelled.
+   * written: the machine's lease ran out, and it was not ordered to stop what had been cancelled.
    */
   @Example
   void killsAndRenewalsDoNotWaitForAStandbyThatDoesNotAnswer() {
@@ -241,7 +241,7 @@
 
   /**
    * A kill may overtake the launch: when the launch is answered and the job is over, the machine is
-   * told again.
+   * ordered again.
    */
   @Example
   void aKillThatMayHaveComeBeforeItsLaunchIsRepeated() {
@@ -263,7 +263,7 @@
     assertEquals(List.of(job.id()), killed(orders(commands().get(2))));
   }
 
-  /** A machine that cannot be reached is told again, but not at every pass. */
+  /** A machine that cannot be reached is ordered again, but not at every pass. */
   @Example
   void aKillWithoutAnAnswerIsRepeatedAfterAPause() {
     Machine machine = leadsOneMachine();
@@ -280,9 +280,9 @@
   }
 
   /**
-   * A report of a machine that an earlier term deleted arrives late: the new leader knows nothing
-   * of the machine. What it shows may hold its tasks back for no longer than a lease can last, also
-   * while the cloud does not answer.
+   * A heartbeat of a machine that an earlier term deleted arrives late: the new leader knows
+   * nothing of the machine. What it shows may hold its tasks back for no longer than a lease can
+   * last, also while the cloud does not answer.
    */
   @Example
   void aLateReportOfADeletedMachineHoldsNothingBackForLong() {
@@ -347,8 +347,8 @@
   }
 
   /**
-   * A machine that has just booted has seen no token and holds nothing: its first report costs no
-   * question.
+   * A machine that has just booted has seen no fencing token and holds nothing: its first heartbeat
+   * costs no question.
    */
   @Example
   void aMachineThatHasJustBootedIsNotAsked() {
--- a/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
+++ b/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
@@ -10,14 +10,14 @@
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 
-/** When a follower passes a worker's report on, and when it sends the worker to the leader. */
+/** When a follower relays a worker's heartbeat, and when it sends the worker to the leader. */
 class HeartbeatRelayTest {
   private static final long SECOND = 1_000_000;
   private final List<Effect> effects = new ArrayList<>();
   private final HeartbeatRelay relay = new HeartbeatRelay(new EffectSink(effects::add));
   private long exchange;
 
-  /** What becomes of a report: the name of the effect. */
+  /** What becomes of a heartbeat: the name of the effect. */
   private String report(String machine, String leader, long nowMicros) {
     effects.clear();
     relay.receive(
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -14,8 +14,8 @@
 import org.eiderstair.core.model.Order;
 
 /**
- * What tells two states of a {@link CommandWorld} apart. Of sequence numbers only their order
- * counts, of attempts only which are the same, of times only about how long ago.
+ * What distinguishes two states of a {@link CommandWorld} apart. Of sequence numbers only their
+ * order counts, of attempts only which are the same, of times only about how long ago.
  */
 final class StateKey {
   private static final long ALIKE_MICROS = 10_000_000;
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -37,7 +37,7 @@
 import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 
-/** What a report may and may not prove. */
+/** What a heartbeat may and may not prove. */
 class WorkerManagerTest {
   private static final MachineType TYPE =
       new MachineType("t", 8, 2, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
@@ -212,8 +212,8 @@
   }
 
   /**
-   * What is launched in the answer to a report of a dead session reaches nobody, and was settled
-   * minutes later.
+   * What is launched in the answer to a heartbeat of an ended incarnation reaches nobody, and was
+   * settled minutes later.
    */
   @Example
   void aReportOfAnEarlierSessionIsNotAnsweredOnceTheNextIsHere() {
@@ -226,8 +226,8 @@
   }
 
   /**
-   * A copy of a report of the session before is answered to nobody, and the one that waits goes on
-   * waiting.
+   * A copy of a heartbeat of the incarnation before is answered to nobody, and the one that waits
+   * goes on waiting.
    */
   @Example
   void aLateCopyOfAnEarlierSessionIsNotAnswered() {
--- a/src/test/java/org/eiderstair/node/BadInputTest.java
+++ b/src/test/java/org/eiderstair/node/BadInputTest.java
@@ -238,7 +238,7 @@
     ContentResponse answer = post("/agent/beat", MessagePackCodec.write(known));
     assertEquals(200, answer.getStatus());
     // No such job was ever accepted: it gets an order to stop, and nothing else came of all these
-    // reports.
+    // heartbeats.
     assertEquals(1, ((List<?>) MessagePackCodec.readMap(answer.getContent()).get("Orders")).size());
   }
 }
--- a/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
+++ b/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
@@ -22,10 +22,10 @@
 import org.eiderstair.protocol.SampleMessages;
 
 /**
- * Lets a controller, a process of its own, live through what one does: follow another, pass on a
- * worker's reports, take over, lead a fleet. The build records the classes for the archive from it;
- * with more machines and a longer life it tells what each part of that life costs in processor time
- * (docs/operating.md).
+ * Lets a controller, a process of its own, live through what one does: follow another, relay a
+ * worker's heartbeats, take over, lead a fleet. The build records the classes for the archive from
+ * it; with more machines and a longer life it tells what each part of that life costs in processor
+ * time (docs/operating.md).
  */
 // The workload ends with its process: nobody waits for what the timer still has to do.
 @SuppressWarnings("FutureReturnValueIgnored")
@@ -181,7 +181,7 @@
       Thread.sleep(20);
     }
     phase("start until ready");
-    // A worker that is soon back cannot reach the leader: its reports are passed on.
+    // A worker that returns early cannot reach the leader: its heartbeats are relayed.
     FakeMachine first = platform.machines().get(0);
     for (int i = 0; i < 3; i++) {
       status(HttpMethod.POST, "/agent/beat", MessagePackCodec.write(first.heartbeat()));
--- a/src/test/java/org/eiderstair/node/FakePlatform.java
+++ b/src/test/java/org/eiderstair/node/FakePlatform.java
@@ -78,7 +78,9 @@
     return true;
   }
 
-  /** The other controller: it leads for as long as its key is there, and takes relayed reports. */
+  /**
+   * The other controller: it leads for as long as its key is there, and takes relayed heartbeats.
+   */
   private byte[] answerPeer(String path, byte[] body) throws MalformedMessageException {
     if (path.equals(PeerMessages.RELAY_PATH)) {
       PeerMessages.decodeHeartbeat(body);
--- a/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
+++ b/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
@@ -50,7 +50,7 @@
     }
   }
 
-  /** A few bytes must not make the reader allocate for what they claim to hold. */
+  /** A few bytes must not make the reader allocate for what they declare to hold. */
   @Example
   void claimedLengthsAreChecked() {
     byte[] hugeMap = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
--- a/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
@@ -21,7 +21,7 @@
 import org.eiderstair.core.model.TaskId;
 import org.msgpack.core.MessagePack;
 
-/** The reader of reports that makes no map for each task, against one that does. */
+/** The reader of heartbeats that makes no map for each task, against one that does. */
 class WorkerMessagesTest {
   private static final Map<String, TaskState> STATES =
       Map.of(
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Found on the fleet's day of cuts: within ten seconds it gave back half of a healthy fleet as
+   * Found on the fleet's day of cuts: within ten seconds it released half of a healthy fleet as
    * silent.
    */
   @Example
@@ -178,8 +178,8 @@
   }
 
   /**
-   * The cloud's lists are old: 542 machines given back by one leader were found and given back
-   * again by the next.
+   * The cloud's lists are old: 542 machines released by one leader were found and released again by
+   * the next.
    */
   @Example
   void aNewLeaderDoesNotReturnMachinesASecondTime() {
--- a/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
@@ -278,7 +278,7 @@
         Rule.RAN_CANCELLED,
         day -> {
           lose(kills, day);
-          // What is not killed is not given back either.
+          // What is not killed is not released either.
           day.planted.request =
               request ->
                   request instanceof Request.CloudDelete
--- a/src/test/java/org/eiderstair/sim/Rule.java
+++ b/src/test/java/org/eiderstair/sim/Rule.java
@@ -20,9 +20,9 @@
   INVENTED,
   /** A job that can never run is not accepted. */
   ACCEPTED_IMPOSSIBLE,
-  /** Rentals and returns are durable before the cloud is asked for them. */
+  /** Rentals and releases are durable before the cloud is asked for them. */
   UNWRITTEN,
-  /** A machine that a later leader uses is not given back by an earlier one. */
+  /** A machine that a later leader uses is not released by an earlier one. */
   LATE_DELETE,
   /** Once all faults are over no job waits for long while there is room for it. */
   WAITS_BESIDE_ROOM,
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -179,7 +179,7 @@
   // What the cloud is asked for.
 
   /**
-   * Rentals and returns must be durable before the cloud is asked, by whoever asks and however
+   * Rentals and releases must be durable before the cloud is asked, by whoever asks and however
    * late. Gives the term in which the return of each machine was written last.
    */
   Map<String, Long> checkWrittenFirst(Request request) {
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -169,12 +169,12 @@
     returnedAsUnreachable.add(id);
   }
 
-  /** How many machines leaders have given back as unreachable. */
+  /** How many machines leaders have released as unreachable. */
   int returnedAsUnreachable() {
     return returnedAsUnreachable.size();
   }
 
-  /** How many machines were given back as unreachable although they were alive. */
+  /** How many machines were released as unreachable although they were alive. */
   int returnedAlive() {
     return returnedAlive;
   }
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -148,7 +148,9 @@
     }
   }
 
-  /** What a peer tells beside the state service is taken at once: long before any lease is over. */
+  /**
+   * What a peer reports beside the state service is taken at once: long before any lease is over.
+   */
   @Example
   void cancellationsFromAPeerEndTasksDuringAStateServiceOutage() {
     SimulatedCluster day = running(3);
