--- a/src/main/java/org/eiderstair/http/Body.java
+++ b/src/main/java/org/eiderstair/http/Body.java
@@ -4,26 +4,28 @@
 import java.util.Arrays;
 
 /**
- * What has come of a body: it costs no more than what was really received, however long it says
- * that it is.
+ * Collects the body of a message. Memory grows with what was received, not with the announced
+ * length.
  */
 final class Body {
-  private static final byte[] NONE = new byte[0];
-  private static final int LEAST = 512;
+  private static final byte[] EMPTY = new byte[0];
+  private static final int MIN_CAPACITY = 512;
 
-  private byte[] bytes = NONE;
+  private byte[] bytes = EMPTY;
   private int length;
 
-  /** Takes what there is; false, and nothing taken, when that would be more than {@code most}. */
-  boolean add(ByteBuffer chunk, int most) {
+  /** Appends a chunk; false, and nothing appended, if the body would exceed {@code maxBytes}. */
+  boolean add(ByteBuffer chunk, int maxBytes) {
     int added = chunk.remaining();
-    if (added > most - length) {
+    if (added > maxBytes - length) {
       return false;
     }
     if (length + added > bytes.length) {
       bytes =
           Arrays.copyOf(
-              bytes, Math.min(most, Math.max(LEAST, Math.max(length + added, bytes.length * 2))));
+              bytes,
+              Math.min(
+                  maxBytes, Math.max(MIN_CAPACITY, Math.max(length + added, bytes.length * 2))));
     }
     chunk.get(bytes, length, added);
     length += added;
@@ -34,11 +36,11 @@
     return length;
   }
 
-  /** The whole of it; what comes next begins anew. */
+  /** Returns the body, and clears it for the next message. */
   byte[] take() {
-    byte[] whole = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
-    bytes = NONE;
+    byte[] content = length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
+    bytes = EMPTY;
     length = 0;
-    return whole;
+    return content;
   }
 }
--- a/src/main/java/org/eiderstair/http/Buffers.java
+++ b/src/main/java/org/eiderstair/http/Buffers.java
@@ -7,11 +7,11 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One buffer a thread for reading and one for writing: connections that are quiet hold none, and
- * there are hundreds. Nothing in them outlives a call.
+ * One read buffer and one write buffer for each thread, so that the hundreds of idle connections
+ * hold none. Nothing in them outlives a call.
  */
 final class Buffers {
-  /** Larger than nearly all messages, and one system call's worth. */
+  /** Larger than nearly all messages, which are then read by one system call. */
   private static final int SIZE = 16 * 1024;
 
   private static final ThreadLocal<ByteBuffer> IN =
@@ -37,33 +37,34 @@
   }
 
   /**
-   * Writes head and body, at once where the socket takes them; {@code after} is told when all is
-   * written.
+   * Writes head and body, without waiting if the socket accepts them; {@code callback} completes
+   * when all is written.
    */
-  static void write(EndPoint endPoint, ByteBuffer head, byte[] body, Callback after) {
-    ByteBuffer rest = null;
+  static void write(EndPoint endPoint, ByteBuffer head, byte[] body, Callback callback) {
+    ByteBuffer remainder = null;
     try {
       if (body.length <= head.capacity() - head.limit()) {
         BufferUtil.append(head, body, 0, body.length);
         if (!endPoint.flush(head)) {
-          rest = copy(head);
+          remainder = copy(head);
         }
       } else {
         ByteBuffer content = ByteBuffer.wrap(body);
         if (!endPoint.flush(head)) {
-          rest = ByteBuffer.allocate(head.remaining() + body.length).put(head).put(content).flip();
+          remainder =
+              ByteBuffer.allocate(head.remaining() + body.length).put(head).put(content).flip();
         } else if (!endPoint.flush(content)) {
-          rest = content;
+          remainder = content;
         }
       }
     } catch (IOException e) {
-      after.failed(e);
+      callback.failed(e);
       return;
     }
-    if (rest == null) {
-      after.succeeded();
+    if (remainder == null) {
+      callback.succeeded();
     } else {
-      endPoint.write(after, rest);
+      endPoint.write(callback, remainder);
     }
   }
 
--- a/src/main/java/org/eiderstair/http/ClientConnection.java
+++ b/src/main/java/org/eiderstair/http/ClientConnection.java
@@ -16,17 +16,17 @@
 
 /** One connection to the state service, the cloud, a worker or a peer: one exchange at a time. */
 final class ClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
-  /** FREE may take an exchange; ASKING waits for its response; CLOSED is over. */
+  /** FREE may take an exchange; AWAITING_RESPONSE waits for its response. */
   private enum State {
     FREE,
-    ASKING,
+    AWAITING_RESPONSE,
     CLOSED
   }
 
-  private static final int MOST_HEAD = 8 * 1024;
+  private static final int MAX_HEAD_BYTES = 8 * 1024;
   private static final byte[] NO_BODY = new byte[0];
 
-  /** Told what became of a connection; the exchange is null when there was none. */
+  /** Receives the events of a connection; the exchange is null when there was none. */
   interface Owner {
     void opened(ClientConnection connection);
 
@@ -44,14 +44,14 @@
   private final Callback fillable =
       Callback.from(
           Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
-  private final HttpParser parser = new HttpParser(this, MOST_HEAD, HttpCompliance.RFC7230);
+  private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC7230);
   private final Body body = new Body();
   final Destination destination;
   private State state = State.FREE;
   private Exchange exchange;
   private int status;
-  private boolean keep;
-  private boolean whole;
+  private boolean keepAlive;
+  private boolean responseComplete;
   private boolean interim;
 
   ClientConnection(EndPoint endPoint, Executor executor, Destination destination, Owner owner) {
@@ -64,18 +64,18 @@
   @Override
   public void onOpen() {
     super.onOpen();
-    // Always on, so that a connection that the other side ends is not used again.
+    // Always reading, so that a connection that the other side closed is not used again.
     fillInterested(fillable);
     owner.opened(this);
   }
 
-  /** Sends the request; false when the connection is over, and nothing was sent. */
-  boolean ask(Exchange next) {
+  /** Sends the request; false, and nothing sent, if the connection is closed. */
+  boolean send(Exchange next) {
     synchronized (this) {
       if (state != State.FREE) {
         return false;
       }
-      state = State.ASKING;
+      state = State.AWAITING_RESPONSE;
       exchange = next;
     }
     ByteBuffer head = Buffers.out();
@@ -133,8 +133,8 @@
       if (interim) {
         interim = false;
         parser.reset();
-      } else if (whole) {
-        whole = false;
+      } else if (responseComplete) {
+        responseComplete = false;
         complete();
       } else if (!buffer.hasRemaining() && !event) {
         return;
@@ -150,13 +150,13 @@
     synchronized (this) {
       done = exchange;
       exchange = null;
-      keep &= state == State.ASKING;
-      if (state == State.ASKING) {
+      keepAlive &= state == State.AWAITING_RESPONSE;
+      if (state == State.AWAITING_RESPONSE) {
         state = State.FREE;
       }
     }
     parser.reset();
-    boolean reusable = keep;
+    boolean reusable = keepAlive;
     owner.completed(this, done, status, body.take(), reusable);
     if (!reusable) {
       close();
@@ -180,18 +180,18 @@
     owner.closed(this, lost, cause == null ? "connection closed" : cause.toString());
   }
 
-  // What the parser finds.
+  // Callbacks of the parser.
 
   @Override
   public void startResponse(HttpVersion version, int responseStatus, String reason) {
     status = responseStatus;
-    keep = version == HttpVersion.HTTP_1_1;
+    keepAlive = version == HttpVersion.HTTP_1_1;
   }
 
   @Override
   public void parsedHeader(HttpField field) {
     if (field.getHeader() == HttpHeader.CONNECTION && field.contains("close")) {
-      keep = false;
+      keepAlive = false;
     }
   }
 
@@ -202,7 +202,7 @@
 
   @Override
   public boolean content(ByteBuffer chunk) {
-    if (!body.add(chunk, Exchange.MOST_BYTES)) {
+    if (!body.add(chunk, Exchange.MAX_RESPONSE_BYTES)) {
       close();
       return true;
     }
@@ -217,7 +217,7 @@
   @Override
   public boolean messageComplete() {
     interim = status < 200;
-    whole = !interim;
+    responseComplete = !interim;
     return true;
   }
 
--- a/src/main/java/org/eiderstair/http/Exchange.java
+++ b/src/main/java/org/eiderstair/http/Exchange.java
@@ -1,8 +1,11 @@
 package org.eiderstair.http;
 
-/** A request on its way, until its response has come, or its time or its connection is over. */
+/**
+ * A request on its way, until its response has come, its time limit has passed or its connection
+ * was closed.
+ */
 final class Exchange {
-  static final int MOST_BYTES = 8 * 1024 * 1024;
+  static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
   /** What to do with a complete response, or without one. */
   interface Outcome {
@@ -21,7 +24,7 @@
   /** Guarded by the owner of all connections. */
   ClientConnection connection;
 
-  boolean over;
+  boolean ended;
 
   /** The body is null when there is none. */
   Exchange(
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -23,30 +23,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries the core's requests to the state service, the cloud, workers and peers, and brings back
- * what came of them. Connections are kept by destination, each with one exchange at a time; time
- * that runs out is looked for by the thread that owns the core, which ticks anyhow, and costs no
- * timers.
+ * Carries the core's requests to the state service, the cloud, workers and peers, and reports their
+ * replies. Connections are kept by destination, each with one exchange at a time; time limits are
+ * checked by the thread that owns the core, which ticks anyhow, so they need no timers.
  */
 public final class HttpClientPool implements ClientConnection.Owner {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
   private static final byte[] NO_BODY = new byte[0];
   private static final String GET = "GET";
   private static final String POST = "POST";
-  private static final int MOST_CONNECTIONS = 16;
-  private static final int MOST_WAITING = 512;
+  private static final int MAX_CONNECTIONS = 16;
+  private static final int MAX_PENDING_REQUESTS = 512;
   private static final long EXPIRE_EVERY_MICROS = 100_000;
   private static final long STORE_MICROS = 2_000_000;
   private static final long CLOUD_MICROS = 5_000_000;
   private static final long WORKER_MICROS = 2_500_000;
   private static final long PEER_MICROS = 2_500_000;
 
-  /** How a 200 (or a 409) is read. */
+  /** Decodes the body of a response. */
   private interface Reader {
     Reply read(byte[] content) throws MalformedMessageException;
   }
 
-  /** The same, for what is read from a map. */
+  /** Decodes the body of a response that is a MessagePack map. */
   private interface MapReader {
     Reply read(Map<String, Object> message) throws MalformedMessageException;
 
@@ -64,19 +63,19 @@
   private final Map<String, String> peers;
   private final LongSupplier clock;
   private final BiConsumer<Long, Reply> replies;
-  // Guarded by this: the core's thread asks, the selector's thread brings answers.
+  // Guarded by this: the core's thread sends, the selector's thread receives.
   private final Map<String, Destination> destinations = new HashMap<>();
   private final Set<Exchange> underWay = new LinkedHashSet<>();
   private long nextExpireMicros;
 
   /**
    * Connections to workers that are kept for the next command, the one idle longest first. Each
-   * worker holds one to report on besides: with two a machine, 1,600 machines took all sockets on a
+   * worker also holds one for heartbeats: with two a machine, 1,600 machines took all sockets on a
    * calm day, and users found none.
    */
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
-  /** Destinations with requests that wait for a socket of the commands' share. */
+  /** Destinations whose requests wait for a socket of the commands' share. */
   private final Set<Destination> starved = new LinkedHashSet<>();
 
   private final ConnectionBudget budget;
@@ -122,21 +121,21 @@
           STORE_MICROS,
           StoreMessages::decodeApplied,
           StoreMessages::decodeConflict);
-    } else if (request instanceof Request.StoreWatch w) {
+    } else if (request instanceof Request.StoreWatch watch) {
       String path =
           "/watch?Under="
-              + encode(w.prefix())
+              + encode(watch.prefix())
               + "&From="
-              + w.after()
+              + watch.after()
               + "&HoldMs="
-              + w.holdMicros() / 1000;
+              + watch.holdMicros() / 1000;
       exchange(
           call,
           state,
           GET,
           path,
           null,
-          w.holdMicros() + STORE_MICROS,
+          watch.holdMicros() + STORE_MICROS,
           StoreMessages::decodeChanged,
           null);
     } else if (request instanceof Request.StoreGet get) {
@@ -167,25 +166,25 @@
           STORE_MICROS,
           StoreMessages::decodeLeaseGranted,
           null);
-    } else if (request instanceof Request.LeaseRenew touch) {
+    } else if (request instanceof Request.LeaseRenew renew) {
       exchange(
           call,
           state,
           POST,
-          "/leases/" + touch.lease() + "/touch",
+          "/leases/" + renew.lease() + "/touch",
           NO_BODY,
           STORE_MICROS,
-          m -> new Reply.Applied(0),
+          message -> new Reply.Applied(0),
           null);
-    } else if (request instanceof Request.LeaseRevoke drop) {
+    } else if (request instanceof Request.LeaseRevoke revoke) {
       exchange(
           call,
           state,
           "DELETE",
-          "/leases/" + drop.lease(),
+          "/leases/" + revoke.lease(),
           null,
           STORE_MICROS,
-          m -> new Reply.Applied(0),
+          message -> new Reply.Applied(0),
           null);
     } else if (request instanceof Request.CloudCatalog) {
       exchange(
@@ -208,7 +207,7 @@
           "/hosts/delete",
           CloudMessages.encodeDelete(delete.machines()),
           CLOUD_MICROS,
-          m -> new Reply.Applied(0),
+          message -> new Reply.Applied(0),
           null);
     } else if (request instanceof Request.CloudList list) {
       String path =
@@ -226,13 +225,14 @@
           WORKER_MICROS,
           content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false),
           null);
-    } else if (request instanceof Request.WorkerCommands c) {
+    } else if (request instanceof Request.WorkerCommands commands) {
       exchangeBytes(
           call,
-          c.address(),
+          commands.address(),
           POST,
           "/commands",
-          WorkerMessages.encodeCommand(c.fencingToken(), c.incarnation(), c.orders()),
+          WorkerMessages.encodeCommand(
+              commands.fencingToken(), commands.incarnation(), commands.orders()),
           WORKER_MICROS,
           content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), true),
           content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false));
@@ -244,44 +244,44 @@
           PeerMessages.RELAY_PATH,
           PeerMessages.encodeHeartbeat(relay.heartbeat()),
           content -> new Reply.Relayed(PeerMessages.decodeHeartbeatAnswer(content)));
-    } else if (request instanceof Request.PeerStateServiceStatus ask) {
+    } else if (request instanceof Request.PeerStateServiceStatus status) {
       peer(
           call,
-          ask.peer(),
+          status.peer(),
           GET,
           PeerMessages.STATE_SERVICE_STATUS_PATH,
           null,
           PeerMessages::decodeStateServiceStatus);
-    } else if (request instanceof Request.PeerMembership heard) {
+    } else if (request instanceof Request.PeerMembership membership) {
       peer(
           call,
-          heard.peer(),
+          membership.peer(),
           POST,
           PeerMessages.MEMBERSHIP_PATH,
-          PeerMessages.encodeMembershipRequest(heard.run(), heard.after()),
+          PeerMessages.encodeMembershipRequest(membership.run(), membership.after()),
           PeerMessages::decodeHeartbeatDigest);
-    } else if (request instanceof Request.PeerReplicate told) {
+    } else if (request instanceof Request.PeerReplicate replicate) {
       peer(
           call,
-          told.peer(),
+          replicate.peer(),
           POST,
           PeerMessages.REPLICATION_PATH,
-          PeerMessages.encodeReplicationBatch(told.batch()),
+          PeerMessages.encodeReplicationBatch(replicate.batch()),
           PeerMessages::decodeReplicationAck);
-    } else if (request instanceof Request.PeerCancellations told) {
+    } else if (request instanceof Request.PeerCancellations cancellations) {
       peer(
           call,
-          told.peer(),
+          cancellations.peer(),
           POST,
           PeerMessages.CANCELLATIONS_PATH,
-          PeerMessages.encodeCancellations(told.cancellations()),
+          PeerMessages.encodeCancellations(cancellations.cancellations()),
           content -> new Reply.Applied(0));
     } else {
       throw new IllegalArgumentException("no way to send " + request);
     }
   }
 
-  /** How a peer's 200 is read. */
+  /** Decodes the body of a peer's response. */
   private interface PeerReader {
     Reply read(byte[] content) throws MalformedMessageException;
   }
@@ -370,32 +370,33 @@
       byte[] body,
       long timeoutMicros,
       Exchange.Outcome outcome) {
-    ClientConnection use;
+    ClientConnection connection;
     ClientConnection evicted = null;
     Exchange exchange;
     Destination connect = null;
     synchronized (this) {
-      Destination to = destinations.computeIfAbsent(address, Destination::new);
-      exchange = new Exchange(to, method, path, body, clock.getAsLong() + timeoutMicros, outcome);
-      use = to.free.poll();
-      if (use != null) {
-        idle.remove(use);
-        exchange.connection = use;
-      } else if (to.waiting.size() >= MOST_WAITING) {
-        exchange.over = true;
+      Destination destination = destinations.computeIfAbsent(address, Destination::new);
+      exchange =
+          new Exchange(destination, method, path, body, clock.getAsLong() + timeoutMicros, outcome);
+      connection = destination.free.poll();
+      if (connection != null) {
+        idle.remove(connection);
+        exchange.connection = connection;
+      } else if (destination.waiting.size() >= MAX_PENDING_REQUESTS) {
+        exchange.ended = true;
       } else {
-        to.waiting.add(exchange);
-        connect = wantsConnection(to);
-        evicted = connect == null && starved.contains(to) ? takeIdleLongest() : null;
+        destination.waiting.add(exchange);
+        connect = wantsConnection(destination);
+        evicted = connect == null && starved.contains(destination) ? takeIdleLongest() : null;
       }
-      if (!exchange.over) {
+      if (!exchange.ended) {
         underWay.add(exchange);
       }
     }
-    if (exchange.over) {
+    if (exchange.ended) {
       outcome.failed("too many requests wait for " + address);
-    } else if (use != null) {
-      ask(use, exchange);
+    } else if (connection != null) {
+      sendOn(connection, exchange);
     } else if (connect != null) {
       connect(connect);
     } else if (evicted != null) {
@@ -404,25 +405,27 @@
   }
 
   /** Guarded by this: counts a connection that is to be made now, if one is. */
-  private Destination wantsConnection(Destination to) {
-    if (to.waiting.isEmpty() || to.connections >= MOST_CONNECTIONS) {
+  private Destination wantsConnection(Destination destination) {
+    if (destination.waiting.isEmpty() || destination.connections >= MAX_CONNECTIONS) {
       return null;
     }
-    if (isWorker(to.address) && !budget.openCommand()) {
-      starved.add(to);
+    if (isWorkerAddress(destination.address) && !budget.openCommand()) {
+      starved.add(destination);
       return null;
     }
-    to.connections++;
-    return to;
+    destination.connections++;
+    return destination;
   }
 
-  /** Guarded by this: a connection ended or was not made; its socket may serve another one. */
-  private Destination release(Destination of) {
-    of.connections--;
-    if (isWorker(of.address)) {
+  /**
+   * Guarded by this: a connection ended or was not made; its socket may serve another destination.
+   */
+  private Destination releaseSocket(Destination destination) {
+    destination.connections--;
+    if (isWorkerAddress(destination.address)) {
       budget.closeCommand();
     }
-    Destination connect = wantsConnection(of);
+    Destination connect = wantsConnection(destination);
     return connect != null ? connect : nextStarved();
   }
 
@@ -452,38 +455,39 @@
       return null;
     }
     ClientConnection longest = idle.iterator().next();
-    // Not to be asked between here and its end.
+    // No request may be sent on it between here and its close.
     idle.remove(longest);
     longest.destination.free.remove(longest);
     return longest;
   }
 
-  private void connect(Destination to) {
+  private void connect(Destination destination) {
     sockets.connect(
-        to.socket,
-        (endPoint, context) -> new ClientConnection(endPoint, sockets.getExecutor(), to, this),
-        why -> notConnected(to, String.valueOf(why)));
+        destination.socket,
+        (endPoint, context) ->
+            new ClientConnection(endPoint, sockets.getExecutor(), destination, this),
+        why -> notConnected(destination, String.valueOf(why)));
   }
 
-  /** Nothing was sent to where nobody answers: all that waits there has failed. */
-  private void notConnected(Destination to, String why) {
+  /** The connection could not be made: all requests that wait for the destination fail. */
+  private void notConnected(Destination destination, String why) {
     List<Exchange> lost;
     Destination connect;
     synchronized (this) {
-      lost = new ArrayList<>(to.waiting);
-      to.waiting.clear();
+      lost = new ArrayList<>(destination.waiting);
+      destination.waiting.clear();
       lost.forEach(this::end);
-      connect = release(to);
-      forgetIfUnused(to);
+      connect = releaseSocket(destination);
+      forgetIfUnused(destination);
     }
-    lost.forEach(e -> e.outcome().failed(why));
+    lost.forEach(exchange -> exchange.outcome().failed(why));
     if (connect != null) {
       connect(connect);
     }
   }
 
-  private void ask(ClientConnection connection, Exchange exchange) {
-    if (!connection.ask(exchange)) {
+  private void sendOn(ClientConnection connection, Exchange exchange) {
+    if (!connection.send(exchange)) {
       // It was closed between two requests, before this one was sent.
       boolean ended;
       synchronized (this) {
@@ -495,38 +499,38 @@
     }
   }
 
-  /** Guarded by this: whether it ends now, and not before. */
+  /** Guarded by this: whether this call ended it. */
   private boolean end(Exchange exchange) {
-    boolean ends = !exchange.over;
-    exchange.over = true;
+    boolean endsNow = !exchange.ended;
+    exchange.ended = true;
     underWay.remove(exchange);
-    return ends;
+    return endsNow;
   }
 
-  private void forgetIfUnused(Destination to) {
-    if (to.unused()) {
-      starved.remove(to);
-      destinations.remove(to.address, to);
+  private void forgetIfUnused(Destination destination) {
+    if (destination.unused()) {
+      starved.remove(destination);
+      destinations.remove(destination.address, destination);
     }
   }
 
   @Override
   public void opened(ClientConnection connection) {
-    takeNext(connection);
+    assignNext(connection);
   }
 
-  private boolean isWorker(String address) {
+  private boolean isWorkerAddress(String address) {
     return !address.equals(state) && !address.equals(cloud) && !peers.containsValue(address);
   }
 
-  private void takeNext(ClientConnection connection) {
+  private void assignNext(ClientConnection connection) {
     Exchange next;
     ClientConnection tooMany = null;
     synchronized (this) {
       next = connection.destination.waiting.poll();
       if (next == null) {
         connection.destination.free.addFirst(connection);
-        if (isWorker(connection.destination.address)) {
+        if (isWorkerAddress(connection.destination.address)) {
           idle.add(connection);
           boolean excess = !starved.isEmpty() || idle.size() > budget.maxIdleCommands();
           tooMany = excess ? takeIdleLongest() : null;
@@ -536,7 +540,7 @@
       }
     }
     if (next != null) {
-      ask(connection, next);
+      sendOn(connection, next);
     } else if (tooMany != null) {
       tooMany.close();
     }
@@ -554,7 +558,7 @@
       ended = exchange != null && end(exchange);
     }
     if (reusable) {
-      takeNext(connection);
+      assignNext(connection);
     }
     if (ended) {
       exchange.outcome().completed(status, content);
@@ -566,12 +570,12 @@
     boolean ended;
     Destination connect;
     synchronized (this) {
-      Destination to = connection.destination;
-      to.free.remove(connection);
+      Destination destination = connection.destination;
+      destination.free.remove(connection);
       idle.remove(connection);
       ended = exchange != null && end(exchange);
-      connect = release(to);
-      forgetIfUnused(to);
+      connect = releaseSocket(destination);
+      forgetIfUnused(destination);
     }
     if (ended) {
       exchange.outcome().failed(why);
@@ -582,9 +586,9 @@
   }
 
   /**
-   * Called by the thread that owns the core, now and then: ends what has taken too long, closes
-   * idle connections whose sockets are needed for something else by now, and connects where there
-   * was no socket before.
+   * Called periodically by the thread that owns the core: fails requests whose time limit has
+   * passed, closes idle connections whose sockets are needed for something else by now, and
+   * connects where there was no socket before.
    */
   public void expire(long nowMicros) {
     List<Exchange> expired = null;
@@ -606,7 +610,7 @@
         Exchange exchange = it.next();
         if (nowMicros >= exchange.deadlineMicros) {
           it.remove();
-          exchange.over = true;
+          exchange.ended = true;
           exchange.destination().waiting.remove(exchange);
           forgetIfUnused(exchange.destination());
           expired = expired == null ? new ArrayList<>() : expired;
--- a/src/main/java/org/eiderstair/http/HttpHeads.java
+++ b/src/main/java/org/eiderstair/http/HttpHeads.java
@@ -61,7 +61,7 @@
     to.put(END).flip();
   }
 
-  static void goOn(ByteBuffer to) {
+  static void interimResponse(ByteBuffer to) {
     to.clear().put(CONTINUE).flip();
   }
 
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -22,59 +22,59 @@
  * responses.
  */
 public final class HttpRequestRouter {
-  /** For what is refused before the core has seen it. */
+  /** For requests that are refused before the core has seen them. */
   private static final int RETRY_AFTER_S = 1;
 
   /** A worker waits 4 s for its answer, the time on the network included. */
   private static final long MAX_HEARTBEAT_WAIT_MICROS = 3_500_000;
 
-  private static final String HEARTBEAT = "/agent/beat";
-  private static final String WORK = "/work";
-  private static final String CANCEL = "/cancel";
-  private static final byte[] NOTHING = UserMessages.encodeError("");
+  private static final String HEARTBEAT_PATH = "/agent/beat";
+  private static final String JOBS_PATH = "/work";
+  private static final String CANCEL_SUFFIX = "/cancel";
+  private static final byte[] EMPTY_ANSWER = UserMessages.encodeError("");
 
-  private record Open(ServerConnection connection, boolean ofPeer, long receivedMicros) {}
+  private record OpenExchange(ServerConnection connection, boolean ofPeer, long receivedMicros) {}
 
-  /** What to do with a body once it has been read. */
-  private interface BodyUse {
+  /** Turns a request body into an event. */
+  private interface BodyHandler {
     void accept(long exchange, byte[] body) throws MalformedMessageException;
   }
 
   private final Consumer<Event> events;
   private final BooleanSupplier overloaded;
   private final LongSupplier clock;
-  private final int mostHeld;
+  private final int maxHeldBytes;
   private final AtomicInteger held = new AtomicInteger();
   private final AtomicLong lastExchange = new AtomicLong();
-  private final Map<Long, Open> open = new ConcurrentHashMap<>();
+  private final Map<Long, OpenExchange> open = new ConcurrentHashMap<>();
 
   /**
    * @param overloaded whether this node is behind with its work; polls are refused meanwhile, since
    *     their answers can wait longest
-   * @param mostHeld how many bytes of requests may be here at once: more are refused, rather than
-   *     that the memory of a small machine runs out when many large ones come together
+   * @param maxHeldBytes how many bytes of request bodies may be held at once; more are refused, so
+   *     that many large ones together do not exhaust the memory of a small machine
    */
   public HttpRequestRouter(
-      Consumer<Event> events, BooleanSupplier overloaded, LongSupplier clock, int mostHeld) {
+      Consumer<Event> events, BooleanSupplier overloaded, LongSupplier clock, int maxHeldBytes) {
     this.events = events;
     this.overloaded = overloaded;
     this.clock = clock;
-    this.mostHeld = mostHeld;
+    this.maxHeldBytes = maxHeldBytes;
   }
 
-  /** Listens for users and workers; says on which port. */
+  /** Listens for users and workers; returns the port. */
   public int listen(Sockets sockets, String host, int port, ConnectionBudget budget)
       throws IOException {
-    return sockets.listen(host, port, budget, new Others());
+    return sockets.listen(host, port, budget, new PublicRequests());
   }
 
   /** Listens for the other controllers. */
   public void listenForPeers(Sockets sockets, String host, int port) throws IOException {
-    sockets.listen(host, port, ConnectionBudget.unlimited(), new Peers());
+    sockets.listen(host, port, ConnectionBudget.unlimited(), new PeerRequests());
   }
 
-  /** What all connections have in common. */
-  private abstract class Served implements ServerConnection.Requests {
+  /** What all listeners have in common. */
+  private abstract class CommonRequests implements ServerConnection.Requests {
     @Override
     public void refuse(ServerConnection from, String method, String path, int status, String why) {
       from.answer(
@@ -83,7 +83,7 @@
 
     @Override
     public boolean hold(int bytes) {
-      if (held.addAndGet(bytes) <= mostHeld) {
+      if (held.addAndGet(bytes) <= maxHeldBytes) {
         return true;
       }
       held.addAndGet(-bytes);
@@ -96,44 +96,54 @@
     }
   }
 
-  private final class Others extends Served {
+  private final class PublicRequests extends CommonRequests {
     @Override
-    public int mostBytes(String path) {
+    public int maxBytes(String path) {
       return UserMessages.MAX_BYTES;
     }
 
     @Override
     public boolean isHeartbeat(String path) {
-      return path.equals(HEARTBEAT);
+      return path.equals(HEARTBEAT_PATH);
     }
 
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
-      Open exchange = new Open(from, false, clock.getAsLong());
+      OpenExchange exchange = new OpenExchange(from, false, clock.getAsLong());
       switch (path) {
         case "/ready" ->
-            with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.ReadyProbe(id)));
-        case HEARTBEAT ->
-            with(
+            handle(
+                exchange,
+                method,
+                "GET",
+                body,
+                (id, content) -> events.accept(new Event.ReadyProbe(id)));
+        case HEARTBEAT_PATH ->
+            handle(
                 exchange,
                 method,
                 "POST",
                 body,
-                (id, b) ->
+                (id, content) ->
                     events.accept(
-                        new Event.HeartbeatReceived(id, WorkerMessages.decodeHeartbeat(b), false)));
-        case WORK ->
-            with(
-                exchange, method, "POST", body, (id, b) -> submit(id, MessagePackCodec.readMap(b)));
-        default -> job(exchange, path, method, body);
+                        new Event.HeartbeatReceived(
+                            id, WorkerMessages.decodeHeartbeat(content), false)));
+        case JOBS_PATH ->
+            handle(
+                exchange,
+                method,
+                "POST",
+                body,
+                (id, content) -> submit(id, MessagePackCodec.readMap(content)));
+        default -> handleJobRequest(exchange, path, method, body);
       }
     }
   }
 
   /** Relays and questions about the state service come over the peer link, in Avro. */
-  private final class Peers extends Served {
+  private final class PeerRequests extends CommonRequests {
     @Override
-    public int mostBytes(String path) {
+    public int maxBytes(String path) {
       return PeerMessages.MAX_BYTES;
     }
 
@@ -144,76 +154,89 @@
 
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
-      Open exchange = new Open(from, true, clock.getAsLong());
+      OpenExchange exchange = new OpenExchange(from, true, clock.getAsLong());
       if (path.equals(PeerMessages.STATE_SERVICE_STATUS_PATH)) {
-        with(
+        handle(
             exchange,
             method,
             "GET",
             body,
-            (id, b) -> events.accept(new Event.StateServiceStatusRequested(id)));
+            (id, content) -> events.accept(new Event.StateServiceStatusRequested(id)));
       } else if (path.equals(PeerMessages.MEMBERSHIP_PATH)) {
-        with(
+        handle(
             exchange,
             method,
             "POST",
             body,
-            (id, b) -> events.accept(PeerMessages.decodeMembershipRequest(id, b)));
+            (id, content) -> events.accept(PeerMessages.decodeMembershipRequest(id, content)));
       } else if (path.equals(PeerMessages.REPLICATION_PATH)) {
-        with(
+        handle(
             exchange,
             method,
             "POST",
             body,
-            (id, b) ->
+            (id, content) ->
                 events.accept(
-                    new Event.ReplicationReceived(id, PeerMessages.decodeReplicationBatch(b))));
+                    new Event.ReplicationReceived(
+                        id, PeerMessages.decodeReplicationBatch(content))));
       } else if (path.equals(PeerMessages.CANCELLATIONS_PATH)) {
-        with(
+        handle(
             exchange,
             method,
             "POST",
             body,
-            (id, b) ->
+            (id, content) ->
                 events.accept(
-                    new Event.CancellationsReceived(id, PeerMessages.decodeCancellations(b))));
+                    new Event.CancellationsReceived(
+                        id, PeerMessages.decodeCancellations(content))));
       } else if (path.equals(PeerMessages.RELAY_PATH)) {
-        with(
+        handle(
             exchange,
             method,
             "POST",
             body,
-            (id, b) ->
+            (id, content) ->
                 events.accept(
-                    new Event.HeartbeatReceived(id, PeerMessages.decodeHeartbeat(b), true)));
+                    new Event.HeartbeatReceived(id, PeerMessages.decodeHeartbeat(content), true)));
       } else {
         fail(from, 404, "no such path");
       }
     }
   }
 
-  private void job(Open exchange, String path, String method, byte[] body) {
-    if (!path.startsWith(WORK + "/")) {
+  private void handleJobRequest(OpenExchange exchange, String path, String method, byte[] body) {
+    if (!path.startsWith(JOBS_PATH + "/")) {
       fail(exchange.connection(), 404, "no such path");
       return;
     }
-    String rest = path.substring(WORK.length() + 1);
-    boolean cancel = rest.endsWith(CANCEL);
-    String id = cancel ? rest.substring(0, rest.length() - CANCEL.length()) : rest;
+    String rest = path.substring(JOBS_PATH.length() + 1);
+    boolean cancel = rest.endsWith(CANCEL_SUFFIX);
+    String id = cancel ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
     if (!UserMessages.isJobId(id)) {
       fail(exchange.connection(), 404, "no such job");
     } else if (cancel) {
-      with(exchange, method, "POST", body, (e, b) -> events.accept(new Event.Cancel(e, id)));
+      handle(
+          exchange,
+          method,
+          "POST",
+          body,
+          (exchangeId, content) -> events.accept(new Event.Cancel(exchangeId, id)));
     } else if (overloaded.getAsBoolean() && method.equals("GET")) {
       exchange
           .connection()
           .answer(503, RETRY_AFTER_S, null, UserMessages.encodeError("overloaded"), false);
     } else {
-      with(exchange, method, "GET", body, (e, b) -> events.accept(new Event.Poll(e, id)));
+      handle(
+          exchange,
+          method,
+          "GET",
+          body,
+          (exchangeId, content) -> events.accept(new Event.Poll(exchangeId, id)));
     }
   }
 
-  private void with(Open exchange, String method, String allowed, byte[] body, BodyUse callback) {
+  private void handle(
+      OpenExchange exchange, String method, String allowed, byte[] body, BodyHandler callback) {
     if (!method.equals(allowed)) {
       exchange
           .connection()
@@ -250,7 +273,7 @@
     if (!(event instanceof Event.HeartbeatReceived heartbeat) || heartbeat.relayed()) {
       return false;
     }
-    Open exchange = open.get(heartbeat.exchange());
+    OpenExchange exchange = open.get(heartbeat.exchange());
     if (exchange == null
         || clock.getAsLong() < exchange.receivedMicros() + MAX_HEARTBEAT_WAIT_MICROS) {
       return false;
@@ -259,21 +282,21 @@
     return true;
   }
 
-  /** The core's answer to an exchange. */
+  /** Sends the core's answer to an exchange. */
   public void respond(long id, Answer answer) {
-    Open exchange = open.remove(id);
+    OpenExchange exchange = open.remove(id);
     if (exchange == null) {
       return;
     }
     ServerConnection to = exchange.connection();
-    if (answer instanceof Answer.StateServiceStatus standing) {
-      write(to, 200, PeerMessages.encodeStateServiceStatus(standing));
-    } else if (answer instanceof Answer.ReachableWorkers heard) {
-      write(to, 200, PeerMessages.encodeHeartbeatDigest(heard.digest()));
+    if (answer instanceof Answer.StateServiceStatus status) {
+      write(to, 200, PeerMessages.encodeStateServiceStatus(status));
+    } else if (answer instanceof Answer.ReachableWorkers reachable) {
+      write(to, 200, PeerMessages.encodeHeartbeatDigest(reachable.digest()));
     } else if (answer instanceof Answer.ReplicationAck acked) {
       write(to, 200, PeerMessages.encodeReplicationAck(acked.ack()));
     } else if (answer instanceof Answer.Acknowledged) {
-      write(to, 200, NOTHING);
+      write(to, 200, EMPTY_ANSWER);
     } else if (exchange.ofPeer()) {
       write(to, 200, PeerMessages.encodeHeartbeatAnswer(answer));
     } else if (answer instanceof Answer.JobView view) {
@@ -284,7 +307,7 @@
     } else if (answer instanceof Answer.Redirect redirect) {
       write(to, 421, WorkerMessages.encodeRedirect(redirect.node()));
     } else if (answer instanceof Answer.Ready ready) {
-      write(to, ready.ready() ? 200 : 503, NOTHING);
+      write(to, ready.ready() ? 200 : 503, EMPTY_ANSWER);
     } else if (answer instanceof Answer.Failure failure) {
       to.answer(
           failure.status(),
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -15,16 +15,15 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One connection of a user, a worker or another controller, with Jetty's parser straight on its
- * endpoint: one request at a time, its body whole, its answer whole. Jetty's own server does a lot
- * more for each request, which a cold controller on a small machine cannot pay (figures in
+ * One inbound connection of a user, a worker or another controller, with Jetty's parser directly on
+ * its endpoint: one request at a time, its body and answer complete. Jetty's own server does much
+ * more for each request, too much for a cold controller on a small machine (figures in
  * docs/operating.md).
  */
 final class ServerConnection extends AbstractConnection implements HttpParser.RequestHandler {
   /**
-   * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has
-   * refused it, and reads a little more of it so that the other side gets to read why; CLOSED is
-   * over.
+   * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has sent
+   * its last answer, and discards a little more input so that the other side can read that answer.
    */
   private enum State {
     READING,
@@ -33,23 +32,25 @@
     CLOSED
   }
 
-  private static final int MOST_HEAD = 8 * 1024;
-  private static final int MOST_DRAINED = 512 * 1024;
+  private static final int MAX_HEAD_BYTES = 8 * 1024;
+  private static final int MAX_DRAINED_BYTES = 512 * 1024;
   private static final long DRAIN_MS = 2000;
 
-  /** Where whole requests go, and what bounds them. */
+  /** Handles complete requests, and limits their size. */
   interface Requests {
     void request(ServerConnection from, String method, String path, byte[] body);
 
     /** Answers at once, and closes the connection; the rest of the request is not read. */
     void refuse(ServerConnection from, String method, String path, int status, String why);
 
-    int mostBytes(String path);
+    int maxBytes(String path);
 
     /** Whether requests for this path are heartbeats of workers. */
     boolean isHeartbeat(String path);
 
-    /** Whether so many more bytes of bodies may be held; they are held until {@link #release}. */
+    /**
+     * Reserves memory for bytes of bodies until {@link #release}; false if the limit is reached.
+     */
     boolean hold(int bytes);
 
     void release(int bytes);
@@ -62,21 +63,21 @@
   private final Callback fillable =
       Callback.from(
           Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
-  private final HttpParser parser = new HttpParser(this, MOST_HEAD, HttpCompliance.RFC7230);
+  private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC7230);
   private final Body body = new Body();
   private State state = State.READING;
   private ConnectionBudget.InboundUse use = ConnectionBudget.InboundUse.USER;
 
-  /** There was more to read while the answer was awaited. */
+  /** Input became readable while the answer was awaited. */
   private boolean paused;
 
-  /** What came behind a request; nobody pipelines, but it must not be lost. */
-  private ByteBuffer early;
+  /** Input after the current request; no known client pipelines, but it must not be lost. */
+  private ByteBuffer pipelined;
 
   private String method;
   private String path;
-  private boolean keep;
-  private boolean whole;
+  private boolean keepAlive;
+  private boolean requestComplete;
   private int held;
   private int drained;
 
@@ -85,8 +86,8 @@
     super(endPoint, executor);
     this.requests = requests;
     this.budget = budget;
-    // A cache of its own would cost each connection 100 KB: more than the machine has, with one
-    // worker on each.
+    // A header cache would cost each connection 100 KB: more than the machine has, with one
+    // connection for each worker.
     parser.setHeaderCacheSize(0);
   }
 
@@ -116,9 +117,9 @@
           close();
           return;
         }
-        if (is(State.DRAINING)) {
+        if (isIn(State.DRAINING)) {
           drained += filled;
-          if (drained > MOST_DRAINED) {
+          if (drained > MAX_DRAINED_BYTES) {
             close();
             return;
           }
@@ -130,25 +131,25 @@
       close();
       return;
     }
-    // Asked for at once, also while an answer is awaited: later it would have to wake the selector.
+    // Registered now, also while an answer is awaited: doing so later would wake the selector.
     if (getEndPoint().isOpen()) {
       fillInterested(fillable);
     }
   }
 
-  /** Parses; false once a request was handed over, or nothing more is wanted. */
+  /** Parses; false once a request was dispatched, or no more input is wanted. */
   private boolean read(ByteBuffer buffer) {
     while (true) {
       boolean event = parser.parseNext(buffer);
-      if (whole) {
+      if (requestComplete) {
         if (buffer.hasRemaining()) {
-          early = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
+          pipelined = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
         }
-        whole = false;
-        handOver();
+        requestComplete = false;
+        dispatch();
         return false;
       }
-      if (!is(State.READING)) {
+      if (!isIn(State.READING)) {
         return false;
       }
       if (!buffer.hasRemaining() && !event) {
@@ -157,19 +158,19 @@
     }
   }
 
-  private synchronized boolean is(State asked) {
+  private synchronized boolean isIn(State asked) {
     return state == asked;
   }
 
-  /** The one function for every change of state. */
-  private synchronized void become(State next) {
+  /** Changes the state; a closed connection stays closed. */
+  private synchronized void changeState(State next) {
     if (state != State.CLOSED) {
       state = next;
     }
   }
 
-  private void handOver() {
-    become(State.ANSWERING);
+  private void dispatch() {
+    changeState(State.ANSWERING);
     if (requests.isHeartbeat(path)) {
       countAsHeartbeat();
     }
@@ -194,16 +195,13 @@
     return false;
   }
 
-  /**
-   * The one answer to the request that was handed over; {@code allow} is null but for a wrong
-   * method.
-   */
+  /** Answers the dispatched request; {@code allow} is null except for a wrong method. */
   void answer(int status, int retryAfterS, String allow, byte[] content, boolean last) {
-    if (is(State.CLOSED)) {
+    if (isIn(State.CLOSED)) {
       return;
     }
     ByteBuffer head = Buffers.out();
-    boolean close = last || !keep || isReclaimed();
+    boolean close = last || !keepAlive || isReclaimed();
     HttpHeads.response(head, status, retryAfterS, allow, content.length, close);
     Buffers.write(getEndPoint(), head, content, new Written(close));
   }
@@ -220,7 +218,7 @@
       if (close) {
         drain();
       } else {
-        next();
+        readNext();
       }
     }
 
@@ -235,48 +233,46 @@
     }
   }
 
-  /**
-   * What the other side still sends is not read for long: a reset would take the answer from it.
-   */
+  /** Discards input for a short time: a reset would make the other side lose the answer. */
   private void drain() {
-    letGo();
-    boolean again;
+    releaseHeldBytes();
+    boolean wasPaused;
     synchronized (this) {
-      again = paused;
+      wasPaused = paused;
       paused = false;
-      become(State.DRAINING);
+      changeState(State.DRAINING);
     }
     getEndPoint().setIdleTimeout(DRAIN_MS);
     getEndPoint().shutdownOutput();
-    if (again) {
+    if (wasPaused) {
       fillInterested(fillable);
     }
   }
 
-  private void next() {
+  private void readNext() {
     parser.reset();
-    letGo();
+    releaseHeldBytes();
     ByteBuffer more;
-    boolean again;
+    boolean wasPaused;
     synchronized (this) {
       if (state == State.CLOSED) {
         return;
       }
-      become(State.READING);
-      more = early;
-      early = null;
-      again = paused;
+      changeState(State.READING);
+      more = pipelined;
+      pipelined = null;
+      wasPaused = paused;
       paused = false;
     }
     if (more != null) {
       read(more);
     }
-    if (again) {
+    if (wasPaused) {
       fillInterested(fillable);
     }
   }
 
-  private synchronized void letGo() {
+  private synchronized void releaseHeldBytes() {
     requests.release(held);
     held = 0;
   }
@@ -289,7 +285,7 @@
       counted = state != State.CLOSED;
       state = State.CLOSED;
     }
-    letGo();
+    releaseHeldBytes();
     if (counted) {
       budget.closeInbound(use);
     }
@@ -301,32 +297,32 @@
   }
 
   private void refuse(int status, String why) {
-    become(State.ANSWERING);
+    changeState(State.ANSWERING);
     requests.refuse(this, method == null ? "" : method, path == null ? "" : path, status, why);
   }
 
-  // What the parser finds.
+  // Callbacks of the parser.
 
   @Override
   public void startRequest(String requestMethod, String uri, HttpVersion version) {
     method = requestMethod;
     int query = uri.indexOf('?');
     path = query < 0 ? uri : uri.substring(0, query);
-    keep = version == HttpVersion.HTTP_1_1;
+    keepAlive = version == HttpVersion.HTTP_1_1;
   }
 
   @Override
   public void parsedHeader(HttpField field) {
     if (field.getHeader() == HttpHeader.CONNECTION && field.contains("close")) {
-      keep = false;
+      keepAlive = false;
     } else if (field.getHeader() == HttpHeader.EXPECT && field.contains("100-continue")) {
-      goOn();
+      sendContinue();
     }
   }
 
-  private void goOn() {
+  private void sendContinue() {
     ByteBuffer head = Buffers.out();
-    HttpHeads.goOn(head);
+    HttpHeads.interimResponse(head);
     try {
       getEndPoint().flush(head);
     } catch (IOException e) {
@@ -336,7 +332,7 @@
 
   @Override
   public boolean headerComplete() {
-    if (parser.getContentLength() > requests.mostBytes(path)) {
+    if (parser.getContentLength() > requests.maxBytes(path)) {
       refuse(400, "body too long or cut short");
       return true;
     }
@@ -345,7 +341,7 @@
 
   @Override
   public boolean content(ByteBuffer chunk) {
-    if (!is(State.READING)) {
+    if (!isIn(State.READING)) {
       return true;
     }
     synchronized (this) {
@@ -356,7 +352,7 @@
         return true;
       }
     }
-    if (!body.add(chunk, requests.mostBytes(path))) {
+    if (!body.add(chunk, requests.maxBytes(path))) {
       refuse(400, "body too long or cut short");
       return true;
     }
@@ -370,7 +366,7 @@
 
   @Override
   public boolean messageComplete() {
-    whole = is(State.READING);
+    requestComplete = isIn(State.READING);
     return true;
   }
 
@@ -381,7 +377,7 @@
 
   @Override
   public void badMessage(HttpException failure) {
-    if (is(State.READING)) {
+    if (isIn(State.READING)) {
       refuse(failure.getCode(), "not HTTP");
     }
   }
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -19,20 +19,20 @@
 public final class CoreLoop implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
   private static final Event WAKE = new Event.Tick();
-  private static final int MOST_AT_ONCE = 32;
+  private static final int MAX_BATCH = 32;
   private static final long LOAD_EVERY_MICROS = 10_000_000;
 
   private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
   /**
-   * Outcomes of this node's own requests go before what others ask. Seen after a take-over with 361
-   * machines: the lease had been renewed, but word of it waited behind 500 reports until the lease
-   * was thought to be over.
+   * Outcomes of this node's own requests go before what others ask. Seen after a failover with 361
+   * machines: the lease had been renewed, but the reply waited behind 500 heartbeats until the
+   * lease was believed expired.
    */
   private final ConcurrentLinkedQueue<Event> outcomes = new ConcurrentLinkedQueue<>();
 
   private final Map<String, Integer> counts = new TreeMap<>();
-  private int mostWaiting;
+  private int maxWaiting;
   private long nextLoadMicros;
   private Core core;
   private Consumer<Effect> effects;
@@ -50,9 +50,9 @@
     effects = withEffects;
   }
 
-  /** What is to look for requests that have taken too long, each time the core has had its turn. */
-  public void timeouts(LongConsumer look) {
-    timeouts = look;
+  /** Sets what checks the time limits of outgoing requests, after each tick of the core. */
+  public void timeouts(LongConsumer check) {
+    timeouts = check;
   }
 
   /** Sets who refuses events that have waited for so long that they are of no use any more. */
@@ -88,7 +88,7 @@
     return System.nanoTime() / 1000;
   }
 
-  /** What the core wants done; logs are written here, the rest goes to the shells. */
+  /** Carries out an effect: log lines are written here, the rest goes to the attached consumer. */
   public void effect(Effect effect) {
     if (effect instanceof Effect.Log log) {
       switch (log.level()) {
@@ -111,12 +111,12 @@
                 ? events.poll(wait, TimeUnit.MICROSECONDS)
                 : events.poll();
         takeOutcomes();
-        // What is decided for all events together costs the most: once for all at hand, but not for
-        // ever later.
+        // Decisions for all events together cost the most: one tick for a batch, whose size is
+        // bounded so that the tick is not put off without limit.
         for (int taken = 1; event != null; taken++) {
           take(event);
           takeOutcomes();
-          event = taken < MOST_AT_ONCE ? events.poll() : null;
+          event = taken < MAX_BATCH ? events.poll() : null;
         }
         checkOverload();
         core.tick(nowMicros());
@@ -133,26 +133,26 @@
   }
 
   /**
-   * What an operator looks at first when a controller is slow: how much there was to do, and how
-   * much waited.
+   * Logs the load, which an operator looks at first when a controller is slow: the events by kind,
+   * and the most that waited.
    */
   private void logLoad(long now) {
-    mostWaiting = Math.max(mostWaiting, events.size());
+    maxWaiting = Math.max(maxWaiting, events.size());
     if (now < nextLoadMicros) {
       return;
     }
     nextLoadMicros = now + LOAD_EVERY_MICROS;
     Runtime runtime = Runtime.getRuntime();
     LOG.info(
-        "load: {}, refused as late {}, most waiting {}, heap {} of {} MB",
+        "load: {}, refused as late {}, max waiting {}, heap {} of {} MB",
         counts,
         refusedLate,
-        mostWaiting,
+        maxWaiting,
         (runtime.totalMemory() - runtime.freeMemory()) >> 20,
         runtime.maxMemory() >> 20);
     counts.clear();
     refusedLate = 0;
-    mostWaiting = 0;
+    maxWaiting = 0;
   }
 
   private void checkOverload() {
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -14,15 +14,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A running controller: the core with sockets and timers round it. */
+/** A running controller: the core with its thread, sockets and timers. */
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
 
-  /** The selector's, and one more for what else there is to do; nothing that runs there blocks. */
+  /** One for the selector and one for other work; nothing that runs there blocks. */
   private static final int THREADS = 2;
 
-  /** Of the heap, for requests that are here: what is made of one takes several times its room. */
-  private static final int HELD_PART = 16;
+  /** The part of the heap for request bodies: a decoded one takes several times its size. */
+  private static final int HELD_BYTES_DIVISOR = 16;
 
   private final ExecutorService threads;
   private final Sockets sockets;
@@ -39,7 +39,7 @@
             loop::offer,
             loop::isBehind,
             CoreLoop::nowMicros,
-            (int) (Runtime.getRuntime().maxMemory() / HELD_PART));
+            (int) (Runtime.getRuntime().maxMemory() / HELD_BYTES_DIVISOR));
     ConnectionBudget budget = ConnectionBudget.of(config.maxConnections());
     HttpClientPool outbound =
         new HttpClientPool(
@@ -69,7 +69,7 @@
     loop.attach(
         core,
         effect -> {
-          // Looked at again here: on a small machine seconds may lie between a decision and its
+          // Checked again here: on a small machine seconds may lie between a decision and its
           // effect.
           long now = CoreLoop.nowMicros();
           if (effect instanceof Effect.Call call) {
@@ -93,9 +93,9 @@
   }
 
   private static Thread ioThread(Runnable work) {
-    Thread made = new Thread(work, "io");
-    made.setDaemon(true);
-    return made;
+    Thread thread = new Thread(work, "io");
+    thread.setDaemon(true);
+    return thread;
   }
 
   /** The port that users and workers reach, when the settings left the choice to the system. */
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -24,7 +24,7 @@
 /** Connections to workers between two commands are bounded, however many machines there are. */
 class HttpClientPoolTest {
   private static final int WORKERS = 60;
-  private static final int MOST_IDLE = 10;
+  private static final int MAX_IDLE = 10;
 
   @Example
   void idleConnectionsAreBoundedAndNothingIsLost() throws Exception {
@@ -41,7 +41,7 @@
               "127.0.0.1:1",
               "127.0.0.1:2",
               Map.of(),
-              new ConnectionBudget(Integer.MAX_VALUE, 0, 0, MOST_IDLE),
+              new ConnectionBudget(Integer.MAX_VALUE, 0, 0, MAX_IDLE),
               () -> System.nanoTime() / 1000,
               (call, reply) -> {
                 replies.put(call, reply);
@@ -63,10 +63,10 @@
       }
       assertEquals(3 * WORKERS, replies.size());
       replies.values().forEach(r -> assertEquals(new Reply.Refused(400), r));
-      for (int i = 0; i < 400 && open.get() > MOST_IDLE; i++) {
+      for (int i = 0; i < 400 && open.get() > MAX_IDLE; i++) {
         Thread.sleep(10);
       }
-      assertTrue(open.get() <= MOST_IDLE, "open " + open.get());
+      assertTrue(open.get() <= MAX_IDLE, "open " + open.get());
       sockets.stop();
     } finally {
       threads.shutdownNow();
@@ -79,7 +79,7 @@
     int share = 10;
     ExecutorService threads = Executors.newCachedThreadPool();
     AtomicInteger open = new AtomicInteger();
-    AtomicInteger mostOpen = new AtomicInteger();
+    AtomicInteger maxOpen = new AtomicInteger();
     CountDownLatch answered = new CountDownLatch(3 * WORKERS);
     Map<Long, Reply> replies = new ConcurrentHashMap<>();
     ConnectionBudget budget = new ConnectionBudget(2 * share, 0, share, 2 * share);
@@ -88,7 +88,7 @@
       budget.becomeHeartbeat();
     }
     try (ServerSocket server = new ServerSocket(0, 200, InetAddress.getByName("0.0.0.0"))) {
-      threads.execute(() -> serve(server, threads, open, mostOpen));
+      threads.execute(() -> serve(server, threads, open, maxOpen));
       Sockets sockets = new Sockets(threads);
       HttpClientPool outbound =
           new HttpClientPool(
@@ -109,7 +109,7 @@
       assertTrue(answered.await(20, TimeUnit.SECONDS));
       replies.values().forEach(r -> assertEquals(new Reply.Refused(400), r));
       // The server sees the end of a connection a little after this side, which then opens another.
-      assertTrue(mostOpen.get() <= 2 * share, "open at once " + mostOpen.get());
+      assertTrue(maxOpen.get() <= 2 * share, "open at once " + maxOpen.get());
       sockets.stop();
     } finally {
       threads.shutdownNow();
@@ -122,11 +122,11 @@
 
   /** Answers every request alike. */
   private static void serve(
-      ServerSocket server, ExecutorService threads, AtomicInteger open, AtomicInteger mostOpen) {
+      ServerSocket server, ExecutorService threads, AtomicInteger open, AtomicInteger maxOpen) {
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
+        maxOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
         threads.execute(
             () -> {
               try (socket;
