--- a/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
+++ b/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
@@ -21,7 +21,7 @@
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
 
-/** Whatever stands in the state service is read, or named as unreadable with its field. */
+/** Whatever the state service holds is read, or named as unreadable with its field. */
 class StoredValueCodecTest {
   private static final String JOB = StateKeys.job("job-1");
   private static final String RENTAL = StateKeys.rental("r-1-1");
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -226,8 +226,8 @@
   }
 
   /**
-   * It stands still after the acknowledgement, another leads meanwhile, and then it sends what it
-   * had decided.
+   * It is paused after the acknowledgement, another leads meanwhile, and then it sends what it had
+   * decided.
    */
   @Example
   void aPausedLeaderIsReplacedByItsStandbyAndDoesNoHarm() {
