--- a/src/main/java/org/eiderstair/http/ClientConnection.java
+++ b/src/main/java/org/eiderstair/http/ClientConnection.java
@@ -79,9 +79,11 @@
       exchange = next;
     }
     ByteBuffer head = Buffers.out();
-    byte[] content = next.body() == null ? NO_BODY : next.body();
+    OutgoingRequest request = next.request;
+    boolean hasBody = request.body != null;
+    byte[] content = hasBody ? request.body : NO_BODY;
     HttpHeads.request(
-        head, next.method(), next.path(), destination.address, content.length, next.body() != null);
+        head, request.method, request.path, destination.address, content.length, hasBody);
     Buffers.write(
         getEndPoint(),
         head,
--- a/src/main/java/org/eiderstair/http/Exchange.java
+++ b/src/main/java/org/eiderstair/http/Exchange.java
@@ -7,18 +7,11 @@
 final class Exchange {
   static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-  /** What to do with a complete response, or without one. */
-  interface Outcome {
-    void completed(int status, byte[] content);
+  /** The core's identifier of the request, for its reply. */
+  final long call;
 
-    void failed(String why);
-  }
-
-  private final Destination destination;
-  private final String method;
-  private final String path;
-  private final byte[] body;
-  private final Outcome outcome;
+  final Destination destination;
+  final OutgoingRequest request;
   final long deadlineMicros;
 
   /** Guarded by the owner of all connections. */
@@ -26,39 +19,10 @@
 
   boolean ended;
 
-  /** The body is null when there is none. */
-  Exchange(
-      Destination destination,
-      String method,
-      String path,
-      byte[] body,
-      long deadlineMicros,
-      Outcome outcome) {
+  Exchange(long call, Destination destination, OutgoingRequest request, long deadlineMicros) {
+    this.call = call;
     this.destination = destination;
-    this.method = method;
-    this.path = path;
-    this.body = body;
+    this.request = request;
     this.deadlineMicros = deadlineMicros;
-    this.outcome = outcome;
-  }
-
-  Destination destination() {
-    return destination;
-  }
-
-  String method() {
-    return method;
-  }
-
-  String path() {
-    return path;
-  }
-
-  byte[] body() {
-    return body;
-  }
-
-  Outcome outcome() {
-    return outcome;
   }
 }
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -1,7 +1,5 @@
 package org.eiderstair.http;
 
-import java.net.URLEncoder;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -13,12 +11,7 @@
 import java.util.function.LongSupplier;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
-import org.eiderstair.peer.PeerMessages;
-import org.eiderstair.protocol.CloudMessages;
 import org.eiderstair.protocol.MalformedMessageException;
-import org.eiderstair.protocol.MessagePackCodec;
-import org.eiderstair.protocol.StoreMessages;
-import org.eiderstair.protocol.WorkerMessages;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,38 +22,15 @@
  */
 public final class HttpClientPool implements ClientConnection.Owner {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
-  private static final byte[] NO_BODY = new byte[0];
-  private static final String GET = "GET";
-  private static final String POST = "POST";
   private static final int MAX_CONNECTIONS = 16;
   private static final int MAX_PENDING_REQUESTS = 512;
   private static final long EXPIRE_EVERY_MICROS = 100_000;
-  private static final long STORE_MICROS = 2_000_000;
-  private static final long CLOUD_MICROS = 5_000_000;
-  private static final long WORKER_MICROS = 2_500_000;
-  private static final long PEER_MICROS = 2_500_000;
-
-  /** Decodes the body of a response. */
-  private interface Reader {
-    Reply read(byte[] content) throws MalformedMessageException;
-  }
-
-  /** Decodes the body of a response that is a MessagePack map. */
-  private interface MapReader {
-    Reply read(Map<String, Object> message) throws MalformedMessageException;
-
-    static Reader of(MapReader reader) {
-      return reader == null
-          ? null
-          : content ->
-              reader.read(content.length == 0 ? Map.of() : MessagePackCodec.readMap(content));
-    }
-  }
 
   private final Sockets sockets;
   private final String state;
   private final String cloud;
   private final Map<String, String> peers;
+  private final RequestRoutes routes;
   private final LongSupplier clock;
   private final BiConsumer<Long, Reply> replies;
   // Guarded by this: the core's thread sends, the selector's thread receives.
@@ -96,6 +66,7 @@
     this.state = stateAddress;
     this.cloud = cloudAddress;
     this.peers = Map.copyOf(peerAddresses);
+    this.routes = new RequestRoutes(state, cloud, peers);
     this.clock = clock;
     this.replies = replies;
   }
@@ -103,281 +74,25 @@
   /** Sends a request; its outcome becomes an event, exactly once. */
   public void send(long call, Request request) {
     try {
-      dispatch(call, request);
+      send(call, routes.route(request));
+    } catch (UnknownPeerException e) {
+      replies.accept(call, new Reply.NoResponse(e.getMessage()));
     } catch (RuntimeException e) {
       LOG.error("cannot send {}", request, e);
       replies.accept(call, new Reply.NoResponse(e.toString()));
     }
   }
 
-  private void dispatch(long call, Request request) {
-    if (request instanceof Request.StoreTransaction txn) {
-      exchange(
-          call,
-          state,
-          POST,
-          "/txn",
-          StoreMessages.encodeTransaction(txn),
-          STORE_MICROS,
-          StoreMessages::decodeApplied,
-          StoreMessages::decodeConflict);
-    } else if (request instanceof Request.StoreWatch watch) {
-      String path =
-          "/watch?Under="
-              + encode(watch.prefix())
-              + "&From="
-              + watch.after()
-              + "&HoldMs="
-              + watch.holdMicros() / 1000;
-      exchange(
-          call,
-          state,
-          GET,
-          path,
-          null,
-          watch.holdMicros() + STORE_MICROS,
-          StoreMessages::decodeChanged,
-          null);
-    } else if (request instanceof Request.StoreGet get) {
-      exchange(
-          call,
-          state,
-          GET,
-          "/store/" + get.key(),
-          null,
-          STORE_MICROS,
-          StoreMessages::decodeFound,
-          null);
-    } else if (request instanceof Request.StoreList list) {
-      String path =
-          "/store?Under="
-              + encode(list.prefix())
-              + "&Page="
-              + list.limit()
-              + (list.after() == null ? "" : "&From=" + encode(list.after()));
-      exchange(call, state, GET, path, null, 2 * STORE_MICROS, StoreMessages::decodeListed, null);
-    } else if (request instanceof Request.LeaseGrant grant) {
-      exchange(
-          call,
-          state,
-          POST,
-          "/leases",
-          StoreMessages.encodeLeaseRequest(grant.ttlMicros()),
-          STORE_MICROS,
-          StoreMessages::decodeLeaseGranted,
-          null);
-    } else if (request instanceof Request.LeaseRenew renew) {
-      exchange(
-          call,
-          state,
-          POST,
-          "/leases/" + renew.lease() + "/touch",
-          NO_BODY,
-          STORE_MICROS,
-          message -> new Reply.Applied(0),
-          null);
-    } else if (request instanceof Request.LeaseRevoke revoke) {
-      exchange(
-          call,
-          state,
-          "DELETE",
-          "/leases/" + revoke.lease(),
-          null,
-          STORE_MICROS,
-          message -> new Reply.Applied(0),
-          null);
-    } else if (request instanceof Request.CloudCatalog) {
-      exchange(
-          call, cloud, GET, "/catalog", null, CLOUD_MICROS, CloudMessages::decodeCatalog, null);
-    } else if (request instanceof Request.CloudRent rent) {
-      exchange(
-          call,
-          cloud,
-          POST,
-          "/hosts",
-          CloudMessages.encodeRent(rent),
-          CLOUD_MICROS,
-          CloudMessages::decodeRented,
-          null);
-    } else if (request instanceof Request.CloudDelete delete) {
-      exchange(
-          call,
-          cloud,
-          POST,
-          "/hosts/delete",
-          CloudMessages.encodeDelete(delete.machines()),
-          CLOUD_MICROS,
-          message -> new Reply.Applied(0),
-          null);
-    } else if (request instanceof Request.CloudList list) {
-      String path =
-          "/hosts?Page="
-              + CloudMessages.PAGE_SIZE
-              + (list.after() == null ? "" : "&From=" + encode(list.after()));
-      exchange(call, cloud, GET, path, null, CLOUD_MICROS, CloudMessages::decodeMachines, null);
-    } else if (request instanceof Request.WorkerStatus status) {
-      exchangeBytes(
-          call,
-          status.address(),
-          GET,
-          "/status",
-          null,
-          WORKER_MICROS,
-          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false),
-          null);
-    } else if (request instanceof Request.WorkerCommands commands) {
-      exchangeBytes(
-          call,
-          commands.address(),
-          POST,
-          "/commands",
-          WorkerMessages.encodeCommand(
-              commands.fencingToken(), commands.incarnation(), commands.orders()),
-          WORKER_MICROS,
-          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), true),
-          content -> new Reply.WorkerStatus(WorkerMessages.decodeHeartbeat(content), false));
-    } else if (request instanceof Request.PeerRelayHeartbeat relay) {
-      peer(
-          call,
-          relay.peer(),
-          POST,
-          PeerMessages.RELAY_PATH,
-          PeerMessages.encodeHeartbeat(relay.heartbeat()),
-          content -> new Reply.Relayed(PeerMessages.decodeHeartbeatAnswer(content)));
-    } else if (request instanceof Request.PeerStateServiceStatus status) {
-      peer(
-          call,
-          status.peer(),
-          GET,
-          PeerMessages.STATE_SERVICE_STATUS_PATH,
-          null,
-          PeerMessages::decodeStateServiceStatus);
-    } else if (request instanceof Request.PeerMembership membership) {
-      peer(
-          call,
-          membership.peer(),
-          POST,
-          PeerMessages.MEMBERSHIP_PATH,
-          PeerMessages.encodeMembershipRequest(membership.run(), membership.after()),
-          PeerMessages::decodeHeartbeatDigest);
-    } else if (request instanceof Request.PeerReplicate replicate) {
-      peer(
-          call,
-          replicate.peer(),
-          POST,
-          PeerMessages.REPLICATION_PATH,
-          PeerMessages.encodeReplicationBatch(replicate.batch()),
-          PeerMessages::decodeReplicationAck);
-    } else if (request instanceof Request.PeerCancellations cancellations) {
-      peer(
-          call,
-          cancellations.peer(),
-          POST,
-          PeerMessages.CANCELLATIONS_PATH,
-          PeerMessages.encodeCancellations(cancellations.cancellations()),
-          content -> new Reply.Applied(0));
-    } else {
-      throw new IllegalArgumentException("no way to send " + request);
-    }
-  }
-
-  /** Decodes the body of a peer's response. */
-  private interface PeerReader {
-    Reply read(byte[] content) throws MalformedMessageException;
-  }
-
-  private void peer(
-      long call, String name, String method, String path, byte[] body, PeerReader reader) {
-    String address = peers.get(name);
-    if (address == null) {
-      replies.accept(call, new Reply.NoResponse("unknown node " + name));
-      return;
-    }
-    send(
-        address,
-        method,
-        path,
-        body,
-        PEER_MICROS,
-        new Exchange.Outcome() {
-          @Override
-          public void completed(int status, byte[] content) {
-            try {
-              replies.accept(
-                  call, status == 200 ? reader.read(content) : new Reply.Refused(status));
-            } catch (MalformedMessageException e) {
-              LOG.error("unreadable answer of {}: {}", name, e.getMessage());
-              replies.accept(call, new Reply.NoResponse(e.getMessage()));
-            }
-          }
-
-          @Override
-          public void failed(String why) {
-            replies.accept(call, new Reply.NoResponse(why));
-          }
-        });
-  }
-
-  private static String encode(String text) {
-    return URLEncoder.encode(text, StandardCharsets.UTF_8);
-  }
-
-  private void exchange(
-      long call,
-      String address,
-      String method,
-      String path,
-      byte[] body,
-      long timeoutMicros,
-      MapReader ok,
-      MapReader conflict) {
-    exchangeBytes(
-        call, address, method, path, body, timeoutMicros, MapReader.of(ok), MapReader.of(conflict));
-  }
-
-  private void exchangeBytes(
-      long call,
-      String address,
-      String method,
-      String path,
-      byte[] body,
-      long timeoutMicros,
-      Reader ok,
-      Reader conflict) {
-    send(
-        address,
-        method,
-        path,
-        body,
-        timeoutMicros,
-        new Exchange.Outcome() {
-          @Override
-          public void completed(int status, byte[] content) {
-            replies.accept(call, read(status, content, path, ok, conflict));
-          }
-
-          @Override
-          public void failed(String why) {
-            replies.accept(call, new Reply.NoResponse(why));
-          }
-        });
-  }
-
-  private void send(
-      String address,
-      String method,
-      String path,
-      byte[] body,
-      long timeoutMicros,
-      Exchange.Outcome outcome) {
+  private void send(long call, OutgoingRequest request) {
+    String address = request.address;
     ClientConnection connection;
     ClientConnection evicted = null;
     Exchange exchange;
     Destination connect = null;
     synchronized (this) {
       Destination destination = destinations.computeIfAbsent(address, Destination::new);
-      exchange =
-          new Exchange(destination, method, path, body, clock.getAsLong() + timeoutMicros, outcome);
+      long deadlineMicros = clock.getAsLong() + request.timeoutMicros;
+      exchange = new Exchange(call, destination, request, deadlineMicros);
       connection = destination.free.poll();
       if (connection != null) {
         idle.remove(connection);
@@ -394,7 +109,7 @@
       }
     }
     if (exchange.ended) {
-      outcome.failed("too many requests wait for " + address);
+      fail(exchange, "too many requests wait for " + address);
     } else if (connection != null) {
       sendOn(connection, exchange);
     } else if (connect != null) {
@@ -480,7 +195,7 @@
       connect = releaseSocket(destination);
       forgetIfUnused(destination);
     }
-    lost.forEach(exchange -> exchange.outcome().failed(why));
+    lost.forEach(exchange -> fail(exchange, why));
     if (connect != null) {
       connect(connect);
     }
@@ -494,7 +209,7 @@
         ended = end(exchange);
       }
       if (ended) {
-        exchange.outcome().failed("connection closed");
+        fail(exchange, "connection closed");
       }
     }
   }
@@ -561,7 +276,7 @@
       assignNext(connection);
     }
     if (ended) {
-      exchange.outcome().completed(status, content);
+      complete(exchange, status, content);
     }
   }
 
@@ -578,7 +293,7 @@
       forgetIfUnused(destination);
     }
     if (ended) {
-      exchange.outcome().failed(why);
+      fail(exchange, why);
     }
     if (connect != null) {
       connect(connect);
@@ -611,8 +326,8 @@
         if (nowMicros >= exchange.deadlineMicros) {
           it.remove();
           exchange.ended = true;
-          exchange.destination().waiting.remove(exchange);
-          forgetIfUnused(exchange.destination());
+          exchange.destination.waiting.remove(exchange);
+          forgetIfUnused(exchange.destination);
           expired = expired == null ? new ArrayList<>() : expired;
           expired.add(exchange);
         }
@@ -625,28 +340,24 @@
         if (exchange.connection != null) {
           exchange.connection.close();
         }
-        exchange.outcome().failed("timeout");
+        fail(exchange, "timeout");
       }
     }
   }
 
-  private static Reply read(int status, byte[] content, String path, Reader ok, Reader conflict) {
+  private void complete(Exchange exchange, int status, byte[] content) {
+    replies.accept(exchange.call, read(exchange.request, status, content));
+  }
+
+  private void fail(Exchange exchange, String why) {
+    replies.accept(exchange.call, new Reply.NoResponse(why));
+  }
+
+  private static Reply read(OutgoingRequest request, int status, byte[] content) {
     try {
-      if (status == 200 || status == 201) {
-        return ok.read(content);
-      }
-      if (status == 409 && conflict != null) {
-        return conflict.read(content);
-      }
-      if (status == 404 && path.startsWith("/store/")) {
-        return StoreMessages.decodeMissing(MessagePackCodec.readMap(content));
-      }
-      if (status >= 500 && status != 503) {
-        return new Reply.NoResponse("status " + status);
-      }
-      return new Reply.Refused(status);
+      return request.reader.read(status, content);
     } catch (MalformedMessageException e) {
-      LOG.error("unreadable answer to {}: {}", path, e.getMessage());
+      LOG.error("unreadable answer of {} to {}: {}", request.address, request.path, e.getMessage());
       return new Reply.NoResponse(e.getMessage());
     }
   }
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -11,10 +11,27 @@
 /** Messages to and from the cloud: rentals, returns, the catalogue and the list of machines. */
 public final class CloudMessages {
   /** So many machines are asked for at a time when the cloud lists them. */
-  public static final int PAGE_SIZE = 500;
+  private static final int PAGE_SIZE = 500;
+
+  /** Where the catalogue of machine types is. */
+  public static final String CATALOG_PATH = "/catalog";
+
+  /** Where machines are rented and listed. */
+  public static final String MACHINES_PATH = "/hosts";
+
+  /** Where machines are deleted. */
+  public static final String DELETE_PATH = "/hosts/delete";
+
+  private static final String FIRST_PAGE =
+      MACHINES_PATH + "?" + WireFields.QUERY_PAGE_SIZE + "=" + PAGE_SIZE;
 
   private CloudMessages() {}
 
+  /** The path and query that list a page of machines. */
+  public static String listPath(Request.CloudList list) {
+    return UrlQuery.withAfter(FIRST_PAGE, list.after());
+  }
+
   /** Encodes a rental request. */
   public static byte[] encodeRent(Request.CloudRent rent) {
     Map<String, Object> message = new LinkedHashMap<>();
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -10,10 +10,55 @@
 
 /** Messages to and from the state service: compare-and-swap, leases, keys and watches. */
 public final class StoreMessages {
+  /** Where transactions go. */
+  public static final String TRANSACTION_PATH = "/txn";
+
+  /** Where leases are asked for. */
+  public static final String LEASES_PATH = "/leases";
+
+  private static final String KEYS_PATH = "/store";
+  private static final String WATCH_PATH = "/watch";
   private static final int MICROS_PER_MILLI = 1000;
 
   private StoreMessages() {}
 
+  /** The path of one key; keys need no escapes. */
+  public static String keyPath(String key) {
+    return KEYS_PATH + "/" + key;
+  }
+
+  /** The path and query that list a page of keys. */
+  public static String listPath(Request.StoreList list) {
+    String firstPage =
+        KEYS_PATH
+            + ("?" + WireFields.QUERY_PREFIX + "=")
+            + UrlQuery.encode(list.prefix())
+            + ("&" + WireFields.QUERY_PAGE_SIZE + "=")
+            + list.limit();
+    return UrlQuery.withAfter(firstPage, list.after());
+  }
+
+  /** The path and query of a watch. */
+  public static String watchPath(Request.StoreWatch watch) {
+    return WATCH_PATH
+        + ("?" + WireFields.QUERY_PREFIX + "=")
+        + UrlQuery.encode(watch.prefix())
+        + ("&" + WireFields.QUERY_AFTER + "=")
+        + watch.after()
+        + ("&" + WireFields.QUERY_HOLD_MS + "=")
+        + watch.holdMicros() / MICROS_PER_MILLI;
+  }
+
+  /** The path of one lease, to revoke it. */
+  public static String leasePath(long lease) {
+    return LEASES_PATH + "/" + lease;
+  }
+
+  /** The path that renews a lease. */
+  public static String renewPath(long lease) {
+    return LEASES_PATH + "/" + lease + "/touch";
+  }
+
   /** Encodes a compare-and-swap of several keys. */
   public static byte[] encodeTransaction(Request.StoreTransaction transaction) {
     List<Object> conditions = new ArrayList<>();
--- a/src/main/java/org/eiderstair/protocol/WireFields.java
+++ b/src/main/java/org/eiderstair/protocol/WireFields.java
@@ -66,6 +66,10 @@
   static final String FAILED_KEYS = "failed";
   static final String ITEMS = "Entries";
   static final String CHANGES = "News";
+  static final String QUERY_PREFIX = "Under";
+  static final String QUERY_PAGE_SIZE = "Page";
+  static final String QUERY_AFTER = "From";
+  static final String QUERY_HOLD_MS = "HoldMs";
 
   // The cloud.
   static final String RENTAL_REQUEST = "Charter";
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -14,6 +14,12 @@
 
 /** Messages from and to workers: heartbeats, their answers, and commands. */
 public final class WorkerMessages {
+  /** Where a worker is asked for its status. */
+  public static final String STATUS_PATH = "/status";
+
+  /** Where a worker takes commands. */
+  public static final String COMMANDS_PATH = "/commands";
+
   private static final Map<String, TaskState> TASK_STATES =
       Map.of(
           "fetching",
