--- a/src/main/java/org/eiderstair/http/ClientConnection.java
+++ b/src/main/java/org/eiderstair/http/ClientConnection.java
@@ -1,6 +1,5 @@
 package org.eiderstair.http;
 
-import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.concurrent.Executor;
 import org.eclipse.jetty.http.HttpCompliance;
@@ -9,13 +8,11 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
-import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import org.eclipse.jetty.util.thread.Invocable;
 
 /** One connection to the state service, the cloud, a worker or a peer: one exchange at a time. */
-final class ClientConnection extends AbstractConnection implements HttpParser.ResponseHandler {
+final class ClientConnection extends ParsingConnection implements HttpParser.ResponseHandler {
   /** FREE may take an exchange; AWAITING_RESPONSE waits for its response. */
   private enum State {
     FREE,
@@ -23,7 +20,6 @@
     CLOSED
   }
 
-  private static final int MAX_HEAD_BYTES = 8 * 1024;
   private static final byte[] NO_BODY = new byte[0];
 
   /** Receives the events of a connection; the exchange is null when there was none. */
@@ -41,9 +37,6 @@
   }
 
   private final Owner owner;
-  private final Callback fillable =
-      Callback.from(
-          Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
   private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC7230);
   private final Body body = new Body();
   final Destination destination;
@@ -65,7 +58,7 @@
   public void onOpen() {
     super.onOpen();
     // Always reading, so that a connection that the other side closed is not used again.
-    fillInterested(fillable);
+    awaitInput();
     owner.opened(this);
   }
 
@@ -103,30 +96,15 @@
   }
 
   @Override
-  public void onFillable() {
-    ByteBuffer buffer = Buffers.in();
-    int room = buffer.capacity();
-    int filled = room;
-    try {
-      while (filled == room) {
-        buffer.position(0).limit(0);
-        filled = getEndPoint().fill(buffer);
-        if (filled < 0) {
-          parser.atEOF();
-        }
-        read(buffer);
-        if (filled < 0) {
-          close();
-          return;
-        }
-      }
-    } catch (IOException | RuntimeException e) {
-      close();
-      return;
-    }
-    if (getEndPoint().isOpen()) {
-      fillInterested(fillable);
-    }
+  boolean received(ByteBuffer input) {
+    read(input);
+    return true;
+  }
+
+  @Override
+  void endOfInput(ByteBuffer empty) {
+    parser.atEOF();
+    read(empty);
   }
 
   private void read(ByteBuffer buffer) {
@@ -165,11 +143,6 @@
     }
   }
 
-  @Override
-  public void onFillInterestedFailed(Throwable cause) {
-    close();
-  }
-
   @Override
   public void onClose(Throwable cause) {
     super.onClose(cause);
@@ -211,11 +184,6 @@
     return false;
   }
 
-  @Override
-  public boolean contentComplete() {
-    return false;
-  }
-
   @Override
   public boolean messageComplete() {
     interim = status < 200;
@@ -223,11 +191,6 @@
     return true;
   }
 
-  @Override
-  public void earlyEOF() {
-    close();
-  }
-
   @Override
   public void badMessage(HttpException failure) {
     close();
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -9,10 +9,8 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
-import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import org.eclipse.jetty.util.thread.Invocable;
 
 /**
  * One inbound connection of a user, a worker or another controller, with Jetty's parser directly on
@@ -20,7 +18,7 @@
  * more for each request, too much for a cold controller on a small machine (figures in
  * docs/operating.md).
  */
-final class ServerConnection extends AbstractConnection implements HttpParser.RequestHandler {
+final class ServerConnection extends ParsingConnection implements HttpParser.RequestHandler {
   /**
    * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has sent
    * its last answer, and discards a little more input so that the other side can read that answer.
@@ -32,7 +30,6 @@
     CLOSED
   }
 
-  private static final int MAX_HEAD_BYTES = 8 * 1024;
   private static final int MAX_DRAINED_BYTES = 512 * 1024;
   private static final long DRAIN_MS = 2000;
 
@@ -60,9 +57,6 @@
 
   private final Requests requests;
   private final ConnectionBudget budget;
-  private final Callback fillable =
-      Callback.from(
-          Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onFillInterestedFailed);
   private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC7230);
   private final Body body = new Body();
   private State state = State.READING;
@@ -95,7 +89,7 @@
   public void onOpen() {
     super.onOpen();
     getEndPoint().setIdleTimeout(IDLE_MS);
-    fillInterested(fillable);
+    awaitInput();
   }
 
   @Override
@@ -106,35 +100,26 @@
         return;
       }
     }
-    ByteBuffer buffer = Buffers.in();
-    int room = buffer.capacity();
-    int filled = room;
-    try {
-      while (filled == room) {
-        buffer.position(0).limit(0);
-        filled = getEndPoint().fill(buffer);
-        if (filled < 0) {
-          close();
-          return;
-        }
-        if (isIn(State.DRAINING)) {
-          drained += filled;
-          if (drained > MAX_DRAINED_BYTES) {
-            close();
-            return;
-          }
-        } else if (!read(buffer)) {
-          break;
-        }
-      }
-    } catch (IOException | RuntimeException e) {
+    super.onFillable();
+  }
+
+  @Override
+  boolean received(ByteBuffer input) {
+    return isIn(State.DRAINING) ? discard(input.remaining()) : read(input);
+  }
+
+  @Override
+  void endOfInput(ByteBuffer empty) {
+    // A request that was cut short gets no answer.
+  }
+
+  private boolean discard(int bytes) {
+    drained += bytes;
+    if (drained > MAX_DRAINED_BYTES) {
       close();
-      return;
-    }
-    // Registered now, also while an answer is awaited: doing so later would wake the selector.
-    if (getEndPoint().isOpen()) {
-      fillInterested(fillable);
+      return false;
     }
+    return true;
   }
 
   /** Parses; false once a request was dispatched, or no more input is wanted. */
@@ -245,7 +230,7 @@
     getEndPoint().setIdleTimeout(DRAIN_MS);
     getEndPoint().shutdownOutput();
     if (wasPaused) {
-      fillInterested(fillable);
+      awaitInput();
     }
   }
 
@@ -268,7 +253,7 @@
       read(more);
     }
     if (wasPaused) {
-      fillInterested(fillable);
+      awaitInput();
     }
   }
 
@@ -291,11 +276,6 @@
     }
   }
 
-  @Override
-  public void onFillInterestedFailed(Throwable cause) {
-    close();
-  }
-
   private void refuse(int status, String why) {
     changeState(State.ANSWERING);
     requests.refuse(this, method == null ? "" : method, path == null ? "" : path, status, why);
@@ -359,22 +339,12 @@
     return false;
   }
 
-  @Override
-  public boolean contentComplete() {
-    return false;
-  }
-
   @Override
   public boolean messageComplete() {
     requestComplete = isIn(State.READING);
     return true;
   }
 
-  @Override
-  public void earlyEOF() {
-    close();
-  }
-
   @Override
   public void badMessage(HttpException failure) {
     if (isIn(State.READING)) {
