--- a/src/main/java/org/eiderstair/http/Destination.java
+++ b/src/main/java/org/eiderstair/http/Destination.java
@@ -33,8 +33,12 @@
 
   private static boolean isLiteral(String host) {
     for (int i = 0; i < host.length(); i++) {
-      char c = host.charAt(i);
-      if (c != '.' && c != ':' && c != '[' && c != ']' && Character.digit(c, 16) < 0) {
+      char character = host.charAt(i);
+      if (character != '.'
+          && character != ':'
+          && character != '['
+          && character != ']'
+          && Character.digit(character, 16) < 0) {
         return false;
       }
     }
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -35,7 +35,7 @@
   private final BiConsumer<Long, Reply> replies;
   // Guarded by this: the core's thread sends, the selector's thread receives.
   private final Map<String, Destination> destinations = new HashMap<>();
-  private final Set<Exchange> underWay = new LinkedHashSet<>();
+  private final Set<Exchange> inFlight = new LinkedHashSet<>();
   private long nextExpireMicros;
 
   /**
@@ -46,7 +46,7 @@
   private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
   /** Destinations whose requests wait for a socket of the commands' share. */
-  private final Set<Destination> starved = new LinkedHashSet<>();
+  private final Set<Destination> awaitingSocket = new LinkedHashSet<>();
 
   private final ConnectionBudget budget;
 
@@ -101,11 +101,12 @@
         exchange.ended = true;
       } else {
         destination.waiting.add(exchange);
-        connect = wantsConnection(destination);
-        evicted = connect == null && starved.contains(destination) ? takeIdleLongest() : null;
+        connect = reserveConnection(destination);
+        evicted =
+            connect == null && awaitingSocket.contains(destination) ? takeIdleLongest() : null;
       }
       if (!exchange.ended) {
-        underWay.add(exchange);
+        inFlight.add(exchange);
       }
     }
     if (exchange.ended) {
@@ -120,12 +121,12 @@
   }
 
   /** Guarded by this: counts a connection that is to be made now, if one is. */
-  private Destination wantsConnection(Destination destination) {
+  private Destination reserveConnection(Destination destination) {
     if (destination.waiting.isEmpty() || destination.connections >= MAX_CONNECTIONS) {
       return null;
     }
     if (isWorkerAddress(destination.address) && !budget.openCommand()) {
-      starved.add(destination);
+      awaitingSocket.add(destination);
       return null;
     }
     destination.connections++;
@@ -140,16 +141,16 @@
     if (isWorkerAddress(destination.address)) {
       budget.closeCommand();
     }
-    Destination connect = wantsConnection(destination);
-    return connect != null ? connect : nextStarved();
+    Destination connect = reserveConnection(destination);
+    return connect != null ? connect : reserveForLongestWaiting();
   }
 
   /**
    * Guarded by this: counts a connection for the destination that has waited longest for one; null
    * if none waits or no socket is left.
    */
-  private Destination nextStarved() {
-    for (Iterator<Destination> it = starved.iterator(); it.hasNext(); ) {
+  private Destination reserveForLongestWaiting() {
+    for (Iterator<Destination> it = awaitingSocket.iterator(); it.hasNext(); ) {
       Destination next = it.next();
       if (next.waiting.isEmpty()) {
         it.remove();
@@ -218,13 +219,13 @@
   private boolean end(Exchange exchange) {
     boolean endsNow = !exchange.ended;
     exchange.ended = true;
-    underWay.remove(exchange);
+    inFlight.remove(exchange);
     return endsNow;
   }
 
   private void forgetIfUnused(Destination destination) {
     if (destination.unused()) {
-      starved.remove(destination);
+      awaitingSocket.remove(destination);
       destinations.remove(destination.address, destination);
     }
   }
@@ -247,7 +248,7 @@
         connection.destination.free.addFirst(connection);
         if (isWorkerAddress(connection.destination.address)) {
           idle.add(connection);
-          boolean excess = !starved.isEmpty() || idle.size() > budget.maxIdleCommands();
+          boolean excess = !awaitingSocket.isEmpty() || idle.size() > budget.maxIdleCommands();
           tooMany = excess ? takeIdleLongest() : null;
         }
       } else {
@@ -318,10 +319,12 @@
       while (idle.size() > maxIdle) {
         evicted.add(takeIdleLongest());
       }
-      for (Destination next = nextStarved(); next != null; next = nextStarved()) {
+      for (Destination next = reserveForLongestWaiting();
+          next != null;
+          next = reserveForLongestWaiting()) {
         connects.add(next);
       }
-      for (Iterator<Exchange> it = underWay.iterator(); it.hasNext(); ) {
+      for (Iterator<Exchange> it = inFlight.iterator(); it.hasNext(); ) {
         Exchange exchange = it.next();
         if (nowMicros >= exchange.deadlineMicros) {
           it.remove();
--- a/src/main/java/org/eiderstair/http/HttpHeads.java
+++ b/src/main/java/org/eiderstair/http/HttpHeads.java
@@ -78,11 +78,11 @@
   /** Only what this program makes itself comes here: paths are encoded and hosts are numbers. */
   private static void put(ByteBuffer to, String text) {
     for (int i = 0; i < text.length(); i++) {
-      char c = text.charAt(i);
-      if (c <= ' ' || c > '~') {
+      char character = text.charAt(i);
+      if (character <= ' ' || character > '~') {
         throw new IllegalArgumentException("not for a head: " + text);
       }
-      to.put((byte) c);
+      to.put((byte) character);
     }
   }
 
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -20,8 +20,8 @@
  */
 final class ServerConnection extends ParsingConnection implements HttpParser.RequestHandler {
   /**
-   * READING takes a request; ANSWERING has handed it over and reads nothing more; DRAINING has sent
-   * its last answer, and discards a little more input so that the other side can read that answer.
+   * READING takes a request; ANSWERING has dispatched it and reads no more; DRAINING has sent its
+   * last answer, and discards a little more input so that the other side can read that answer.
    */
   private enum State {
     READING,
--- a/src/main/java/org/eiderstair/http/Sockets.java
+++ b/src/main/java/org/eiderstair/http/Sockets.java
@@ -76,9 +76,9 @@
   }
 
   private static Thread timerThread(Runnable work) {
-    Thread made = new Thread(work, "timer");
-    made.setDaemon(true);
-    return made;
+    Thread thread = new Thread(work, "timer");
+    thread.setDaemon(true);
+    return thread;
   }
 
   /**
@@ -98,7 +98,7 @@
     return bound;
   }
 
-  /** Opens a connection; {@code failed} is told when that cannot be. */
+  /** Opens a connection; {@code failed} receives the cause if that fails. */
   void connect(
       SocketAddress address, ClientConnectionFactory connections, Consumer<Throwable> failed) {
     connect(address, context(connections, failed));
@@ -141,7 +141,7 @@
       Sockets.this.accept(
           channel,
           context(
-              (endPoint, c) ->
+              (endPoint, unused) ->
                   new ServerConnection(endPoint, getExecutor(), port.requests, port.budget),
               why -> port.budget.closeInbound(ConnectionBudget.InboundUse.USER)));
     }
--- a/src/main/java/org/eiderstair/node/OverloadDetector.java
+++ b/src/main/java/org/eiderstair/node/OverloadDetector.java
@@ -35,7 +35,7 @@
    * Looks at the queue.
    *
    * @param waitingEvents how many events still wait after a batch
-   * @return what the core is to be told; null if there is nothing new
+   * @return the event for the core; null if there is nothing new
    */
   Event.Overloaded check(int waitingEvents, long nowMicros) {
     if (waitingEvents <= MAX_WAITING_EVENTS) {
