--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -307,45 +307,65 @@
    * connects where there was no socket before.
    */
   public void expire(long nowMicros) {
-    List<Exchange> expired = null;
-    List<ClientConnection> evicted = new ArrayList<>();
-    List<Destination> connects = new ArrayList<>();
+    List<ClientConnection> evicted;
+    List<Destination> connects;
+    List<Exchange> expired;
     synchronized (this) {
       if (nowMicros < nextExpireMicros) {
         return;
       }
       nextExpireMicros = nowMicros + EXPIRE_EVERY_MICROS;
-      int maxIdle = budget.maxIdleCommands();
-      while (idle.size() > maxIdle) {
-        evicted.add(takeIdleLongest());
-      }
-      for (Destination next = reserveForLongestWaiting();
-          next != null;
-          next = reserveForLongestWaiting()) {
-        connects.add(next);
-      }
-      for (Iterator<Exchange> it = inFlight.iterator(); it.hasNext(); ) {
-        Exchange exchange = it.next();
-        if (nowMicros >= exchange.deadlineMicros) {
-          it.remove();
-          exchange.ended = true;
-          exchange.destination.waiting.remove(exchange);
-          forgetIfUnused(exchange.destination);
-          expired = expired == null ? new ArrayList<>() : expired;
-          expired.add(exchange);
-        }
-      }
+      evicted = takeExcessIdle();
+      connects = reserveForAllWaiting();
+      expired = takeExpired(nowMicros);
     }
     evicted.forEach(ClientConnection::close);
     connects.forEach(this::connect);
-    if (expired != null) {
-      for (Exchange exchange : expired) {
-        if (exchange.connection != null) {
-          exchange.connection.close();
-        }
-        fail(exchange, "timeout");
+    expired.forEach(this::timeOut);
+  }
+
+  /** Guarded by this. */
+  private List<ClientConnection> takeExcessIdle() {
+    List<ClientConnection> excess = new ArrayList<>();
+    int maxIdle = budget.maxIdleCommands();
+    while (idle.size() > maxIdle) {
+      excess.add(takeIdleLongest());
+    }
+    return excess;
+  }
+
+  /** Guarded by this: as many as there are sockets for. */
+  private List<Destination> reserveForAllWaiting() {
+    List<Destination> reserved = new ArrayList<>();
+    Destination next = reserveForLongestWaiting();
+    while (next != null) {
+      reserved.add(next);
+      next = reserveForLongestWaiting();
+    }
+    return reserved;
+  }
+
+  /** Guarded by this: ends the exchanges whose deadline has passed. */
+  private List<Exchange> takeExpired(long nowMicros) {
+    List<Exchange> expired = new ArrayList<>();
+    for (Iterator<Exchange> it = inFlight.iterator(); it.hasNext(); ) {
+      Exchange exchange = it.next();
+      if (nowMicros >= exchange.deadlineMicros) {
+        it.remove();
+        exchange.ended = true;
+        exchange.destination.waiting.remove(exchange);
+        forgetIfUnused(exchange.destination);
+        expired.add(exchange);
       }
     }
+    return expired;
+  }
+
+  private void timeOut(Exchange exchange) {
+    if (exchange.connection != null) {
+      exchange.connection.close();
+    }
+    fail(exchange, "timeout");
   }
 
   private void complete(Exchange exchange, int status, byte[] content) {
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -66,22 +66,7 @@
             time * 1000 - CoreLoop.nowMicros(),
             random::nextInt,
             loop::effect);
-    loop.attach(
-        core,
-        effect -> {
-          // Checked again here: on a small machine seconds may lie between a decision and its
-          // effect.
-          long now = CoreLoop.nowMicros();
-          if (effect instanceof Effect.Call call) {
-            if (call.isExpired(now)) {
-              loop.offer(new Event.ReplyReceived(call.callId(), Effect.Call.EXPIRED));
-            } else {
-              outbound.send(call.callId(), call.request());
-            }
-          } else if (effect instanceof Effect.Respond respond) {
-            inbound.respond(respond.exchange(), respond.answerAt(now));
-          }
-        });
+    loop.attach(core, effect -> execute(effect, loop, outbound, inbound));
     loop.timeouts(outbound::expire);
     loop.refusedConnections(budget::takeRefusals);
     loop.refuseLate(inbound::refusedAsLate);
@@ -92,6 +77,24 @@
     LOG.info("node {} listens on port {}", config.settings().node(), port);
   }
 
+  /**
+   * Sends a request or an answer. Deadlines are checked again here: on a small machine seconds may
+   * lie between a decision and its effect.
+   */
+  private static void execute(
+      Effect effect, CoreLoop loop, HttpClientPool outbound, HttpRequestRouter inbound) {
+    long now = CoreLoop.nowMicros();
+    if (effect instanceof Effect.Call call) {
+      if (call.isExpired(now)) {
+        loop.offer(new Event.ReplyReceived(call.callId(), Effect.Call.EXPIRED));
+      } else {
+        outbound.send(call.callId(), call.request());
+      }
+    } else if (effect instanceof Effect.Respond respond) {
+      inbound.respond(respond.exchange(), respond.answerAt(now));
+    }
+  }
+
   private static Thread ioThread(Runnable work) {
     Thread thread = new Thread(work, "io");
     thread.setDaemon(true);
