--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -39,7 +39,7 @@
   private static final long QUIET_PASS_MICROS = 1_000_000;
 
   /** A scheduling pass that is late by so much shows that there is more to do than can be done. */
-  private static final long OVERLOADED_AFTER_MICROS = 60_000;
+  private static final long LATE_PASS_MICROS = 60_000;
 
   private static final long SUMMARY_INTERVAL_MICROS = 10_000_000;
   private static final long REACHABILITY_INTERVAL_MICROS = 500_000;
@@ -147,7 +147,7 @@
     if (!started && !startOnceSynchronized()) {
       return;
     }
-    workers.tick(now, isOverloaded());
+    workers.tick(now, isPassLate());
     if (resignIfMachinesAreSilent() || resignIfMachinesReachPeersOnly()) {
       return;
     }
@@ -179,8 +179,8 @@
     return true;
   }
 
-  private boolean isOverloaded() {
-    return now > passDueMicros() + OVERLOADED_AFTER_MICROS;
+  private boolean isPassLate() {
+    return now > passDueMicros() + LATE_PASS_MICROS;
   }
 
   private boolean resignIfMachinesAreSilent() {
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -11,6 +11,7 @@
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
 import org.eiderstair.core.capacity.Demand;
 import org.eiderstair.core.leadership.Leadership;
+import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.EffectSink;
 import org.eiderstair.core.message.ReplicationBatch;
@@ -284,6 +285,18 @@
     sink.replied(list.callId(), new Reply.Listed(List.of(), false, versions));
   }
 
+  /** A membership that has no peers to ask. */
+  public static Membership membershipWithoutPeers() {
+    return new Membership(
+        "n0",
+        List.of(),
+        Map.of(),
+        "run",
+        3_000_000,
+        (peer, run, after, callback) -> {},
+        text -> {});
+  }
+
   /** Adds confirmed machines of the default type that hold nothing. */
   public void machines(int count) {
     for (int i = 0; i < count; i++) {
--- a/src/test/java/org/eiderstair/core/LeaderTermTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.Answer;
@@ -37,15 +36,7 @@
     bench.load();
     bench.replica.tick(bench.now);
     long term = bench.replica.revision() + 50;
-    Membership membership =
-        new Membership(
-            "n0",
-            List.of(),
-            Map.of(),
-            "run",
-            3_000_000,
-            (peer, run, after, callback) -> {},
-            text -> {});
+    Membership membership = LeaderBench.membershipWithoutPeers();
     LeaderTerm leaderTerm =
         new LeaderTerm(
             bench.settings,
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Map;
 import net.jqwik.api.Example;
 import org.eiderstair.core.LeaderBench;
 import org.eiderstair.core.membership.Membership;
@@ -23,15 +22,7 @@
 /** How the leader treats rentals, its own and those of earlier terms. */
 class CapacityManagerTest {
   private final LeaderBench bench = new LeaderBench();
-  private final Membership membership =
-      new Membership(
-          "n0",
-          List.of(),
-          Map.of(),
-          "run",
-          3_000_000,
-          (peer, run, after, callback) -> {},
-          text -> {});
+  private final Membership membership = LeaderBench.membershipWithoutPeers();
   private StateWriter stateWriter;
   private CapacityManager capacity;
 
--- a/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
@@ -29,15 +29,7 @@
 
   private final LeaderBench bench = new LeaderBench();
   private final CapacityClock clock = new CapacityClock();
-  private final Membership membership =
-      new Membership(
-          "n0",
-          List.of(),
-          Map.of(),
-          "run",
-          3 * SECOND,
-          (peer, run, after, callback) -> {},
-          text -> {});
+  private final Membership membership = LeaderBench.membershipWithoutPeers();
   private final RentalOptionSelector selector =
       new RentalOptionSelector(bench.replica, membership, clock);
 
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -55,18 +55,7 @@
             }
           });
   private final Replica replica = new Replica(settings, sink, new IgnoringReplicaListener(), 0);
-  private final WorkerManager workers =
-      new WorkerManager(
-          settings,
-          sink,
-          replica,
-          leadership(),
-          null,
-          new AvailableMachines(10),
-          new TeamQuotas(settings),
-          new Standby("n0", "run", text -> {}),
-          new OverloadMonitor(settings, sink),
-          1);
+  private final WorkerManager workers = workersOn(sink);
   private final Machine machine = new Machine("m", 1, Machine.Phase.CONFIRMED, 0);
   private final TaskId task = new TaskId("job-1", 0);
   private Job job;
@@ -106,6 +95,20 @@
         "m", "x", "t", "a", true, incarnation, sequence, fencingToken, notice, List.of(entries));
   }
 
+  private WorkerManager workersOn(EffectSink effects) {
+    return new WorkerManager(
+        settings,
+        effects,
+        replica,
+        leadership(),
+        null,
+        new AvailableMachines(10),
+        new TeamQuotas(settings),
+        new Standby("n0", "run", text -> {}),
+        new OverloadMonitor(settings, effects),
+        1);
+  }
+
   @Example
   void aReportWhileACommandIsOnItsWayDoesNotFreeItsTask() {
     launched(Attempt.Phase.SENT);
@@ -182,18 +185,7 @@
     // And every answer and command of the leader bears such a time.
     List<Effect> sent = new ArrayList<>();
     EffectSink sending = new EffectSink(sent::add);
-    WorkerManager other =
-        new WorkerManager(
-            settings,
-            sending,
-            replica,
-            leadership(),
-            null,
-            new AvailableMachines(10),
-            new TeamQuotas(settings),
-            new Standby("n0", "run", text -> {}),
-            new OverloadMonitor(settings, sending),
-            1);
+    WorkerManager other = workersOn(sending);
     launched(Attempt.Phase.REPORTED);
     other.add(machine);
     other.receive(9, report(1, 1, machine.fencingToken(), -1), false, 1_000_000);
