--- a/src/main/java/org/eiderstair/core/ReachMonitor.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -1,16 +1,18 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import org.eiderstair.core.membership.Membership;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.settings.Settings;
 
 /** Whether the machines still reach this leader, as far as their reports tell. */
-final class ReachMonitor {
+public final class WorkerReachability {
   private static final long OUT_OF_REACH_MICROS = 2_500_000;
   private static final int FEW = 3;
   private static final long QUIET_MICROS = 1_500_000;
   private static final int REPORTS = 10;
 
   private final Settings settings;
-  private final LeaderTime time;
+  private final EventTime time;
   private final WorkerRegistry registry;
 
   /** Reports that came from machines themselves, not through a peer, since the window began. */
@@ -20,7 +22,7 @@
   private long sinceMicros;
   private boolean unreached;
 
-  ReachMonitor(Settings settings, LeaderTime time, WorkerRegistry registry) {
+  WorkerReachability(Settings settings, EventTime time, WorkerRegistry registry) {
     this.settings = settings;
     this.time = time;
     this.registry = registry;
@@ -41,7 +43,7 @@
    * fleet take, less than a tenth of them came. That alone may be the machines' fault as well as
    * its own: peers tell.
    */
-  boolean unreached() {
+  public boolean unreached() {
     long now = time.nowMicros();
     long window =
         Math.max(
@@ -61,7 +63,7 @@
   }
 
   /** How many machines that this leader knows a peer hears. */
-  int heardBy(Membership membership) {
+  public int heardBy(Membership membership) {
     return membership.heardElsewhere(
         id -> {
           Machine m = registry.machines().get(id);
@@ -74,14 +76,14 @@
    * hardly any is not. Dead machines alone do not look like that, and relayed reports count as
    * heard.
    */
-  boolean outOfReach() {
+  public boolean outOfReach() {
     long patience = settings.reportMicros() * 3 / 2 + OUT_OF_REACH_MICROS;
     long now = time.nowMicros();
     int silent = 0;
     int heard = 0;
     for (Machine m : registry.machines().values()) {
-      if (m.phase == Machine.Phase.HEARD || m.phase == Machine.Phase.FENCING) {
-        if (now > m.heardMicros + patience) {
+      if (m.phase == Machine.Phase.CONFIRMED || m.phase == Machine.Phase.FENCING) {
+        if (now > m.lastHeartbeatMicros + patience) {
           silent++;
         } else {
           heard++;
--- a/src/main/java/org/eiderstair/core/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,6 +7,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.eiderstair.core.leadership.FailoverTimeline;
+import org.eiderstair.core.model.Machine;
+import org.eiderstair.core.model.MachineType;
+import org.eiderstair.core.state.Replica;
 
 /**
  * The machines that the leader of one term knows, by name and by what is known of them. The sets
@@ -14,10 +18,10 @@
  */
 final class WorkerRegistry {
   /** Far more than can still be on their way in late reports or lists. */
-  private static final int MOST_GONE = 10_000;
+  private static final int MAX_TERMINATED = 10_000;
 
   private final Replica replica;
-  private final LeaderTime time;
+  private final EventTime time;
   private final long term;
   private final Map<String, Machine> machines = new LinkedHashMap<>();
 
@@ -44,7 +48,7 @@
   private Predicate<String> leaving = id -> false;
   private FailoverTimeline failover;
 
-  WorkerRegistry(Replica replica, LeaderTime time, long term) {
+  WorkerRegistry(Replica replica, EventTime time, long term) {
     this.replica = replica;
     this.time = time;
     this.term = term;
@@ -75,12 +79,12 @@
     return queueable;
   }
 
-  boolean isGone(String id) {
+  boolean isTerminated(String id) {
     return gone.contains(id);
   }
 
   /** How many machines hold something that only they, or the standby's picture, can tell. */
-  int notHeard() {
+  int unconfirmedCount() {
     return unconfirmed.size() + recovered.size();
   }
 
@@ -99,7 +103,7 @@
     m.phase = next;
     enter(m);
     if (failover != null) {
-      failover.unconfirmed(notHeard(), time.nowMicros());
+      failover.unconfirmed(unconfirmedCount(), time.nowMicros());
     }
   }
 
@@ -111,8 +115,8 @@
         fencing.add(m);
         leased.add(m);
       }
-      case HEARD -> leased.add(m);
-      case BOOTING, LOST, GONE -> {}
+      case CONFIRMED -> leased.add(m);
+      case BOOTING, LEASE_EXPIRED, TERMINATED -> {}
     }
     updateQueueable(m);
   }
@@ -125,7 +129,7 @@
   }
 
   void updateQueueable(Machine m) {
-    boolean open = m.known() && m.plan == Machine.Plan.USE && m.rostered && m.type != null;
+    boolean open = m.known() && m.plan == Machine.Plan.ACTIVE && m.registered && m.type != null;
     if (open == m.queueableIndex >= 0) {
       return;
     }
@@ -151,7 +155,7 @@
     Machine m = new Machine(id, term, Machine.Phase.BOOTING, time.nowMicros());
     describe(m, address, type, zone, spot);
     if (leaving.test(id)) {
-      m.plan = Machine.Plan.DELETE;
+      m.plan = Machine.Plan.TERMINATE;
     }
     add(m);
     return m;
@@ -182,11 +186,11 @@
   Machine remove(String id) {
     Machine m = machines.remove(id);
     gone.add(id);
-    if (gone.size() > MOST_GONE) {
+    if (gone.size() > MAX_TERMINATED) {
       gone.remove(gone.iterator().next());
     }
     if (m != null) {
-      become(m, Machine.Phase.GONE);
+      become(m, Machine.Phase.TERMINATED);
     }
     return m;
   }
--- a/src/main/java/org/eiderstair/http/HttpClientPool.java
+++ b/src/main/java/org/eiderstair/http/HttpClientPool.java
@@ -11,12 +11,12 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.Request;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
 import org.eiderstair.peer.PeerMessages;
 import org.eiderstair.protocol.CloudMessages;
-import org.eiderstair.protocol.Malformed;
-import org.eiderstair.protocol.Pack;
+import org.eiderstair.protocol.MalformedMessageException;
+import org.eiderstair.protocol.MessagePackCodec;
 import org.eiderstair.protocol.StoreMessages;
 import org.eiderstair.protocol.WorkerMessages;
 import org.slf4j.Logger;
@@ -43,17 +43,18 @@
 
   /** How a 200 (or a 409) is read. */
   private interface Reader {
-    Reply read(byte[] content) throws Malformed;
+    Reply read(byte[] content) throws MalformedMessageException;
   }
 
   /** The same, for what is read from a map. */
   private interface MapReader {
-    Reply read(Map<String, Object> message) throws Malformed;
+    Reply read(Map<String, Object> message) throws MalformedMessageException;
 
     static Reader of(MapReader reader) {
       return reader == null
           ? null
-          : content -> reader.read(content.length == 0 ? Map.of() : Pack.readMap(content));
+          : content ->
+              reader.read(content.length == 0 ? Map.of() : MessagePackCodec.readMap(content));
     }
   }
 
@@ -103,7 +104,7 @@
       dispatch(call, request);
     } catch (RuntimeException e) {
       LOG.error("cannot send {}", request, e);
-      replies.accept(call, new Reply.Lost(e.toString()));
+      replies.accept(call, new Reply.NoResponse(e.toString()));
     }
   }
 
@@ -156,7 +157,7 @@
           STORE_MICROS,
           StoreMessages::leaseGranted,
           null);
-    } else if (request instanceof Request.LeaseTouch touch) {
+    } else if (request instanceof Request.LeaseRenew touch) {
       exchange(
           call,
           state,
@@ -166,7 +167,7 @@
           STORE_MICROS,
           m -> new Reply.Applied(0),
           null);
-    } else if (request instanceof Request.LeaseDrop drop) {
+    } else if (request instanceof Request.LeaseRevoke drop) {
       exchange(
           call,
           state,
@@ -220,7 +221,7 @@
           c.address(),
           POST,
           "/commands",
-          WorkerMessages.command(c.token(), c.session(), c.orders()),
+          WorkerMessages.command(c.fencingToken(), c.incarnation(), c.orders()),
           WORKER_MICROS,
           content -> new Reply.Report(WorkerMessages.report(content), true),
           content -> new Reply.Report(WorkerMessages.report(content), false));
@@ -232,9 +233,9 @@
           PeerMessages.RELAY_PATH,
           PeerMessages.report(relay.report()),
           content -> new Reply.Relayed(PeerMessages.answer(content)));
-    } else if (request instanceof Request.PeerAsk ask) {
+    } else if (request instanceof Request.PeerStateServiceStatus ask) {
       peer(call, ask.peer(), GET, PeerMessages.STANDING_PATH, null, PeerMessages::standing);
-    } else if (request instanceof Request.PeerHeard heard) {
+    } else if (request instanceof Request.PeerMembership heard) {
       peer(
           call,
           heard.peer(),
@@ -242,7 +243,7 @@
           PeerMessages.HEARD_PATH,
           PeerMessages.heardAsk(heard.run(), heard.after()),
           PeerMessages::heard);
-    } else if (request instanceof Request.PeerStandby told) {
+    } else if (request instanceof Request.PeerReplicate told) {
       peer(
           call,
           told.peer(),
@@ -250,7 +251,7 @@
           PeerMessages.STANDBY_PATH,
           PeerMessages.standby(told.batch()),
           PeerMessages::standbyAck);
-    } else if (request instanceof Request.PeerCancelled told) {
+    } else if (request instanceof Request.PeerCancellations told) {
       peer(
           call,
           told.peer(),
@@ -265,14 +266,14 @@
 
   /** How a peer's 200 is read. */
   private interface PeerReader {
-    Reply read(byte[] content) throws Malformed;
+    Reply read(byte[] content) throws MalformedMessageException;
   }
 
   private void peer(
       long call, String name, String method, String path, byte[] body, PeerReader reader) {
     String address = peers.get(name);
     if (address == null) {
-      replies.accept(call, new Reply.Lost("unknown node " + name));
+      replies.accept(call, new Reply.NoResponse("unknown node " + name));
       return;
     }
     send(
@@ -287,15 +288,15 @@
             try {
               replies.accept(
                   call, status == 200 ? reader.read(content) : new Reply.Refused(status));
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
               LOG.error("unreadable answer of {}: {}", name, e.getMessage());
-              replies.accept(call, new Reply.Lost(e.getMessage()));
+              replies.accept(call, new Reply.NoResponse(e.getMessage()));
             }
           }
 
           @Override
           public void failed(String why) {
-            replies.accept(call, new Reply.Lost(why));
+            replies.accept(call, new Reply.NoResponse(why));
           }
         });
   }
@@ -340,7 +341,7 @@
 
           @Override
           public void failed(String why) {
-            replies.accept(call, new Reply.Lost(why));
+            replies.accept(call, new Reply.NoResponse(why));
           }
         });
   }
@@ -551,15 +552,15 @@
         return conflict.read(content);
       }
       if (status == 404 && path.startsWith("/store/")) {
-        return StoreMessages.missing(Pack.readMap(content));
+        return StoreMessages.missing(MessagePackCodec.readMap(content));
       }
       if (status >= 500 && status != 503) {
-        return new Reply.Lost("status " + status);
+        return new Reply.NoResponse("status " + status);
       }
       return new Reply.Refused(status);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       LOG.error("unreadable answer to {}: {}", path, e.getMessage());
-      return new Reply.Lost(e.getMessage());
+      return new Reply.NoResponse(e.getMessage());
     }
   }
 }
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import org.eiderstair.core.Answer;
-import org.eiderstair.core.Event;
-import org.eiderstair.core.JobSpec;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.peer.PeerMessages;
-import org.eiderstair.protocol.Malformed;
-import org.eiderstair.protocol.Pack;
+import org.eiderstair.protocol.MalformedMessageException;
+import org.eiderstair.protocol.MessagePackCodec;
 import org.eiderstair.protocol.UserMessages;
 import org.eiderstair.protocol.WorkerMessages;
 
@@ -31,7 +31,7 @@
 
   /** What to do with a body once it has been read. */
   private interface BodyUse {
-    void accept(long exchange, byte[] body) throws Malformed;
+    void accept(long exchange, byte[] body) throws MalformedMessageException;
   }
 
   private final Consumer<Event> events;
@@ -85,7 +85,7 @@
   private final class Others extends Served {
     @Override
     public int mostBytes(String path) {
-      return UserMessages.MOST_BYTES;
+      return UserMessages.MAX_BYTES;
     }
 
     @Override
@@ -100,8 +100,12 @@
                 method,
                 "POST",
                 body,
-                (id, b) -> events.accept(new Event.Reported(id, WorkerMessages.report(b), false)));
-        case WORK -> with(exchange, method, "POST", body, (id, b) -> submit(id, Pack.readMap(b)));
+                (id, b) ->
+                    events.accept(
+                        new Event.HeartbeatReceived(id, WorkerMessages.report(b), false)));
+        case WORK ->
+            with(
+                exchange, method, "POST", body, (id, b) -> submit(id, MessagePackCodec.readMap(b)));
         default -> job(exchange, path, method, body);
       }
     }
@@ -111,14 +115,19 @@
   private final class Peers extends Served {
     @Override
     public int mostBytes(String path) {
-      return PeerMessages.MOST_BYTES;
+      return PeerMessages.MAX_BYTES;
     }
 
     @Override
     public void request(ServerConnection from, String method, String path, byte[] body) {
       Open exchange = new Open(from, true);
       if (path.equals(PeerMessages.STANDING_PATH)) {
-        with(exchange, method, "GET", body, (id, b) -> events.accept(new Event.PeerAsked(id)));
+        with(
+            exchange,
+            method,
+            "GET",
+            body,
+            (id, b) -> events.accept(new Event.StateServiceStatusRequested(id)));
       } else if (path.equals(PeerMessages.HEARD_PATH)) {
         with(
             exchange,
@@ -132,21 +141,23 @@
             method,
             "POST",
             body,
-            (id, b) -> events.accept(new Event.StandbyTold(id, PeerMessages.standby(b))));
+            (id, b) -> events.accept(new Event.ReplicationReceived(id, PeerMessages.standby(b))));
       } else if (path.equals(PeerMessages.CANCELLED_PATH)) {
         with(
             exchange,
             method,
             "POST",
             body,
-            (id, b) -> events.accept(new Event.PeerCancelled(id, PeerMessages.cancelled(b))));
+            (id, b) ->
+                events.accept(new Event.CancellationsReceived(id, PeerMessages.cancelled(b))));
       } else if (path.equals(PeerMessages.RELAY_PATH)) {
         with(
             exchange,
             method,
             "POST",
             body,
-            (id, b) -> events.accept(new Event.Reported(id, PeerMessages.report(b), true)));
+            (id, b) ->
+                events.accept(new Event.HeartbeatReceived(id, PeerMessages.report(b), true)));
       } else {
         fail(from, 404, "no such path");
       }
@@ -170,7 +181,7 @@
     }
   }
 
-  private void with(Open exchange, String method, String allowed, byte[] body, BodyUse then) {
+  private void with(Open exchange, String method, String allowed, byte[] body, BodyUse callback) {
     if (!method.equals(allowed)) {
       exchange
           .connection()
@@ -180,19 +191,19 @@
     long id = lastExchange.incrementAndGet();
     open.put(id, exchange);
     try {
-      then.accept(id, body);
-    } catch (Malformed e) {
+      callback.accept(id, body);
+    } catch (MalformedMessageException e) {
       respond(id, new Answer.Failure(400, e.getMessage(), 0));
     }
   }
 
-  private void submit(long exchange, Map<String, Object> message) throws Malformed {
+  private void submit(long exchange, Map<String, Object> message) throws MalformedMessageException {
     String id = UserMessages.id(message);
     JobSpec spec = null;
     String fault = null;
     try {
       spec = UserMessages.spec(message);
-    } catch (Malformed e) {
+    } catch (MalformedMessageException e) {
       fault = e.getMessage();
     }
     events.accept(new Event.Submit(exchange, id, spec, fault));
@@ -205,20 +216,20 @@
       return;
     }
     ServerConnection to = exchange.connection();
-    if (answer instanceof Answer.Standing standing) {
+    if (answer instanceof Answer.StateServiceStatus standing) {
       write(to, 200, PeerMessages.standing(standing));
-    } else if (answer instanceof Answer.Heard heard) {
+    } else if (answer instanceof Answer.ReachableWorkers heard) {
       write(to, 200, PeerMessages.heard(heard.hearing()));
-    } else if (answer instanceof Answer.StandbyAck acked) {
+    } else if (answer instanceof Answer.ReplicationAck acked) {
       write(to, 200, PeerMessages.standbyAck(acked.ack()));
-    } else if (answer instanceof Answer.Noted) {
+    } else if (answer instanceof Answer.Acknowledged) {
       write(to, 200, NOTHING);
     } else if (exchange.ofPeer()) {
       write(to, 200, PeerMessages.answer(answer));
     } else if (answer instanceof Answer.JobView view) {
       write(to, view.status(), UserMessages.view(view));
     } else if (answer instanceof Answer.Command command) {
-      write(to, 200, WorkerMessages.orders(command.token(), command.orders()));
+      write(to, 200, WorkerMessages.orders(command.fencingToken(), command.orders()));
     } else if (answer instanceof Answer.Redirect redirect) {
       write(to, 421, WorkerMessages.redirect(redirect.node()));
     } else if (answer instanceof Answer.Ready ready) {
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.eiderstair.core.Core;
-import org.eiderstair.core.Effect;
-import org.eiderstair.core.Event;
+import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Event;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -52,7 +52,7 @@
 
   /** Hands an event to the core's thread; may be called from any thread. */
   public void offer(Event event) {
-    if (event instanceof Event.Replied) {
+    if (event instanceof Event.ReplyReceived) {
       outcomes.add(event);
       // Wakes the core when nothing else does.
       if (events.isEmpty()) {
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -5,8 +5,8 @@
 import org.apache.commons.rng.core.source64.XoRoShiRo128PlusPlus;
 import org.eiderstair.config.NodeConfig;
 import org.eiderstair.core.Core;
-import org.eiderstair.core.Effect;
-import org.eiderstair.core.Event;
+import org.eiderstair.core.message.Effect;
+import org.eiderstair.core.message.Event;
 import org.eiderstair.http.HttpClientPool;
 import org.eiderstair.http.HttpRequestRouter;
 import org.eiderstair.http.Sockets;
@@ -53,12 +53,12 @@
             config.peerAddresses(),
             mostIdle,
             CoreLoop::nowMicros,
-            (call, reply) -> loop.offer(new Event.Replied(call, reply)));
+            (call, reply) -> loop.offer(new Event.ReplyReceived(call, reply)));
     // Runs of one node differ in their time or their process; nothing here needs to be hard to
     // guess.
     long time = System.currentTimeMillis();
     long process = ProcessHandle.current().pid();
-    String incarnation =
+    String runId =
         Long.toHexString(time) + "-" + process + "-" + Long.toHexString(System.nanoTime());
     var random =
         new XoRoShiRo128PlusPlus(
@@ -66,7 +66,7 @@
     Core core =
         new Core(
             config.settings(),
-            incarnation,
+            runId,
             time * 1000 - CoreLoop.nowMicros(),
             random::nextInt,
             loop::effect);
@@ -78,7 +78,7 @@
           long now = CoreLoop.nowMicros();
           if (effect instanceof Effect.Call call) {
             if (call.tooLate(now) != null) {
-              loop.offer(new Event.Replied(call.call(), call.tooLate(now)));
+              loop.offer(new Event.ReplyReceived(call.call(), call.tooLate(now)));
             } else {
               outbound.send(call.call(), call.request());
             }
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -5,15 +5,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.avro.AvroRuntimeException;
-import org.eiderstair.core.Answer;
-import org.eiderstair.core.Cancellation;
-import org.eiderstair.core.Event;
-import org.eiderstair.core.MachineReport;
-import org.eiderstair.core.Order;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.TaskId;
-import org.eiderstair.core.membership.HeartbeatDigest;
-import org.eiderstair.core.standby.ReplicationBatch;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.message.Event;
+import org.eiderstair.core.message.HeartbeatDigest;
+import org.eiderstair.core.message.ReplicationBatch;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.model.Cancellation;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.model.TaskId;
 import org.eiderstair.peer.wire.CancellationsTold;
 import org.eiderstair.peer.wire.CancelledJob;
 import org.eiderstair.peer.wire.HeardAsk;
@@ -30,7 +30,7 @@
 import org.eiderstair.peer.wire.StandbyAck;
 import org.eiderstair.peer.wire.StandbyBatch;
 import org.eiderstair.peer.wire.StandbyChange;
-import org.eiderstair.protocol.Malformed;
+import org.eiderstair.protocol.MalformedMessageException;
 
 /**
  * What controllers send each other, in Avro's single-object encoding: every message names its
@@ -42,14 +42,14 @@
   public static final String STANDBY_PATH = "/peer/standby";
   public static final String CANCELLED_PATH = "/peer/cancelled";
   public static final String STANDING_PATH = "/peer/standing";
-  public static final int MOST_BYTES = 128 * 1024;
+  public static final int MAX_BYTES = 128 * 1024;
 
   private PeerMessages() {}
 
   /** Encodes a worker's report that is passed on to the leader. */
-  public static byte[] report(MachineReport r) {
+  public static byte[] report(Heartbeat r) {
     List<RelayedTask> tasks = new ArrayList<>(r.tasks().size());
-    for (MachineReport.Entry e : r.tasks()) {
+    for (Heartbeat.Entry e : r.tasks()) {
       tasks.add(
           new RelayedTask(
               e.task().job(),
@@ -69,9 +69,9 @@
                       r.type(),
                       r.zone(),
                       r.spot(),
-                      r.session(),
+                      r.incarnation(),
                       r.sequence(),
-                      r.token(),
+                      r.fencingToken(),
                       r.noticeMicros(),
                       tasks)));
     } catch (IOException e) {
@@ -80,20 +80,20 @@
   }
 
   /** Decodes a worker's report that a peer has passed on. */
-  public static MachineReport report(byte[] bytes) throws Malformed {
+  public static Heartbeat report(byte[] bytes) throws MalformedMessageException {
     try {
       RelayedReport r = RelayedReport.getDecoder().decode(bytes);
-      List<MachineReport.Entry> tasks = new ArrayList<>(r.getTasks().size());
+      List<Heartbeat.Entry> tasks = new ArrayList<>(r.getTasks().size());
       for (RelayedTask t : r.getTasks()) {
         tasks.add(
-            new MachineReport.Entry(
+            new Heartbeat.Entry(
                 new TaskId(t.getJob(), t.getIndex()),
                 t.getAttempt(),
-                MachineReport.TaskState.valueOf(t.getState().name()),
-                MachineReport.Exit.valueOf(t.getExit().name()),
+                Heartbeat.TaskState.valueOf(t.getState().name()),
+                Heartbeat.Exit.valueOf(t.getExit().name()),
                 t.getSaved()));
       }
-      return new MachineReport(
+      return new Heartbeat(
           r.getMachine(),
           r.getAddress(),
           r.getType(),
@@ -105,7 +105,7 @@
           r.getNoticeMicros(),
           tasks);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not a relayed report: " + e.getMessage());
+      throw new MalformedMessageException("not a relayed report: " + e.getMessage());
     }
   }
 
@@ -122,7 +122,7 @@
         long grace = o instanceof Order.Kill kill ? kill.graceMicros() : 0;
         orders.add(new RelayedOrder(verb, o.task().job(), o.task().index(), o.attempt(), grace));
       }
-      a = new RelayedAnswer(200, command.token(), orders, null, "");
+      a = new RelayedAnswer(200, command.fencingToken(), orders, null, "");
     } else if (answer instanceof Answer.Redirect redirect) {
       a = new RelayedAnswer(421, 0L, List.of(), redirect.node(), "");
     } else if (answer instanceof Answer.Failure failure) {
@@ -136,7 +136,7 @@
   }
 
   /** Decodes the leader's answer to a report that was passed on. */
-  public static Answer answer(byte[] bytes) throws Malformed {
+  public static Answer answer(byte[] bytes) throws MalformedMessageException {
     try {
       RelayedAnswer a = RelayedAnswer.getDecoder().decode(bytes);
       if (a.getStatus() == 200) {
@@ -156,12 +156,12 @@
           ? new Answer.Redirect(a.getNode())
           : new Answer.Failure(a.getStatus(), a.getReason(), 0);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not a relayed answer: " + e.getMessage());
+      throw new MalformedMessageException("not a relayed answer: " + e.getMessage());
     }
   }
 
   /** Encodes whether the state service serves this node, and whom it follows. */
-  public static byte[] standing(Answer.Standing standing) {
+  public static byte[] standing(Answer.StateServiceStatus standing) {
     try {
       return bytes(
           PeerStanding.getEncoder()
@@ -172,12 +172,13 @@
   }
 
   /** Decodes whether the state service serves a peer, and whom that follows. */
-  public static Reply.PeerStanding standing(byte[] bytes) throws Malformed {
+  public static Reply.PeerStateServiceStatus standing(byte[] bytes)
+      throws MalformedMessageException {
     try {
       PeerStanding s = PeerStanding.getDecoder().decode(bytes);
-      return new Reply.PeerStanding(s.getServed(), s.getLeader(), s.getTerm());
+      return new Reply.PeerStateServiceStatus(s.getServed(), s.getLeader(), s.getTerm());
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not a peer's standing: " + e.getMessage());
+      throw new MalformedMessageException("not a peer's standing: " + e.getMessage());
     }
   }
 
@@ -191,12 +192,13 @@
   }
 
   /** Decodes a question for the machines that report to this node. */
-  public static Event.PeerHeardAsked heardAsked(long exchange, byte[] bytes) throws Malformed {
+  public static Event.MembershipRequested heardAsked(long exchange, byte[] bytes)
+      throws MalformedMessageException {
     try {
       HeardAsk asked = HeardAsk.getDecoder().decode(bytes);
-      return new Event.PeerHeardAsked(exchange, asked.getRun(), asked.getAfter());
+      return new Event.MembershipRequested(exchange, asked.getRun(), asked.getAfter());
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not a question for machines heard: " + e.getMessage());
+      throw new MalformedMessageException("not a question for machines heard: " + e.getMessage());
     }
   }
 
@@ -218,18 +220,18 @@
   }
 
   /** Decodes the machines that report to a peer. */
-  public static Reply.PeerHeard heard(byte[] bytes) throws Malformed {
+  public static Reply.PeerMembership heard(byte[] bytes) throws MalformedMessageException {
     try {
       HeardTold told = HeardTold.getDecoder().decode(bytes);
       List<HeartbeatDigest.Change> changes = new ArrayList<>(told.getChanges().size());
       for (HeardChange c : told.getChanges()) {
         changes.add(new HeartbeatDigest.Change(c.getMachine(), c.getHeard(), c.getForMicros()));
       }
-      return new Reply.PeerHeard(
+      return new Reply.PeerMembership(
           new HeartbeatDigest(
               told.getRun(), told.getWhole(), told.getLast(), told.getMore(), changes));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not machines heard: " + e.getMessage());
+      throw new MalformedMessageException("not machines heard: " + e.getMessage());
     }
   }
 
@@ -238,7 +240,8 @@
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
     for (ReplicationBatch.Change c : batch.changes()) {
       changes.add(
-          new StandbyChange(c.there(), c.machine(), c.session(), c.job(), c.index(), c.attempt()));
+          new StandbyChange(
+              c.there(), c.machine(), c.incarnation(), c.job(), c.index(), c.attempt()));
     }
     try {
       return bytes(
@@ -252,7 +255,7 @@
   }
 
   /** Decodes changes of the leader's picture. */
-  public static ReplicationBatch standby(byte[] bytes) throws Malformed {
+  public static ReplicationBatch standby(byte[] bytes) throws MalformedMessageException {
     try {
       StandbyBatch b = StandbyBatch.getDecoder().decode(bytes);
       List<ReplicationBatch.Change> changes = new ArrayList<>(b.getChanges().size());
@@ -268,7 +271,7 @@
       }
       return new ReplicationBatch(b.getTerm(), b.getFilling(), b.getFirst(), b.getMore(), changes);
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not changes for a standby: " + e.getMessage());
+      throw new MalformedMessageException("not changes for a standby: " + e.getMessage());
     }
   }
 
@@ -283,13 +286,13 @@
   }
 
   /** Decodes the standby's acknowledgement. */
-  public static Reply.StandbyAck standbyAck(byte[] bytes) throws Malformed {
+  public static Reply.ReplicationAck standbyAck(byte[] bytes) throws MalformedMessageException {
     try {
       StandbyAck a = StandbyAck.getDecoder().decode(bytes);
-      return new Reply.StandbyAck(
+      return new Reply.ReplicationAck(
           new ReplicationBatch.Ack(a.getRun(), a.getAccepted(), a.getUpTo()));
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not a standby's answer: " + e.getMessage());
+      throw new MalformedMessageException("not a standby's answer: " + e.getMessage());
     }
   }
 
@@ -307,7 +310,7 @@
   }
 
   /** Decodes cancellations that a peer has committed. */
-  public static List<Cancellation> cancelled(byte[] bytes) throws Malformed {
+  public static List<Cancellation> cancelled(byte[] bytes) throws MalformedMessageException {
     try {
       List<Cancellation> cancellations = new ArrayList<>();
       for (CancelledJob c : CancellationsTold.getDecoder().decode(bytes).getJobs()) {
@@ -315,7 +318,7 @@
       }
       return cancellations;
     } catch (IOException | AvroRuntimeException | IndexOutOfBoundsException e) {
-      throw new Malformed("not cancellations: " + e.getMessage());
+      throw new MalformedMessageException("not cancellations: " + e.getMessage());
     }
   }
 
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.MachineType;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.Request;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
+import org.eiderstair.core.model.MachineType;
 
 /** What the cloud gets and sends. */
 public final class CloudMessages {
@@ -22,21 +22,21 @@
     m.put("Fjord", r.zone());
     m.put("Driftwood", r.spot());
     m.put("HowMany", (long) r.count());
-    return Pack.write(m);
+    return MessagePackCodec.write(m);
   }
 
   /** Decodes the answer to a rental: the names of the machines. */
-  public static Reply rented(Map<String, Object> message) throws Malformed {
+  public static Reply rented(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Rented(new Fields(message).texts("Skerries"));
   }
 
   /** Encodes a request to delete machines. */
   public static byte[] delete(List<String> machines) {
-    return Pack.write(Map.of("Skerries", machines));
+    return MessagePackCodec.write(Map.of("Skerries", machines));
   }
 
   /** Decodes the catalogue of machine types. */
-  public static Reply catalog(Map<String, Object> message) throws Malformed {
+  public static Reply catalog(Map<String, Object> message) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Object item : new Fields(message).list("Hulls")) {
       Fields f = Fields.of(item, "Hulls");
@@ -57,7 +57,7 @@
   }
 
   /** Decodes one page of the list of machines. */
-  public static Reply machines(Map<String, Object> message) throws Malformed {
+  public static Reply machines(Map<String, Object> message) throws MalformedMessageException {
     Fields top = new Fields(message);
     List<Reply.CloudMachine> machines = new ArrayList<>();
     for (Object item : top.list("Skerries")) {
--- a/src/main/java/org/eiderstair/protocol/Malformed.java
+++ b/src/main/java/org/eiderstair/protocol/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.eiderstair.protocol;
 
 /** A message that breaks the protocol; says where. */
-public final class Malformed extends Exception {
+public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public Malformed(String message) {
+  public MalformedMessageException(String message) {
     super(message, null, false, false);
   }
 }
--- a/src/main/java/org/eiderstair/protocol/Pack.java
+++ b/src/main/java/org/eiderstair/protocol/MessagePackCodec.java
@@ -16,7 +16,7 @@
 /**
  * MessagePack to and from plain maps, lists, text, numbers, booleans and null; nothing is binary.
  */
-public final class Pack {
+public final class MessagePackCodec {
   private static final int DEEPEST = 24;
 
   /** Small buffers: the library's defaults are made for far larger messages. */
@@ -29,9 +29,9 @@
    */
   private static final String[] NAMES = new String[512];
 
-  private static final int LONGEST_NAME = 24;
+  private static final int MAX_NAME = 24;
 
-  private Pack() {}
+  private MessagePackCodec() {}
 
   /** Encodes a message as MessagePack. */
   public static byte[] write(Map<String, ?> map) {
@@ -86,14 +86,14 @@
      */
     void begin();
 
-    void row(Object[] values) throws Malformed;
+    void row(Object[] values) throws MalformedMessageException;
   }
 
   /**
    * Reads exactly one map. Lengths are checked against what is there before anything is allocated
    * for them.
    */
-  public static Map<String, Object> readMap(byte[] bytes) throws Malformed {
+  public static Map<String, Object> readMap(byte[] bytes) throws MalformedMessageException {
     return readMap(bytes, null);
   }
 
@@ -101,29 +101,29 @@
    * The same, but for one list, which is handed over row by row; what is left in the map for it is
    * no row's.
    */
-  static Map<String, Object> readMap(byte[] bytes, Rows rows) throws Malformed {
+  static Map<String, Object> readMap(byte[] bytes, Rows rows) throws MalformedMessageException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       if (!unpacker.hasNext() || unpacker.getNextFormat().getValueType() != ValueType.MAP) {
-        throw new Malformed("body is not a map");
+        throw new MalformedMessageException("body is not a map");
       }
       Map<String, Object> map = map(unpacker, bytes.length, 1, rows);
       if (unpacker.hasNext()) {
-        throw new Malformed("bytes after the map");
+        throw new MalformedMessageException("bytes after the map");
       }
       return map;
     } catch (IOException | MessagePackException e) {
-      throw new Malformed("not MessagePack: " + e.getClass().getSimpleName());
+      throw new MalformedMessageException("not MessagePack: " + e.getClass().getSimpleName());
     }
   }
 
   private static Map<String, Object> map(MessageUnpacker unpacker, int size, int depth, Rows rows)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     int count = unpacker.unpackMapHeader();
     check(2L * count, unpacker, size, depth);
     Map<String, Object> map = new LinkedHashMap<>(Math.min(count, 64) * 2);
     for (int i = 0; i < count; i++) {
       if (unpacker.getNextFormat().getValueType() != ValueType.STRING) {
-        throw new Malformed("a key is not text");
+        throw new MalformedMessageException("a key is not text");
       }
       String name = name(text(unpacker, size, depth));
       boolean row =
@@ -139,7 +139,7 @@
    * An empty list when all of them were maps, else what was none: for a reader of fields to refuse.
    */
   private static List<Object> rows(MessageUnpacker unpacker, int size, int depth, Rows rows)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     int count = unpacker.unpackArrayHeader();
     check(count, unpacker, size, depth);
     String[] names = rows.names();
@@ -157,7 +157,7 @@
       check(2L * fields, unpacker, size, depth + 1);
       for (int j = 0; j < fields; j++) {
         if (unpacker.getNextFormat().getValueType() != ValueType.STRING) {
-          throw new Malformed("a key is not text");
+          throw new MalformedMessageException("a key is not text");
         }
         String name = name(text(unpacker, size, depth + 1));
         int at = names.length - 1;
@@ -181,14 +181,14 @@
    * which cost an unchanged report more than all the rest of its way: 26 KB against 8.
    */
   private static byte[] text(MessageUnpacker unpacker, int size, int depth)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     int length = unpacker.unpackRawStringHeader();
     check(length, unpacker, size, depth);
     return unpacker.readPayload(length);
   }
 
   private static String name(byte[] bytes) {
-    if (bytes.length > LONGEST_NAME) {
+    if (bytes.length > MAX_NAME) {
       return new String(bytes, StandardCharsets.UTF_8);
     }
     int hash = bytes.length;
@@ -221,7 +221,7 @@
   }
 
   private static Object value(MessageUnpacker unpacker, int size, int depth)
-      throws IOException, Malformed {
+      throws IOException, MalformedMessageException {
     switch (unpacker.getNextFormat().getValueType()) {
       case NIL:
         unpacker.unpackNil();
@@ -245,17 +245,17 @@
         }
         return list;
       default:
-        throw new Malformed("binary or extension value");
+        throw new MalformedMessageException("binary or extension value");
     }
   }
 
   private static void check(long items, MessageUnpacker unpacker, int size, int depth)
-      throws Malformed {
+      throws MalformedMessageException {
     if (depth > DEEPEST) {
-      throw new Malformed("nested too deeply");
+      throw new MalformedMessageException("nested too deeply");
     }
     if (items < 0 || items > size - unpacker.getTotalReadBytes()) {
-      throw new Malformed("longer than its message");
+      throw new MalformedMessageException("longer than its message");
     }
   }
 }
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.Request;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
 
 /** What the state service gets and sends. */
 public final class StoreMessages {
@@ -37,44 +37,44 @@
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("When", when);
     m.put("Writes", writes);
-    return Pack.write(m);
+    return MessagePackCodec.write(m);
   }
 
   /** Encodes a request for a lease of that many milliseconds. */
   public static byte[] lease(long ttlMicros) {
-    return Pack.write(Map.of("TtlMs", ttlMicros / 1000));
+    return MessagePackCodec.write(Map.of("TtlMs", ttlMicros / 1000));
   }
 
   /** Decodes the answer to a transaction that was carried out. */
-  public static Reply applied(Map<String, Object> message) throws Malformed {
+  public static Reply applied(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Applied(new Fields(message).whole("LedgerRev"));
   }
 
   /** Decodes the answer to a transaction whose conditions did not hold. */
-  public static Reply conflict(Map<String, Object> message) throws Malformed {
+  public static Reply conflict(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     return new Reply.Conflict(f.texts("failed"), f.has("LedgerRev") ? f.whole("LedgerRev") : 0);
   }
 
   /** Decodes the answer to a request for a lease. */
-  public static Reply leaseGranted(Map<String, Object> message) throws Malformed {
+  public static Reply leaseGranted(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.LeaseGranted(new Fields(message).whole("Tenure"));
   }
 
   /** Decodes one key, or the answer that it does not exist. */
-  public static Reply found(Map<String, Object> message) throws Malformed {
+  public static Reply found(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     long version = f.whole("Stamp");
     return new Reply.Found(new Reply.Item(f.text("K"), data(f), version), version);
   }
 
   /** A key that does not exist, and as of when. */
-  public static Reply missing(Map<String, Object> message) throws Malformed {
+  public static Reply missing(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Found(null, new Fields(message).whole("LedgerRev"));
   }
 
   /** Decodes one page of keys. */
-  public static Reply listed(Map<String, Object> message) throws Malformed {
+  public static Reply listed(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
     for (Object item : f.list("Entries")) {
@@ -85,7 +85,7 @@
   }
 
   /** Decodes the answer to a watch. */
-  public static Reply changed(Map<String, Object> message) throws Malformed {
+  public static Reply changed(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     List<Reply.Item> items = new ArrayList<>();
     for (Object item : f.list("News")) {
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import org.eiderstair.core.Answer;
-import org.eiderstair.core.JobSpec;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.model.JobSpec;
 
 /** What users send and get. */
 public final class UserMessages {
-  public static final int MOST_BYTES = 64 * 1024;
-  private static final int MOST_TASKS = 100_000;
-  private static final int MOST_TYPES = 100;
-  private static final int LONGEST_TYPE = 100;
+  public static final int MAX_BYTES = 64 * 1024;
+  private static final int MAX_TASKS = 100_000;
+  private static final int MAX_TYPES = 100;
+  private static final int MAX_TYPE = 100;
   private static final Pattern ID = Pattern.compile("job-[0-9]{1,20}");
   private static final Map<String, JobSpec.Shape> SHAPES =
       Map.of("sweep", JobSpec.Shape.ARRAY, "standing", JobSpec.Shape.SERVICE);
@@ -45,34 +45,34 @@
   }
 
   /** The id alone, so that a known job can be answered whatever else the message holds. */
-  public static String id(Map<String, Object> message) throws Malformed {
+  public static String id(Map<String, Object> message) throws MalformedMessageException {
     String id = new Fields(message).text("Id");
     if (!isId(id)) {
-      throw new Malformed("Id has another form than job-000001");
+      throw new MalformedMessageException("Id has another form than job-000001");
     }
     return id;
   }
 
   /** Decodes and checks a submission; the exception names the field that is wrong. */
-  public static JobSpec spec(Map<String, Object> message) throws Malformed {
+  public static JobSpec spec(Map<String, Object> message) throws MalformedMessageException {
     Fields f = new Fields(message);
     JobSpec.Shape shape = SHAPES.get(f.text("Shape"));
     if (shape == null) {
-      throw new Malformed("Shape is unknown");
+      throw new MalformedMessageException("Shape is unknown");
     }
     JobSpec.Priority priority = URGENCIES.get(f.text("Urgency"));
     if (priority == null) {
-      throw new Malformed("Urgency is unknown");
+      throw new MalformedMessageException("Urgency is unknown");
     }
     long tasks = f.whole("Pieces");
-    if (tasks < 1 || tasks > MOST_TASKS) {
-      throw new Malformed("Pieces is not between 1 and " + MOST_TASKS);
+    if (tasks < 1 || tasks > MAX_TASKS) {
+      throw new MalformedMessageException("Pieces is not between 1 and " + MAX_TASKS);
     }
     List<String> types = f.has("Hulls") ? f.texts("Hulls") : null;
     if (types != null
-        && (types.size() > MOST_TYPES || types.stream().anyMatch(t -> t.length() > LONGEST_TYPE))) {
+        && (types.size() > MAX_TYPES || types.stream().anyMatch(t -> t.length() > MAX_TYPE))) {
       // A job's record must fit into one value of the state service.
-      throw new Malformed("Hulls is too long");
+      throw new MalformedMessageException("Hulls is too long");
     }
     return new JobSpec(
         id(message),
@@ -104,11 +104,11 @@
     m.put("Tide", PHASES.get(view.phase()));
     m.put("done", (long) view.done());
     m.put("running", (long) view.running());
-    return Pack.write(m);
+    return MessagePackCodec.write(m);
   }
 
   /** Encodes the reason of a refusal. */
   public static byte[] error(String reason) {
-    return Pack.write(Map.of("error", reason));
+    return MessagePackCodec.write(Map.of("error", reason));
   }
 }
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.MachineReport;
-import org.eiderstair.core.MachineReport.Entry;
-import org.eiderstair.core.MachineReport.Exit;
-import org.eiderstair.core.MachineReport.TaskState;
-import org.eiderstair.core.Order;
-import org.eiderstair.core.TaskId;
+import org.eiderstair.core.model.Heartbeat;
+import org.eiderstair.core.model.Heartbeat.Entry;
+import org.eiderstair.core.model.Heartbeat.Exit;
+import org.eiderstair.core.model.Heartbeat.TaskState;
+import org.eiderstair.core.model.Order;
+import org.eiderstair.core.model.TaskId;
 
 /** What workers send and get. */
 public final class WorkerMessages {
@@ -41,11 +41,11 @@
   private WorkerMessages() {}
 
   /** The tasks of a report, one after the other. */
-  private static final class Pieces implements Pack.Rows {
+  private static final class Pieces implements MessagePackCodec.Rows {
     private static final String[] NAMES = {"Piece", "Try", "Tide", "Cause", "Saved"};
 
     private List<Entry> entries = new ArrayList<>();
-    private Malformed fault;
+    private MalformedMessageException fault;
 
     @Override
     public String field() {
@@ -68,7 +68,7 @@
       if (fault == null) {
         try {
           entries.add(entry(values));
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
           // The message is read to its end: it may yet hold the list again.
           fault = e;
         }
@@ -77,17 +77,17 @@
   }
 
   /** Decodes and checks a worker's report. */
-  public static MachineReport report(byte[] body) throws Malformed {
+  public static Heartbeat report(byte[] body) throws MalformedMessageException {
     Pieces pieces = new Pieces();
-    Fields f = new Fields(Pack.readMap(body, pieces));
+    Fields f = new Fields(MessagePackCodec.readMap(body, pieces));
     if (!f.list("Pieces").isEmpty()) {
-      throw new Malformed("Pieces is not a map");
+      throw new MalformedMessageException("Pieces is not a map");
     }
     if (pieces.fault != null) {
       throw pieces.fault;
     }
     List<Entry> entries = pieces.entries;
-    return new MachineReport(
+    return new Heartbeat(
         f.text("Skerry"),
         f.text("Endpoint"),
         f.text("Hull"),
@@ -96,15 +96,15 @@
         f.whole("Watch"),
         f.whole("Tally"),
         f.whole("Baton"),
-        f.microsOr("WarningS", MachineReport.NO_NOTICE),
+        f.microsOr("WarningS", Heartbeat.NO_NOTICE),
         entries);
   }
 
-  private static Entry entry(Object[] values) throws Malformed {
+  private static Entry entry(Object[] values) throws MalformedMessageException {
     TaskId task = TaskId.parse(Fields.text(values[0], "Piece"));
     TaskState state = STATES.get(Fields.text(values[2], "Tide"));
     if (task == null || state == null) {
-      throw new Malformed("Pieces holds an unknown task or state");
+      throw new MalformedMessageException("Pieces holds an unknown task or state");
     }
     Exit exit = Exit.NONE;
     if (state == TaskState.ENDED) {
@@ -116,25 +116,25 @@
   }
 
   /** The answer to a report. */
-  public static byte[] orders(long token, List<Order> orders) {
+  public static byte[] orders(long fencingToken, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", token);
+    m.put("Baton", fencingToken);
     m.put("Orders", write(orders));
-    return Pack.write(m);
+    return MessagePackCodec.write(m);
   }
 
   /** A command sent to the worker itself. */
-  public static byte[] command(long token, long session, List<Order> orders) {
+  public static byte[] command(long fencingToken, long incarnation, List<Order> orders) {
     Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Baton", token);
-    m.put("Watch", session);
+    m.put("Baton", fencingToken);
+    m.put("Watch", incarnation);
     m.put("Orders", write(orders));
-    return Pack.write(m);
+    return MessagePackCodec.write(m);
   }
 
   /** Encodes the body of a 421: the node to report to, or none when it is null. */
   public static byte[] redirect(String node) {
-    return Pack.write(node == null ? Map.of() : Map.of("Harbour", node));
+    return MessagePackCodec.write(node == null ? Map.of() : Map.of("Harbour", node));
   }
 
   private static List<Object> write(List<Order> orders) {
--- /dev/null
+++ b/src/test/java/org/eiderstair/architecture/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the packages' dependencies. */
+package org.eiderstair.architecture;
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/capacity/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.capacity}. */
+package org.eiderstair.core.capacity;
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/leadership/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.leadership}. */
+package org.eiderstair.core.leadership;
--- a/src/test/java/org/eiderstair/core/TaskSetTest.java
+++ b/src/test/java/org/eiderstair/core/model/TaskSetTest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/model/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.model}. */
+package org.eiderstair.core.model;
--- a/src/test/java/org/eiderstair/core/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -1,4 +1,4 @@
-package org.eiderstair.core;
+package org.eiderstair.core.placement;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,6 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
+import org.eiderstair.core.model.Job;
+import org.eiderstair.core.model.JobSpec;
 
 /** Who goes ahead, when, and how much of it. */
 class StarvationGuardTest {
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/placement/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.placement}. */
+package org.eiderstair.core.placement;
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/state/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.state}. */
+package org.eiderstair.core.state;
--- a/src/test/java/org/eiderstair/core/InFlightCommand.java
+++ b/src/test/java/org/eiderstair/core/workers/InFlightCommand.java
@@ -1,4 +1,7 @@
-package org.eiderstair.core;
+package org.eiderstair.core.workers;
+
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
 
 /** A direct command on its way; the leader may have given it up. */
 final class InFlightCommand {
--- /dev/null
+++ b/src/test/java/org/eiderstair/core/workers/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code org.eiderstair.core.workers}. */
+package org.eiderstair.core.workers;
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import net.jqwik.api.Example;
-import org.eiderstair.core.Reply;
-import org.eiderstair.core.Request;
+import org.eiderstair.core.message.Reply;
+import org.eiderstair.core.message.Request;
 
 /** Connections to workers between two commands are bounded, however many machines there are. */
 class HttpClientPoolTest {
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -1,7 +1,7 @@
 package org.eiderstair.sim;
 
 import java.util.regex.Pattern;
-import org.eiderstair.core.Effect;
+import org.eiderstair.core.message.Effect;
 
 /**
  * A digest of everything that controllers decided on a day, with who and when. Names of types and
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -39,7 +39,7 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import net.jqwik.api.Example;
-import org.eiderstair.core.JobSpec;
+import org.eiderstair.core.model.JobSpec;
 
 /**
  * Each scenario of docs/fault-scenarios.md by itself, on a few small days. Other seeds: {@code mvn
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import net.jqwik.api.Example;
-import org.eiderstair.core.Answer;
-import org.eiderstair.core.JobSpec;
+import org.eiderstair.core.message.Answer;
+import org.eiderstair.core.model.JobSpec;
 
 /**
  * The state service refuses the leader alone, another controller confirms cancellations, then it is
