--- /dev/null
+++ b/src/test/java/org/eiderstair/node/FakeMachine.java
@@ -0,0 +1,85 @@
+package org.eiderstair.node;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.eiderstair.protocol.SampleMessages;
+
+/** A stand-in for one machine and its worker, on a loopback address of its own. */
+final class FakeMachine {
+  private static final int MACHINES_PER_SUBNET = 250;
+
+  /** A task runs for a while, then shows that it is done until that is acknowledged. */
+  private record Task(long attempt, long endMillis) {
+    boolean ended() {
+      return nowMillis() >= endMillis;
+    }
+  }
+
+  private final String id;
+  private final String host;
+  private final SampleMessages.Worker worker;
+  private final long taskMillis;
+  private final Map<String, Task> tasks = new LinkedHashMap<>();
+  private long sequence;
+  private long fencingToken;
+
+  FakeMachine(int number, int port, long taskMillis) {
+    this.id = String.format("i-%06d", number);
+    this.host = "127.1." + number / MACHINES_PER_SUBNET + "." + (1 + number % MACHINES_PER_SUBNET);
+    this.worker = new SampleMessages.Worker(id, host + ":" + port, "small", "z", true);
+    this.taskMillis = taskMillis;
+  }
+
+  private static long nowMillis() {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+  }
+
+  String id() {
+    return id;
+  }
+
+  String host() {
+    return host;
+  }
+
+  /** Where its commands go. */
+  String address() {
+    return worker.address();
+  }
+
+  /** The worker's next heartbeat; a task that has run for long enough is shown as done. */
+  synchronized Map<String, Object> heartbeat() {
+    List<Object> entries = new ArrayList<>();
+    tasks.forEach(
+        (name, task) ->
+            entries.add(
+                task.ended()
+                    ? SampleMessages.completedTask(name, task.attempt())
+                    : SampleMessages.runningTask(name, task.attempt())));
+    return SampleMessages.heartbeat(worker, ++sequence, fencingToken, entries);
+  }
+
+  /**
+   * Executes the orders of a command, or of the answer to a heartbeat. Gives whether something
+   * changed.
+   */
+  synchronized boolean execute(Map<String, Object> message) {
+    long token = (Long) message.get("Baton");
+    List<?> orders = (List<?>) message.get("Orders");
+    boolean changed = token > fencingToken || !orders.isEmpty();
+    fencingToken = Math.max(fencingToken, token);
+    for (Object element : orders) {
+      Map<?, ?> order = (Map<?, ?>) element;
+      String task = (String) order.get("Piece");
+      if (order.get("Verb").equals("launch")) {
+        tasks.put(task, new Task((Long) order.get("Try"), nowMillis() + taskMillis));
+      } else {
+        tasks.remove(task);
+      }
+    }
+    return changed;
+  }
+}
