--- a/src/main/java/org/eiderstair/core/placement/Candidates.java
+++ b/src/main/java/org/eiderstair/core/placement/Candidates.java
@@ -8,12 +8,16 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * The available machines that fit the tasks of one job, grouped by preference: machines that the
- * demand still asks for; spot machines for work that may use them, so that the others stay free for
- * work that may not, or can be returned; then those that have the image; then those already in use.
- * Found once for all tasks of a job.
+ * The available machines that fit one task of a job, grouped by preference level.
+ *
+ * <p>Machines that the demand requires come before excess machines. Spot machines come next, for
+ * jobs that allow them. On-demand machines then stay free for jobs that need them, or can be
+ * returned. Machines that have the image cached are preferred after that, then machines in use.
+ *
+ * <p>The candidates are computed once for all tasks of a job, unless the job has a zone rule.
  */
 final class Candidates {
+  // The preference level of a machine is the sum of the weights that apply.
   private static final int IN_DEMAND = 8;
   private static final int SPOT = 4;
   private static final int HAS_IMAGE = 2;
@@ -26,7 +30,7 @@
   private List<List<Machine>> byPreference;
   private int bestPreference = -1;
 
-  /** Whether {@link #unplaceable} already rules the spec out. */
+  /** Whether {@link #unplaceable} already rules out the spec. */
   private boolean ruledOut;
 
   Candidates(JobSpec spec, UnplaceableSpecs unplaceable, StepCounter steps) {
@@ -35,24 +39,25 @@
     this.steps = steps;
   }
 
-  /** No candidates, as the spec was already found to be unplaceable in this pass. */
+  /** Returns an empty set of candidates for a spec that this pass already found unplaceable. */
   static Candidates ruledOut(JobSpec spec, UnplaceableSpecs unplaceable, StepCounter steps) {
     Candidates none = new Candidates(spec, unplaceable, steps);
     none.ruledOut = true;
     return none;
   }
 
+  /** Adds a machine that fits the spec and that the job's constraints allow. */
   void add(Machine machine) {
     int preference = preference(machine);
     if (byPreference == null) {
       byPreference = new ArrayList<>(Collections.nCopies(PREFERENCE_LEVELS, null));
     }
-    List<Machine> equals = byPreference.get(preference);
-    if (equals == null) {
-      equals = new ArrayList<>();
-      byPreference.set(preference, equals);
+    List<Machine> sameLevel = byPreference.get(preference);
+    if (sameLevel == null) {
+      sameLevel = new ArrayList<>();
+      byPreference.set(preference, sameLevel);
     }
-    equals.add(machine);
+    sameLevel.add(machine);
     bestPreference = Math.max(bestPreference, preference);
   }
 
@@ -68,34 +73,36 @@
   }
 
   /**
-   * The paper's uniform draw, among the machines of the highest preference that still have room for
-   * one task; null when none is left.
+   * Selects a machine uniformly at random among those of the highest preference level that still
+   * fit one task. Machines that no longer fit are removed.
+   *
+   * @return the selected machine; null if no candidate fits a task
    */
-  Machine draw(IntUnaryOperator random) {
+  Machine selectRandom(IntUnaryOperator random) {
     while (!isEmpty()) {
-      List<Machine> equals = byPreference.get(bestPreference);
-      if (equals == null || equals.isEmpty()) {
+      List<Machine> sameLevel = byPreference.get(bestPreference);
+      if (sameLevel == null || sameLevel.isEmpty()) {
         bestPreference--;
         continue;
       }
       steps.add(1);
-      int drawn = random.applyAsInt(equals.size());
-      Machine machine = equals.get(drawn);
+      int index = random.applyAsInt(sameLevel.size());
+      Machine machine = sameLevel.get(index);
       if (machine.fits(spec)) {
         return machine;
       }
-      equals.set(drawn, equals.get(equals.size() - 1));
-      equals.remove(equals.size() - 1);
+      sameLevel.set(index, sameLevel.get(sameLevel.size() - 1));
+      sameLevel.remove(sameLevel.size() - 1);
     }
-    noteExhausted();
+    recordExhausted();
     return null;
   }
 
   /**
-   * Remembers for this pass that no machine is left. Where a zone rule restricts the job, that says
-   * nothing about other jobs.
+   * Records for the rest of this pass that no available machine fits the spec. A job with a zone
+   * rule is not recorded, since the rule does not restrict other jobs of the same size.
    */
-  void noteExhausted() {
+  void recordExhausted() {
     if (!ruledOut && !PlacementConstraints.hasZoneRule(spec)) {
       ruledOut = true;
       unplaceable.add(spec);
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -13,15 +13,20 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Preempts work of teams above their guarantees when a job within its own team's guarantee has
- * waited for a while. Work is not preempted for priority alone: see docs/design.md for the figures.
+ * Preempts tasks of teams above their guarantees for a job that is within its own team's guarantee.
+ * The job must have waited for a minimum time. Tasks are not preempted for priority alone;
+ * docs/design.md has the figures.
  */
 final class GuaranteePreemption {
   private static final int MAX_PREEMPTIONS_PER_PASS = 8;
+
+  /** Minimum time from the submission of a job to a preemption for it. */
   private static final long MIN_WAIT_MICROS = 60_000_000;
 
-  /** What is freed must first have had time to arrive. */
-  private static final long REPEAT_AFTER_MICROS = 30_000_000;
+  /**
+   * Minimum time between preemptions for one job; freed resources become available with a delay.
+   */
+  private static final long MIN_PREEMPTION_INTERVAL_MICROS = 30_000_000;
 
   private static final Comparator<Attempt> LEAST_IMPORTANT_THEN_LATEST_STARTED =
       Comparator.comparing((Attempt attempt) -> attempt.spec().priority())
@@ -35,7 +40,7 @@
   private final long term;
   private int preemptionsLeft;
 
-  /** Null until a job asks for them in this pass. */
+  /** The result of {@link #candidates()}; null until a job needs it in this pass. */
   private List<Attempt> candidates;
 
   GuaranteePreemption(
@@ -47,13 +52,16 @@
     this.term = term;
   }
 
-  /** A pass preempts a bounded number of tasks. */
+  /** Resets the limit on preemptions and the cached candidates for a new pass. */
   void beginPass() {
     preemptionsLeft = MAX_PREEMPTIONS_PER_PASS;
     candidates = null;
   }
 
-  /** Preempts for a job what it needs and may claim, if it has waited long enough. */
+  /**
+   * Preempts tasks until the job's waiting tasks have enough processors, or the limit of the pass
+   * is reached. Does nothing unless the job is eligible and has waited long enough.
+   */
   void preemptFor(Job job, long nowMicros) {
     if (preemptionsLeft == 0 || !mayPreempt(job, nowMicros)) {
       return;
@@ -69,13 +77,13 @@
     constraints.chooseZone();
     double neededCpus = job.waitingTasks() * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
-    for (Attempt attempt : candidatesOfPass()) {
+    for (Attempt attempt : candidates()) {
       if (attempt.isStopRequested()) {
         if (constraints.allows(attempt.machine())) {
           neededCpus -= attempt.spec().cpus();
         }
       } else if (teams.contains(attempt.spec().team())
-          && isPreemptible(attempt, job.spec())
+          && isPreemptibleFor(attempt, job.spec())
           && constraints.allows(attempt.machine())) {
         victims.add(attempt);
       }
@@ -93,21 +101,23 @@
   private boolean mayPreempt(Job job, long nowMicros) {
     return order.isWithinGuarantee(job)
         && nowMicros >= job.submittedMicros() + MIN_WAIT_MICROS
-        && nowMicros >= job.lastPreemptionMicros() + REPEAT_AFTER_MICROS
+        && nowMicros >= job.lastPreemptionMicros() + MIN_PREEMPTION_INTERVAL_MICROS
         && quotas.limitAllowsOneMore(job.spec());
   }
 
   /**
-   * The attempts that are preempted already or may be, whichever job asks: nothing else becomes one
-   * within a pass. Hundreds of jobs may ask in one pass, and a fleet of thousands of machines has
-   * tens of thousands of attempts, so they are gone through once.
+   * Returns the attempts that are already stopping or may be preempted for some job. No other
+   * attempt becomes a candidate during a pass.
+   *
+   * <p>The list is computed once per pass. Hundreds of jobs may need it in one pass, and a fleet of
+   * thousands of machines has tens of thousands of attempts.
    */
-  private List<Attempt> candidatesOfPass() {
+  private List<Attempt> candidates() {
     if (candidates == null) {
       candidates = new ArrayList<>();
       for (Machine machine : workers.machines().values()) {
         for (Attempt attempt : machine.attempts()) {
-          if (attempt.isStopRequested() || mayBePreempted(attempt)) {
+          if (attempt.isStopRequested() || isPreemptible(attempt)) {
             candidates.add(attempt);
           }
         }
@@ -117,17 +127,21 @@
   }
 
   /**
-   * A job that is itself within a guarantee is spared: it would be placed again at once, before the
-   * one it was preempted for (seen in an incident: the same tasks were preempted three times in a
-   * second).
+   * Returns whether an attempt may be preempted for some job. Tasks of a job within its own team's
+   * guarantee are excluded: they would be placed again before the job they were preempted for. In
+   * one incident, the same tasks were preempted three times within a second.
    */
-  private boolean mayBePreempted(Attempt attempt) {
+  private boolean isPreemptible(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.REPORTED
         && attempt.job().open()
         && !order.isWithinGuarantee(attempt.job());
   }
 
-  private boolean isPreemptible(Attempt attempt, JobSpec waiting) {
+  /**
+   * Returns whether an attempt may be preempted for the waiting job. Its priority must not be
+   * higher, and its team must stay at or above the guarantee without it.
+   */
+  private boolean isPreemptibleFor(Attempt attempt, JobSpec waiting) {
     return waiting.priority().compareTo(attempt.spec().priority()) <= 0
         && quotas.cpusAboveGuarantee(attempt.spec().team()) >= attempt.spec().cpus();
   }
--- a/src/main/java/org/eiderstair/core/placement/JobPlacer.java
+++ b/src/main/java/org/eiderstair/core/placement/JobPlacer.java
@@ -6,7 +6,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Places the waiting tasks of one job: on available machines, else in short queues. */
+/** Places the waiting tasks of one job on available machines, or else in machine queues. */
 final class JobPlacer {
   private final WorkerManager workers;
   private final QuotaAdmission admission;
@@ -24,7 +24,10 @@
     this.queues = queues;
   }
 
-  /** Places what the job's quota and the machines have room for; the rest waits here. */
+  /**
+   * Places as many waiting tasks as the team's quota and the machines allow. The other tasks stay
+   * waiting in the job.
+   */
   void place(Job job, long nowMicros) {
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
@@ -32,20 +35,23 @@
     placeWaiting(job, constraints);
   }
 
+  /**
+   * Places the tasks that have no attempt. A job that is likely faulty gets one attempt at a time.
+   */
   private void placeWaiting(Job job, PlacementConstraints constraints) {
-    int maxActive = job.isLikelyFaulty() ? 1 : Integer.MAX_VALUE;
+    int maxAttempts = job.isLikelyFaulty() ? 1 : Integer.MAX_VALUE;
     Candidates candidates = null;
     OptionalInt next = job.nextFreeTask(0);
     while (next.isPresent()) {
       int index = next.getAsInt();
-      if (job.attemptCount() >= maxActive || !admission.admitsOneMore(job)) {
+      if (job.attemptCount() >= maxAttempts || !admission.admitsOneMore(job)) {
         return;
       }
       constraints.chooseZone();
       if (candidates == null || constraints.hasZoneRule()) {
         candidates = selector.candidates(job, constraints);
       }
-      Machine machine = selector.draw(candidates);
+      Machine machine = selector.select(candidates);
       if (machine != null) {
         attach(job, index, machine, Attempt.Phase.PLANNED);
       } else {
@@ -61,8 +67,8 @@
   }
 
   /**
-   * An available machine is preferred to a place in a queue: what waits for one machine moves to
-   * another that has room first.
+   * Moves queued attempts of the job to available machines. A task that is queued for one machine
+   * starts on another machine that has free resources earlier.
    */
   private void moveQueuedToAvailable(Job job, PlacementConstraints constraints) {
     if (!job.hasQueuedAttempts()) {
@@ -70,14 +76,15 @@
     }
     Candidates candidates = null;
     if (!constraints.hasZoneRule()) {
-      // Most often no machine is available for any of them, and then no attempt is looked at.
+      // Usually no machine is available for the job, so the queued attempts are not visited.
       candidates = selector.candidates(job, constraints);
       if (candidates.isEmpty()) {
-        candidates.noteExhausted();
+        candidates.recordExhausted();
         return;
       }
     }
-    // Not a copy of all active attempts: that cost 80 KB a pass for a job of 16,000 tasks.
+    // Only the queued attempts are copied. A copy of all active attempts allocated 80 KB in each
+    // pass for a job of 16,000 tasks.
     for (Attempt attempt : job.queuedAttempts()) {
       if (!admission.admitsOneMore(job)) {
         return;
@@ -87,7 +94,7 @@
         constraints.chooseZone();
         candidates = selector.candidates(job, constraints);
       }
-      Machine machine = selector.draw(candidates);
+      Machine machine = selector.select(candidates);
       if (machine == null) {
         constraints.taskAdded(attempt.machine());
         return;
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -9,11 +9,12 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * The short queues of attempts that the leader keeps for each machine: which queue a task joins
- * that found no room, and when its head takes room that has become free.
+ * Manages the bounded queue of attempts that the leader keeps for each machine. A task that fits no
+ * available machine joins a queue. Queued attempts take the machine's resources as they become
+ * free.
  */
 final class MachineQueues {
-  /** Machines looked at to find a queue to join. */
+  /** Number of random machines examined to find a queue for one task. */
   private static final int QUEUE_PROBES = 8;
 
   private final WorkerManager workers;
@@ -36,9 +37,11 @@
   }
 
   /**
-   * Gives queued attempts the room that their machines have got.
+   * Assigns free resources of machines to their queued attempts. Attempts of jobs that are no
+   * longer open are removed.
    *
-   * @param maxPriority only attempts of jobs whose effective priority is at most this value
+   * @param maxPriority the largest effective priority that is served; a smaller value is more
+   *     urgent
    */
   void serve(int maxPriority, long nowMicros) {
     for (Machine machine : workers.queuesToServe()) {
@@ -54,7 +57,7 @@
       } else if (attempt.job().effectivePriority() > maxPriority
           || !machine.usable(nowMicros)
           || !machine.fits(attempt.spec())) {
-        // Nothing later in the queue overtakes: room may be accumulating for this one.
+        // Later attempts must not overtake: free resources may be accumulating for this one.
         break;
       } else if (admission.admitsOneMore(attempt.job())) {
         workers.occupy(attempt);
@@ -63,10 +66,13 @@
   }
 
   /**
-   * Makes room in the best of a few random queues: so one is found in few steps. A queue counts as
-   * short if its last attempt is less urgent: that one goes back to the common queue.
+   * Finds a queue for one task of the job. Only a few random machines are examined, so the cost
+   * does not grow with the fleet.
    *
-   * @return the machine whose queue the job's task can join; null if none was found
+   * <p>If the queue of the best machine is full, its last attempt is less urgent. That attempt is
+   * removed, and its task waits in its job again.
+   *
+   * @return the machine whose queue the task can join; null if none was found
    */
   Machine join(Job job, PlacementConstraints constraints) {
     List<Machine> queueable = workers.queueable();
@@ -86,12 +92,15 @@
   }
 
   private boolean canJoin(Machine machine, Job job, PlacementConstraints constraints) {
-    return isShort(machine.queue(), job)
+    return hasPlace(machine.queue(), job)
         && constraints.allows(machine)
         && !job.hasFailedOn(machine.id());
   }
 
-  private boolean isShort(List<Attempt> queue, Job job) {
+  /**
+   * Returns whether the queue has a free place, or its last attempt is less urgent than the job.
+   */
+  private boolean hasPlace(List<Attempt> queue, Job job) {
     return queue.size() < maxQueueLength
         || (maxQueueLength > 0 && last(queue).job().isLessUrgentThan(job));
   }
@@ -100,7 +109,10 @@
     return queue.get(queue.size() - 1);
   }
 
-  /** Higher for a machine that has the image, and among those for the one with the most room. */
+  /**
+   * Returns a score, in processors, that is higher for a more suitable machine. A machine that has
+   * the image cached scores higher, and so does a machine with more free processors.
+   */
   private static double suitability(Machine machine, Job job) {
     return machine.freeCpus() + (machine.hasImage(job.spec()) ? machine.type().cpus() : 0);
   }
--- a/src/main/java/org/eiderstair/core/placement/MachineSelector.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineSelector.java
@@ -6,7 +6,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.workers.AvailableMachines;
 
-/** Chooses among the available machines one with room for a task. */
+/** Selects an available machine that fits a task. */
 final class MachineSelector {
   private final AvailableMachines availableMachines;
   private final IntUnaryOperator random;
@@ -20,17 +20,20 @@
     this.unplaceable = new UnplaceableSpecs(steps);
   }
 
-  /** Forgets what the last pass found to be unplaceable. */
+  /** Clears the specs that the last pass found unplaceable. */
   void beginPass() {
     unplaceable.clear();
   }
 
-  /** A random one of the candidates that suit best; null if none has room. */
-  Machine draw(Candidates candidates) {
-    return candidates.draw(random);
+  /** Returns a random machine among the most preferred candidates; null if none fits a task. */
+  Machine select(Candidates candidates) {
+    return candidates.selectRandom(random);
   }
 
-  /** The available machines that fit one task of the job. */
+  /**
+   * Returns the available machines that fit one task of the job and that its constraints allow.
+   * Machines on which the job has failed are returned only if there are no others.
+   */
   Candidates candidates(Job job, PlacementConstraints constraints) {
     JobSpec spec = job.spec();
     if (unplaceable.rulesOut(spec)) {
@@ -55,7 +58,10 @@
     return candidates;
   }
 
-  /** Every machine that is left has failed this job: rather one of those than never. */
+  /**
+   * Adds all machines that fit, including those on which the job has failed and those reserved for
+   * queued tasks. A job that has failed on every available machine would otherwise wait forever.
+   */
   private void addAllThatFit(
       Candidates candidates, JobSpec spec, PlacementConstraints constraints) {
     for (Machine machine : availableMachines.all()) {
@@ -66,9 +72,9 @@
   }
 
   /**
-   * Room that accumulates for a more urgent task in the machine's queue. Seen after a burst: as
-   * every processor that became free went to a small task of low priority, no machine ever had room
-   * for the larger ones that were more urgent.
+   * Returns whether the machine's free resources are reserved for a more urgent task in its queue.
+   * Without the reservation, small tasks of low priority took every free processor after a burst.
+   * Larger, more urgent tasks then never fit on any machine.
    */
   private static boolean isReserved(Machine machine, Job job) {
     return !machine.queue().isEmpty() && job.isLessUrgentThan(machine.queue().get(0).job());
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -13,15 +13,17 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Decides where tasks run, in passes: the entry of this package. Jobs are served in the order of
- * {@link ServiceOrder} as far as {@link QuotaAdmission} admits their tasks. A task takes a random
- * one of the available machines that fit it ({@link MachineSelector}), else it joins the short
- * queue of a random fitting machine ({@link MachineQueues}), else it waits for a later pass. {@link
- * GuaranteePreemption} frees room for jobs within their team's guarantee.
+ * Decides in passes on which machines tasks run. This is the entry point of the package.
+ *
+ * <p>{@link ServiceOrder} determines the order of the jobs, and {@link QuotaAdmission} limits the
+ * tasks of each. {@link MachineSelector} selects a random available machine that fits a task. If
+ * there is none, {@link MachineQueues} adds the task to the queue of a machine with a free place.
+ * If there is none either, the task waits for a later pass. {@link GuaranteePreemption} frees
+ * resources for jobs within their team's guarantee.
  */
 public final class Placement {
   private static final int ALL_PRIORITIES = Integer.MAX_VALUE;
-  private static final long ORDER_UPDATE_MICROS = 500_000;
+  private static final long ORDER_UPDATE_INTERVAL_MICROS = 500_000;
 
   private final Replica replica;
   private final WorkerManager workers;
@@ -37,8 +39,8 @@
   private long nextOrderUpdateMicros;
 
   /**
-   * @param random gives a number from 0 below its argument; the same sequence gives the same
-   *     decisions
+   * @param random returns a number from 0 (inclusive) to its argument (exclusive); the same
+   *     sequence of numbers leads to the same decisions
    */
   public Placement(
       Settings settings,
@@ -61,50 +63,54 @@
     preemption = new GuaranteePreemption(sink, workers, quotas, order, term);
     diagnostics =
         new PlacementDiagnostics(replica, workers, availableMachines, quotas, starvationGuard);
-    workers.onJobStarted(starvationGuard::noteStarted);
+    workers.onJobStarted(starvationGuard::recordStarted);
   }
 
-  /** Machines, jobs and attempts looked at so far, for tests of how the cost of a pass grows. */
+  /**
+   * Returns how many machines, jobs and attempts all passes have examined. Tests use the count to
+   * check how the cost of a pass grows.
+   */
   public long steps() {
     return steps.total();
   }
 
-  /** Makes one pass: places what can be placed now, and preempts for what cannot. */
+  /** Runs one pass: places tasks, and preempts tasks for jobs that still wait. */
   public void place(long nowMicros) {
     place(nowMicros, true);
   }
 
   /**
-   * Makes one pass: places what can be placed now.
+   * Runs one pass.
    *
-   * @param preempts whether work of other teams may be preempted for what cannot be placed; the
-   *     search for it looks at the whole fleet, so that an overloaded leader goes without
+   * @param preemptionAllowed whether tasks of other teams may be preempted for jobs that still
+   *     wait. An overloaded leader skips preemption, since its search covers the whole fleet.
    */
-  public void place(long nowMicros, boolean preempts) {
+  public void place(long nowMicros, boolean preemptionAllowed) {
     admission.beginPass(nowMicros);
     if (nowMicros >= nextOrderUpdateMicros) {
-      nextOrderUpdateMicros = nowMicros + ORDER_UPDATE_MICROS;
+      nextOrderUpdateMicros = nowMicros + ORDER_UPDATE_INTERVAL_MICROS;
       order.updateGuarantees();
-      starvationGuard.update(replica.openJobs(), this::cpusInUse, nowMicros);
+      starvationGuard.update(replica.openJobs(), this::usableCpus, nowMicros);
     }
     selector.beginPass();
     preemption.beginPass();
     List<Job> jobs = order.jobsToPlace(nowMicros);
-    // A machine's own queue goes first, but never before waiting work that is more urgent.
+    // Queued attempts go first, except those that are less urgent than the first waiting job.
     int highestPriority = jobs.isEmpty() ? ALL_PRIORITIES : jobs.get(0).effectivePriority();
     queues.serve(highestPriority, nowMicros);
     for (Job job : jobs) {
       placer.place(job, nowMicros);
-      if (preempts && job.hasWaitingTasks()) {
+      if (preemptionAllowed && job.hasWaitingTasks()) {
         preemption.preemptFor(job, nowMicros);
       }
     }
-    // Queued attempts that yielded to more urgent work take the room that is left.
+    // Queued attempts that were held back for more urgent jobs take the remaining resources.
     queues.serve(ALL_PRIORITIES, nowMicros);
     workers.clearQueuesToServe();
   }
 
-  private double cpusInUse() {
+  /** Returns the processors, free or not, of all machines that may be given waiting attempts. */
+  private double usableCpus() {
     double cpus = 0;
     for (Machine machine : workers.queueable()) {
       cpus += machine.type().cpus();
@@ -112,7 +118,10 @@
     return cpus;
   }
 
-  /** One line for operators: what waits and why, what teams use, and how much room is left. */
+  /**
+   * Returns one log line for operators: machine counts, free processors, processors that teams use,
+   * and waiting tasks with the reason for the wait.
+   */
   public String summary(long nowMicros) {
     return diagnostics.summary(nowMicros);
   }
--- a/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
@@ -9,15 +9,18 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Which machines may run the tasks of one job now, whether they have room or not: by the machine's
- * state, by what the job asks for, and by where the job's other tasks are if it has a zone rule.
+ * Determines which machines may run the tasks of one job now, regardless of their free resources.
+ * The result depends on the state of the machine and the job's requirements. With a zone rule, the
+ * result also depends on the zones of the job's other tasks.
  */
 final class PlacementConstraints {
   private final JobSpec spec;
   private final Collection<Machine> machines;
   private final long nowMicros;
   private final Map<String, Integer> tasksByZone = new HashMap<>();
-  private String onlyZone;
+
+  /** The zone of a job that must stay in one zone; null if not chosen, or without such a rule. */
+  private String requiredZone;
 
   PlacementConstraints(Job job, Collection<Machine> machines, long nowMicros) {
     this.spec = job.spec();
@@ -30,21 +33,24 @@
     }
   }
 
-  /** Whether each placed task changes which machines may run the next one. */
+  /** Returns whether each placed task may change which machines are allowed for the next one. */
   boolean hasZoneRule() {
     return hasZoneRule(spec);
   }
 
+  /** Returns whether the job must stay in one zone, or must spread its tasks over zones. */
   static boolean hasZoneRule(JobSpec spec) {
     return spec.oneZone() || spec.spread();
   }
 
+  /** Records that a task of the job has been placed on, or queued for, the machine. */
   void taskAdded(Machine machine) {
     if (hasZoneRule()) {
       tasksByZone.merge(machine.zone(), 1, Integer::sum);
     }
   }
 
+  /** Records that a task of the job is no longer on the machine or in its queue. */
   void taskRemoved(Machine machine) {
     if (hasZoneRule()) {
       tasksByZone.merge(machine.zone(), -1, Integer::sum);
@@ -52,18 +58,19 @@
   }
 
   /**
-   * Chooses the zone of a job that must stay in one: before the first choice of a machine, and
-   * again after tasks have moved.
+   * Chooses the zone of a job that must stay in one zone. Must be called before the first machine
+   * is selected, and again after a task has been added or removed.
    */
   void chooseZone() {
     if (spec.oneZone()) {
-      onlyZone = zoneOfTasks();
-      if (onlyZone == null) {
-        onlyZone = zoneWithMostRoom();
+      requiredZone = zoneOfTasks();
+      if (requiredZone == null) {
+        requiredZone = zoneWithMostFreeCpus();
       }
     }
   }
 
+  /** Returns the zone that holds tasks of the job; null if it has none on any machine. */
   private String zoneOfTasks() {
     for (Map.Entry<String, Integer> zone : tasksByZone.entrySet()) {
       if (zone.getValue() > 0) {
@@ -73,11 +80,14 @@
     return null;
   }
 
-  /** Counts only machines that the job may use; the empty name if there are none. */
-  private String zoneWithMostRoom() {
+  /**
+   * Returns the zone whose machines have the most free processors. Only machines that the job may
+   * use count; the name is empty if there are none.
+   */
+  private String zoneWithMostFreeCpus() {
     Map<String, Double> freeCpusByZone = new HashMap<>();
     for (Machine machine : machines) {
-      if (isOpen(machine)) {
+      if (isEligible(machine)) {
         freeCpusByZone.merge(machine.zone(), machine.freeCpus(), Double::sum);
       }
     }
@@ -87,15 +97,18 @@
         .orElse("");
   }
 
-  /** Whether the machine may run one more task of the job. */
+  /** Returns whether the machine may run one more task of the job. */
   boolean allows(Machine machine) {
-    return isOpen(machine)
-        && (onlyZone == null || onlyZone.equals(machine.zone()))
+    return isEligible(machine)
+        && (requiredZone == null || requiredZone.equals(machine.zone()))
         && (!spec.spread() || tasksByZone.getOrDefault(machine.zone(), 0) < spec.maxPerZone());
   }
 
-  /** An on-demand machine beyond the demand takes nothing that may run on a spot machine. */
-  private boolean isOpen(Machine machine) {
+  /**
+   * Returns whether the machine may run tasks of the job, apart from zone rules. A machine reserved
+   * for on-demand work takes no job that allows spot machines.
+   */
+  private boolean isEligible(Machine machine) {
     return machine.usable(nowMicros)
         && machine.allows(spec)
         && !(machine.isReservedForOnDemand() && spec.spotAllowed());
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -10,7 +10,10 @@
 import org.eiderstair.core.workers.AvailableMachines;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** The leader's status line: what waits and why, what teams use, and how much room is left. */
+/**
+ * Builds the placement part of the leader's status line: machine counts, free processors,
+ * processors that teams use, and waiting tasks with the reason for the wait.
+ */
 final class PlacementDiagnostics {
   private final Replica replica;
   private final WorkerManager workers;
@@ -55,21 +58,22 @@
     return cpus;
   }
 
-  /** The number of waiting tasks by class and team, and by what holds them back. */
+  /** Returns the number of waiting tasks by job class, team, and quota restriction. */
   private Map<String, Integer> waitingTasks() {
     Map<String, Integer> waiting = new TreeMap<>();
     for (Job job : replica.openJobs()) {
       int tasks = job.waitingTasks();
       if (tasks > 0) {
         JobSpec spec = job.spec();
-        String group = spec.jobClass() + " of " + spec.team() + heldBackBy(spec);
+        String group = spec.jobClass() + " of " + spec.team() + quotaRestriction(spec);
         waiting.merge(group, tasks, Integer::sum);
       }
     }
     return waiting;
   }
 
-  private String heldBackBy(JobSpec spec) {
+  /** Returns the quota restriction that holds back a task of the spec; empty if there is none. */
+  private String quotaRestriction(JobSpec spec) {
     if (!quotas.limitAllowsOneMore(spec)) {
       return " at its limit";
     }
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -8,8 +8,9 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Whether a team's quota admits one more task of a job: its limit, which also counts what
- * unconfirmed machines may still run, and the part of the limit reserved for more urgent classes.
+ * Decides whether a team's quota admits one more task of a job. Usage counts against the limit
+ * together with the tasks that unconfirmed machines may still run. Part of the limit is reserved
+ * for more urgent priorities.
  */
 final class QuotaAdmission {
   private final Replica replica;
@@ -34,7 +35,7 @@
     this.term = term;
   }
 
-  /** Measures what unconfirmed machines may hold and what is reserved, for one pass. */
+  /** Computes, for one pass, the usage of unconfirmed machines and the reservations. */
   void beginPass(long nowMicros) {
     quotas.clearUnconfirmed();
     if (!workers.unconfirmed().isEmpty()) {
@@ -45,10 +46,17 @@
   }
 
   /**
-   * What unconfirmed machines may hold for each team: no more than the tasks of its older jobs that
-   * are neither done nor seen, nor more than those machines' room. Of cancelled jobs, all that a
-   * worker may still run counts; after {@code cancel_s} nothing of one is anywhere. A finished job
-   * has nothing left to run.
+   * Counts the resources that unconfirmed machines may use for each team, as an upper bound.
+   *
+   * <ul>
+   *   <li>An open job that is older than this term counts with its tasks that are neither completed
+   *       nor attempted.
+   *   <li>A recently cancelled job counts with all its tasks, since workers may still run them.
+   *       Every task of a cancelled job has ended after {@code cancel_s}.
+   *   <li>A finished job does not count, since none of its tasks can be running.
+   *   <li>The count of each team is capped at the total size of the unconfirmed machines. A machine
+   *       of unknown type has no such limit.
+   * </ul>
    */
   private void countUnconfirmed(long nowMicros) {
     for (Job job : replica.openJobs()) {
@@ -68,7 +76,10 @@
     quotas.capUnconfirmed(cpus, accelerators);
   }
 
-  /** Whether one more task keeps the limit, and the reservations unless the job is boosted. */
+  /**
+   * Returns whether the team's limit and reservations allow one more task of the job. Reservations
+   * do not apply to a boosted job.
+   */
   boolean admitsOneMore(Job job) {
     return quotas.limitAllowsOneMore(job.spec())
         && (quotas.reservationsAllowOneMore(job.spec()) || starvationGuard.isBoosted(job));
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -14,8 +14,9 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * The order in which waiting jobs are served: boosted jobs, then by priority, among equals those
- * within their team's guarantee, then by age.
+ * Determines the order in which waiting jobs are served. Boosted jobs come first, then jobs by
+ * priority. At the same priority, jobs within their team's guarantee come first, and then older
+ * jobs.
  */
 final class ServiceOrder {
   private static final int BOOSTED_PRIORITY = -1;
@@ -44,8 +45,8 @@
   }
 
   /**
-   * Finds the jobs that fit into their team's guarantee together with the team's older unfinished
-   * jobs.
+   * Updates the set of jobs that are within their team's guarantee. A job is within the guarantee
+   * if its unfinished tasks fit into it together with those of the team's older jobs.
    */
   void updateGuarantees() {
     Set<Job> within = new HashSet<>();
@@ -64,15 +65,17 @@
     withinGuarantee = within;
   }
 
-  /** Whether the job was within its team's guarantee when last measured. */
+  /** Returns whether the job was within its team's guarantee at the last update. */
   boolean isWithinGuarantee(Job job) {
     return withinGuarantee.contains(job);
   }
 
   /**
-   * Updates the effective priority of all open jobs and returns those that have something to place
-   * now, in the order of service. While a machine is unconfirmed, tasks of older jobs may be
-   * running there, so these jobs wait.
+   * Updates the effective priority of all open jobs. Returns the jobs that have tasks to place now,
+   * in the order of service.
+   *
+   * <p>Jobs older than this term wait while any machine is unconfirmed, since that machine may be
+   * running their tasks.
    */
   List<Job> jobsToPlace(long nowMicros) {
     boolean someUnconfirmed = !workers.unconfirmed().isEmpty();
@@ -94,9 +97,10 @@
   }
 
   /**
-   * The smallest is served first. Work of low priority within a guarantee is served with the
-   * ordinary work that is within one, since a guarantee holds against what other teams borrow,
-   * whatever its priority.
+   * Returns the effective priority of a job; the smallest value is served first.
+   *
+   * <p>Within a guarantee, low priority counts as normal priority. Such a job is served before
+   * normal work of teams above their guarantees, since a guarantee holds at every priority.
    */
   private int effectivePriority(Job job) {
     if (starvationGuard.isBoosted(job)) {
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -14,37 +14,44 @@
 import org.eiderstair.core.model.Job;
 
 /**
- * Selects jobs to be boosted, that is served before all others, so that no class and no team
- * starves. The order of service is strict, so more urgent work than there is room for would keep
- * everything else waiting until its end. Boosted jobs get a bounded share of the processors as they
- * become free, and nothing is preempted for them; as long as every class and team is served, no job
- * is boosted. See docs/design.md, "Starvation".
+ * Selects jobs to boost so that no job class and no team starves. A boosted job is served before
+ * all others.
+ *
+ * <p>The order of service is strict. Without boosting, an excess of urgent work would keep all
+ * other jobs waiting until it ends. Boosted jobs get a bounded share of the processors as these
+ * become free. Boosting alone does not preempt any task.
+ *
+ * <p>A job whose class and team are not starving is boosted only when its start is overdue. See
+ * docs/design.md, "Starvation".
  */
 final class StarvationGuard {
   private static final long UPDATE_INTERVAL_MICROS = 1_000_000;
 
-  /** A shorter wait is explained by a booting machine or a burst. */
+  /** A job counts as waiting after this time; machine boots and bursts explain shorter waits. */
   private static final long LONG_WAIT_MICROS = 90_000_000;
 
   /**
-   * Every job should start within four minutes: after this wait it is boosted even if its class and
-   * team are served.
+   * After this wait a job is boosted even if its class and team are served, since every job should
+   * start within four minutes.
    */
-  private static final long LATE_START_MICROS = 150_000_000;
+  private static final long START_OVERDUE_MICROS = 150_000_000;
 
   /** Time constant of the exponential decay of the counts of started jobs. */
-  private static final double DECAY_MICROS = 300e6;
+  private static final double DECAY_TIME_CONSTANT_MICROS = 300e6;
 
   /**
-   * A class or team that has started a smaller share of its jobs is starving; above a half, so that
-   * it is boosted before it falls that low.
+   * A class or team that has started a smaller share of its jobs is starving. The value is above
+   * one half so that boosting begins before the share falls to one half.
    */
   private static final double MIN_STARTED_SHARE = 0.6;
 
-  /** Of all processors, for boosted jobs: urgent work keeps at least the other half. */
+  /**
+   * No further job is boosted once boosted jobs need this share of all processors. The other half
+   * is kept for urgent work.
+   */
   private static final double MAX_BOOSTED_SHARE = 0.5;
 
-  /** How many jobs of a class or a team have started lately, and how many wait for long. */
+  /** Counts of the jobs of one class or team that started recently and that wait for long. */
   private static final class ServiceRecord {
     double started;
     int waiting;
@@ -68,7 +75,7 @@
   private final Map<String, ServiceRecord> teams = new HashMap<>();
   private Set<Job> boosted = Set.of();
 
-  /** Starving classes and teams by the names under which the log shows them. */
+  /** Starving classes and teams, as {@code class=name} and {@code team=name}. */
   private Set<String> starving = Set.of();
 
   private long updatedMicros;
@@ -77,8 +84,8 @@
     this.log = log;
   }
 
-  /** The first task of a job has been placed. */
-  void noteStarted(Job job) {
+  /** Records that the first task of a job has been placed. */
+  void recordStarted(Job job) {
     recordOf(classes, job.spec().jobClass()).started++;
     recordOf(teams, job.spec().team()).started++;
   }
@@ -88,36 +95,38 @@
   }
 
   /**
-   * Whether a job is served before all others, and may use what is reserved for more urgent
-   * classes. Quota limits hold for it as for all.
+   * Returns whether the job is boosted: it is served before all others and may use resources
+   * reserved for more urgent priorities. The limit of its team still applies.
    */
   boolean isBoosted(Job job) {
     return boosted.contains(job);
   }
 
   /**
-   * Finds starving classes and teams and selects the jobs to be boosted, at most once a second.
+   * Updates the starving classes and teams and selects the jobs to boost, at most once a second.
    *
-   * @param cpusInUse processors of all machines in use; computed only where something waits
+   * @param usableCpus supplies the total processors of all usable machines; called only if a job
+   *     has been waiting for long
    */
-  void update(Collection<Job> openJobs, DoubleSupplier cpusInUse, long nowMicros) {
+  void update(Collection<Job> openJobs, DoubleSupplier usableCpus, long nowMicros) {
     if (nowMicros < updatedMicros + UPDATE_INTERVAL_MICROS) {
       return;
     }
-    double decay = Math.exp(-(nowMicros - updatedMicros) / DECAY_MICROS);
+    double decay = Math.exp(-(nowMicros - updatedMicros) / DECAY_TIME_CONSTANT_MICROS);
     updatedMicros = nowMicros;
     classes.values().forEach(record -> record.beginUpdate(decay));
     teams.values().forEach(record -> record.beginUpdate(decay));
     List<Job> waiting = countWaiting(openJobs, nowMicros);
     updateStarving();
-    double maxCpus = waiting.isEmpty() ? 0 : cpusInUse.getAsDouble() * MAX_BOOSTED_SHARE;
+    double maxCpus = waiting.isEmpty() ? 0 : usableCpus.getAsDouble() * MAX_BOOSTED_SHARE;
     selectBoosted(waiting, maxCpus, nowMicros);
   }
 
+  /** Returns the jobs that have been waiting for long, and counts each for its class and team. */
   private List<Job> countWaiting(Collection<Job> openJobs, long nowMicros) {
     List<Job> waiting = new ArrayList<>();
     for (Job job : openJobs) {
-      if (waitsForLong(job, nowMicros)) {
+      if (hasWaitedLong(job, nowMicros)) {
         waiting.add(job);
         recordOf(classes, job.spec().jobClass()).waiting++;
         recordOf(teams, job.spec().team()).waiting++;
@@ -126,18 +135,19 @@
     return waiting;
   }
 
-  private static boolean waitsForLong(Job job, long nowMicros) {
+  private static boolean hasWaitedLong(Job job, long nowMicros) {
     return !job.hasStarted()
         && nowMicros >= job.submittedMicros() + LONG_WAIT_MICROS
         && job.mayRetry(nowMicros);
   }
 
+  /** Updates the set of starving classes and teams, and logs each change. */
   private void updateStarving() {
     Set<String> now = new HashSet<>();
     addStarving(now, "class=", classes);
     addStarving(now, "team=", teams);
-    logDifference(now, starving, " is starving");
-    logDifference(starving, now, " is no longer starving");
+    logNewNames(now, starving, " is starving");
+    logNewNames(starving, now, " is no longer starving");
     starving = now;
   }
 
@@ -151,7 +161,10 @@
         });
   }
 
-  /** Where nobody is served, as before the first machine is up, nobody is starving. */
+  /**
+   * Returns whether another class or team is not starving and has started more jobs. When no job
+   * has started, as before the first machine is up, no class or team is starving.
+   */
   private static boolean anotherIsServedBetter(
       ServiceRecord record, Collection<ServiceRecord> records) {
     return records.stream()
@@ -159,17 +172,19 @@
             other -> other != record && !other.isStarving() && other.started > record.started);
   }
 
-  private void logDifference(Set<String> names, Set<String> without, String message) {
+  private void logNewNames(Set<String> names, Set<String> excluded, String message) {
     names.stream()
-        .filter(name -> !without.contains(name))
+        .filter(name -> !excluded.contains(name))
         .sorted()
         .forEach(name -> log.accept(name + message));
   }
 
   /**
-   * A boosted job stays boosted until it is done; others follow while the bound has room for them.
-   * Those that can still start in time go first: with more work than room, oldest first would make
-   * every one of them late.
+   * Selects the jobs to boost. A boosted job stays boosted until all its tasks are completed.
+   * Waiting jobs are added until the boosted jobs reach {@code maxCpus}.
+   *
+   * <p>Jobs that can still start in time come before overdue jobs. When there is more work than
+   * capacity, serving the oldest job first would make every job late.
    */
   private void selectBoosted(List<Job> waiting, double maxCpus, long nowMicros) {
     Set<Job> selected = new LinkedHashSet<>();
@@ -181,19 +196,20 @@
       }
     }
     waiting.sort(
-        Comparator.comparing((Job job) -> startsLate(job, nowMicros)).thenComparing(Job::version));
+        Comparator.comparing((Job job) -> isStartOverdue(job, nowMicros))
+            .thenComparing(Job::version));
     for (Job job : waiting) {
       if (cpus >= maxCpus) {
         break;
       }
-      if ((startsLate(job, nowMicros) || belongsToStarving(job)) && selected.add(job)) {
+      if ((isStartOverdue(job, nowMicros) || belongsToStarvingGroup(job)) && selected.add(job)) {
         cpus += unfinishedCpus(job);
       }
     }
     boosted = selected;
   }
 
-  private boolean belongsToStarving(Job job) {
+  private boolean belongsToStarvingGroup(Job job) {
     return starving.contains("class=" + job.spec().jobClass())
         || starving.contains("team=" + job.spec().team());
   }
@@ -202,11 +218,14 @@
     return job.unfinishedTasks() * job.spec().cpus();
   }
 
-  private static boolean startsLate(Job job, long nowMicros) {
-    return nowMicros >= job.submittedMicros() + LATE_START_MICROS;
+  private static boolean isStartOverdue(Job job, long nowMicros) {
+    return nowMicros >= job.submittedMicros() + START_OVERDUE_MICROS;
   }
 
-  /** The part of the leader's status line about starvation; empty while no job is boosted. */
+  /**
+   * Returns the part of the leader's status line about starvation; empty if no class or team is
+   * starving and no job is boosted.
+   */
   String summary() {
     return boosted.isEmpty() && starving.isEmpty()
         ? ""
--- a/src/main/java/org/eiderstair/core/placement/StepCounter.java
+++ b/src/main/java/org/eiderstair/core/placement/StepCounter.java
@@ -1,8 +1,8 @@
 package org.eiderstair.core.placement;
 
 /**
- * Counts the machines, jobs and attempts that placement has looked at. Tests use it to show how the
- * cost of a pass grows, without a clock.
+ * Counts the machines, jobs and attempts that placement has examined. Tests use the count, instead
+ * of a clock, to check how the cost of a pass grows.
  */
 final class StepCounter {
   private long steps;
--- a/src/main/java/org/eiderstair/core/placement/UnplaceableSpecs.java
+++ b/src/main/java/org/eiderstair/core/placement/UnplaceableSpecs.java
@@ -5,8 +5,9 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * The specs for which no available machine was found in this pass. Room only shrinks during a pass,
- * so a spec that needs at least as much as one of these need not be tried in it.
+ * The specs for which no available machine was found in this pass. Free resources only shrink
+ * during a pass. A spec that needs at least as much as one of these specs is therefore not tried
+ * again.
  */
 final class UnplaceableSpecs {
   private final List<JobSpec> specs = new ArrayList<>();
@@ -24,7 +25,7 @@
     specs.add(spec);
   }
 
-  /** Whether it is known of this pass that no available machine fits the spec. */
+  /** Returns whether this pass has already shown that no available machine fits the spec. */
   boolean rulesOut(JobSpec spec) {
     for (JobSpec unplaceable : specs) {
       steps.add(1);
@@ -35,7 +36,7 @@
     return false;
   }
 
-  /** Whether each machine that fits {@code spec} would also fit {@code other}. */
+  /** Returns whether each machine that fits {@code spec} would also fit {@code other}. */
   private static boolean needsAtLeast(JobSpec spec, JobSpec other) {
     return spec.cpus() >= other.cpus()
         && spec.memoryGb() >= other.memoryGb()
--- a/src/main/java/org/eiderstair/core/placement/package-info.java
+++ b/src/main/java/org/eiderstair/core/placement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decides on which machine each task runs, and in which order jobs are served. The type to enter by
- * is {@link org.eiderstair.core.placement.Placement}.
+ * Decides on which machine each task runs, and in which order jobs are served. The entry point is
+ * {@link org.eiderstair.core.placement.Placement}.
  */
 package org.eiderstair.core.placement;
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -30,6 +30,7 @@
 import org.eiderstair.core.workers.OverloadMonitor;
 import org.eiderstair.core.workers.WorkerManager;
 
+/** Tests the order of service, quotas, queues, preemption and constraints of placement passes. */
 class PlacementTest {
   private static final long NOW = 100_000_000;
   private static final long TERM = 100;
@@ -93,7 +94,7 @@
     return job.attempts().stream().filter(a -> a.phase() == Attempt.Phase.PLANNED).count();
   }
 
-  /** The machines show what was planned for them. */
+  /** Simulates heartbeats that report the planned attempts of the job. */
   private static void confirmPlanned(Job job) {
     job.attempts().stream()
         .filter(a -> a.phase() == Attempt.Phase.PLANNED)
@@ -105,7 +106,7 @@
   }
 
   @Example
-  void higherPriorityGoesFirstAndTheRestQueuesOrWaits() {
+  void higherPriorityIsPlacedFirstAndOtherTasksQueueOrWait() {
     Job low = job(1, "blue", Priority.LOW, 12, 1);
     Job high = job(2, "blue", Priority.HIGH, 6, 1);
     Machine machine = machine("m", "a", true);
@@ -126,11 +127,11 @@
   }
 
   /**
-   * A whole unconfirmed zone held up every team, although a team can have no more there than its
-   * own unaccounted tasks.
+   * Guards against a zone of unconfirmed machines blocking every team. A team counts only its own
+   * unaccounted tasks as running there.
    */
   @Example
-  void unconfirmedMachinesCountAgainstATeamWithItsUnaccountedTasksOnly() {
+  void unconfirmedMachinesCountOnlyTheUnaccountedTasksOfATeam() {
     Job older = job(1, "red", Priority.NORMAL, 3, 1);
     versions = TERM;
     Job newer = job(2, "red", Priority.NORMAL, 20, 1);
@@ -143,9 +144,9 @@
     assertEquals(5, newer.attemptCount());
   }
 
-  /** A worker may run the tasks of a job cancelled just now; long after, none can. */
+  /** Workers may still run tasks of a job that was cancelled recently, but not long afterwards. */
   @Example
-  void unconfirmedMachinesMayHoldJobsCancelledLately() {
+  void recentlyCancelledJobsCountOnUnconfirmedMachines() {
     Job cancelled = job(1, "red", Priority.NORMAL, 6, 1);
     replica.advanceTo(NOW);
     replica.apply(
@@ -166,8 +167,8 @@
   }
 
   /**
-   * Guards against long ordinary tasks filling a team's limit, so that its urgent jobs wait beside
-   * free machines.
+   * Guards against long tasks of normal priority filling a team's limit. The team's urgent jobs
+   * then waited although machines were free.
    */
   @Example
   void partOfTheLimitIsReservedForMoreUrgentWork() {
@@ -184,8 +185,8 @@
   }
 
   /**
-   * Seen in an incident: a victim that was itself within its guarantee was placed again first, and
-   * preempted again.
+   * Guards against repeated preemption of the same tasks, as in an incident. A preempted job within
+   * its own guarantee was placed again first, and then preempted again.
    */
   @Example
   void aJobWithinItsGuaranteeIsNotPreempted() {
@@ -203,11 +204,11 @@
   }
 
   /**
-   * Small tasks of low priority took every processor that came free, and larger urgent ones never
-   * found room.
+   * Guards against small tasks of low priority taking every freed processor. Larger, more urgent
+   * tasks then never fit on any machine.
    */
   @Example
-  void roomAccumulatesForALargerTaskInTheQueue() {
+  void freeProcessorsAccumulateForALargerQueuedTask() {
     Job small = job(1, "blue", Priority.LOW, 20, 1);
     Machine machine = machine("m", "a", true);
     placement.place(NOW);
@@ -227,11 +228,11 @@
   }
 
   /**
-   * On-demand machines rented for a backlog stayed busy with work that spot machines could have
-   * done, until the day's end.
+   * Guards against on-demand machines that stay in use after the backlog they were rented for. They
+   * ran work that spot machines could have run, until the end of the day.
    */
   @Example
-  void onDemandMachinesBeyondTheDemandTakeNoWorkThatMayRunOnSpot() {
+  void reservedOnDemandMachinesTakeNoJobsThatAllowSpot() {
     Machine onDemand = machine("o", "a", false);
     onDemand.setReservedForOnDemand(true);
     Job flexible = job(1, "blue", Priority.NORMAL, 4, 1);
@@ -242,15 +243,15 @@
     assertEquals(4, onDemand.plannedLaunches().size());
   }
 
-  /** A guarantee holds against what other teams borrow, also for work of low priority. */
+  /** A guarantee also holds for low priority, against normal work of a team above its guarantee. */
   @Example
-  void workWithinAGuaranteeGoesBeforeBorrowedWork() {
-    Job borrowed = job(1, "blue", Priority.NORMAL, 40, 1);
+  void jobsWithinAGuaranteeArePlacedBeforeJobsAboveOne() {
+    Job aboveGuarantee = job(1, "blue", Priority.NORMAL, 40, 1);
     Job within = job(2, "red", Priority.LOW, 4, 1);
     machine("m", "a", true);
     placement.place(NOW);
     assertEquals(4, planned(within));
-    assertEquals(4, planned(borrowed));
+    assertEquals(4, planned(aboveGuarantee));
   }
 
   @Example
@@ -290,7 +291,7 @@
   }
 
   @Example
-  void onDemandMachinesAreLeftToWorkThatNeedsThem() {
+  void jobsThatAllowSpotPreferSpotMachines() {
     Machine onDemand = machine("o", "a", false);
     Machine spot = machine("s", "a", true);
     job(1, "blue", Priority.NORMAL, 4, 1);
--- a/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
+++ b/src/test/java/org/eiderstair/core/placement/StarvationGuardTest.java
@@ -11,31 +11,31 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.JobSpecBuilder;
 
-/** Which jobs are boosted, when, and how many of them. */
+/** Tests which jobs are boosted, when, and how many at a time. */
 class StarvationGuardTest {
   private static final long SECOND = 1_000_000;
   private final List<String> logs = new ArrayList<>();
   private final StarvationGuard starvationGuard = new StarvationGuard(logs::add);
   private final List<Job> open = new ArrayList<>();
-  private int numbers;
+  private int jobCount;
 
   private Job job(String jobClass, int tasks, long submittedMicros) {
     JobSpec spec =
-        JobSpecBuilder.job("job-" + ++numbers)
+        JobSpecBuilder.job("job-" + ++jobCount)
             .jobClass(jobClass)
             .priority(JobSpec.Priority.LOW)
             .tasks(tasks)
             .estimateMicros(SECOND)
             .build();
     Job job = new Job(spec.id(), submittedMicros);
-    job.transitionTo(Job.State.OPEN, numbers, tasks, spec, 0);
+    job.transitionTo(Job.State.OPEN, jobCount, tasks, spec, 0);
     open.add(job);
     return job;
   }
 
   private void start(Job job) {
     job.markStarted();
-    starvationGuard.noteStarted(job);
+    starvationGuard.recordStarted(job);
   }
 
   private static void complete(Job job) {
@@ -49,7 +49,7 @@
   }
 
   @Example
-  void whereNobodyIsServedNobodyIsStarving() {
+  void noClassStarvesWhenNoJobHasStarted() {
     for (int i = 0; i < 5; i++) {
       job("urgent", 1, 0);
       job("low", 1, 0);
@@ -60,7 +60,7 @@
   }
 
   @Example
-  void aStarvingClassGetsABoundedShareUntilItIsServed() {
+  void starvingClassIsBoostedWithinABoundUntilItIsServed() {
     for (int i = 0; i < 10; i++) {
       start(job("urgent", 1, 0));
     }
@@ -69,16 +69,16 @@
       low.add(job("low", 4, 0));
     }
     starvationGuard.update(open, () -> 20, 80 * SECOND);
-    assertEquals(0, boosted(), "a burst or a boot");
+    assertEquals(0, boosted(), "the wait may be due to a burst or a boot");
     starvationGuard.update(open, () -> 20, 100 * SECOND);
     assertTrue(logs.contains("class=low is starving"));
-    assertEquals(3, boosted(), "three of four tasks reach half of 20 processors");
+    assertEquals(3, boosted(), "three jobs of four tasks each reach half of 20 processors");
     low.subList(0, 3).forEach(this::start);
     starvationGuard.update(open, () -> 20, 102 * SECOND);
-    assertEquals(3, boosted(), "these stay boosted until they are done");
+    assertEquals(3, boosted(), "boosted jobs stay boosted until they are completed");
     low.subList(0, 3).forEach(StarvationGuardTest::complete);
     starvationGuard.update(open, () -> 20, 104 * SECOND);
-    assertEquals(3, boosted(), "the next");
+    assertEquals(3, boosted(), "the next three jobs are boosted");
     low.subList(3, 7).forEach(this::start);
     low.subList(3, 7).forEach(StarvationGuardTest::complete);
     starvationGuard.update(open, () -> 20, 106 * SECOND);
@@ -87,7 +87,7 @@
   }
 
   @Example
-  void jobsThatCanStillStartInTimeAreBoostedBeforeLateOnes() {
+  void jobsThatCanStartInTimeAreBoostedBeforeOverdueJobs() {
     Job old = job("low", 1, 0);
     Job younger = job("low", 1, 70 * SECOND);
     start(job("low", 1, 0));
@@ -97,7 +97,7 @@
     starvationGuard.update(open, () -> 2, 140 * SECOND);
     assertEquals(0, boosted());
     starvationGuard.update(open, () -> 2, 155 * SECOND);
-    assertTrue(starvationGuard.isBoosted(old), "its class is served, but it has to start");
+    assertTrue(starvationGuard.isBoosted(old), "its class is served, but its start is overdue");
     for (int i = 0; i < 9; i++) {
       start(job("urgent", 1, 0));
       job("low", 1, 0);
