--- a/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
+++ b/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
@@ -2,21 +2,26 @@
 
 import org.eiderstair.core.settings.Settings;
 
-/** The most that a team may use of each resource; 0 means unlimited. */
+/** The maximum that a team may use of each resource; 0 means unlimited. */
 record ResourceLimit(double cpus, double accelerators) {
-  /** Tolerates the rounding errors of sums. */
+  /** Allows for rounding errors in sums of fractional processors or accelerators. */
   private static final double TOLERANCE = 1e-6;
 
+  /** Returns the configured limit of a team. */
   static ResourceLimit of(Settings.Team team) {
     return new ResourceLimit(team.cpusMax(), team.acceleratorsMax());
   }
 
+  /** Returns whether the given usage is within the limit. */
   boolean allows(double usedCpus, double usedAccelerators) {
     return isWithin(usedCpus, cpus) && isWithin(usedAccelerators, accelerators);
   }
 
-  /** Whether so many processors stay within the limit less what is reserved. */
-  boolean allowsBesideReserved(double usedCpus, double reservedCpus) {
+  /**
+   * Returns whether the used processors are within the limit minus the reserved processors. The
+   * processors must be limited, see {@link #limitsCpus()}.
+   */
+  boolean allowsWithReserved(double usedCpus, double reservedCpus) {
     return usedCpus <= cpus - reservedCpus + TOLERANCE;
   }
 
--- a/src/main/java/org/eiderstair/core/quota/ResourceUse.java
+++ b/src/main/java/org/eiderstair/core/quota/ResourceUse.java
@@ -2,7 +2,7 @@
 
 import org.eiderstair.core.model.JobSpec;
 
-/** Processors and accelerators in use, kept by increments. */
+/** Counts processors and accelerators in use; updated incrementally. */
 final class ResourceUse {
   private double cpus;
   private double accelerators;
@@ -15,12 +15,13 @@
     return accelerators;
   }
 
-  /** Adds what so many tasks use; a negative number of tasks subtracts it. */
+  /** Adds the resources of the given number of tasks; a negative number subtracts them. */
   void add(JobSpec spec, int tasks) {
     cpus += spec.cpus() * tasks;
     accelerators += spec.accelerators() * tasks;
   }
 
+  /** Reduces each resource to the given maximum. */
   void capTo(double maxCpus, double maxAccelerators) {
     cpus = Math.min(cpus, maxCpus);
     accelerators = Math.min(accelerators, maxAccelerators);
--- a/src/main/java/org/eiderstair/core/quota/TeamQuota.java
+++ b/src/main/java/org/eiderstair/core/quota/TeamQuota.java
@@ -4,21 +4,21 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.settings.Settings;
 
-/** The limit, guarantee and reservations of one team, and what it uses. */
+/** The limit, guarantee and reservations of one team, and its usage. */
 final class TeamQuota {
   private static final int PRIORITIES = JobSpec.Priority.values().length;
 
-  /** Of a team's limit, for all reservations together. */
+  /** Largest share of a team's processor limit that all reservations together may take. */
   private static final double MAX_RESERVED_SHARE = 0.5;
 
-  /** Null for a team that is not configured: it may use nothing. */
+  /** Null for a team that is not configured, which may use nothing. */
   private final ResourceLimit limit;
 
   private final double guaranteedCpus;
   private final ResourceUse use = new ResourceUse();
   private final double[] usedCpusByPriority = new double[PRIORITIES];
 
-  /** What machines that this term has not heard from may be running. */
+  /** Resources that tasks on machines not yet confirmed in this term may be using. */
   private final ResourceUse unconfirmed = new ResourceUse();
 
   private final double[] reservedCpusByPriority = new double[PRIORITIES];
@@ -40,10 +40,12 @@
     return use.cpus();
   }
 
+  /** Returns the processors used above the guarantee; negative if fewer are used. */
   double cpusAboveGuarantee() {
     return use.cpus() - guaranteedCpus;
   }
 
+  /** Adds the resources of the given number of tasks; a negative number subtracts them. */
   void addUse(JobSpec spec, int tasks) {
     use.add(spec, tasks);
     usedCpusByPriority[spec.priority().ordinal()] += spec.cpus() * tasks;
@@ -59,6 +61,7 @@
     hasReservations = true;
   }
 
+  /** Returns whether one more task is within the limit; unconfirmed usage counts. */
   boolean limitAllowsOneMore(JobSpec spec) {
     return limit != null
         && limit.allows(
@@ -66,16 +69,17 @@
             use.accelerators() + unconfirmed.accelerators() + spec.accelerators());
   }
 
+  /** Returns whether one more task leaves more urgent priorities their reserved processors. */
   boolean reservationsAllowOneMore(JobSpec spec) {
     if (limit == null || !limit.limitsCpus() || !hasReservations) {
       return true;
     }
     double reserved =
         Math.min(unusedReservationsAbove(spec.priority()), limit.cpus() * MAX_RESERVED_SHARE);
-    return limit.allowsBesideReserved(use.cpus() + spec.cpus(), reserved);
+    return limit.allowsWithReserved(use.cpus() + spec.cpus(), reserved);
   }
 
-  /** What more urgent classes have reserved and do not use at present. */
+  /** Returns the processors that more urgent priorities have reserved but do not use now. */
   private double unusedReservationsAbove(JobSpec.Priority priority) {
     double reserved = 0;
     for (int above = 0; above < priority.ordinal(); above++) {
@@ -86,6 +90,7 @@
     return reserved;
   }
 
+  /** Returns whether the limit allows the given number of tasks when the team uses nothing else. */
   boolean limitAllowsAtAll(JobSpec spec, int tasks) {
     return limit != null && limit.allows(spec.cpus() * tasks, spec.accelerators() * tasks);
   }
--- a/src/main/java/org/eiderstair/core/quota/package-info.java
+++ b/src/main/java/org/eiderstair/core/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Quotas of teams: limits, guarantees (fair shares) and reservations, and what each team uses. The
- * type to enter by is {@link org.eiderstair.core.quota.TeamQuotas}.
+ * Tracks the resource usage of teams against their limits, guarantees (fair shares) and
+ * reservations. The entry point is {@link org.eiderstair.core.quota.TeamQuotas}.
  */
 package org.eiderstair.core.quota;
--- a/src/test/java/org/eiderstair/core/quota/TeamQuotasTest.java
+++ b/src/test/java/org/eiderstair/core/quota/TeamQuotasTest.java
@@ -10,7 +10,10 @@
 import org.eiderstair.core.model.JobSpecBuilder;
 import org.eiderstair.core.settings.SettingsBuilder;
 
-/** Red is guaranteed 4 processors and may use 8; blue has no limit. */
+/**
+ * Tests limits, guarantees and reservations of teams. Team red has a guarantee of 4 processors and
+ * a limit of 8; team blue has no limit.
+ */
 class TeamQuotasTest {
   private final TeamQuotas quotas =
       new TeamQuotas(SettingsBuilder.settings().team("red", 4, 8).team("blue", 4, 0).build());
@@ -20,7 +23,7 @@
   }
 
   @Example
-  void theLimitCountsWhatIsInUseAndWhatUnconfirmedMachinesMayHold() {
+  void limitCountsUsedAndUnconfirmedProcessors() {
     JobSpec task = spec("red", Priority.NORMAL, 2);
     quotas.acquire(task);
     quotas.acquire(task);
@@ -40,14 +43,14 @@
   }
 
   @Example
-  void aTeamWithoutLimitMayUseAnythingAndAnUnknownTeamNothing() {
+  void teamWithoutLimitIsUnrestrictedAndUnknownTeamMayUseNothing() {
     assertTrue(quotas.limitAllowsOneMore(spec("blue", Priority.LOW, 1000)));
     assertFalse(quotas.limitAllowsOneMore(spec("green", Priority.HIGH, 1)));
     assertFalse(quotas.limitAllowsAtAll(spec("green", Priority.HIGH, 1)));
   }
 
   @Example
-  void aServiceMustFitIntoTheLimitWholeAndAnArrayByTasks() {
+  void limitMustHoldAllTasksOfAServiceButOnlyOneOfAnArray() {
     JobSpecBuilder job = JobSpecBuilder.job("job-1").team("red").tasks(9);
     assertTrue(quotas.limitAllowsAtAll(job.build()));
     assertFalse(quotas.limitAllowsAtAll(job.shape(JobSpec.Shape.SERVICE).build()));
@@ -55,14 +58,14 @@
   }
 
   @Example
-  void useAboveTheGuaranteeIsNegativeWithinIt() {
+  void cpusAboveGuaranteeAreNegativeBelowTheGuarantee() {
     assertEquals(-4, quotas.cpusAboveGuarantee("red"));
     quotas.acquire(spec("red", Priority.NORMAL, 6));
     assertEquals(2, quotas.cpusAboveGuarantee("red"));
   }
 
   @Example
-  void whatMoreUrgentClassesReserveAndDoNotUseIsLeftToThem() {
+  void unusedReservationsOfMoreUrgentPrioritiesAreKept() {
     JobSpec normal = spec("red", Priority.NORMAL, 6);
     quotas.addReservation("red", Priority.HIGH, 3);
     assertFalse(quotas.reservationsAllowOneMore(normal), "3 of 8 are reserved");
