--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.IntUnaryOperator;
-import org.eiderstair.core.jobs.CancellationBroadcast;
+import org.eiderstair.core.jobs.CancellationForwarder;
 import org.eiderstair.core.jobs.JobService;
 import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.membership.Membership;
@@ -32,7 +32,7 @@
   private final IntUnaryOperator random;
   private final Replica replica;
   private final JobService jobService;
-  private final CancellationBroadcast cancellationBroadcast;
+  private final CancellationForwarder cancellationForwarder;
   private final Leadership leadership;
   private final StateServiceHealth stateServiceHealth;
   private final Membership membership;
@@ -64,8 +64,8 @@
     this.random = random;
     this.sink = new EffectSink(effects);
     this.replica = new Replica(settings, sink, new ReplicaChanges(), dayOffsetMicros);
-    this.cancellationBroadcast = new CancellationBroadcast(settings.node(), sink);
-    this.jobService = new JobService(settings, sink, replica, cancellationBroadcast::committed);
+    this.cancellationForwarder = new CancellationForwarder(settings.node(), sink);
+    this.jobService = new JobService(settings, sink, replica, cancellationForwarder::committed);
     this.stateServiceHealth = new StateServiceHealth(settings, sink, replica);
     sink.observeReplies(stateServiceHealth::replyReceived);
     this.membership =
@@ -256,7 +256,7 @@
   private final class ReplicaChanges implements Replica.Listener {
     @Override
     public void leaderChanged() {
-      cancellationBroadcast.leaderChanged(replica.leader());
+      cancellationForwarder.leaderChanged(replica.leader());
       leadership.leaderChanged();
     }
 
--- a/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
@@ -13,8 +13,9 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Cancels a job by compare-and-swap on its key. When the key has changed meanwhile it is read and
- * the cancellation retried, a few times. A final job is answered as it is.
+ * Cancels a job by compare-and-swap on its key. On a version conflict, the key is read and the
+ * cancellation is retried a limited number of times. A job in a final state is not changed; the
+ * answer contains that state.
  */
 final class JobCancellation {
   private static final int MAX_RETRIES = 3;
@@ -41,6 +42,7 @@
     this.nowMicros = nowMicros;
   }
 
+  /** Cancels a job and answers the exchange. */
   void cancel(long exchange, String id) {
     cancel(exchange, id, MAX_RETRIES);
   }
@@ -56,6 +58,7 @@
     }
   }
 
+  /** Reads a job that this node does not know, and cancels it if it exists. */
   private void findAndCancel(long exchange, String id, int retries) {
     confirmation.read(
         exchange,
--- a/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
@@ -14,16 +14,18 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Confirms with the state service that what the replica shows of a job is current. Confirmations
- * are gathered: one transaction without writes compares the versions of many jobs, and those that
- * differ are read. A request whose job cannot be confirmed is answered at once that the service is
- * unavailable: nothing waits for an outage to end.
+ * Confirms with the state service that a job in the replica is current.
+ *
+ * <p>Confirmations are batched. One transaction without writes compares the versions of many jobs,
+ * and each job whose version differs is read. A request whose job cannot be confirmed is answered
+ * as unavailable at once. No request waits for an outage to end.
  */
 final class JobConfirmation {
+  /** Version comparisons in one transaction for each write that a transaction may hold. */
   private static final int COMPARES_PER_WRITE = 4;
 
-  /** Runs {@code found} with the job as it is now, or {@code absent} if there is none. */
-  private record Pending(long exchange, String id, Consumer<Job> found, Runnable absent) {
+  /** A request that runs {@code found} with the current job, or {@code absent} if there is none. */
+  private record PendingRequest(long exchange, String id, Consumer<Job> found, Runnable absent) {
     void complete(Job job) {
       if (job == null) {
         absent.run();
@@ -37,8 +39,8 @@
   private final EffectSink sink;
   private final Replica replica;
   private final JobAnswers answers;
-  private List<Pending> waiting = new ArrayList<>();
-  private boolean underWay;
+  private List<PendingRequest> waiting = new ArrayList<>();
+  private boolean requestInFlight;
   private long nextMicros;
   private long now;
 
@@ -50,79 +52,87 @@
   }
 
   /**
-   * Runs {@code found} or {@code absent} once the job's state is confirmed; else the exchange is
-   * answered as unavailable.
+   * Runs {@code found} or {@code absent} once the state of the job is confirmed. If it cannot be
+   * confirmed, answers the exchange as unavailable instead.
    */
   void confirm(long exchange, String id, Consumer<Job> found, Runnable absent) {
-    waiting.add(new Pending(exchange, id, found, absent));
+    waiting.add(new PendingRequest(exchange, id, found, absent));
     tick(now);
   }
 
-  /** The same, by reading the job's key at once. */
+  /**
+   * Reads the key of the job at once, and runs {@code found} or {@code absent}. If the read fails,
+   * answers the exchange as unavailable instead.
+   */
   void read(long exchange, String id, Consumer<Job> found, Runnable absent) {
-    read(new Pending(exchange, id, found, absent));
+    read(new PendingRequest(exchange, id, found, absent));
   }
 
-  /** When the next transaction may be sent; far away when none is needed. */
+  /** Returns when the next transaction may be sent; {@link Long#MAX_VALUE} if none is needed. */
   long dueMicros() {
-    return underWay || waiting.isEmpty() ? Long.MAX_VALUE : nextMicros;
+    return requestInFlight || waiting.isEmpty() ? Long.MAX_VALUE : nextMicros;
   }
 
-  /** Sends a transaction for what is waiting, once that is due and none is under way. */
+  /** Sends a transaction for the waiting requests if it is due and none is in flight. */
   void tick(long nowMicros) {
     now = nowMicros;
-    if (underWay || waiting.isEmpty() || now < nextMicros) {
+    if (requestInFlight || waiting.isEmpty() || now < nextMicros) {
       return;
     }
-    List<Pending> batch = new ArrayList<>();
+    List<PendingRequest> batch = new ArrayList<>();
     List<Request.Condition> compares = takeBatch(batch);
-    underWay = true;
+    requestInFlight = true;
     nextMicros = now + settings.gatherMicros();
     sink.call(
         new Request.StoreTransaction(compares, List.of()),
         reply -> {
-          underWay = false;
+          requestInFlight = false;
           finish(batch, reply);
         });
   }
 
-  /** Moves to the batch what one transaction can compare; each job is compared once. */
-  private List<Request.Condition> takeBatch(List<Pending> batch) {
+  /**
+   * Moves as many waiting requests to the batch as one transaction can compare. Each job is
+   * compared once.
+   *
+   * @return the conditions of the transaction
+   */
+  private List<Request.Condition> takeBatch(List<PendingRequest> batch) {
     int maxCompares = settings.stateLimits().transactionOps() * COMPARES_PER_WRITE;
     Map<String, Long> versions = new LinkedHashMap<>();
-    List<Pending> later = new ArrayList<>();
-    for (Pending pending : waiting) {
+    List<PendingRequest> remaining = new ArrayList<>();
+    for (PendingRequest pending : waiting) {
       String id = pending.id();
       if (versions.size() < maxCompares || versions.containsKey(id)) {
         Job job = replica.job(id);
         versions.put(id, job == null ? 0 : job.version());
         batch.add(pending);
       } else {
-        later.add(pending);
+        remaining.add(pending);
       }
     }
-    waiting = later;
+    waiting = remaining;
     List<Request.Condition> compares = new ArrayList<>();
     versions.forEach(
         (id, version) -> compares.add(new Request.Condition(StateKeys.job(id), version)));
     return compares;
   }
 
-  private void finish(List<Pending> batch, Reply reply) {
+  private void finish(List<PendingRequest> batch, Reply reply) {
     if (reply instanceof Reply.Applied) {
       batch.forEach(pending -> pending.complete(replica.job(pending.id())));
     } else if (reply instanceof Reply.Conflict conflict) {
       batch.forEach(pending -> resolve(pending, conflict));
     } else {
-      batch.forEach(this::unconfirmed);
+      batch.forEach(this::answerUnconfirmed);
     }
   }
 
   /**
-   * A job whose version differs is read. The others are compared again: the list of failed
-   * conditions need not be complete.
+   * Reads a job whose version differs. The other jobs are compared again, since the list of failed
+   * conditions may be incomplete.
    */
-  private void resolve(Pending pending, Reply.Conflict conflict) {
+  private void resolve(PendingRequest pending, Reply.Conflict conflict) {
     if (conflict.failed().contains(StateKeys.job(pending.id()))) {
       read(pending);
     } else {
@@ -130,7 +140,7 @@
     }
   }
 
-  private void read(Pending pending) {
+  private void read(PendingRequest pending) {
     sink.call(
         new Request.StoreGet(StateKeys.job(pending.id())),
         reply -> {
@@ -140,12 +150,12 @@
           } else if (reply instanceof Reply.Absent) {
             pending.complete(replica.job(pending.id()));
           } else {
-            unconfirmed(pending);
+            answerUnconfirmed(pending);
           }
         });
   }
 
-  private void unconfirmed(Pending pending) {
+  private void answerUnconfirmed(PendingRequest pending) {
     answers.unavailable(pending.exchange(), "cannot confirm");
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -9,9 +9,11 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Serves users' requests about jobs on every node. Final states never change and are answered from
- * the replica; anything else is first confirmed to be current by {@link JobConfirmation}. What
- * cannot be stored or confirmed is answered 503 at once, with when to retry.
+ * Serves users' requests about jobs on every node.
+ *
+ * <p>Final states never change, so they are answered from the replica. Any other state is first
+ * confirmed to be current by {@link JobConfirmation}. A request that cannot be stored or confirmed
+ * is answered at once with status 503 and a retry delay.
  */
 public final class JobService {
   private final Replica replica;
@@ -22,7 +24,7 @@
   private long now;
 
   /**
-   * @param onCancelled takes each cancellation that this node has committed
+   * @param onCancelled receives each cancellation that this node has committed
    */
   public JobService(
       Settings settings, EffectSink sink, Replica replica, Consumer<Cancellation> onCancelled) {
@@ -36,17 +38,17 @@
         new JobCancellation(sink, replica, confirmation, answers, onCancelled, () -> now);
   }
 
-  /** A user submits a job. */
+  /** Handles a user's submission of a job. */
   public void submit(long exchange, Submission submission) {
-    // Also a malformed submission waits for the replica: its id may be that of an accepted job.
-    if (isReady(exchange)) {
+    // A malformed submission needs the replica too, since its id may belong to an accepted job.
+    if (checkReady(exchange)) {
       submissions.submit(exchange, submission, now);
     }
   }
 
-  /** A user asks for the state of a job. */
+  /** Handles a user's query for the state of a job. */
   public void poll(long exchange, String id) {
-    if (!isReady(exchange)) {
+    if (!checkReady(exchange)) {
       return;
     }
     Job known = replica.job(id);
@@ -58,26 +60,27 @@
         exchange, id, job -> answers.job(exchange, job), () -> answers.notFound(exchange));
   }
 
-  /** A user cancels a job. */
+  /** Handles a user's cancellation of a job. */
   public void cancel(long exchange, String id) {
-    if (isReady(exchange)) {
+    if (checkReady(exchange)) {
       cancellations.cancel(exchange, id);
     }
   }
 
-  private boolean isReady(long exchange) {
+  /** Returns whether the replica is loaded; if not, answers the exchange as unavailable. */
+  private boolean checkReady(long exchange) {
     if (!replica.isLoaded()) {
       answers.unavailable(exchange, "starting");
     }
     return replica.isLoaded();
   }
 
-  /** When {@link #tick} has something to do next; far away when nothing waits. */
+  /** Returns when {@link #tick} is due next; {@link Long#MAX_VALUE} if nothing waits. */
   public long dueMicros() {
     return confirmation.dueMicros();
   }
 
-  /** Confirms what has been gathered, once that is due. */
+  /** Sends the batched confirmations if they are due. */
   public void tick(long nowMicros) {
     now = nowMicros;
     confirmation.tick(nowMicros);
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -13,9 +13,9 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Submission as an idempotent request: the user's id of the job is the key, created by
- * compare-and-swap. A repeated submission of an accepted job is answered with that job, whatever
- * the repetition holds; it is never refused.
+ * Submits jobs as idempotent requests. The key contains the user's id of the job and is created by
+ * compare-and-swap. A repeated submission of an accepted job is answered with that job and never
+ * refused, even if its other fields differ or are malformed.
  */
 final class JobSubmission {
   private final EffectSink sink;
@@ -37,6 +37,7 @@
     this.answers = answers;
   }
 
+  /** Accepts or refuses a submission and answers the exchange. */
   void submit(long exchange, Submission submission, long nowMicros) {
     Job known = replica.job(submission.id());
     if (known != null) {
@@ -65,7 +66,10 @@
         () -> answers.unavailable(exchange, "conflict"));
   }
 
-  /** Another node may know the job, so it is confirmed that it is new. */
+  /**
+   * Refuses the submission once the state service confirms that the job is new. Another node may
+   * have accepted a job of this id.
+   */
   private void refuseIfNew(long exchange, String id, Refusal refusal) {
     confirmation.confirm(
         exchange, id, job -> answers.job(exchange, job), () -> answers.refused(exchange, refusal));
@@ -102,15 +106,15 @@
     sink.info(
         "job="
             + spec.id()
-            + " accepted: "
+            + " accepted: tasks="
             + spec.tasks()
-            + " tasks of "
+            + " cpus_per_task="
             + spec.cpus()
-            + " cpus and "
+            + " memory_gb_per_task="
             + spec.memoryGb()
-            + " GB, "
+            + " priority="
             + spec.priority()
-            + ", class="
+            + " class="
             + spec.jobClass()
             + " team="
             + spec.team());
--- a/src/main/java/org/eiderstair/core/jobs/SubmissionValidator.java
+++ b/src/main/java/org/eiderstair/core/jobs/SubmissionValidator.java
@@ -8,7 +8,7 @@
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.state.Replica;
 
-/** Checks whether a new job could ever run in this deployment. */
+/** Checks whether a submission is well-formed and its job could ever run in this deployment. */
 final class SubmissionValidator {
   private final Settings settings;
   private final Replica replica;
@@ -20,15 +20,19 @@
     this.quotas = new TeamQuotas(settings);
   }
 
-  /** Why a new job is not accepted; empty when it may be. */
+  /** Returns the reason why a new job is not accepted; empty if it may be accepted. */
   Optional<Refusal> refusal(Submission submission) {
     if (submission instanceof Submission.Malformed malformed) {
       return Optional.of(Refusal.malformed(malformed.fault()));
     }
-    return invalidity(((Submission.Parsed) submission).spec()).map(Refusal::invalid);
+    return invalidReason(((Submission.Parsed) submission).spec()).map(Refusal::invalid);
   }
 
-  private Optional<String> invalidity(JobSpec spec) {
+  /**
+   * Returns the reason why a job can never run; empty if there is none. Machine types are not
+   * checked while the catalog is empty.
+   */
+  private Optional<String> invalidReason(JobSpec spec) {
     if (!settings.teams().containsKey(spec.team())) {
       return Optional.of("unknown team " + spec.team());
     }
@@ -45,6 +49,7 @@
     return Optional.empty();
   }
 
+  /** Returns whether an otherwise empty machine of this type may run one task of the job. */
   private static boolean canHold(MachineType type, JobSpec spec) {
     boolean allowed = spec.machineTypes() == null || spec.machineTypes().contains(type.name());
     boolean inZone = spec.zone() == null || type.zones().contains(spec.zone());
--- a/src/main/java/org/eiderstair/core/jobs/package-info.java
+++ b/src/main/java/org/eiderstair/core/jobs/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Users' requests about jobs: idempotent submission, status and cancellation, each confirmed by the
- * state service; and the broadcast of cancellations to the leader. {@link
- * org.eiderstair.core.jobs.JobService} is the type to enter by.
+ * Serves users' requests to submit, query and cancel jobs, and forwards cancellations to the
+ * leader. Submission is idempotent. Answers are confirmed by the state service, except final
+ * states, which never change. The entry point is {@link org.eiderstair.core.jobs.JobService}.
  */
 package org.eiderstair.core.jobs;
