--- a/src/main/java/org/eiderstair/core/capacity/CapacityClock.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityClock.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.capacity;
 
-/** The time of the event being handled, and when capacity is to be decided on next. */
+/** Holds the time of the current event and the time of the next capacity decision. */
 final class CapacityClock {
   private static final long DECISION_INTERVAL_MICROS = 1_000_000;
 
@@ -19,12 +19,12 @@
     return nowMicros >= nextDecisionMicros;
   }
 
-  /** A decision is being taken; the next follows after the usual interval. */
+  /** Records a decision at the current time and schedules the next after the usual interval. */
   void decisionTaken() {
     nextDecisionMicros = nowMicros + DECISION_INTERVAL_MICROS;
   }
 
-  /** Brings the next decision forward, if it is not due sooner. */
+  /** Schedules the next decision within the delay, unless it is already due earlier. */
   void decideWithin(long delayMicros) {
     nextDecisionMicros = Math.min(nextDecisionMicros, nowMicros + delayMicros);
   }
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -12,28 +12,29 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Keeps as many machines as the demand asks for: scales out and in, and releases machines that can
- * no longer be used. One instance serves one term of the leader.
+ * Scales the machines to the demand and releases machines that can no longer be used. One instance
+ * serves one leader term.
  *
- * <p>{@link CapacityPlanner} compares demand and machines, {@link RentalOptionSelector} chooses
- * what to rent, {@link IdleMachinePolicy} and {@link MachineRetirement} choose what to release,
- * {@link CloudMachineReconciler} watches the cloud's list, and {@link ProvisioningController}
- * carries rentals and releases out.
+ * <p>{@link CapacityPlanner} compares demand and machines, and {@link RentalOptionSelector} chooses
+ * the machines to rent. {@link IdleMachinePolicy} and {@link MachineRetirement} choose the machines
+ * to release. {@link CloudMachineReconciler} compares the known machines with the cloud's list.
+ * {@link ProvisioningController} executes rentals and releases.
  */
 public final class CapacityManager {
   private static final int MAX_PENDING_RENTALS = 4;
 
   /**
-   * The delay from one rental to the next decision: more may be missing than one request brings,
-   * and the next may go to another zone.
+   * Delay from a rental to the next capacity decision. One request may not cover the demand, and
+   * the next request may choose another zone.
    */
   private static final long NEXT_RENTAL_DELAY_MICROS = 100_000;
 
   /**
-   * How long release records outlive their machines. The cloud's lists lag by up to twice what the
-   * settings say, and what an earlier leader deleted is known only by these records.
+   * Time for which a release record is kept after its machines are terminated. The cloud's lists
+   * are stale by up to twice the configured time. A new leader knows only from these records which
+   * machines an earlier leader deleted.
    */
-  private static final long TOMBSTONE_MICROS = 30_000_000;
+  private static final long TOMBSTONE_RETENTION_MICROS = 30_000_000;
 
   private final Settings settings;
   private final Replica replica;
@@ -52,8 +53,8 @@
   private final CloudMachineReconciler reconciler;
 
   /**
-   * @param demand how many tasks should run at once
-   * @param term the leader's term
+   * @param demand estimates how many tasks should run concurrently
+   * @param term the leader term that this instance serves
    */
   public CapacityManager(
       Settings settings,
@@ -80,7 +81,7 @@
             new LeaderProvisioningHost(
                 sink, replica, workers, stateWriter, cloud, pendingMachines, selector, clock),
             term,
-            TOMBSTONE_MICROS,
+            TOMBSTONE_RETENTION_MICROS,
             replica.dayMicros(0));
     scaleIn = new ScaleIn(sink, workers, provisioning, term);
     retirement =
@@ -90,15 +91,15 @@
         new CloudMachineReconciler(sink, workers, provisioning, scaleIn, cloud, clock, term);
   }
 
-  /** The term is over: nothing more is decided, and late answers of the cloud are dropped. */
+  /** Ends the term: no further decisions are made, and late replies from the cloud are dropped. */
   public void close() {
     provisioning.close();
     cloud.close();
   }
 
   /**
-   * Takes over what earlier terms left open: their rentals are on their way, and nothing is placed
-   * on a machine that they release.
+   * Takes over the open rentals and releases of earlier terms. Their rentals count as pending, and
+   * no task is placed on a machine that they release.
    */
   public void takeOver(long nowMicros) {
     clock.advanceTo(nowMicros);
@@ -111,27 +112,30 @@
     }
   }
 
-  /** The machine is durably registered, so a successor knows of it without its rental. */
+  /**
+   * Records that the machine's registration is durable. A later leader then finds the machine
+   * without its rental record.
+   */
   public void machineRegistered(String machine) {
     provisioning.machineRegistered(machine);
   }
 
-  /** Whether some machine has been silent for so long that peers are to be asked about it. */
+  /** Returns whether peers should be asked about a machine whose heartbeats are missing. */
   public boolean hasMissingMachines() {
     return retirement.hasMissingMachines();
   }
 
-  /** How many rentals and releases are open, for the log. */
+  /** Returns the number of open rentals and releases, for the log. */
   public String summary() {
     return provisioning.summary();
   }
 
-  /** How many rentals have stand-ins for machines whose names are not known yet. */
+  /** Returns the number of rentals that are represented by placeholder machines. */
   int pendingRentalCount() {
     return pendingMachines.rentalCount();
   }
 
-  /** Does what is due; nothing while this leader may not launch. */
+  /** Performs the actions that are due. Does nothing while this leader may not launch tasks. */
   public void tick(long nowMicros) {
     clock.advanceTo(nowMicros);
     if (!leadership.mayLaunch(nowMicros)) {
--- a/src/main/java/org/eiderstair/core/capacity/CapacityPlan.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityPlan.java
@@ -5,14 +5,14 @@
 import org.eiderstair.core.provisioning.RentalOption;
 
 /**
- * The outcome of comparing the demand with the machines.
+ * The result of comparing the demand with the machines.
  *
- * @param machines the machines considered, each with the share that no demand was assigned
- * @param machinesToRent how many machines of each option are missing, possibly 0
- * @param freesOnDemandMachines whether work that may run on spot machines should leave unassigned
- *     on-demand machines alone
+ * @param machines the machines considered, each with its unassigned share
+ * @param machinesToRent the number of missing machines per rental option, possibly 0
+ * @param scalesInOnDemandMachines whether work that may run on spot machines is kept off unassigned
+ *     on-demand machines, so that they become idle and are released
  */
 record CapacityPlan(
     List<PlannedMachine> machines,
     Map<RentalOption, Integer> machinesToRent,
-    boolean freesOnDemandMachines) {}
+    boolean scalesInOnDemandMachines) {}
--- a/src/main/java/org/eiderstair/core/capacity/CapacityPlanner.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityPlanner.java
@@ -12,13 +12,13 @@
 import org.eiderstair.core.provisioning.RentalRequest;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Compares the demand with the machines that are running or on their way. */
+/** Compares the demand with the machines that are running or pending. */
 final class CapacityPlanner {
-  /** Fewer missing tasks than this are a rounding error. */
+  /** A smaller number of missing tasks is treated as a rounding error. */
   private static final double MIN_MISSING_TASKS = 1e-3;
 
-  /** This part of a machine above a whole number is not rented for. */
-  private static final double IGNORED_MACHINE_PART = 0.1;
+  /** Demand for this fraction of a machine above a whole number does not cause a rental. */
+  private static final double IGNORED_MACHINE_FRACTION = 0.1;
 
   private final WorkerManager workers;
   private final Demand demand;
@@ -39,33 +39,36 @@
     this.clock = clock;
   }
 
-  /** Assigns the demand to machines and says what is missing. */
+  /** Assigns the demand to machines and returns the plan with the missing machines. */
   CapacityPlan plan(List<RentalRequest> pendingRentals) {
     List<PlannedMachine> machines = plannedMachines(pendingRentals);
     Map<String, Integer> machinesByZone = machinesByZone(pendingRentals);
     List<Demand.Estimate> estimates = demand.measure(clock.nowMicros());
-    // Where some work may run on on-demand machines only, those are kept for all demand: a burst of
-    // that work cannot wait for machines to boot.
-    boolean freesOnDemand = estimates.stream().allMatch(each -> each.spec().spotAllowed());
+    // If some work requires on-demand machines, they are kept for the whole demand, because a burst
+    // of that work cannot wait for machines to boot.
+    boolean scalesInOnDemand = estimates.stream().allMatch(each -> each.spec().spotAllowed());
     Map<RentalOption, Double> missing = new LinkedHashMap<>();
     for (Demand.Estimate estimate : estimates) {
-      double assigned = assign(estimate, machines, freesOnDemand);
+      double assigned = assign(estimate, machines, scalesInOnDemand);
       selector
           .select(estimate.spec(), machinesByZone)
           .ifPresent(
               candidate -> {
-                double missingTasks = wantedTasks(estimate, candidate, freesOnDemand) - assigned;
+                double missingTasks = wantedTasks(estimate, candidate, scalesInOnDemand) - assigned;
                 addMissing(missing, estimate.spec(), candidate, missingTasks, machines);
               });
     }
-    return new CapacityPlan(machines, wholeMachines(missing), freesOnDemand);
+    return new CapacityPlan(machines, wholeMachines(missing), scalesInOnDemand);
   }
 
-  /** In the order in which demand is assigned to them; what is left over is best released. */
+  /**
+   * Returns the active and pending machines in the order in which demand is assigned to them.
+   * Machines at the end of the list are the preferred candidates for release.
+   */
   private List<PlannedMachine> plannedMachines(List<RentalRequest> pendingRentals) {
     List<PlannedMachine> machines = new ArrayList<>();
     for (Machine machine : workers.machines().values()) {
-      // The work of a partitioned machine is planned elsewhere.
+      // The tasks of a partitioned machine are planned on other machines.
       if (machine.plan() == Machine.Plan.ACTIVE
           && machine.type() != null
           && !machine.isPartitioned()) {
@@ -94,30 +97,38 @@
     return machinesByZone;
   }
 
-  /** Assigns a class's tasks to machines, and returns how many were assigned. */
+  /** Assigns the tasks of one job class to machines and returns the number assigned. */
   private static double assign(
-      Demand.Estimate estimate, List<PlannedMachine> machines, boolean freesOnDemand) {
+      Demand.Estimate estimate, List<PlannedMachine> machines, boolean scalesInOnDemand) {
     double assigned = 0;
     for (PlannedMachine machine : machines) {
-      double wanted = wantedTasks(estimate, freesOnDemand && !machine.isSpot());
+      double wanted = wantedTasks(estimate, scalesInOnDemand && !machine.isSpot());
       assigned += machine.assign(estimate.spec(), Math.max(0, wanted - assigned));
     }
     return assigned;
   }
 
   /**
-   * On on-demand machines, work that may run on spot machines gets room only for what is at hand.
+   * Returns the number of tasks to plan for.
+   *
+   * @param currentOnly whether to plan only for the tasks that open jobs need now. This applies to
+   *     on-demand machines while all work may use spot machines.
    */
   private static double wantedTasks(Demand.Estimate estimate, boolean currentOnly) {
     return currentOnly ? estimate.currentTasks() : estimate.tasks();
   }
 
   private static double wantedTasks(
-      Demand.Estimate estimate, RentalOptionSelector.Candidate candidate, boolean freesOnDemand) {
-    return wantedTasks(estimate, freesOnDemand && !candidate.option().spot());
+      Demand.Estimate estimate,
+      RentalOptionSelector.Candidate candidate,
+      boolean scalesInOnDemand) {
+    return wantedTasks(estimate, scalesInOnDemand && !candidate.option().spot());
   }
 
-  /** Adds the machines that tasks without a machine need; a whole one if no machine allows them. */
+  /**
+   * Adds the machines that unassigned tasks need. Adds at least one whole machine if no existing
+   * machine allows such a task.
+   */
   private static void addMissing(
       Map<RentalOption, Double> missing,
       JobSpec spec,
@@ -135,7 +146,8 @@
   private static Map<RentalOption, Integer> wholeMachines(Map<RentalOption, Double> missing) {
     Map<RentalOption, Integer> whole = new LinkedHashMap<>();
     missing.forEach(
-        (option, machines) -> whole.put(option, (int) Math.ceil(machines - IGNORED_MACHINE_PART)));
+        (option, machines) ->
+            whole.put(option, (int) Math.ceil(machines - IGNORED_MACHINE_FRACTION)));
     return whole;
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
+++ b/src/main/java/org/eiderstair/core/capacity/CatalogRefresh.java
@@ -11,8 +11,8 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Asks the cloud for its machine types from time to time, and keeps them in the state service, so
- * that every node can judge jobs, also while the cloud does not answer.
+ * Periodically requests the catalog of machine types from the cloud and stores it in the state
+ * service. Every node can then validate jobs, even while the cloud does not answer.
  */
 final class CatalogRefresh {
   private static final long INTERVAL_MICROS = 120_000_000;
@@ -25,7 +25,7 @@
   private final CapacityClock clock;
   private final long term;
   private long nextRequestMicros;
-  private boolean requesting;
+  private boolean requestInProgress;
 
   CatalogRefresh(
       EffectSink sink,
@@ -42,32 +42,32 @@
     this.term = term;
   }
 
-  /** Asks for the catalog when that is due. */
+  /** Requests the catalog when it is due and the rate limit allows it. */
   void tick() {
-    if (requesting || clock.nowMicros() < nextRequestMicros || !cloud.isWithinRate()) {
+    if (requestInProgress || clock.nowMicros() < nextRequestMicros || !cloud.isWithinRate()) {
       return;
     }
-    requesting = true;
+    requestInProgress = true;
     cloud.query(
         new Request.CloudCatalog(),
         reply -> {
-          requesting = false;
+          requestInProgress = false;
           if (reply instanceof Reply.Catalog catalog) {
             scheduleIn(INTERVAL_MICROS);
-            received(catalog.types());
+            catalogReceived(catalog.types());
           } else {
             scheduleIn(RETRY_DELAY_MICROS);
           }
         });
   }
 
-  private void received(List<MachineType> types) {
+  private void catalogReceived(List<MachineType> types) {
     if (!types.equals(replica.catalog())) {
-      write(new CatalogRecord(types));
+      writeCatalog(new CatalogRecord(types));
     }
   }
 
-  private void write(CatalogRecord record) {
+  private void writeCatalog(CatalogRecord record) {
     sink.call(
         new Request.StoreTransaction(
             List.of(
--- a/src/main/java/org/eiderstair/core/capacity/CloudCalls.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudCalls.java
@@ -7,9 +7,12 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.state.RateBudget;
 
-/** Calls to the cloud, within its rate limit and until the term is over. */
+/** Sends requests to the cloud within its rate limit, and drops replies after the term ends. */
 final class CloudCalls {
-  /** The part of the cloud's rate limit that is used, so that delays do not break it. */
+  /**
+   * Fraction of the cloud's rate limit that is used. The rest is a margin, so that delayed requests
+   * do not exceed the limit.
+   */
   private static final double RATE_SHARE = 0.7;
 
   private final EffectSink sink;
@@ -26,7 +29,7 @@
     this.budget = new RateBudget(requestsPerSecond * RATE_SHARE);
   }
 
-  /** The term is over: answers that are still to come are dropped. */
+  /** Ends the term: replies that arrive later are dropped. */
   void close() {
     closed = true;
   }
@@ -35,28 +38,28 @@
     return budget.available(clock.nowMicros()) >= 1;
   }
 
-  /** Whether a call that changes something may be made now. */
+  /** Returns whether a call that changes cloud resources may be sent now. */
   boolean mayChange() {
     return isWithinRate() && leadership.mayLaunch(clock.nowMicros());
   }
 
-  /** A call that only reads. */
+  /** Sends a read-only request. */
   void query(Request request, Consumer<Reply> callback) {
     budget.take(1);
-    sink.call(request, whileOpen(callback));
+    sink.call(request, unlessClosed(callback));
   }
 
   /**
-   * A call that changes something. It is not sent after this leader's lease has ended, so a process
-   * that was paused does not act on old authority; if it were, its durable record would still fence
-   * it.
+   * Sends a request that changes cloud resources. The request is not sent after this leader's lease
+   * ends, so a paused process does not act on expired authority. If the request were sent anyway,
+   * its durable record would still fence it.
    */
   void change(Request request, Consumer<Reply> callback) {
     budget.take(1);
-    sink.call(request, leadership.bounds().leaseEndMicros(), whileOpen(callback));
+    sink.call(request, leadership.bounds().leaseEndMicros(), unlessClosed(callback));
   }
 
-  private Consumer<Reply> whileOpen(Consumer<Reply> callback) {
+  private Consumer<Reply> unlessClosed(Consumer<Reply> callback) {
     return reply -> {
       if (!closed) {
         callback.accept(reply);
--- a/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
@@ -10,22 +10,23 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Reconciles the machines known here with the cloud's list: finds machines that nothing here
- * explains, failed ones, and registered ones that the cloud no longer has.
+ * Reconciles the machines known to this leader with the cloud's list. Adds machines that this
+ * leader does not know, and releases failed machines and registered machines that the cloud no
+ * longer lists.
  */
 final class CloudMachineReconciler {
   private static final long INTERVAL_MICROS = 5_000_000;
 
   /**
-   * The interval while machines of earlier terms are unconfirmed. One that no longer exists holds
-   * back the work of earlier terms until that is known.
+   * List interval while machines of earlier terms are unconfirmed. An unconfirmed machine that no
+   * longer exists blocks the tasks of earlier terms until its absence is known.
    */
   private static final long UNCONFIRMED_INTERVAL_MICROS = 1_500_000;
 
-  /** An unconfirmed machine has this time to report before a list without it counts. */
-  private static final long UNLISTED_PATIENCE_MICROS = 2_000_000;
+  /** Time for an unconfirmed machine to report before it is released as missing from the list. */
+  private static final long UNLISTED_GRACE_MICROS = 2_000_000;
 
-  /** The state of a machine that the cloud could not start or has lost. */
+  /** The state that the cloud reports for a machine that it could not start or has lost. */
   private static final String FAILED = "failed";
 
   private final EffectSink sink;
@@ -35,8 +36,8 @@
   private final CloudCalls cloud;
   private final CapacityClock clock;
   private final long term;
-  private final Set<String> listed = new HashSet<>();
-  private boolean listing;
+  private final Set<String> listedMachines = new HashSet<>();
+  private boolean listInProgress;
   private long nextListMicros;
 
   CloudMachineReconciler(
@@ -56,21 +57,23 @@
     this.term = term;
   }
 
-  /** Asks for the cloud's list when that is due. */
+  /** Requests the cloud's list of machines when a list is due and the rate limit allows it. */
   void tick() {
-    if (listing || clock.nowMicros() < nextListMicros || !cloud.isWithinRate()) {
+    if (listInProgress || clock.nowMicros() < nextListMicros || !cloud.isWithinRate()) {
       return;
     }
-    listing = true;
+    listInProgress = true;
     boolean allConfirmed = workers.unconfirmed().isEmpty();
     nextListMicros =
         clock.nowMicros() + (allConfirmed ? INTERVAL_MICROS : UNCONFIRMED_INTERVAL_MICROS);
-    listed.clear();
+    listedMachines.clear();
     requestPage(null);
   }
 
   /**
-   * @param after the last machine of the page before; null for the first page
+   * Requests one page of the cloud's list.
+   *
+   * @param after the id of the last machine on the previous page; null for the first page
    */
   private void requestPage(String after) {
     cloud.query(
@@ -79,7 +82,7 @@
           if (reply instanceof Reply.CloudMachines page) {
             pageReceived(page);
           } else {
-            listing = false;
+            listInProgress = false;
           }
         });
   }
@@ -88,27 +91,27 @@
     String last = null;
     for (Reply.CloudMachine machine : page.machines()) {
       last = machine.id();
-      listed.add(last);
+      listedMachines.add(last);
       reconcile(machine);
     }
     if (page.more() && last != null) {
       requestPage(last);
     } else {
-      listing = false;
+      listInProgress = false;
       releaseUnlisted();
     }
   }
 
   /**
-   * A registered machine that neither reports nor is listed most likely no longer exists; its
-   * deletion costs nothing and proves it.
+   * Releases unconfirmed machines that are missing from the cloud's list. Such a machine most
+   * likely no longer exists. Its deletion costs nothing and proves its absence.
    */
   private void releaseUnlisted() {
     for (Machine machine : workers.machines().values()) {
       if (machine.phase() == Machine.Phase.UNCONFIRMED
           && machine.plan() != Machine.Plan.TERMINATE
-          && !listed.contains(machine.id())
-          && clock.nowMicros() > machine.sinceMicros() + UNLISTED_PATIENCE_MICROS) {
+          && !listedMachines.contains(machine.id())
+          && clock.nowMicros() > machine.sinceMicros() + UNLISTED_GRACE_MICROS) {
         scaleIn.release(machine, "no heartbeat and not in the cloud's list");
       }
     }
@@ -120,7 +123,7 @@
       return;
     }
     if (entry.state().equals(FAILED)) {
-      failed(entry, known);
+      releaseFailed(entry, known);
     } else if (known == null) {
       sink.info("machine=" + entry.id() + " found in the cloud's list, term=" + term);
       Machine found = expect(entry);
@@ -128,13 +131,16 @@
     }
   }
 
-  /** The cloud's lists are old: they may show machines that this leader or the last has deleted. */
+  /**
+   * Returns whether the machine was deleted, or is unknown and being released. The cloud's list is
+   * stale and may contain machines that this or an earlier leader deleted.
+   */
   private boolean isDeleted(Reply.CloudMachine entry, Machine known) {
     return workers.isTerminated(entry.id())
         || (known == null && provisioning.isReleasing(entry.id()));
   }
 
-  private void failed(Reply.CloudMachine entry, Machine known) {
+  private void releaseFailed(Reply.CloudMachine entry, Machine known) {
     if (known == null || known.plan() != Machine.Plan.TERMINATE) {
       sink.info("machine=" + entry.id() + " failed in the cloud, term=" + term);
     }
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -14,47 +14,53 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Estimates for each class of jobs how many of its tasks should run at once for its jobs to be in
- * time. A job's remaining work is spread over the time until it is due, so work with slack waits
- * for machines that are there rather than for new ones. The highest recent estimate decays slowly,
- * since a new machine takes a while to come.
+ * Estimates for each job class how many tasks must run concurrently for its jobs to finish in time.
+ * The remaining work of a job is spread over the time until the job is due, so work with slack uses
+ * existing machines instead of new ones. The highest recent estimate decays slowly, because a new
+ * machine takes time to boot.
  */
 public final class Demand {
+  /** Time constant of the exponential decay of the highest recent estimate. */
   private static final double PEAK_DECAY_MICROS = 90e6;
 
-  /** Fewer tasks than this are no demand. */
+  /** A smaller number of tasks is ignored. */
   private static final double MIN_TASKS = 0.05;
 
+  /** Lower bound of the CPUs of a task, which prevents a division by zero. */
   private static final double MIN_CPUS = 1e-3;
+
   private static final double MIN_ESTIMATE_MICROS = 1e6;
 
-  /** However long a task has run, it is taken to need this part of its estimate still. */
+  /** A running task is assumed to need at least its estimate divided by this number. */
   private static final double MIN_REMAINING_DIVISOR = 5;
 
-  /** A job without an objective is planned to end in this part of the time it has. */
+  /** A job without an objective is planned to end within this fraction of its deadline. */
   private static final double PLANNED_SHARE_OF_DEADLINE = 0.7;
 
-  /** The time of a job with neither objective nor deadline, by its estimate. */
-  private static final double DEFAULT_DEADLINE_ESTIMATES = 4;
+  /** Default deadline of a job without one, as a multiple of its estimate. */
+  private static final double DEFAULT_DEADLINE_ESTIMATE_FACTOR = 4;
 
+  /** Added to the multiple of the estimate for the default deadline. */
   private static final long DEFAULT_DEADLINE_MICROS = 60_000_000;
 
   /**
-   * So many tasks like those of {@code spec} should run at once.
+   * The number of tasks of one job class that should run concurrently.
    *
-   * @param currentTasks how many of them the work at hand needs; the rest was needed lately, and is
-   *     not worth an on-demand machine
+   * @param spec the specification of one job of the class
+   * @param tasks the number of tasks, not necessarily a whole number
+   * @param currentTasks the part of {@code tasks} that open jobs need now. The rest was needed
+   *     recently and does not justify an on-demand machine.
    */
   record Estimate(JobSpec spec, double tasks, double currentTasks) {}
 
-  /** Jobs of one key need machines of the same kinds and use the same limit. */
+  /** Identifies jobs that need the same kinds of machines and share one team limit. */
   private record ClassKey(String jobClass, String team, List<String> machineTypes, String zone) {
     static ClassKey of(JobSpec spec) {
       return new ClassKey(spec.jobClass(), spec.team(), spec.machineTypes(), spec.zone());
     }
   }
 
-  /** The demand of one class: what its open jobs need now, and the highest of late. */
+  /** The demand of one job class: the current demand of its open jobs and the recent peak. */
   private static final class ClassDemand {
     private JobSpec spec;
     private double currentTasks;
@@ -73,7 +79,7 @@
       peakTasks = Math.max(currentTasks, peakTasks * decay);
     }
 
-    /** However much slack there is, work needs at least one place to run. */
+    /** Returns the recent peak, but at least one task if any open job needs capacity. */
     double wantedTasks() {
       return currentTasks > 0 ? Math.max(1, peakTasks) : peakTasks;
     }
@@ -99,8 +105,9 @@
   }
 
   /**
-   * Measures the demand of the open jobs and estimates what should run at once, within the teams'
-   * limits. Work that may not use spot machines comes first, so that it gets the others.
+   * Measures the demand of the open jobs and returns the estimates within the teams' CPU limits.
+   * Classes that may not use spot machines come first, so that on-demand machines are assigned to
+   * them first.
    */
   public List<Estimate> measure(long nowMicros) {
     double decay = Math.exp(-(nowMicros - measuredMicros) / PEAK_DECAY_MICROS);
@@ -141,10 +148,11 @@
   }
 
   /**
-   * Reserves for each class what it lately needed at once, so that its team keeps it from less
-   * urgent work. Only classes whose wait for a start has an objective: for the others their
-   * priority is enough. Seen after a burst: 2,400 tasks of low priority waited beside 950 free
-   * processors, since ordinary work that found no fitting machine kept half of the team's limit.
+   * Reserves the recent peak demand of each class within its team's limit, so that less urgent work
+   * does not use that part of the limit. Only classes with an objective on their wait for a start
+   * get a reservation. For other classes their priority is sufficient. With a reservation for every
+   * class, 2,400 low-priority tasks waited after a burst although 950 CPUs were free, because
+   * ordinary work without a fitting machine held half of the team's limit.
    */
   public void reserve(TeamQuotas quotas) {
     for (ClassDemand demand : classes.values()) {
@@ -171,8 +179,8 @@
       return spec.tasks();
     }
     double timeLeftMicros = plannedMicros(spec) - (nowMicros - job.submittedMicros());
-    // Work that may not use spot machines can't borrow their room: what it needs at once is kept
-    // there for it.
+    // Work that may not use spot machines cannot fall back on spot capacity, so on-demand capacity
+    // is planned for all of its remaining tasks at once.
     double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
     return Math.min(
         job.unfinishedTasks(),
@@ -183,7 +191,7 @@
     return Math.max(spec.estimateMicros(), MIN_ESTIMATE_MICROS);
   }
 
-  /** The remaining running time of all tasks of a job, as its owner estimates it. */
+  /** Returns the total remaining run time of a job's tasks, based on its owner's estimate. */
   private static double remainingMicros(Job job, long nowMicros) {
     double estimate = estimateMicros(job.spec());
     double remaining = job.freeTasks() * estimate;
@@ -196,23 +204,24 @@
   }
 
   /**
-   * How long after its submission a job is planned to be done: early enough for its most pressing
-   * objective. Estimates are often too low and room is not always where it is needed, so the fewer
-   * jobs may be late, the earlier.
+   * Returns the planned time from the submission of a job to its end. The most pressing objective
+   * determines this time. Estimates are often too low and free capacity is not always where it is
+   * needed. The plan is therefore earlier when the objective allows fewer late jobs.
    */
   private double plannedMicros(JobSpec spec) {
     double planned = Double.MAX_VALUE;
     for (Settings.Objective objective : settings.objectives()) {
-      double within = objective.jobClass().equals(spec.jobClass()) ? within(objective, spec) : 0;
-      if (within > 0) {
-        planned = Math.min(planned, within * (1 - objective.share() / 2));
+      double allowedMicros =
+          objective.jobClass().equals(spec.jobClass()) ? allowedMicros(objective, spec) : 0;
+      if (allowedMicros > 0) {
+        planned = Math.min(planned, allowedMicros * (1 - objective.share() / 2));
       }
     }
     return planned < Double.MAX_VALUE ? planned : PLANNED_SHARE_OF_DEADLINE * deadlineMicros(spec);
   }
 
-  /** The time that the objective gives a job from submission to end; 0 if none. */
-  private static double within(Settings.Objective objective, JobSpec spec) {
+  /** Returns the time that the objective allows from submission to end; 0 if it sets none. */
+  private static double allowedMicros(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
       case DEADLINE -> spec.deadlineMicros() == JobSpec.NO_DEADLINE ? 0 : spec.deadlineMicros();
       case WAIT -> objective.withinMicros() + spec.estimateMicros();
@@ -223,6 +232,6 @@
   private static double deadlineMicros(JobSpec spec) {
     return spec.deadlineMicros() != JobSpec.NO_DEADLINE
         ? spec.deadlineMicros()
-        : DEFAULT_DEADLINE_ESTIMATES * spec.estimateMicros() + DEFAULT_DEADLINE_MICROS;
+        : DEFAULT_DEADLINE_ESTIMATE_FACTOR * spec.estimateMicros() + DEFAULT_DEADLINE_MICROS;
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/IdleMachinePolicy.java
+++ b/src/main/java/org/eiderstair/core/capacity/IdleMachinePolicy.java
@@ -4,10 +4,10 @@
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Marks machines beyond the demand, and releases those of them that are idle. */
+/** Marks machines that exceed the demand and releases those that are idle. */
 final class IdleMachinePolicy {
-  /** A machine is paid for this time in any case. */
-  private static final long MIN_LIFE_MICROS = 60_000_000;
+  /** Minimum billing time of a machine; an earlier release saves nothing. */
+  private static final long MIN_BILLED_MICROS = 60_000_000;
 
   private final Settings settings;
   private final WorkerManager workers;
@@ -22,7 +22,7 @@
     this.clock = clock;
   }
 
-  /** Applies the plan; a machine that it does not consider is not beyond the demand. */
+  /** Applies the plan. Machines that are not in the plan do not count as excess. */
   void apply(CapacityPlan plan) {
     for (Machine machine : workers.machines().values()) {
       machine.setExcess(false);
@@ -31,7 +31,7 @@
       Machine machine = planned.machine();
       machine.setExcess(planned.isUnassigned());
       machine.setReservedForOnDemand(
-          plan.freesOnDemandMachines() && machine.isExcess() && !machine.isSpot());
+          plan.scalesInOnDemandMachines() && machine.isExcess() && !machine.isSpot());
       if (machine.isExcess() && isIdle(machine)) {
         scaleIn.release(machine, "idle");
       }
@@ -43,6 +43,6 @@
     return machine.phase() == Machine.Phase.CONFIRMED
         && machine.attempts().isEmpty()
         && now > machine.idleSinceMicros() + settings.tuning().idleReturnMicros()
-        && now > machine.sinceMicros() + MIN_LIFE_MICROS;
+        && now > machine.sinceMicros() + MIN_BILLED_MICROS;
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -16,11 +16,14 @@
 import org.eiderstair.core.state.StateWriter;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Gives provisioning the leader's writes, its calls to the cloud and what it knows of machines. */
+/** Connects provisioning to the leader's durable writes, cloud requests, machines and log. */
 final class LeaderProvisioningHost implements ProvisioningHost {
-  private static final Runnable NOTHING = () -> {};
+  private static final Runnable NO_OP = () -> {};
 
-  /** After an unexpected loss, the next decision waits for further losses of the same moment. */
+  /**
+   * Delay from an unexpected machine loss to the next capacity decision, so that simultaneous
+   * losses are handled together.
+   */
   private static final long LOSS_DECISION_DELAY_MICROS = 100_000;
 
   private final EffectSink sink;
@@ -58,7 +61,7 @@
 
   @Override
   public void remove(String key) {
-    stateWriter.removeDuty(key, NOTHING);
+    stateWriter.removeDuty(key, NO_OP);
   }
 
   @Override
@@ -83,7 +86,7 @@
       handler.unanswered(reply.toString());
       return;
     }
-    pendingMachines.forget(rental);
+    pendingMachines.remove(rental);
     if (reply instanceof Reply.Rented rented) {
       handler.granted(rented.machines());
     } else if (reply instanceof Reply.Refused) {
@@ -109,7 +112,7 @@
   @Override
   public void machinesBooting(RentalRequest rental, List<String> machines, long ageMicros) {
     RentalOption option = rental.option();
-    pendingMachines.forget(rental);
+    pendingMachines.remove(rental);
     for (String id : machines) {
       if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
         Machine machine = workers.expect(id, null, option.type(), option.zone(), option.spot());
@@ -127,9 +130,9 @@
   public void machineTerminated(String id) {
     Machine machine = workers.machines().get(id);
     if (machine != null && machine.isPresumedDead()) {
-      // What the cloud refused for want of machines may be had now. Without this, replacements wait
-      // until the refusal is 15 s old (seen with 350 machines after a partition of a zone). A lost
-      // machine that was idle needs no replacement.
+      // The cloud may have capacity again for an option that it refused. Otherwise replacements
+      // wait until the refusal is 15 s old, as seen with 350 machines after a zone partition. The
+      // next decision rents replacements for demand only; a lost idle machine needs none.
       selector.clearExhausted(
           new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
       clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -14,19 +14,23 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Releases machines that can no longer be used: unreachable, failed to boot, drained, or holding
- * cancelled work that does not end.
+ * Releases machines that can no longer be used. These are unreachable machines, machines that
+ * failed to boot, drained machines, and machines that hold cancelled tasks that do not end.
  */
 final class MachineRetirement {
-  /** A machine that reported within this time is not dead. */
+  /** A machine that was in contact within this time is considered alive. */
   private static final long RECENT_HEARTBEAT_MICROS = 1_000_000;
 
-  /** A machine may take this many times the usual time to boot. */
+  /** The boot timeout is this multiple of the usual boot time of the machine type. */
   private static final int BOOT_TIME_FACTOR = 4;
 
+  /** The usual boot time assumed for a machine type that is not in the catalog. */
   private static final long UNKNOWN_TYPE_BOOT_MICROS = 60_000_000;
 
-  /** The time from a decision to the deletion: a write, a slow request and a second one. */
+  /**
+   * Time allowed from a release decision to the deletion. It covers one write, one slow request and
+   * one retry.
+   */
   private static final long RELEASE_DURATION_MICROS = 12_000_000;
 
   private final Settings settings;
@@ -38,7 +42,7 @@
   private final CapacityClock clock;
   private final long term;
   private Optional<ReachabilityClassifier> lastClassifier = Optional.empty();
-  private int lastSilentKept;
+  private int lastSilentMachinesKept;
 
   MachineRetirement(
       Settings settings,
@@ -59,12 +63,12 @@
     this.term = term;
   }
 
-  /** Whether some machine has been silent for so long that peers are to be asked about it. */
+  /** Returns whether peers should be asked about a machine whose heartbeats are missing. */
   boolean hasMissingMachines() {
     return lastClassifier.isPresent() && lastClassifier.get().hasMissingMachines();
   }
 
-  /** Judges all machines as of now, and releases those that are of no more use. */
+  /** Classifies all machines at the current time and releases those that can no longer be used. */
   void retire() {
     ReachabilityClassifier classifier =
         membership.classify(
@@ -74,19 +78,19 @@
             settings.tuning().partitionedDeleteMicros(),
             clock.nowMicros());
     lastClassifier = Optional.of(classifier);
-    releaseHoldersOfCancelledWork();
-    int silentKept = 0;
+    releaseMachinesWithCancelledTasks();
+    int silentMachinesKept = 0;
     for (Machine machine : workers.machines().values()) {
       if (machine.plan() == Machine.Plan.TERMINATE) {
         keepIfAlive(machine);
-      } else if (judge(machine, classifier)) {
-        silentKept++;
+      } else if (releaseIfUnusable(machine, classifier)) {
+        silentMachinesKept++;
       }
     }
-    logSilentKept(silentKept, classifier);
+    logSilentMachinesKept(silentMachinesKept, classifier);
   }
 
-  /** A machine that was presumed dead and reports again is kept, if it still can be. */
+  /** Keeps a machine that was presumed dead and is in contact again, if that is still possible. */
   private void keepIfAlive(Machine machine) {
     if (machine.isPresumedDead()
         && machine.lastContactMicros() > clock.nowMicros() - RECENT_HEARTBEAT_MICROS) {
@@ -94,8 +98,12 @@
     }
   }
 
-  /** Releases the machine if there is a reason; returns whether it is silent and kept. */
-  private boolean judge(Machine machine, ReachabilityClassifier classifier) {
+  /**
+   * Releases the machine if there is a reason.
+   *
+   * @return whether the machine is silent and is kept nevertheless
+   */
+  private boolean releaseIfUnusable(Machine machine, ReachabilityClassifier classifier) {
     Verdict verdict = classifier.verdictOf(machine);
     machine.setPartitioned(verdict == Verdict.ZONE_PARTITIONED);
     Optional<String> reason = reasonToRelease(machine, verdict, classifier);
@@ -107,8 +115,9 @@
   }
 
   /**
-   * While this node is overloaded, no machine is released because its heartbeats are missing: one
-   * that really died is listed as failed by the cloud.
+   * Returns the reason to release the machine; empty if the machine is kept. While this node is
+   * overloaded, missing heartbeats are no reason. The cloud lists a machine that really died as
+   * failed.
    */
   private Optional<String> reasonToRelease(
       Machine machine, Verdict verdict, ReachabilityClassifier classifier) {
@@ -134,39 +143,44 @@
   }
 
   /**
-   * A task of a cancelled job that is not shown to have ended is ended with its machine, while the
-   * time allowed for cancellations still suffices for that. A machine that hangs or does not obey
-   * may never show it; its lease mostly ends sooner, but that depends on its own clock.
+   * Releases machines that may still run tasks of a cancelled job, early enough to delete them
+   * within the time allowed for cancellations. A machine that hangs or ignores commands may never
+   * report the end of a task. Its lease usually expires earlier, but the lease depends on the
+   * machine's own clock.
    */
-  private void releaseHoldersOfCancelledWork() {
+  private void releaseMachinesWithCancelledTasks() {
     long now = clock.nowMicros();
     long cancelledBefore = now - settings.workerTimings().cancelMicros() + RELEASE_DURATION_MICROS;
     for (Job job : replica.recentlyCancelled(now)) {
       if (job.cancelledMicros() < cancelledBefore) {
         for (Attempt attempt : new ArrayList<>(job.attempts())) {
-          releaseHolder(attempt, now - job.cancelledMicros());
+          releaseMachineOf(attempt, now - job.cancelledMicros());
         }
       }
     }
   }
 
-  private void releaseHolder(Attempt attempt, long sinceCancelledMicros) {
+  private void releaseMachineOf(Attempt attempt, long sinceCancelledMicros) {
     if (attempt.mayBeOnMachine() && attempt.machine().plan() != Machine.Plan.TERMINATE) {
       scaleIn.release(
           attempt.machine(),
-          "not shown to have ended task="
+          "cancelled task may still run task="
               + attempt.task()
-              + ", cancelled "
-              + sinceCancelledMicros / 1000
-              + " ms ago");
+              + " sinceCancelledMs="
+              + sinceCancelledMicros / 1000);
     }
   }
 
-  private void logSilentKept(int silentKept, ReachabilityClassifier classifier) {
-    if (silentKept != lastSilentKept) {
-      lastSilentKept = silentKept;
+  private void logSilentMachinesKept(int silentMachinesKept, ReachabilityClassifier classifier) {
+    if (silentMachinesKept != lastSilentMachinesKept) {
+      lastSilentMachinesKept = silentMachinesKept;
       sink.info(
-          "silent machines kept: " + silentKept + ", " + classifier.evidence() + ", term=" + term);
+          "keeping silent machines count="
+              + silentMachinesKept
+              + ", "
+              + classifier.evidence()
+              + ", term="
+              + term);
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/PendingMachines.java
+++ b/src/main/java/org/eiderstair/core/capacity/PendingMachines.java
@@ -12,8 +12,8 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Stand-ins for machines that are being rented and have no names yet. They count as booting, so
- * that nothing is rented twice.
+ * Placeholders for machines that are being rented and have no ids yet. They count as booting, so
+ * that no machine is rented twice for the same demand.
  */
 final class PendingMachines {
   private final Replica replica;
@@ -27,14 +27,15 @@
     this.term = term;
   }
 
-  /** How many rentals have stand-ins. */
+  /** Returns the number of rentals that have placeholders. */
   int rentalCount() {
     return byRequestId.size();
   }
 
   /**
-   * The stand-ins of a rental. A rental of an earlier term may be of a type that the cloud no
-   * longer offers; it has none, as a failure here would end one leader after another.
+   * Returns the placeholders of a rental; empty if the catalog no longer contains its machine type.
+   * A rental of an earlier term may have such a type. An exception here would stop every successive
+   * leader.
    */
   List<Machine> of(RentalRequest rental) {
     Optional<MachineType> type =
@@ -45,10 +46,10 @@
       return List.of();
     }
     return byRequestId.computeIfAbsent(
-        rental.requestId(), requestId -> standIns(rental, type.get()));
+        rental.requestId(), requestId -> createPlaceholders(rental, type.get()));
   }
 
-  private List<Machine> standIns(RentalRequest rental, MachineType type) {
+  private List<Machine> createPlaceholders(RentalRequest rental, MachineType type) {
     RentalOption option = rental.option();
     List<Machine> machines = new ArrayList<>(rental.count());
     for (int i = 0; i < rental.count(); i++) {
@@ -61,8 +62,8 @@
     return machines;
   }
 
-  /** The rental is over, or its machines have names now. */
-  void forget(RentalRequest rental) {
+  /** Removes the placeholders of a rental that has ended or whose machines have ids. */
+  void remove(RentalRequest rental) {
     byRequestId.remove(rental.requestId());
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/PlannedMachine.java
+++ b/src/main/java/org/eiderstair/core/capacity/PlannedMachine.java
@@ -4,12 +4,12 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.MachineType;
 
-/** A machine, running or on its way, and the share of it that no demand has been assigned yet. */
+/** A running or pending machine and the share of it that is not assigned to demand. */
 final class PlannedMachine {
-  /** A larger share counts as the whole machine, in spite of rounding. */
+  /** A larger share counts as the whole machine, to tolerate rounding errors. */
   private static final double WHOLE_SHARE = 0.999;
 
-  /** The least share of a machine that a task is taken to need. */
+  /** The smallest share of a machine that a task is assumed to need. */
   private static final double MIN_TASK_SHARE = 1e-3;
 
   private final Machine machine;
@@ -35,16 +35,16 @@
     return machine.allows(spec);
   }
 
-  /** Whether no demand was assigned to it. */
+  /** Returns whether no demand is assigned to the machine. */
   boolean isUnassigned() {
     return unassignedShare > WHOLE_SHARE;
   }
 
   /**
-   * Assigns tasks to the machine, as far as its share reaches.
+   * Assigns tasks to the unassigned share of the machine.
    *
-   * @param tasks how many tasks, not necessarily a whole number
-   * @return how many of them were assigned
+   * @param tasks the number of tasks, not necessarily a whole number
+   * @return the number of tasks assigned; 0 if the machine does not allow such tasks
    */
   double assign(JobSpec spec, double tasks) {
     if (!machine.allows(spec)) {
@@ -56,7 +56,7 @@
     return assigned;
   }
 
-  /** The share of a machine of the type that one task needs, by its scarcest resource. */
+  /** Returns the share of a machine of the type that one task needs of its scarcest resource. */
   static double taskShare(JobSpec spec, MachineType type) {
     double share = Math.max(spec.cpus() / type.cpus(), spec.memoryGb() / type.memoryGb());
     if (type.accelerators() > 0) {
--- a/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
+++ b/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
@@ -9,15 +9,20 @@
 import org.eiderstair.core.provisioning.RentalOption;
 import org.eiderstair.core.state.Replica;
 
-/** Chooses what to rent for a job, and remembers what the cloud could not provide lately. */
+/** Chooses the rental option for a job, and skips options that the cloud recently lacked. */
 final class RentalOptionSelector {
+  /** Time for which an exhausted option is not chosen. */
   private static final long EXHAUSTED_PAUSE_MICROS = 15_000_000;
 
-  /** Added to the price in a partitioned zone; above every price. */
-  private static final double PARTITIONED_ZONE_PRICE = 1e9;
+  /** Penalty added to prices in a partitioned zone; larger than any price. */
+  private static final double PARTITIONED_ZONE_PENALTY = 1e9;
 
+  /** Prices that differ by less than this are equal. */
   private static final double PRICE_TOLERANCE = 1e-9;
+
+  /** Lower bound of the CPUs of a machine type, which prevents a division by zero. */
   private static final double MIN_CPUS = 0.01;
+
   private static final boolean[] SPOT_THEN_ON_DEMAND = {true, false};
 
   private final Replica replica;
@@ -32,25 +37,26 @@
   }
 
   /**
-   * A rental option with the type that it names.
+   * A rental option with its machine type.
    *
-   * @param price for each processor and hour, in a partitioned zone raised above all others
+   * @param price the price per CPU and hour, plus the penalty in a partitioned zone
    */
   record Candidate(RentalOption option, MachineType type, double price) {}
 
-  /** The cloud could not provide the option; it is not chosen for a while. */
+  /** Excludes an option for a limited time, because the cloud could not provide its machines. */
   void markExhausted(RentalOption option) {
     exhaustedUntil.put(option, clock.nowMicros() + EXHAUSTED_PAUSE_MICROS);
   }
 
-  /** The cloud may have machines of the option again. */
+  /** Allows an option again, because the cloud may have its machines again. */
   void clearExhausted(RentalOption option) {
     exhaustedUntil.remove(option);
   }
 
   /**
-   * The cheapest option per processor that the job may use and that is not exhausted; among equally
-   * cheap ones that in the zone with the fewest machines.
+   * Returns the option with the lowest price per CPU that the job may use and that is not
+   * exhausted. Among equal prices, the zone with the fewest machines is chosen. The result is empty
+   * if no option is available.
    */
   Optional<Candidate> select(JobSpec spec, Map<String, Integer> machinesByZone) {
     Candidate best = null;
@@ -79,9 +85,9 @@
 
   private Candidate candidate(MachineType type, String zone, boolean spot) {
     double price = (spot ? type.spotPrice() : type.price()) / Math.max(type.cpus(), MIN_CPUS);
-    // A machine that boots in a partitioned zone is paid for but cannot be used yet, so such a zone
-    // comes last.
-    price += membership.isPartitioned(zone) ? PARTITIONED_ZONE_PRICE : 0;
+    // A machine in a partitioned zone costs money but cannot be used yet, so partitioned zones are
+    // chosen last.
+    price += membership.isPartitioned(zone) ? PARTITIONED_ZONE_PENALTY : 0;
     return new Candidate(new RentalOption(type.name(), zone, spot), type, price);
   }
 
--- a/src/main/java/org/eiderstair/core/capacity/ScaleIn.java
+++ b/src/main/java/org/eiderstair/core/capacity/ScaleIn.java
@@ -5,7 +5,7 @@
 import org.eiderstair.core.provisioning.ProvisioningController;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** Takes machines out of use and has them released. */
+/** Stops placing tasks on machines and requests their release from provisioning. */
 final class ScaleIn {
   private final EffectSink sink;
   private final WorkerManager workers;
@@ -19,27 +19,27 @@
     this.term = term;
   }
 
-  /** Takes a machine out of use and releases it; the reason is logged. */
+  /** Stops using a machine, releases it and logs the reason. */
   void release(Machine machine, String reason) {
     sink.info("scaling in machine=" + machine.id() + ": " + reason + ", term=" + term);
     stopUsing(machine);
     provisioning.scaleIn(machine.id());
   }
 
-  /** The cloud reports a machine as failed: it is released whatever may be on it. */
+  /** Releases a machine that the cloud reports as failed, whatever tasks may be on it. */
   void releaseFailed(Machine machine) {
     stopUsing(machine);
     machine.setPresumedDead(false);
     provisioning.scaleIn(machine.id());
   }
 
-  /** Nothing is placed on the machine any more; what it runs goes on until it is deleted. */
+  /** Stops placing tasks on the machine. Its running tasks continue until it is deleted. */
   void stopUsing(Machine machine) {
     workers.drain(machine);
     machine.terminate();
   }
 
-  /** Keeps a machine that was presumed dead, if it can still be kept. */
+  /** Cancels the release of a machine that was presumed dead, if that is still possible. */
   void cancel(Machine machine) {
     machine.setPresumedDead(false);
     provisioning.cancelScaleIn(machine.id());
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -19,14 +19,14 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.state.StateWriter;
 
-/** How the leader treats rentals, its own and those of earlier terms. */
+/** Tests the releases of silent machines and the rentals of the current and earlier terms. */
 class CapacityManagerTest {
   private final LeaderBench bench = new LeaderBench();
   private final Membership membership = LeaderBench.membershipWithoutPeers();
   private StateWriter stateWriter;
   private CapacityManager capacity;
 
-  private void begin() {
+  private void startTerm() {
     bench.lead();
     bench.replica.apply(
         new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 50));
@@ -66,37 +66,38 @@
   }
 
   /**
-   * Four thousand machines sent no heartbeat for a minute. A leader whose own sockets are used up,
-   * or whose queue is full, keeps them; any other one takes them for dead.
+   * Guards against an overloaded leader releasing healthy machines. 4,000 machines have sent no
+   * heartbeat for a minute. A leader that has no free sockets or a full queue must keep them.
    */
   @Example
   void anOverloadedLeaderReleasesNoMachineForMissingHeartbeats() {
     bench.machines(4_000);
     bench.now += 60_000_000;
-    begin();
+    startTerm();
     bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
     bench.workers.tick(bench.now, false);
     capacity.tick(bench.now += 1_000_000);
     assertEquals(0, releasesOfSilentMachines());
   }
 
+  /** Without overload, missing heartbeats mean that machines are dead. */
   @Example
   void aLeaderThatIsNotOverloadedReleasesSilentMachines() {
     bench.machines(4_000);
     bench.now += 60_000_000;
-    begin();
+    startTerm();
     bench.workers.tick(bench.now, false);
     capacity.tick(bench.now += 1_000_000);
     assertTrue(releasesOfSilentMachines() > 0);
   }
 
   /**
-   * Refusals come every 15 s for each option, with up to 50 stand-ins each, which would otherwise
-   * add up.
+   * Guards against placeholder machines that accumulate. Each option is refused every 15 s, with up
+   * to 50 placeholders per refusal, so a refusal must remove them.
    */
   @Example
   void aRefusedRentalNoLongerCountsAsBootingMachines() {
-    begin();
+    startTerm();
     Job job = bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
     bench.replica.apply(
@@ -111,13 +112,16 @@
     assertEquals(0, capacity.pendingRentalCount());
   }
 
-  /** A record that makes a leader fail would end each of its successors. */
+  /**
+   * A rental record names a type that the catalog no longer contains. An exception would stop every
+   * successive leader, so the leader must continue the old rental and decide new ones.
+   */
   @Example
-  void aRentalOfATypeThatIsNoLongerOfferedStopsNothing() {
+  void aRentalOfATypeMissingFromTheCatalogDoesNotStopTheLeader() {
     String key = StateKeys.rental("r-0-1");
     bench.replica.apply(
         new Reply.Item(key, new RentalIntentRecord("gone", "a", true, 5, 0, 0, null), 40));
-    begin();
+    startTerm();
     bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
     assertEquals(
@@ -125,9 +129,9 @@
         bench.effects.stream()
             .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.CloudRent)
             .count(),
-        "the cloud is asked for the old rental, under its id");
+        "the old rental is requested under its id");
     assertTrue(
         capacity.summary().startsWith("rentals=2 "),
-        "and a new one is decided: " + capacity.summary());
+        "a new rental is decided: " + capacity.summary());
   }
 }
--- a/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
@@ -9,7 +9,7 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
 
-/** How demand is assigned to a machine of 8 processors. */
+/** Tests the assignment of demand to a machine with 8 CPUs. */
 class PlannedMachineTest {
   private final LeaderBench bench = new LeaderBench();
 
@@ -30,19 +30,19 @@
     assertTrue(machine.isUnassigned());
     assertEquals(3, machine.assign(job(2), 3), 1e-9);
     assertFalse(machine.isUnassigned());
-    assertEquals(1, machine.assign(job(2), 3), 1e-9, "a quarter was left");
-    assertEquals(0, machine.assign(job(2), 3), 1e-9, "nothing is left");
+    assertEquals(1, machine.assign(job(2), 3), 1e-9, "a quarter of the machine was unassigned");
+    assertEquals(0, machine.assign(job(2), 3), 1e-9, "the machine is fully assigned");
   }
 
   @Example
-  void aPartOfATaskMayBeAssigned() {
+  void aFractionOfATaskCanBeAssigned() {
     PlannedMachine machine = machine();
     assertEquals(2.0 / 3, machine.assign(job(8), 2.0 / 3), 1e-9);
     assertEquals(1.0 / 3, machine.assign(job(8), 1), 1e-9);
   }
 
   @Example
-  void nothingIsAssignedThatTheMachineDoesNotAllow() {
+  void tasksThatTheMachineDoesNotAllowAreNotAssigned() {
     PlannedMachine machine = machine();
     assertEquals(0, machine.assign(job(9), 1), 0);
     assertTrue(machine.isUnassigned());
--- a/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
@@ -15,15 +15,15 @@
 import org.eiderstair.core.record.CatalogRecord;
 import org.eiderstair.core.record.StateKeys;
 
-/** What is rented for a job, by price, zone and what the cloud could not provide lately. */
+/** Tests the choice of a rental option by price, zone and recent refusals of the cloud. */
 class RentalOptionSelectorTest {
   private static final long SECOND = 1_000_000;
 
-  /** For each processor 0.2 on demand and 0.05 spot. */
+  /** Costs 0.2 per CPU on demand and 0.05 per CPU as spot. */
   private static final MachineType LARGE =
       new MachineType("large", 16, 0, 64, 10, 1, 3.2, 0.8, 30 * SECOND, List.of("a", "b", "c"));
 
-  /** For each processor 0.1 on demand and no spot price. */
+  /** Costs 0.1 per CPU on demand and has no spot price. */
   private static final MachineType SMALL =
       new MachineType("small", 4, 0, 16, 10, 1, 0.4, 0, 30 * SECOND, List.of("a", "b"));
 
@@ -67,13 +67,13 @@
   }
 
   @Example
-  void theCheapestPerProcessorIsChosen() {
+  void theCheapestOptionPerCpuIsChosen() {
     assertEquals(
         Optional.of(new RentalOption("large", "a", true)), select(job(2, true, null), Map.of()));
   }
 
   @Example
-  void aJobThatMayNotUseSpotMachinesGetsTheCheapestOnDemand() {
+  void aJobThatMayNotUseSpotMachinesGetsTheCheapestOnDemandOption() {
     assertEquals(
         Optional.of(new RentalOption("small", "a", false)), select(job(2, false, null), Map.of()));
     assertEquals(
@@ -90,11 +90,11 @@
     assertEquals(
         Optional.of(new RentalOption("large", "b", true)),
         select(job(2, true, null), Map.of("a", 3, "b", 1, "c", 1)),
-        "the first of several such zones");
+        "the first of several zones with the fewest machines");
     assertEquals(
         Optional.of(new RentalOption("large", "a", true)),
         select(job(2, true, "a"), Map.of("a", 3, "b", 2, "c", 1)),
-        "unless the job demands another");
+        "the zone that the job requires");
   }
 
   @Example
@@ -104,7 +104,9 @@
     clock.advanceTo(100 * SECOND);
     selector.markExhausted(spot);
     assertEquals(
-        Optional.of(new RentalOption("small", "a", false)), select(spec, Map.of()), "the next one");
+        Optional.of(new RentalOption("small", "a", false)),
+        select(spec, Map.of()),
+        "the next cheapest option");
     clock.advanceTo(115 * SECOND - 1);
     assertEquals(Optional.of(new RentalOption("small", "a", false)), select(spec, Map.of()));
     clock.advanceTo(115 * SECOND);
@@ -115,7 +117,7 @@
   }
 
   @Example
-  void nothingIsChosenForAJobThatFitsNoType() {
+  void noOptionIsChosenForAJobThatFitsNoMachineType() {
     assertEquals(Optional.empty(), select(job(17, true, null), Map.of()));
   }
 }
