--- a/src/main/java/org/eiderstair/core/provisioning/DeletionResult.java
+++ b/src/main/java/org/eiderstair/core/provisioning/DeletionResult.java
@@ -1,13 +1,13 @@
 package org.eiderstair.core.provisioning;
 
-/** The outcome of a request to delete machines. */
+/** The result of a request to delete machines. */
 public enum DeletionResult {
   /** The machines are deleted. */
   CONFIRMED,
 
-  /** The request was certainly not carried out. */
+  /** The cloud refused the request, so it was certainly not executed. */
   REFUSED,
 
-  /** There is no usable answer; the request may have been carried out, or may yet be. */
+  /** No usable response arrived. The request may have been executed or may be executed later. */
   NO_ANSWER
 }
--- a/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
+++ b/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
@@ -7,23 +7,34 @@
 import org.eiderstair.core.record.ReleaseRecord;
 
 /**
- * Machines that are released together. The record that names them is durable before the cloud is
- * asked, and no term places anything on a machine that it names: a request that arrives minutes
- * late, from a leader that was replaced, deletes nothing in use.
+ * A group of machines that are released together. The record that names the machines is durable
+ * before the deletion is requested. No term places tasks on a machine named in the record. A
+ * deletion request of a replaced leader that arrives minutes late therefore deletes no machine in
+ * use.
  */
 final class MachineRelease {
 
-  /**
-   * DECIDED is being written. DURABLE may be requested. REQUESTED may have been carried out, now or
-   * later; without an answer it is requested again. TERMINATED was confirmed; the record stays
-   * while old lists of the cloud may show the machines and while one of them is registered. SETTLED
-   * is over.
-   */
+  /** The progress of a release. */
   enum State {
+    /** The release record is being written. */
     DECIDED,
+
+    /** The release record is durable, so the deletion may be requested. */
     DURABLE,
+
+    /**
+     * The deletion request was sent. The request may be executed now or later, and is repeated if
+     * no answer arrives.
+     */
     REQUESTED,
+
+    /**
+     * The cloud confirmed the deletion. The record is kept while stale lists of the cloud may
+     * contain the machines and while one of them is registered.
+     */
     TERMINATED,
+
+    /** The release is complete or cancelled, and its record is removed. */
     SETTLED
   }
 
@@ -32,10 +43,12 @@
   private final Set<String> machines;
   private State state;
 
-  /** No request for these machines was ever sent, or each was certainly not carried out. */
+  /**
+   * Whether no deletion request can have reached the machines: none was sent, or each was refused.
+   */
   private boolean neverRequested;
 
-  /** The record is being written without a machine that is kept after all. */
+  /** Whether the record is being rewritten without a machine whose release was cancelled. */
   private boolean cancelling;
 
   private long retryAtMicros;
@@ -65,7 +78,11 @@
     return machines;
   }
 
-  /** The one function for every change of state. */
+  /**
+   * Changes the state.
+   *
+   * @throws IllegalStateException if the transition is not allowed
+   */
   void transition(State next) {
     boolean legal =
         switch (next) {
@@ -76,12 +93,13 @@
           case SETTLED -> state == State.TERMINATED || machines.isEmpty();
         };
     if (!legal) {
-      throw new IllegalStateException("release " + name + ": " + state + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of release request=" + name + ": " + state + " -> " + next);
     }
     state = next;
   }
 
-  /** Whether the cloud may be asked now. */
+  /** Returns whether the deletion should be requested now. */
   boolean isDue(long nowMicros) {
     return state == State.DURABLE
         && !cancelling
@@ -94,9 +112,9 @@
   }
 
   /**
-   * A request is sent.
+   * Records that a deletion request is sent.
    *
-   * @return whether no request before it can have reached the machines
+   * @return whether no earlier request can have reached the machines
    */
   boolean beginRequest() {
     boolean first = neverRequested;
@@ -104,43 +122,44 @@
     return first;
   }
 
-  /** The first request was certainly not carried out. */
+  /** Records that the first request was refused, so it was certainly not executed. */
   void undoFirstRequest() {
     neverRequested = true;
   }
 
-  void terminatedAt(long micros) {
+  void recordTermination(long micros) {
     terminatedMicros = micros;
   }
 
-  /** Whether old lists of the cloud can show the machines no longer. */
-  boolean isTombstoneOver(long nowMicros, long tombstoneMicros) {
-    return state == State.TERMINATED && nowMicros > terminatedMicros + tombstoneMicros;
+  /** Returns whether stale lists of the cloud can no longer contain the machines. */
+  boolean isTombstoneExpired(long nowMicros, long tombstoneRetentionMicros) {
+    return state == State.TERMINATED && nowMicros > terminatedMicros + tombstoneRetentionMicros;
   }
 
-  /** Whether a machine may be kept: no request that could still delete it may be on its way. */
+  /** Returns whether a machine may be kept, because no deletion request can be in flight. */
   boolean mayCancel() {
     return neverRequested && (state == State.DECIDED || state == State.DURABLE);
   }
 
-  /** The machine is kept; no request is sent until the record without it is durable. */
+  /** Removes a machine to keep. No request is sent until the record without it is durable. */
   void beginCancel(String machine) {
     machines.remove(machine);
     cancelling = true;
   }
 
+  /** Allows requests again, because the record without the kept machine is durable. */
   void endCancel() {
     cancelling = false;
   }
 
-  /** Its stored form. */
+  /** Returns the release as a record for the state service. */
   ReleaseRecord record() {
     return new ReleaseRecord(term, List.copyOf(machines));
   }
 
   /**
-   * Takes over the record of an earlier term. Whether its request was sent is not known, so it is
-   * finished in any case.
+   * Creates a release from the record of an earlier term. The earlier leader may have sent its
+   * deletion request, so the release can no longer be cancelled.
    */
   static MachineRelease of(String name, ReleaseRecord record) {
     MachineRelease release =
--- a/src/main/java/org/eiderstair/core/provisioning/MachineReleases.java
+++ b/src/main/java/org/eiderstair/core/provisioning/MachineReleases.java
@@ -9,7 +9,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The open releases of this term and of earlier ones, from the decision to the last trace. */
+/**
+ * The open releases of this term and earlier terms. A release is open from its decision until its
+ * record is no longer needed.
+ */
 final class MachineReleases {
   /** The cloud accepts at most this many machines in one request. */
   private static final int MAX_MACHINES_PER_REQUEST = 100;
@@ -20,33 +23,34 @@
   private final ProvisioningTerm term;
   private final ProvisioningHost host;
   private final ProvisioningRecords records;
-  private final long tombstoneMicros;
+  private final long tombstoneRetentionMicros;
   private final Consumer<String> onTerminated;
   private final Runnable onProgress;
   private final Map<String, MachineRelease> open = new LinkedHashMap<>();
   private final Map<String, MachineRelease> byMachine = new HashMap<>();
 
-  /** Decided while a record was being written; they go together into the next. */
-  private final Set<String> undecided = new LinkedHashSet<>();
+  /** Machines to release that no record names yet. They are written together in the next record. */
+  private final Set<String> unrecorded = new LinkedHashSet<>();
 
   private boolean writing;
   private int concurrentRequests;
 
   /**
-   * @param tombstoneMicros how long a release is kept after its machines are terminated
-   * @param onTerminated is given each machine whose deletion the cloud confirms
-   * @param onProgress runs when a release may have left the work of earlier terms finished
+   * @param tombstoneRetentionMicros how long a release is kept after its machines are terminated
+   * @param onTerminated receives each machine whose deletion the cloud confirms
+   * @param onProgress runs after each state change, which may complete the recovery of earlier
+   *     terms
    */
   MachineReleases(
       ProvisioningTerm term,
       ProvisioningRecords records,
-      long tombstoneMicros,
+      long tombstoneRetentionMicros,
       Consumer<String> onTerminated,
       Runnable onProgress) {
     this.term = term;
     this.host = term.host();
     this.records = records;
-    this.tombstoneMicros = tombstoneMicros;
+    this.tombstoneRetentionMicros = tombstoneRetentionMicros;
     this.onTerminated = onTerminated;
     this.onProgress = onProgress;
   }
@@ -55,7 +59,7 @@
     return open.size();
   }
 
-  /** Whether the machines of every release of an earlier term are terminated. */
+  /** Returns whether the machines of every release of an earlier term are terminated. */
   boolean earlierTermsRecovered() {
     for (MachineRelease release : open.values()) {
       if (release.term() != term.number() && release.state() != MachineRelease.State.TERMINATED) {
@@ -68,7 +72,7 @@
   /** Takes over a release of an earlier term. */
   void resume(MachineRelease release) {
     if (release.machines().isEmpty()) {
-      // All of it was cancelled, and its leader ended before it could remove the record.
+      // Every machine was kept, and the earlier leader stopped before it removed the record.
       records.remove(release);
     } else {
       add(release);
@@ -80,26 +84,29 @@
     release.machines().forEach(machine -> byMachine.put(machine, release));
   }
 
-  /** Whether a machine is being released, or is about to be: nothing may be placed on it. */
+  /**
+   * Returns whether the release of a machine is decided or in progress. No task may be placed on
+   * such a machine.
+   */
   boolean isReleasing(String machine) {
-    return byMachine.containsKey(machine) || undecided.contains(machine);
+    return byMachine.containsKey(machine) || unrecorded.contains(machine);
   }
 
-  /** Releases the machine; the cloud is asked once the record that names it is durable. */
+  /** Starts a release; the deletion is requested once the record that names it is durable. */
   void decide(String machine) {
     if (!isReleasing(machine)) {
-      undecided.add(machine);
+      unrecorded.add(machine);
     }
   }
 
   /**
-   * Keeps a machine after all, if no request that could delete it may be on its way. It may be used
-   * again once {@link ProvisioningHost#releaseCancelled} is called for it.
+   * Cancels the release of a machine if no deletion request for it can be in flight. The machine
+   * may be used again after {@link ProvisioningHost#releaseCancelled} is called.
    *
    * @return whether the release could be cancelled
    */
   boolean cancel(String machine) {
-    if (undecided.remove(machine)) {
+    if (unrecorded.remove(machine)) {
       host.releaseCancelled(machine);
       return true;
     }
@@ -126,16 +133,16 @@
   }
 
   /**
-   * Writes down what was decided. One record is written at a time, unless a request to the cloud
-   * could be filled: under load the machines of many decisions then share a record.
+   * Writes records for the decided releases. While a record is being written, no other is started
+   * unless it fills a deletion request. Under load, many decisions therefore share one record.
    */
   void writeDecided() {
-    if (writing && undecided.size() < MAX_MACHINES_PER_REQUEST) {
+    if (writing && unrecorded.size() < MAX_MACHINES_PER_REQUEST) {
       return;
     }
-    while (!undecided.isEmpty()) {
-      List<String> machines = undecided.stream().limit(MAX_MACHINES_PER_REQUEST).toList();
-      undecided.removeAll(machines);
+    while (!unrecorded.isEmpty()) {
+      List<String> machines = unrecorded.stream().limit(MAX_MACHINES_PER_REQUEST).toList();
+      unrecorded.removeAll(machines);
       MachineRelease release =
           new MachineRelease(
               term.nextName(), term.number(), machines, MachineRelease.State.DECIDED);
@@ -148,11 +155,11 @@
   private void written(MachineRelease release) {
     writing = false;
     if (release.state() == MachineRelease.State.DECIDED) {
-      transition(release, MachineRelease.State.DURABLE, "durable");
+      transition(release, MachineRelease.State.DURABLE, "record durable");
     }
   }
 
-  /** Asks the cloud for each release that is due, and settles those that have left no trace. */
+  /** Requests the deletions that are due, and settles releases whose records are obsolete. */
   void advance() {
     List<MachineRelease> settled = new ArrayList<>();
     for (MachineRelease release : open.values()) {
@@ -160,19 +167,20 @@
           && concurrentRequests < MAX_CONCURRENT_REQUESTS
           && host.mayCallCloud()) {
         request(release);
-      } else if (release.isTombstoneOver(term.nowMicros(), tombstoneMicros)
+      } else if (release.isTombstoneExpired(term.nowMicros(), tombstoneRetentionMicros)
           && release.machines().stream().noneMatch(host::isRegistered)) {
         settled.add(release);
       }
     }
     for (MachineRelease release : settled) {
-      transition(release, MachineRelease.State.SETTLED, "neither listed nor registered any more");
+      transition(
+          release, MachineRelease.State.SETTLED, "tombstone expired and no machine registered");
     }
   }
 
   private void request(MachineRelease release) {
     boolean first = release.beginRequest();
-    transition(release, MachineRelease.State.REQUESTED, "requesting");
+    transition(release, MachineRelease.State.REQUESTED, "sending deletion request");
     concurrentRequests++;
     host.deleteMachines(
         List.copyOf(release.machines()),
@@ -186,8 +194,8 @@
 
   private void answered(MachineRelease release, boolean first, DeletionResult result) {
     if (result == DeletionResult.CONFIRMED) {
-      release.terminatedAt(term.nowMicros());
-      transition(release, MachineRelease.State.TERMINATED, "confirmed");
+      release.recordTermination(term.nowMicros());
+      transition(release, MachineRelease.State.TERMINATED, "deletion confirmed");
       List.copyOf(release.machines()).forEach(onTerminated);
       return;
     }
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -5,10 +5,11 @@
 import org.eiderstair.core.record.StoredValue;
 
 /**
- * Rents and releases machines; only the leader may. The cloud knows no fencing tokens, so what
- * fences a leader that was replaced is written under the leader key before the cloud is asked: the
- * id of a rental request, which is never used for another, and a release record that names each
- * machine to be deleted. docs/duties.md weighs the alternatives.
+ * Rents and releases machines on behalf of the leader. The cloud does not support fencing tokens.
+ * Durable records, written on condition that the leader key is held, fence a replaced leader
+ * instead. Each record is durable before the cloud is called. A rental record holds a request id
+ * that is never reused, and a release record names each machine to delete. See docs/duties.md for
+ * the alternatives.
  */
 public final class ProvisioningController {
   private final ProvisioningTerm term;
@@ -18,79 +19,90 @@
   private final MachineReleases releases;
 
   /**
-   * @param term the leader's term
-   * @param tombstoneMicros how long a release record outlives its machines, since old lists of the
-   *     cloud may still show them
-   * @param dayOffsetMicros the time of day less the steady time
+   * @param term the leader term that this instance serves
+   * @param tombstoneRetentionMicros how long a release record is kept after its machines are
+   *     terminated, because stale lists of the cloud may still contain them
+   * @param wallClockOffsetMicros the wall-clock time minus the monotonic time
    */
   public ProvisioningController(
-      ProvisioningHost host, long term, long tombstoneMicros, long dayOffsetMicros) {
+      ProvisioningHost host, long term, long tombstoneRetentionMicros, long wallClockOffsetMicros) {
     this.host = host;
-    this.term = new ProvisioningTerm(host, term, dayOffsetMicros);
+    this.term = new ProvisioningTerm(host, term, wallClockOffsetMicros);
     this.records = new ProvisioningRecords(host, term);
     this.releases =
         new MachineReleases(
-            this.term, records, tombstoneMicros, this::machineTerminated, this::checkRecovered);
+            this.term,
+            records,
+            tombstoneRetentionMicros,
+            this::machineTerminated,
+            this::checkRecovered);
     this.rentals =
         new RentalIntents(this.term, records, releases::isReleasing, this::checkRecovered);
   }
 
   /**
-   * Takes over what earlier terms left open.
+   * Takes over the open rentals and releases of earlier terms.
    *
-   * @param stored their records by key; one that cannot be read is passed over
+   * @param stored their records by key; unreadable records are logged and skipped
    */
   public void resume(SortedMap<String, StoredValue> stored, long nowMicros) {
-    term.begin(nowMicros);
+    term.start(nowMicros);
     records.read(stored, rentals, releases);
-    host.info("provisioning RECOVERING, term=" + term.number() + ": of earlier terms " + summary());
+    host.info(
+        "provisioning RECOVERING, term=" + term.number() + ": open of earlier terms " + summary());
     checkRecovered();
   }
 
-  /** The term is over: nothing more is decided or asked for. */
+  /** Ends the term: no further decisions are made and no further requests are sent. */
   public void close() {
     if (!term.isClosed()) {
       term.transition(ProvisioningTerm.Phase.CLOSED, summary());
     }
   }
 
-  /** How many rentals and releases are open, for the log. */
+  /** Returns the number of open rentals and releases, for the log. */
   public String summary() {
     return "rentals=" + rentals.openCount() + " releases=" + releases.openCount();
   }
 
-  /** Rents machines; the cloud is asked as soon as the intent is durable. */
+  /** Rents machines; the request is sent once the rental intent is durable. */
   public void scaleOut(RentalOption option, int count) {
     rentals.decide(option, count);
   }
 
   /**
-   * Rentals whose machines are not known yet, to be counted as if they were booting.
+   * Returns the rentals whose machines are not known yet. Their machines count as booting.
    *
-   * @return in the order in which they were decided, those of earlier terms first
+   * @return the rentals in the order of their decisions, those of earlier terms first
    */
   public List<RentalRequest> pendingRentals() {
     return rentals.pending();
   }
 
-  /** The machine is durably registered, so no successor needs its rental to know of it. */
+  /**
+   * Records that the machine's registration is durable. A later leader then finds the machine
+   * without its rental record.
+   */
   public void machineRegistered(String machine) {
     rentals.machineSettled(machine);
   }
 
-  /** Releases a machine; the cloud is asked as soon as the record that names it is durable. */
+  /** Releases a machine; the deletion is requested once the record that names it is durable. */
   public void scaleIn(String machine) {
     releases.decide(machine);
   }
 
-  /** Whether a machine is being released, or is about to be: nothing may be placed on it. */
+  /**
+   * Returns whether the release of a machine is decided or in progress. No task may be placed on
+   * such a machine.
+   */
   public boolean isReleasing(String machine) {
     return releases.isReleasing(machine);
   }
 
   /**
-   * Keeps a machine after all, if no request that could delete it may be on its way. It may be used
-   * again once {@link ProvisioningHost#releaseCancelled} is called for it.
+   * Cancels the release of a machine if no deletion request for it can be in flight. The machine
+   * may be used again after {@link ProvisioningHost#releaseCancelled} is called.
    *
    * @return whether the release could be cancelled
    */
@@ -98,7 +110,7 @@
     return releases.cancel(machine);
   }
 
-  /** Asks the cloud for what is durable and due, and settles what has been answered. */
+  /** Writes pending records, sends the requests that are due, and settles completed releases. */
   public void tick(long nowMicros) {
     term.advanceTo(nowMicros);
     if (term.isClosed()) {
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningHost.java
@@ -4,52 +4,56 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.record.StoredValue;
 
-/** What {@link ProvisioningController} needs of the leader: state service, cloud, machines, log. */
+/**
+ * The services that the leader provides to {@link ProvisioningController}: the state service, the
+ * cloud, the known machines and the log.
+ */
 public interface ProvisioningHost {
   /**
    * Writes a record on condition that this term still holds the leader key.
    *
-   * @param onDurable runs once the record is written; never if this node has been replaced
+   * @param onDurable runs once the record is durable; never runs if this leader was replaced
    */
   void put(String key, StoredValue value, Runnable onDurable);
 
-  /** Removes a record, on the same condition. */
+  /** Removes a record on condition that this term still holds the leader key. */
   void remove(String key);
 
-  /** Whether one more cloud request is within the rate limit and this leader's authority. */
+  /** Returns whether the rate limit and this leader's authority allow one more cloud request. */
   boolean mayCallCloud();
 
-  /** Asks the cloud for machines. */
+  /** Requests machines from the cloud. */
   void requestMachines(RentalRequest request, RentalResponseHandler handler);
 
-  /** Asks the cloud to delete machines. */
+  /** Requests the deletion of machines from the cloud. */
   void deleteMachines(List<String> machines, Consumer<DeletionResult> callback);
 
   /**
-   * The cloud has rented machines, which are booting.
+   * Reports the machines that the cloud granted to a rental and that are booting.
    *
+   * @param machines the ids of the machines, without those that are being released
    * @param ageMicros the time since the rental was decided
    */
   void machinesBooting(RentalRequest request, List<String> machines, long ageMicros);
 
-  /** A rental brought fewer machines than it asked for, or none. */
+  /** Reports that a rental returned fewer machines than requested, or none. */
   void optionExhausted(RentalOption option);
 
-  /** The cloud has confirmed that a machine is deleted. */
+  /** Reports that the cloud confirmed the deletion of a machine. */
   void machineTerminated(String machine);
 
-  /** A machine that was being released is in use again. */
+  /** Reports that the release of a machine was cancelled, so the machine may be used again. */
   void releaseCancelled(String machine);
 
-  /** Whether a machine is in the durable list of registered workers. */
+  /** Returns whether a machine is in the durable list of registered workers. */
   boolean isRegistered(String machine);
 
-  /** Whether the deletion of a machine was confirmed in this term. */
+  /** Returns whether the deletion of a machine was confirmed in this term. */
   boolean isTerminated(String machine);
 
-  /** Logs an ordinary event. */
+  /** Logs a message at level info. */
   void info(String text);
 
-  /** Logs a fault. */
+  /** Logs a message at level error. */
   void error(String text);
 }
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
@@ -7,9 +7,9 @@
 import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.record.UnreadableValue;
 
-/** The records of open rentals and releases in the state service. */
+/** Reads and writes the records of open rentals and releases in the state service. */
 final class ProvisioningRecords {
-  private static final Runnable NOTHING = () -> {};
+  private static final Runnable NO_OP = () -> {};
 
   private final ProvisioningHost host;
   private final long term;
@@ -19,7 +19,7 @@
     this.term = term;
   }
 
-  /** Gives each record to those who take it over, in the order of keys. */
+  /** Passes each record to the rentals or releases that resume it, in key order. */
   void read(
       SortedMap<String, StoredValue> records, RentalIntents rentals, MachineReleases releases) {
     records.forEach(
@@ -27,8 +27,8 @@
           try {
             read(key, value, rentals, releases);
           } catch (RuntimeException e) {
-            // A record that ends one leader would end each of its successors.
-            unreadable(key, e.getMessage());
+            // An exception that stops this leader would also stop each successor.
+            logUnreadable(key, e.getMessage());
           }
         });
   }
@@ -40,7 +40,7 @@
     } else if (value instanceof ReleaseRecord release) {
       releases.resume(MachineRelease.of(StateKeys.Kind.RELEASE.idOf(key), release));
     } else if (value instanceof UnreadableValue unreadable && isProvisioningKey(key)) {
-      unreadable(key, unreadable.problem());
+      logUnreadable(key, unreadable.problem());
     }
   }
 
@@ -49,7 +49,7 @@
     return kind == StateKeys.Kind.RENTAL || kind == StateKeys.Kind.RELEASE;
   }
 
-  private void unreadable(String key, String problem) {
+  private void logUnreadable(String key, String problem) {
     host.error(
         "unreadable provisioning record key="
             + key
@@ -60,7 +60,7 @@
   }
 
   void write(RentalIntent rental) {
-    write(rental, NOTHING);
+    write(rental, NO_OP);
   }
 
   void write(RentalIntent rental, Runnable onDurable) {
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningTerm.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningTerm.java
@@ -1,33 +1,37 @@
 package org.eiderstair.core.provisioning;
 
-/** What rentals and releases of one term share: its number, its phase, the time and its names. */
+/**
+ * The state that the rentals and releases of one term share: the term number, the phase, the
+ * current time and the source of unique names.
+ */
 final class ProvisioningTerm {
-  /**
-   * RECOVERING finishes what earlier terms left open, and may rent and release at the same time.
-   * ACTIVE has nothing of theirs left. CLOSED decides nothing more, as another leader may be at
-   * work.
-   */
+  /** The phase of a term. */
   enum Phase {
+    /** Finishes open rentals and releases of earlier terms. New ones are already allowed. */
     RECOVERING,
+
+    /** Every rental and release of earlier terms is recovered. */
     ACTIVE,
+
+    /** Makes no further decisions, because another leader may be active. */
     CLOSED
   }
 
   private final ProvisioningHost host;
   private final long term;
-  private final long dayOffsetMicros;
+  private final long wallClockOffsetMicros;
   private Phase phase = Phase.RECOVERING;
-  private long beganMicros;
+  private long startedMicros;
   private long nowMicros;
   private long lastNumber;
 
   /**
-   * @param dayOffsetMicros the time of day less the steady time
+   * @param wallClockOffsetMicros the wall-clock time minus the monotonic time
    */
-  ProvisioningTerm(ProvisioningHost host, long term, long dayOffsetMicros) {
+  ProvisioningTerm(ProvisioningHost host, long term, long wallClockOffsetMicros) {
     this.host = host;
     this.term = term;
-    this.dayOffsetMicros = dayOffsetMicros;
+    this.wallClockOffsetMicros = wallClockOffsetMicros;
   }
 
   ProvisioningHost host() {
@@ -38,12 +42,12 @@
     return term;
   }
 
-  void begin(long nowMicros) {
+  void start(long nowMicros) {
     this.nowMicros = nowMicros;
-    beganMicros = nowMicros;
+    startedMicros = nowMicros;
   }
 
-  /** Sets the time at which what follows happens. */
+  /** Sets the current time for the operations that follow. */
   void advanceTo(long nowMicros) {
     this.nowMicros = nowMicros;
   }
@@ -52,8 +56,8 @@
     return nowMicros;
   }
 
-  long timeOfDayMicros() {
-    return nowMicros + dayOffsetMicros;
+  long wallClockMicros() {
+    return nowMicros + wallClockOffsetMicros;
   }
 
   boolean isRecovering() {
@@ -64,7 +68,7 @@
     return phase == Phase.CLOSED;
   }
 
-  /** The one function for every change of phase. */
+  /** Changes the phase and logs the change. */
   void transition(Phase next, String summary) {
     host.info(
         "provisioning "
@@ -74,13 +78,13 @@
             + ", term="
             + term
             + ", after "
-            + (nowMicros - beganMicros) / 1000
+            + (nowMicros - startedMicros) / 1000
             + " ms: "
             + summary);
     phase = next;
   }
 
-  /** A name that no other rental or release of any term has. */
+  /** Returns a name that is unique among the rentals and releases of all terms. */
   String nextName() {
     return term + "-" + ++lastNumber;
   }
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
@@ -7,46 +7,53 @@
 import org.eiderstair.core.record.RentalIntentRecord;
 
 /**
- * One rental. It is durable before the cloud is asked, so that a successor repeats the same
- * idempotent request and learns what was rented, instead of renting it twice. The cloud checks no
- * fencing token: the request id is what fences.
+ * A rental of machines, made durable before the cloud is called. A later leader repeats the same
+ * idempotent request and learns the rented machines, instead of renting them twice. The cloud does
+ * not check fencing tokens, so the request id fences the rental.
  */
 final class RentalIntent {
 
-  /**
-   * DECIDED is being written. DURABLE may be requested. REQUESTED waits for the cloud; without an
-   * answer it is DURABLE again and requested under the same id. GRANTED knows its machines, which
-   * are not all registered yet. SETTLED is over: its machines are all registered or terminated, or
-   * the cloud had none.
-   */
+  /** The progress of a rental. */
   enum State {
+    /** The rental record is being written. */
     DECIDED,
+
+    /** The rental record is durable, so the machines may be requested. */
     DURABLE,
+
+    /**
+     * The request was sent. Without an answer the rental returns to {@link #DURABLE} and the
+     * request is repeated with the same id.
+     */
     REQUESTED,
+
+    /** The machines are known, but some are neither registered nor terminated yet. */
     GRANTED,
+
+    /** All machines are registered or terminated, or the cloud granted none. */
     SETTLED
   }
 
   private final RentalRequest request;
   private final long term;
-  private final long decidedDayMicros;
+  private final long decidedWallClockMicros;
   private State state;
   private long retryAtMicros;
 
-  /** All machines that the cloud has named. */
+  /** All machines that the cloud granted. */
   private final List<String> machines = new ArrayList<>();
 
-  /** Those of them that are neither registered nor terminated yet. */
+  /** The granted machines that are neither registered nor terminated yet. */
   private final Set<String> unsettled = new LinkedHashSet<>();
 
   /**
-   * @param term the term that decided it; the one that settles it may be a later one
-   * @param decidedDayMicros the time of day at which it was decided
+   * @param term the term that decided the rental; a later term may settle it
+   * @param decidedWallClockMicros the wall-clock time of the decision
    */
-  RentalIntent(RentalRequest request, long term, long decidedDayMicros, State state) {
+  RentalIntent(RentalRequest request, long term, long decidedWallClockMicros, State state) {
     this.request = request;
     this.term = term;
-    this.decidedDayMicros = decidedDayMicros;
+    this.decidedWallClockMicros = decidedWallClockMicros;
     this.state = state;
   }
 
@@ -62,15 +69,19 @@
     return term;
   }
 
-  long decidedDayMicros() {
-    return decidedDayMicros;
+  long decidedWallClockMicros() {
+    return decidedWallClockMicros;
   }
 
   State state() {
     return state;
   }
 
-  /** The one function for every change of state. */
+  /**
+   * Changes the state.
+   *
+   * @throws IllegalStateException if the transition is not allowed
+   */
   void transition(State next) {
     boolean legal =
         switch (next) {
@@ -81,12 +92,13 @@
           case SETTLED -> state == State.REQUESTED || state == State.GRANTED;
         };
     if (!legal) {
-      throw new IllegalStateException("rental " + requestId() + ": " + state + " -> " + next);
+      throw new IllegalStateException(
+          "illegal transition of rental request=" + requestId() + ": " + state + " -> " + next);
     }
     state = next;
   }
 
-  /** Whether the cloud may be asked now. */
+  /** Returns whether the machines should be requested now. */
   boolean isDue(long nowMicros) {
     return state == State.DURABLE && nowMicros >= retryAtMicros;
   }
@@ -105,16 +117,16 @@
   }
 
   /**
-   * The machine is registered or terminated.
+   * Records that a machine is registered or terminated.
    *
-   * @return whether that now holds for all machines of the rental
+   * @return whether all machines of a granted rental are now registered or terminated
    */
   boolean settle(String machine) {
     unsettled.remove(machine);
     return state == State.GRANTED && unsettled.isEmpty();
   }
 
-  /** Its fields for the log. */
+  /** Returns the count and the rental option as key=value pairs, for the log. */
   String describe() {
     RentalOption option = request.option();
     return "count="
@@ -127,7 +139,7 @@
         + option.spot();
   }
 
-  /** Its stored form, which names only machines that are not settled. */
+  /** Returns the rental as a record for the state service, with the unsettled machines only. */
   RentalIntentRecord record() {
     RentalOption option = request.option();
     return new RentalIntentRecord(
@@ -136,11 +148,11 @@
         option.spot(),
         request.count(),
         term,
-        decidedDayMicros,
+        decidedWallClockMicros,
         state == State.GRANTED ? List.copyOf(unsettled) : null);
   }
 
-  /** Takes over what an earlier term wrote. */
+  /** Creates a rental from the record of an earlier term. */
   static RentalIntent of(String requestId, RentalIntentRecord record) {
     RentalOption option = new RentalOption(record.type(), record.zone(), record.spot());
     RentalIntent intent =
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntents.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntents.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** The open rentals of this term and of earlier ones, from the decision to the last machine. */
+/**
+ * The open rentals of this term and earlier terms. A rental is open from its decision until all its
+ * machines are registered or terminated, or the cloud grants none.
+ */
 final class RentalIntents {
   private static final int MAX_CONCURRENT_REQUESTS = 4;
   private static final long RETRY_DELAY_MICROS = 1_500_000;
@@ -22,8 +25,8 @@
   private int concurrentRequests;
 
   /**
-   * @param isReleasing whether a machine is being released, so that it is not counted as booting
-   * @param onProgress runs when a rental may have left the work of earlier terms finished
+   * @param isReleasing whether a machine is being released and therefore does not count as booting
+   * @param onProgress runs when the recovery of earlier terms may be complete
    */
   RentalIntents(
       ProvisioningTerm term,
@@ -41,7 +44,7 @@
     return open.size();
   }
 
-  /** Whether the machines of every rental of an earlier term are known. */
+  /** Returns whether the machines of every rental of an earlier term are known. */
   boolean earlierTermsRecovered() {
     for (RentalIntent rental : open.values()) {
       if (rental.term() != term.number() && rental.state() != RentalIntent.State.GRANTED) {
@@ -51,7 +54,7 @@
     return true;
   }
 
-  /** Rentals whose machines are not known yet. */
+  /** Returns the rentals whose machines are not known yet. */
   List<RentalRequest> pending() {
     List<RentalRequest> pending = new ArrayList<>();
     for (RentalIntent rental : open.values()) {
@@ -62,7 +65,7 @@
     return pending;
   }
 
-  /** Takes over a rental of an earlier term. */
+  /** Resumes a rental of an earlier term. */
   void resume(RentalIntent rental) {
     open.put(rental.requestId(), rental);
     if (rental.state() == RentalIntent.State.GRANTED) {
@@ -70,17 +73,17 @@
     }
   }
 
-  /** Decides a rental; the cloud is asked once the intent is durable. */
+  /** Starts a rental; the machines are requested once the intent is durable. */
   void decide(RentalOption option, int count) {
     RentalRequest request = new RentalRequest("r-" + term.nextName(), option, count);
     RentalIntent rental =
         new RentalIntent(
-            request, term.number(), term.timeOfDayMicros(), RentalIntent.State.DECIDED);
+            request, term.number(), term.wallClockMicros(), RentalIntent.State.DECIDED);
     open.put(rental.requestId(), rental);
-    records.write(rental, () -> transition(rental, RentalIntent.State.DURABLE, "durable"));
+    records.write(rental, () -> transition(rental, RentalIntent.State.DURABLE, "record durable"));
   }
 
-  /** Asks the cloud for each rental that is durable and due. */
+  /** Requests the machines of each rental that is durable and due. */
   void requestDue() {
     for (RentalIntent rental : open.values()) {
       if (rental.isDue(term.nowMicros())
@@ -92,7 +95,7 @@
   }
 
   private void request(RentalIntent rental) {
-    transition(rental, RentalIntent.State.REQUESTED, "requesting");
+    transition(rental, RentalIntent.State.REQUESTED, "sending rental request");
     concurrentRequests++;
     host.requestMachines(
         rental.request(),
@@ -118,8 +121,8 @@
           public void unanswered(String reason) {
             concurrentRequests--;
             if (!term.isClosed()) {
-              // It may have been carried out, or may yet be. Repeating the same request tells, and
-              // rents nothing twice.
+              // The request may have been executed or may be executed later. Repeating the same
+              // request returns the result and rents nothing twice.
               rental.retryAt(term.nowMicros() + RETRY_DELAY_MICROS);
               transition(rental, RentalIntent.State.DURABLE, reason);
             }
@@ -128,14 +131,14 @@
   }
 
   private void granted(RentalIntent rental, List<String> machines) {
-    transition(rental, RentalIntent.State.GRANTED, "granted " + machines.size());
+    transition(rental, RentalIntent.State.GRANTED, "granted=" + machines.size());
     rental.addMachines(machines);
     trackMachines(rental);
     if (machines.size() < rental.request().count()) {
       host.optionExhausted(rental.request().option());
     }
     if (machines.isEmpty()) {
-      transition(rental, RentalIntent.State.SETTLED, "no machines");
+      transition(rental, RentalIntent.State.SETTLED, "cloud granted no machines");
     } else if (open.containsKey(rental.requestId())) {
       records.write(rental);
       onProgress.run();
@@ -143,7 +146,7 @@
   }
 
   private void trackMachines(RentalIntent rental) {
-    long ageMicros = Math.max(0, term.timeOfDayMicros() - rental.decidedDayMicros());
+    long ageMicros = Math.max(0, term.wallClockMicros() - rental.decidedWallClockMicros());
     List<String> booting = new ArrayList<>();
     for (String machine : rental.machines()) {
       byMachine.put(machine, rental);
@@ -158,7 +161,7 @@
         .forEach(this::machineSettled);
   }
 
-  /** The machine is durably registered, or terminated, so no successor needs its rental. */
+  /** Records that a machine is registered or terminated, so its rental record can omit it. */
   void machineSettled(String machine) {
     RentalIntent rental = byMachine.get(machine);
     if (rental != null && rental.settle(machine)) {
@@ -166,7 +169,10 @@
     }
   }
 
-  /** The machine is terminated; a successor must not take it for one that boots. */
+  /**
+   * Records that a machine is terminated. Its rental record is rewritten without the machine, so
+   * that a later leader does not count it as booting.
+   */
   void machineTerminated(String machine) {
     machineSettled(machine);
     RentalIntent rental = byMachine.remove(machine);
--- a/src/main/java/org/eiderstair/core/provisioning/RentalResponseHandler.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalResponseHandler.java
@@ -2,14 +2,17 @@
 
 import java.util.List;
 
-/** Receives the outcome of a {@link RentalRequest}; exactly one method is called for each call. */
+/**
+ * Receives the result of a {@link RentalRequest}. Exactly one method is called per request, or none
+ * once the term is closed.
+ */
 public interface RentalResponseHandler {
-  /** The cloud rented these machines, possibly fewer than asked for or none. */
+  /** Handles a grant of machines, possibly fewer than requested or none. */
   void granted(List<String> machines);
 
-  /** The cloud certainly rented nothing. */
+  /** Handles a refusal: the cloud certainly rented nothing. */
   void refused(String reason);
 
-  /** There is no usable answer; the machines may be rented, now or later. */
+  /** Handles a missing or unusable response: the machines may be rented, now or later. */
   void unanswered(String reason);
 }
--- a/src/main/java/org/eiderstair/core/provisioning/package-info.java
+++ b/src/main/java/org/eiderstair/core/provisioning/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Rental and release of cloud machines by the leader, each made durable before the cloud is asked.
- * {@link org.eiderstair.core.provisioning.ProvisioningController} is the type to enter by, {@link
- * org.eiderstair.core.provisioning.ProvisioningHost} what it needs of the leader.
+ * Rents and releases cloud machines on behalf of the leader. Each rental and release is durable
+ * before the cloud is called. The entry point is {@link
+ * org.eiderstair.core.provisioning.ProvisioningController}, and {@link
+ * org.eiderstair.core.provisioning.ProvisioningHost} is the interface that the leader implements.
  */
 package org.eiderstair.core.provisioning;
--- a/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
+++ b/src/test/java/org/eiderstair/core/provisioning/ProvisioningControllerTest.java
@@ -25,16 +25,16 @@
 import org.eiderstair.core.record.StoredValueCodec;
 
 /**
- * Leaders that are replaced at any step, and requests and answers that arrive minutes late: nothing
- * is rented twice, deleted in use or lost.
+ * Tests rentals and releases while leaders are replaced at any step and messages arrive minutes
+ * late. No machine may be rented twice, deleted while in use, or lost.
  */
 class ProvisioningControllerTest {
   private static final RentalOption OPTION = new RentalOption("t", "a", true);
   private static final long SECOND = 1_000_000;
 
   /**
-   * A state service that refuses writes of earlier terms, a cloud, and messages that arrive when
-   * the test says.
+   * A simulated state service and cloud. The state service rejects writes of earlier terms, and the
+   * test determines when each message is delivered.
    */
   private static final class Platform {
     final TreeMap<String, StoredValue> store = new TreeMap<>();
@@ -43,20 +43,20 @@
     final Set<String> running = new HashSet<>();
     final Set<String> registeredWorkers = new HashSet<>();
 
-    /** By machine, the latest term that placed something on it. */
+    /** Maps each machine to the latest term that placed a task on it. */
     final Map<String, Long> lastTermUsed = new HashMap<>();
 
     final List<Runnable> inFlight = new ArrayList<>();
     final List<String> violations = new ArrayList<>();
     int rentalsDecided;
 
-    /** Whether a late copy of the next request follows it; its answer reaches nobody. */
+    /** Whether a late duplicate of the next request is also sent; its response is dropped. */
     boolean duplicatesNext;
 
     long term;
     long now;
 
-    /** The state service holds a record in this form. */
+    /** Stores a record that is decoded from these fields. */
     void read(String key, Map<String, Object> fields) {
       store.put(key, StoredValueCodec.decode(key, fields));
     }
@@ -83,7 +83,7 @@
     }
   }
 
-  /** A leader of one term; it may go on after it was replaced, which it then does not know. */
+  /** The leader of one term. It may continue after its replacement, without knowing about it. */
   private static final class Leader implements ProvisioningHost {
     final Platform platform;
     final long term;
@@ -101,12 +101,12 @@
       controller.resume(new TreeMap<>(platform.store), platform.now);
     }
 
-    /** Writes of one leader are carried out in their order, as StateWriter does. */
+    /** Queues a write; the writes of one leader are executed in order, as in StateWriter. */
     private void write(String key, StoredValue value, Runnable durable) {
       writes.add(
           () -> {
-            // On condition of the leader key: the write of a replaced leader fails without an
-            // answer.
+            // Each write requires the leader key, so a write of a replaced leader fails. The
+            // leader gets no response.
             if (term == platform.term) {
               if (value == null) {
                 platform.store.remove(key);
@@ -201,7 +201,7 @@
 
     @Override
     public void releaseCancelled(String machine) {
-      // It reports, and is found by that.
+      // The machine sends heartbeats, so the leader knows it again.
       booting.add(machine);
     }
 
@@ -231,7 +231,7 @@
     List<Leader> leaders = new ArrayList<>(List.of(new Leader(platform)));
     for (int step = 0; step < 150; step++) {
       platform.now += random.nextInt(400_000);
-      // A replaced leader goes on until it learns of that.
+      // A replaced leader may still act, because it does not know about its replacement.
       Leader acting = leaders.get(random.nextInt(leaders.size()));
       Leader latest = leaders.get(leaders.size() - 1);
       switch (random.nextInt(8)) {
@@ -285,7 +285,7 @@
       latest.controller.tick(platform.now);
     }
     assertEquals(List.of(), platform.violations);
-    // All that was ever written is settled by the last leader, and it knows every machine.
+    // The last leader must settle every record and know every machine.
     Leader last = leaders.get(leaders.size() - 1);
     last.cloudRefuses = false;
     platform.duplicatesNext = false;
@@ -293,8 +293,8 @@
       platform.now += SECOND / 2;
       leaders.forEach(each -> each.controller.tick(platform.now));
       platform.deliverAll();
-      // Deleted by a replaced leader, which the last does not know: it never boots, and is
-      // released.
+      // A replaced leader deleted these machines without the last leader knowing. They never boot,
+      // so the last leader releases them.
       last.booting.stream()
           .filter(m -> !platform.running.contains(m) && !last.terminated.contains(m))
           .forEach(last.controller::scaleIn);
@@ -305,19 +305,19 @@
       }
     }
     assertEquals(List.of(), platform.violations);
-    assertTrue(platform.store.isEmpty(), "left over: " + platform.store);
+    assertTrue(platform.store.isEmpty(), "records left: " + platform.store);
     assertEquals(List.of(), last.controller.pendingRentals());
   }
 
   @Example
-  void aRentalRequestedByTwoLeadersIsOne() {
+  void aRentalRequestedByTwoLeadersIsGrantedOnce() {
     Platform platform = new Platform();
     Leader first = new Leader(platform);
     first.controller.scaleOut(OPTION, 3);
     platform.deliver(0);
     platform.deliver(0);
     first.controller.tick(SECOND);
-    // The request of the first is on its way when the second takes over.
+    // The request of the first leader is in flight when the second takes over.
     Leader second = new Leader(platform);
     second.controller.tick(2 * SECOND);
     platform.deliverAll();
@@ -327,7 +327,7 @@
   }
 
   @Example
-  void aReleasedMachineIsNotUsedByTheNextLeaderSoALateDeletionHitsNothing() {
+  void aLateDeletionByAReplacedLeaderDeletesNoMachineInUse() {
     Platform platform = new Platform();
     Leader first = new Leader(platform);
     platform.running.add("m");
@@ -335,9 +335,10 @@
     first.controller.tick(SECOND);
     platform.deliver(0);
     platform.deliver(0);
-    // It is paused between the record and the request, is replaced, and goes on.
+    // The first leader pauses between record and request, is replaced, and then continues.
     Leader second = new Leader(platform);
-    assertTrue(second.controller.isReleasing("m"), "nothing is placed on it");
+    assertTrue(
+        second.controller.isReleasing("m"), "no task may be placed on a machine being released");
     first.controller.tick(200 * SECOND);
     second.controller.tick(200 * SECOND);
     platform.deliverAll();
@@ -347,21 +348,22 @@
   }
 
   @Example
-  void aReleaseIsCancelledOnlyWhileNoDeletionMayArrive() {
+  void aReleaseCanBeCancelledOnlyWhileNoDeletionRequestIsInFlight() {
     Platform platform = new Platform();
     Leader leader = new Leader(platform);
     platform.running.add("m");
     leader.controller.scaleIn("m");
-    assertTrue(leader.controller.cancelScaleIn("m"), "not written yet");
+    assertTrue(leader.controller.cancelScaleIn("m"), "the record is not written yet");
     leader.controller.scaleIn("m");
     leader.cloudRefuses = true;
     leader.controller.tick(SECOND);
     platform.deliverAll();
     leader.controller.tick(2 * SECOND);
-    assertFalse(leader.controller.cancelScaleIn("m"), "a request is on its way");
+    assertFalse(leader.controller.cancelScaleIn("m"), "a request is in flight");
     platform.deliverAll();
-    assertTrue(leader.controller.cancelScaleIn("m"), "refused for certain");
-    assertTrue(leader.controller.isReleasing("m"), "not before that is durable");
+    assertTrue(leader.controller.cancelScaleIn("m"), "the request was certainly refused");
+    assertTrue(
+        leader.controller.isReleasing("m"), "still releasing until the cancellation is durable");
     platform.deliverAll();
     assertFalse(leader.controller.isReleasing("m"));
     leader.controller.scaleIn("m");
@@ -371,11 +373,11 @@
     assertTrue(new Leader(platform).controller.isReleasing("m"));
     assertFalse(
         new Leader(platform).controller.cancelScaleIn("m"),
-        "what an earlier term sent is not known");
+        "an earlier term may have sent a request");
   }
 
   @Example
-  void anUnreadableRecordIsNamedAndStopsNothing() {
+  void anUnreadableRecordIsLoggedAndDoesNotStopTheLeader() {
     Platform platform = new Platform();
     platform.read(
         StateKeys.rental("r-1-1"), Map.of("type", "t", "zone", 7L, "n", 3L, "epoch", 1L, "at", 0L));
