--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -12,8 +12,8 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Scales the machines to the demand and releases machines that can no longer be used. One instance
- * serves one leader term.
+ * Scales the number of machines to the demand and releases machines that can no longer be used. One
+ * instance serves one leader term.
  *
  * <p>{@link CapacityPlanner} compares demand and machines, and {@link RentalOptionSelector} chooses
  * the machines to rent. {@link IdleMachinePolicy} and {@link MachineRetirement} choose the machines
--- a/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
+++ b/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
@@ -9,7 +9,9 @@
 import org.eiderstair.core.provisioning.RentalOption;
 import org.eiderstair.core.state.Replica;
 
-/** Chooses the rental option for a job, and skips options that the cloud recently lacked. */
+/**
+ * Chooses the rental option for a job, and skips options that the cloud recently could not provide.
+ */
 final class RentalOptionSelector {
   /** Time for which an exhausted option is not chosen. */
   private static final long EXHAUSTED_PAUSE_MICROS = 15_000_000;
--- a/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
+++ b/src/main/java/org/eiderstair/core/provisioning/MachineRelease.java
@@ -141,7 +141,10 @@
     return neverRequested && (state == State.DECIDED || state == State.DURABLE);
   }
 
-  /** Removes a machine to keep. No request is sent until the record without it is durable. */
+  /**
+   * Removes a machine whose release is cancelled. No request is sent until the record without it is
+   * durable.
+   */
   void beginCancel(String machine) {
     machines.remove(machine);
     cancelling = true;
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningController.java
@@ -49,7 +49,10 @@
     term.start(nowMicros);
     records.read(stored, rentals, releases);
     host.info(
-        "provisioning RECOVERING, term=" + term.number() + ": open of earlier terms " + summary());
+        "provisioning RECOVERING, term="
+            + term.number()
+            + ": left open by earlier terms "
+            + summary());
     checkRecovered();
   }
 
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntents.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntents.java
@@ -161,7 +161,10 @@
         .forEach(this::machineSettled);
   }
 
-  /** Records that a machine is registered or terminated, so its rental record can omit it. */
+  /**
+   * Records that a machine is registered or terminated. A later leader then does not need its
+   * rental record.
+   */
   void machineSettled(String machine) {
     RentalIntent rental = byMachine.get(machine);
     if (rental != null && rental.settle(machine)) {
