--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -285,7 +285,7 @@
       Replica.StoredStandby record = replica.standby();
       return record != null
           && Standby.namesAnyNode(record.value())
-          && !standby.namesThisNode(record.value());
+          && !standby.isInSync(record.value());
     }
 
     @Override
--- a/src/main/java/org/eiderstair/core/StandbyTakeover.java
+++ b/src/main/java/org/eiderstair/core/StandbyTakeover.java
@@ -60,7 +60,7 @@
   }
 
   private boolean isStandbyOf(Replica.Leader leader, Replica.StoredStandby record) {
-    return standby.namesThisNode(record.value()) && record.value().term() == leader.term();
+    return standby.isInSync(record.value()) && record.value().term() == leader.term();
   }
 
   private void takeOver(Replica.Leader leader, Replica.StoredStandby record) {
--- a/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
+++ b/src/main/java/org/eiderstair/core/membership/HeartbeatTracker.java
@@ -8,21 +8,22 @@
 import org.eiderstair.core.message.HeartbeatDigest;
 
 /**
- * Which machines send heartbeats to this node directly, as numbered changes: a peer that knows them
- * up to a number gets what changed since. A machine that goes on reporting here is no change and
- * costs nothing to report.
+ * Tracks which machines send heartbeats to this node directly, as numbered changes. A peer that
+ * knows the changes up to a number gets only the later ones. A machine that keeps sending
+ * heartbeats here causes no change, so the peers are not told of it again.
  */
 final class HeartbeatTracker {
   /**
-   * So many machines that are silent are remembered, to report their silence; the oldest are
-   * dropped first, and a peer that knew less gets all changes. Those that are reachable are never
-   * dropped: their end could not be reported any more.
+   * The number of silent machines that are kept, so that their silence can be reported. The oldest
+   * are dropped first; a peer that may lack a dropped change gets a full digest. Reachable machines
+   * are never dropped, since their later silence could then not be reported.
    */
   static final int MAX_SILENT_MACHINES = 8_192;
 
-  /** REACHABLE sends heartbeats here; SILENT did, and now sends them elsewhere or nowhere. */
   private enum State {
+    /** The machine sends heartbeats to this node. */
     REACHABLE,
+    /** The machine sent heartbeats to this node, and now sends them elsewhere or not at all. */
     SILENT
   }
 
@@ -40,22 +41,22 @@
 
   private final long timeoutMicros;
 
-  /** In the order of their last change. */
+  /** All machines by name, in the order of their last change. */
   private final Map<String, TrackedMachine> byLastChange = new LinkedHashMap<>();
 
-  /** The reachable ones, the one with the oldest heartbeat first. */
+  /** The reachable machines, the one with the oldest heartbeat first. */
   private final Map<String, TrackedMachine> reachable = new LinkedHashMap<>();
 
-  /** The silent ones, in the order in which they became so. */
+  /** The silent machines, in the order in which they became silent. */
   private final Map<String, TrackedMachine> silent = new LinkedHashMap<>();
 
   private long lastSequence;
 
-  /** Changes up to this number may have been dropped. */
+  /** Changes up to this sequence number may have been dropped. */
   private long droppedSequence;
 
   /**
-   * @param timeoutMicros a machine without a heartbeat for so long is silent
+   * @param timeoutMicros a machine without a heartbeat for longer than this is silent
    */
   HeartbeatTracker(long timeoutMicros) {
     this.timeoutMicros = timeoutMicros;
@@ -66,14 +67,14 @@
     if (machine == null) {
       machine = byLastChange.computeIfAbsent(id, TrackedMachine::new);
       machine.sinceMicros = nowMicros;
-      become(machine, State.REACHABLE);
+      transitionTo(machine, State.REACHABLE);
     }
     machine.lastHeartbeatMicros = nowMicros;
     reachable.put(id, machine);
   }
 
-  /** The one function for every change of state: each gets the next sequence number. */
-  private void become(TrackedMachine machine, State next) {
+  /** Performs every change of state; each change gets the next sequence number. */
+  private void transitionTo(TrackedMachine machine, State next) {
     byLastChange.remove(machine.id);
     machine.state = next;
     machine.sequence = ++lastSequence;
@@ -103,15 +104,17 @@
       }
       reachable.remove(oldest.id);
       oldest.sinceMicros = oldest.lastHeartbeatMicros;
-      become(oldest, State.SILENT);
+      transitionTo(oldest, State.SILENT);
     }
   }
 
   /**
-   * What changed after a sequence number; from the beginning when that is not known any more.
+   * Returns the changes after a sequence number. The digest is full, with all reachable machines,
+   * when the changes after that number are no longer complete or the number is unknown.
    *
-   * @param runId of this node, for the digest
-   * @param maxChanges at most so many changes are in it; the rest comes with the next
+   * @param runId this node's run, which the digest names
+   * @param sequence the number up to which the peer knows the changes; negative when it knows none
+   * @param maxChanges the maximum number of changes in the digest; the next digest has the rest
    */
   HeartbeatDigest digestAfter(String runId, long sequence, int maxChanges, long nowMicros) {
     expire(nowMicros);
--- a/src/main/java/org/eiderstair/core/membership/Membership.java
+++ b/src/main/java/org/eiderstair/core/membership/Membership.java
@@ -9,21 +9,26 @@
 import org.eiderstair.core.model.MonitoredMachine;
 
 /**
- * Which machines any live controller reaches. Each node tracks whose heartbeats it gets itself, and
- * answers a peer that asks with what changed since the last time. A leader asks only while it
- * misses machines, so on a quiet day this costs nothing.
+ * Tracks which machines reach any live controller. Each node records the machines that send their
+ * heartbeats to it, and answers the queries of its peers with the changes since the last answer. A
+ * leader sends queries only when its term begins, while machines are missing and while a zone is
+ * partitioned. A healthy cluster therefore has no such traffic.
  */
 public final class Membership {
-  /** So many changes fit well into what a peer takes at once. */
+  /** A digest of this size is well below the size limit of a message between controllers. */
   private static final int MAX_DIGEST_CHANGES = 400;
 
-  /** A heartbeat may be late by so much, beside half its interval. */
+  /** A heartbeat may be late by this much plus half its interval. */
   private static final long HEARTBEAT_GRACE_MICROS = 2_000_000;
 
-  /** How a peer is asked which machines it reaches. */
+  /** Sends the query which machines a peer reaches. */
   public interface PeerQuery {
-    /** Asks for the changes after a sequence number of one of the peer's runs. */
-    void ask(String peer, String runId, long afterSequence, Consumer<PeerAnswer> callback);
+    /**
+     * Queries a peer for its changes after a sequence number.
+     *
+     * @param runId the run of the peer to which the number belongs; empty if none is known
+     */
+    void query(String peer, String runId, long afterSequence, Consumer<PeerAnswer> callback);
   }
 
   private final String node;
@@ -37,13 +42,14 @@
   private long now;
 
   /**
+   * @param node the name of this controller
    * @param peers the names of the other controllers
-   * @param nodeZones the zone of each node, this one included, as far as it is known
-   * @param runId differs for every run of this node
-   * @param heartbeatMicros how often a machine sends a heartbeat: one that has not for half as long
-   *     again is silent
-   * @param query asks a peer
-   * @param log takes lines for the log
+   * @param nodeZones the zone of each controller, this one included, as far as it is known
+   * @param runId identifies this run of the node; each run has another
+   * @param heartbeatMicros the interval of a machine's heartbeats; a machine without a heartbeat
+   *     for one and a half intervals and a grace period is silent
+   * @param query sends a query to a peer
+   * @param log receives the lines to log
    */
   public Membership(
       String node,
@@ -62,8 +68,8 @@
   }
 
   /**
-   * A new term judges anew: it asks all peers, so that it knows which zones are partitioned before
-   * it decides anything on them.
+   * Starts a term of this node as the leader. All peers are queried first, so that the leader knows
+   * which zones are partitioned before it decides anything about them.
    */
   public void startTerm(long nowMicros) {
     partitions.clear();
@@ -71,17 +77,18 @@
     consultingPeers = true;
   }
 
-  /** Whether peers have answered since the term began, or could have. */
+  /** Returns whether the peers have answered since the term began, or have had the time to. */
   public boolean hasConsultedPeers(long nowMicros) {
     return !consultingPeers && nowMicros >= termStartMicros;
   }
 
   /**
-   * Without this a leader that took over during a zone's partition rented 125 machines there, in
-   * its first tenth of a second.
+   * Marks the zones as partitioned whose controllers do not answer, once all peers have answered or
+   * the time for it has passed. Without this, a leader that took over during a zone's partition
+   * rented 125 machines in that zone within 0.1 seconds.
    */
   private void finishConsultation() {
-    if (peers.mayYetReport(termStartMicros)
+    if (peers.isReportPending(termStartMicros)
         && now < termStartMicros + PeerReachability.ANSWER_TIMEOUT_MICROS) {
       return;
     }
@@ -89,67 +96,80 @@
     boolean anyAnswered = peers.anyAnswered();
     for (String zone : new HashSet<>(nodeZones.values())) {
       if (anyAnswered && !zone.isEmpty() && !hasLiveController(zone)) {
-        partitions.add(zone, "none of its controllers answers", now);
+        partitions.add(zone, "no controller in the zone answers", now);
       }
     }
   }
 
-  /** A zone is partitioned only while nobody reaches its controllers either. */
+  /**
+   * Ends the partition of the peer's zone: a zone with a controller that answers is not cut off.
+   */
   private void peerReported(String peer) {
     if (nodeZones.containsKey(peer)) {
-      partitions.remove(nodeZones.get(peer), peer + " answers", now);
+      partitions.remove(nodeZones.get(peer), "controller answers, peer=" + peer, now);
     }
   }
 
-  /** A machine has sent a heartbeat to this node, not through a peer. */
+  /** Records a heartbeat that a machine sent to this node directly, not through a peer. */
   public void heartbeatReceived(String machine, long nowMicros) {
     tracker.heartbeatReceived(machine, nowMicros);
   }
 
-  /** The answer to a peer that knows the changes of a run up to a sequence number. */
+  /**
+   * Returns the answer to the query of a peer.
+   *
+   * @param ofRunId the run of this node whose changes the peer knows; empty if none
+   * @param sequence the number up to which the peer knows that run's changes
+   */
   public HeartbeatDigest digestAfter(String ofRunId, long sequence, long nowMicros) {
     long known = runId.equals(ofRunId) ? sequence : -1;
     return tracker.digestAfter(runId, known, MAX_DIGEST_CHANGES, nowMicros);
   }
 
   /**
-   * Does what time has made due.
+   * Sends the queries that are due, discards expired reports, and ends the consultation of the
+   * peers at the beginning of a term.
    *
-   * @param machinesMissing whether some machine is silent, so that peers are asked for it
+   * @param machinesMissing whether machines are missing, so that the peers are queried
    */
   public void tick(boolean machinesMissing, long nowMicros) {
-    at(nowMicros);
+    setNow(nowMicros);
     peers.refresh(machinesMissing || consultingPeers || !partitions.isEmpty());
     if (consultingPeers) {
       finishConsultation();
     }
   }
 
-  private void at(long nowMicros) {
+  private void setNow(long nowMicros) {
     now = nowMicros;
-    peers.at(nowMicros);
+    peers.setNow(nowMicros);
   }
 
   /**
-   * Judges all machines of a term together. Many gone silent at once are one fault, this node's or
-   * a zone's, more likely than many.
+   * Classifies all machines of a term together. If many fall silent at once, the cause is more
+   * likely one fault of this node or of a zone than many separate ones.
    *
-   * @param leaderUnreached whether hardly any machine reaches this node by itself just now
-   * @param unreachableMicros how long a machine alone may be silent (setting {@code
+   * @param reachedByFew whether hardly any machine reaches this node directly at present
+   * @param unreachableTimeoutMicros how long a single machine may be silent (setting {@code
    *     unheard_delete_s})
-   * @param partitionedMicros how long one of a partitioned zone may be (setting {@code
-   *     dark_delete_s})
+   * @param partitionedTimeoutMicros how long a machine in a partitioned zone may be silent (setting
+   *     {@code dark_delete_s})
    */
   public ReachabilityClassifier classify(
       Iterable<? extends MonitoredMachine> machines,
-      boolean leaderUnreached,
-      long unreachableMicros,
-      long partitionedMicros,
+      boolean reachedByFew,
+      long unreachableTimeoutMicros,
+      long partitionedTimeoutMicros,
       long nowMicros) {
-    at(nowMicros);
+    setNow(nowMicros);
     ReachabilityClassifier classifier =
         new ReachabilityClassifier(
-            this, machines, leaderUnreached, unreachableMicros, partitionedMicros, nowMicros);
+            this,
+            machines,
+            reachedByFew,
+            unreachableTimeoutMicros,
+            partitionedTimeoutMicros,
+            nowMicros);
     updatePartitions(classifier);
     return classifier;
   }
@@ -164,15 +184,15 @@
     classifier.forEachZone(
         (zone, mostlySilent, latestMicros) -> {
           if (!mostlySilent) {
-            partitions.heartbeat(zone, latestMicros, now);
+            partitions.heartbeatReceived(zone, latestMicros, now);
           }
         });
     partitions.expire(now);
   }
 
   /**
-   * Whether this node or a peer that answers is in the zone: then its silent machines are dead, not
-   * cut off.
+   * Returns whether this node or a peer with a valid report is in the zone. If so, the zone is not
+   * cut off, and its silent machines are dead.
    */
   private boolean hasLiveController(String zone) {
     for (Map.Entry<String, String> entry : nodeZones.entrySet()) {
@@ -185,27 +205,30 @@
     return false;
   }
 
-  /** Whether most machines of a zone were silent lately, and none of it has reported since. */
+  /**
+   * Returns whether a zone is considered cut off from all controllers that this node reaches. That
+   * ends when a machine or a controller of the zone is heard again, and after two minutes.
+   */
   public boolean isPartitioned(String zone) {
     return partitions.contains(zone);
   }
 
-  /** Whether any live controller but this one reaches the machine. */
+  /** Returns whether a peer with a valid report reaches the machine. */
   public boolean isReachableByPeer(String machine) {
     return peers.isReachable(machine);
   }
 
-  /** How many machines peers reach, of those that pass the filter. */
+  /** Returns how many machines that pass the filter are reached by any peer. */
   public int countReachableByPeers(Predicate<String> filter) {
     return peers.countReachable(filter);
   }
 
-  /** Whether some peer may yet report that it has reached a machine since then. */
-  boolean mayYetReport(long sinceMicros) {
-    return peers.mayYetReport(sinceMicros);
+  /** Returns whether a peer may still report that it has reached a machine since the given time. */
+  boolean isReportPending(long sinceMicros) {
+    return peers.isReportPending(sinceMicros);
   }
 
-  /** For the log: how many machines each peer reaches that has reported lately. */
+  /** Returns, for the log, how many machines each peer with a valid report reaches. */
   public String evidence() {
     return peers.evidence();
   }
--- a/src/main/java/org/eiderstair/core/membership/PeerAnswer.java
+++ b/src/main/java/org/eiderstair/core/membership/PeerAnswer.java
@@ -2,14 +2,14 @@
 
 import org.eiderstair.core.message.HeartbeatDigest;
 
-/** What came of asking a peer which machines it reaches. */
+/** The outcome of querying a peer for the machines that it reaches. */
 public sealed interface PeerAnswer {
-  /** The changes since the ones that were known. */
+  /** The peer answered with its changes after the known ones. */
   record Digest(HeartbeatDigest digest) implements PeerAnswer {}
 
-  /** The peer is of a version that does not know the question. */
+  /** The peer runs a version that does not support membership queries. */
   record Unsupported() implements PeerAnswer {}
 
-  /** No answer came. */
+  /** The query failed, so the peer's state is unknown. */
   record NoAnswer() implements PeerAnswer {}
 }
--- a/src/main/java/org/eiderstair/core/membership/PeerReachability.java
+++ b/src/main/java/org/eiderstair/core/membership/PeerReachability.java
@@ -11,23 +11,23 @@
 import java.util.function.Predicate;
 import org.eiderstair.core.message.HeartbeatDigest;
 
-/** Which machines the peers reach, as far as they have reported it lately. */
+/** Tracks which machines the peers reach, according to their recent reports. */
 final class PeerReachability {
-  /** A peer that has not answered for so long is taken to be out of reach. */
+  /** A peer that leaves a query unanswered for this long is considered out of reach. */
   static final long ANSWER_TIMEOUT_MICROS = 1_000_000;
 
-  /** What a peer reported is believed for so long without word from it. */
+  /** A peer's report is valid for this long without a newer answer from that peer. */
   static final long REPORT_VALID_MICROS = 3_000_000;
 
-  private static final long ASK_INTERVAL_MICROS = 500_000;
+  private static final long QUERY_INTERVAL_MICROS = 500_000;
   private static final long UNSUPPORTED_RETRY_MICROS = 30_000_000;
 
   private enum State {
-    /** It has reported nothing yet, or nothing lately. */
+    /** The peer has no complete report, or only one that has expired. */
     UNKNOWN,
-    /** It has reported all that it reaches. */
+    /** The peer has reported all machines that it reaches. */
     REPORTED,
-    /** It is of a version that does not know the question. */
+    /** The peer runs a version that does not support membership queries. */
     UNSUPPORTED
   }
 
@@ -36,11 +36,11 @@
     State state = State.UNKNOWN;
     String runId = "";
     long lastSequence;
-    boolean asking;
-    long askedMicros;
-    long nextAskMicros;
+    boolean queryInFlight;
+    long querySentMicros;
+    long nextQueryMicros;
 
-    /** When the question left whose answer is the latest: what it reports is no older. */
+    /** When the latest answered query was sent: the report is at least as recent as that. */
     long reportedMicros = Long.MIN_VALUE / 2;
 
     final Set<String> reachable = new HashSet<>();
@@ -54,150 +54,159 @@
     }
   }
 
-  private final Membership.PeerQuery query;
-  private final Consumer<String> answered;
+  private final Membership.PeerQuery peerQuery;
+  private final Consumer<String> onReport;
   private final Map<String, Peer> peers = new LinkedHashMap<>();
 
-  /** How many peers reach a machine; without an entry, none does. */
-  private final Map<String, Integer> reachableBy = new HashMap<>();
+  /** The number of peers that reach each machine; a machine that none reaches has no entry. */
+  private final Map<String, Integer> peerCounts = new HashMap<>();
 
   private long now;
 
   /**
-   * @param answered gets the name of a peer whose report is complete
+   * @param names the names of the peers
+   * @param peerQuery sends a query to a peer
+   * @param onReport receives the name of a peer whose report is complete
    */
-  PeerReachability(List<String> names, Membership.PeerQuery query, Consumer<String> answered) {
-    this.query = query;
-    this.answered = answered;
+  PeerReachability(List<String> names, Membership.PeerQuery peerQuery, Consumer<String> onReport) {
+    this.peerQuery = peerQuery;
+    this.onReport = onReport;
     names.forEach(name -> peers.put(name, new Peer(name)));
   }
 
-  void at(long nowMicros) {
+  void setNow(long nowMicros) {
     now = nowMicros;
   }
 
-  /** Forgets what is too old, and asks again if that is wanted. */
-  void refresh(boolean ask) {
+  /**
+   * Discards expired reports and sends the queries that are due.
+   *
+   * @param sendQueries whether peers are to be queried
+   */
+  void refresh(boolean sendQueries) {
     for (Peer peer : peers.values()) {
       if (peer.state == State.REPORTED && now > peer.reportedMicros + REPORT_VALID_MICROS) {
-        become(peer, State.UNKNOWN);
+        transitionTo(peer, State.UNKNOWN);
       }
-      if (ask && !peer.asking && now >= peer.nextAskMicros) {
-        ask(peer);
+      if (sendQueries && !peer.queryInFlight && now >= peer.nextQueryMicros) {
+        query(peer);
       }
     }
   }
 
-  /** The one function for every change of what is known of a peer. */
-  private void become(Peer peer, State next) {
+  /** Performs every change of a peer's state. */
+  private void transitionTo(Peer peer, State next) {
     if (next != State.REPORTED) {
-      forget(peer);
+      discardReport(peer);
       peer.runId = "";
       peer.lastSequence = 0;
     }
     peer.state = next;
   }
 
-  private void ask(Peer peer) {
-    peer.asking = true;
-    peer.askedMicros = now;
-    peer.nextAskMicros = now + ASK_INTERVAL_MICROS;
+  private void query(Peer peer) {
+    peer.queryInFlight = true;
+    peer.querySentMicros = now;
+    peer.nextQueryMicros = now + QUERY_INTERVAL_MICROS;
     String knownRunId = peer.runId;
     long knownSequence = peer.lastSequence;
-    query.ask(
+    peerQuery.query(
         peer.name,
         knownRunId,
         knownSequence,
         answer -> {
-          peer.asking = false;
-          // Changes after some that were forgotten meanwhile would leave out the rest: machines
-          // that report there would seem silent.
+          peer.queryInFlight = false;
+          // The report that these changes extend may have been discarded meanwhile. Applied alone,
+          // they would make the peer's other machines seem silent.
           if (peer.runId.equals(knownRunId) && peer.lastSequence == knownSequence) {
-            take(peer, answer);
+            handleAnswer(peer, answer);
           }
         });
   }
 
-  private void take(Peer peer, PeerAnswer answer) {
+  private void handleAnswer(Peer peer, PeerAnswer answer) {
     if (answer instanceof PeerAnswer.Unsupported) {
-      become(peer, State.UNSUPPORTED);
-      peer.nextAskMicros = now + UNSUPPORTED_RETRY_MICROS;
+      transitionTo(peer, State.UNSUPPORTED);
+      peer.nextQueryMicros = now + UNSUPPORTED_RETRY_MICROS;
     } else if (answer instanceof PeerAnswer.Digest report) {
       apply(peer, report.digest());
       if (report.digest().more()) {
-        peer.nextAskMicros = now;
+        peer.nextQueryMicros = now;
       } else {
-        peer.reportedMicros = peer.askedMicros;
-        become(peer, State.REPORTED);
-        answered.accept(peer.name);
+        peer.reportedMicros = peer.querySentMicros;
+        transitionTo(peer, State.REPORTED);
+        onReport.accept(peer.name);
       }
     }
   }
 
   private void apply(Peer peer, HeartbeatDigest digest) {
     if (digest.full() || !digest.runId().equals(peer.runId)) {
-      forget(peer);
+      discardReport(peer);
     }
     peer.runId = digest.runId();
     peer.lastSequence = digest.lastSequence();
     for (HeartbeatDigest.Change change : digest.changes()) {
       String machine = change.machine();
       if (change.reachable() && peer.reachable.add(machine)) {
-        reachableBy.merge(machine, 1, Integer::sum);
+        peerCounts.merge(machine, 1, Integer::sum);
       } else if (!change.reachable() && peer.reachable.remove(machine)) {
-        countOneLess(machine);
+        decrementCount(machine);
       }
     }
   }
 
-  private void forget(Peer peer) {
-    peer.reachable.forEach(this::countOneLess);
+  private void discardReport(Peer peer) {
+    peer.reachable.forEach(this::decrementCount);
     peer.reachable.clear();
   }
 
-  private void countOneLess(String machine) {
-    reachableBy.computeIfPresent(machine, (id, count) -> count == 1 ? null : count - 1);
+  private void decrementCount(String machine) {
+    peerCounts.computeIfPresent(machine, (id, count) -> count == 1 ? null : count - 1);
   }
 
-  /** Whether any peer reaches the machine. */
+  /** Returns whether any peer reaches the machine. */
   boolean isReachable(String machine) {
-    return reachableBy.containsKey(machine);
+    return peerCounts.containsKey(machine);
   }
 
   int countReachable(Predicate<String> filter) {
     int count = 0;
-    for (String machine : reachableBy.keySet()) {
+    for (String machine : peerCounts.keySet()) {
       count += filter.test(machine) ? 1 : 0;
     }
     return count;
   }
 
-  /** Whether a peer of that name has reported lately. */
+  /** Returns whether there is a peer of that name with a valid report. */
   boolean hasReported(String name) {
     Peer peer = peers.get(name);
     return peer != null && peer.state == State.REPORTED;
   }
 
-  /** Whether any peer has answered at all. */
+  /** Returns whether any peer has a valid report or does not support queries. */
   boolean anyAnswered() {
     return peers.values().stream().anyMatch(peer -> peer.state != State.UNKNOWN);
   }
 
   /**
-   * Whether some peer has yet to report what it reaches since then, and may still: it was asked
-   * just now.
+   * Returns whether a peer may still report what it has reached since the given time. A peer that
+   * has left a query unanswered for {@link #ANSWER_TIMEOUT_MICROS} is not waited for.
    */
-  boolean mayYetReport(long sinceMicros) {
+  boolean isReportPending(long sinceMicros) {
     for (Peer peer : peers.values()) {
-      boolean inTime = !peer.asking || now < peer.askedMicros + ANSWER_TIMEOUT_MICROS;
-      if (!peer.hasReportedSince(sinceMicros) && peer.state != State.UNSUPPORTED && inTime) {
+      boolean mayStillAnswer =
+          !peer.queryInFlight || now < peer.querySentMicros + ANSWER_TIMEOUT_MICROS;
+      if (!peer.hasReportedSince(sinceMicros)
+          && peer.state != State.UNSUPPORTED
+          && mayStillAnswer) {
         return true;
       }
     }
     return false;
   }
 
-  /** For the log: how many machines each peer reaches that has reported lately. */
+  /** Returns, for the log, how many machines each peer with a valid report reaches. */
   String evidence() {
     List<String> reports = new ArrayList<>();
     for (Peer peer : peers.values()) {
@@ -205,6 +214,6 @@
         reports.add("peer=" + peer.name + " reachable=" + peer.reachable.size());
       }
     }
-    return reports.isEmpty() ? "no peer answers" : String.join(", ", reports);
+    return reports.isEmpty() ? "no recent report of a peer" : String.join(", ", reports);
   }
 }
--- a/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
+++ b/src/main/java/org/eiderstair/core/membership/ReachabilityClassifier.java
@@ -5,35 +5,36 @@
 import org.eiderstair.core.model.MonitoredMachine;
 
 /**
- * Why machines are silent, judged over all of them at one moment. A leader that lost its workers
- * once destroyed a healthy fleet within ten seconds: each machine by itself looked dead.
+ * Classifies silent machines by the likely cause of their silence, considering all machines at one
+ * moment. A leader that was cut off from its workers once released a healthy fleet within ten
+ * seconds, because each machine on its own looked dead.
  */
 public final class ReachabilityClassifier {
-  /** Fewer silent machines than that are no zone's fault and none of this node's. */
-  private static final int MIN_CORRELATED = 3;
+  /** Fewer silent machines than this are attributed neither to their zone nor to this node. */
+  private static final int MIN_CORRELATED_MACHINES = 3;
 
-  /** One in so many is few. */
-  private static final int FEW_FRACTION = 20;
+  /** Unconfirmed machines are few if they are at most one in this many machines. */
+  private static final int FEW_UNCONFIRMED_DIVISOR = 20;
 
-  /** So many times the usual timeout applies while this node itself is likely cut off. */
+  /** The factor on the usual timeout while this node itself is likely cut off. */
   private static final int ISOLATED_TIMEOUT_FACTOR = 3;
 
-  /** What is concluded of a machine. */
+  /** The state of a machine, or the likely cause of its silence. */
   public enum Verdict {
-    /** It reports to this node. */
+    /** The machine is not missing: its last heartbeat is recent, or it has yet to boot. */
     REACHABLE,
-    /** It has not lately, but not for long, or peers have yet to say whether it reports to them. */
+    /** The machine is missing, but its timeout has not passed or a peer may still report it. */
     SUSPECTED,
-    /** It reports to a peer. */
+    /** A peer receives the machine's heartbeats. */
     REACHABLE_BY_PEER,
-    /** Most machines are silent, so the fault is likely this node's. */
+    /** The machine is silent, but so are most others, so this node is likely cut off. */
     LEADER_ISOLATED,
-    /** Its zone is cut off. */
+    /** The machine is silent, but its zone is cut off. */
     ZONE_PARTITIONED,
-    /** It is taken for dead. */
+    /** The machine is presumed dead. */
     UNREACHABLE;
 
-    /** Whether it has been silent for longer than a machine alone may be, whatever the reason. */
+    /** Returns whether this node misses heartbeats for longer than the timeout, for any reason. */
     public boolean isOverdue() {
       return this != REACHABLE && this != SUSPECTED;
     }
@@ -45,19 +46,19 @@
     long latestHeartbeatMicros = Long.MIN_VALUE / 2;
 
     boolean isMostlySilent() {
-      return silent >= MIN_CORRELATED && silent * 2 > all;
+      return silent >= MIN_CORRELATED_MACHINES && silent * 2 > all;
     }
   }
 
-  /** Takes what was counted in one zone. */
+  /** Receives the counts of one zone. */
   interface ZoneVisitor {
     void visit(String zone, boolean mostlySilent, long latestHeartbeatMicros);
   }
 
   private final Membership membership;
-  private final boolean leaderUnreached;
+  private final boolean reachedByFew;
   private final long timeoutMicros;
-  private final long partitionedMicros;
+  private final long partitionedTimeoutMicros;
   private final long now;
   private final Map<String, ZoneCount> zones = new HashMap<>();
   private int silent;
@@ -68,24 +69,24 @@
   ReachabilityClassifier(
       Membership membership,
       Iterable<? extends MonitoredMachine> machines,
-      boolean leaderUnreached,
+      boolean reachedByFew,
       long timeoutMicros,
-      long partitionedMicros,
+      long partitionedTimeoutMicros,
       long now) {
     this.membership = membership;
-    this.leaderUnreached = leaderUnreached;
+    this.reachedByFew = reachedByFew;
     this.timeoutMicros = timeoutMicros;
-    this.partitionedMicros = partitionedMicros;
+    this.partitionedTimeoutMicros = partitionedTimeoutMicros;
     this.now = now;
     for (MonitoredMachine machine : machines) {
-      if (isExpected(machine)) {
+      if (expectsHeartbeats(machine)) {
         count(machine);
       }
     }
   }
 
-  /** One that is still booting has no heartbeat to be late with. */
-  private static boolean isExpected(MonitoredMachine machine) {
+  /** Returns false for a machine that is still booting, as no heartbeat of it can be late. */
+  private static boolean expectsHeartbeats(MonitoredMachine machine) {
     return machine.lastHeartbeatMicros() != Long.MAX_VALUE;
   }
 
@@ -111,18 +112,21 @@
     return String.valueOf(machine.zone());
   }
 
-  /** Where all work waits for what is unconfirmed, two fifths of the time are enough. */
-  private long shortenedTimeout() {
+  /** Returns two fifths of the usual timeout, for unconfirmed machines that all work waits for. */
+  private long shortenedTimeoutMicros() {
     return timeoutMicros * 2 / 5;
   }
 
-  /** Silent for long enough to ask peers for it, so that they have answered at its timeout. */
+  /**
+   * Returns whether the machine has been silent for four fifths of its timeout. Peers are queried
+   * from then on, so that they have answered when the timeout passes.
+   */
   private boolean isMissing(MonitoredMachine machine) {
-    long timeout = machine.unconfirmed() ? shortenedTimeout() : timeoutMicros;
-    return isExpected(machine) && now > machine.lastHeartbeatMicros() + timeout * 4 / 5;
+    long timeout = machine.unconfirmed() ? shortenedTimeoutMicros() : timeoutMicros;
+    return expectsHeartbeats(machine) && now > machine.lastHeartbeatMicros() + timeout * 4 / 5;
   }
 
-  /** Whether peers are to be asked. */
+  /** Returns whether any machine is missing, so that the peers are to be queried. */
   public boolean hasMissingMachines() {
     return silent + reachableByPeers > 0;
   }
@@ -133,15 +137,16 @@
   }
 
   /**
-   * Whether this node is likely cut off: most machines are silent, or none reaches it any more. In
-   * the second case those that are silent the longest are merely the first to time out; in one cut
-   * 33 were released in the second before peers reached them.
+   * Returns whether this node is likely cut off: most machines are silent, or hardly any reaches it
+   * any more. In the second case the machines that are silent the longest are only the first to
+   * time out. In one such partition 33 machines were released in the second before peers reached
+   * them.
    */
   private boolean isLeaderIsolated() {
-    return silent >= MIN_CORRELATED && (leaderUnreached || silent * 2 > all);
+    return silent >= MIN_CORRELATED_MACHINES && (reachedByFew || silent * 2 > all);
   }
 
-  /** What is concluded of a machine. */
+  /** Returns the verdict on one of the machines. */
   public Verdict verdictOf(MonitoredMachine machine) {
     if (!isMissing(machine)) {
       return Verdict.REACHABLE;
@@ -151,44 +156,46 @@
     }
     boolean partitioned = membership.isPartitioned(zoneOf(machine));
     long last = machine.lastHeartbeatMicros();
-    if (isSuspected(last, timeoutOf(machine, partitioned))) {
+    if (isSuspected(last, timeoutMicrosOf(machine, partitioned))) {
       return Verdict.SUSPECTED;
     }
     if (isLeaderIsolated() && now <= last + timeoutMicros * ISOLATED_TIMEOUT_FACTOR) {
       return Verdict.LEADER_ISOLATED;
     }
-    // Waiting costs little, as what is on it comes free when its lease expires; but not where only
-    // its end shows what it runs.
-    if (partitioned && !machine.unconfirmed() && now <= last + partitionedMicros) {
+    // Keeping a partitioned machine costs little, since its tasks are freed when its lease expires.
+    // An unconfirmed machine is not kept, since only its end shows what it runs.
+    if (partitioned && !machine.unconfirmed() && now <= last + partitionedTimeoutMicros) {
       return Verdict.ZONE_PARTITIONED;
     }
     return Verdict.UNREACHABLE;
   }
 
   /**
-   * Where all work waits for what is unconfirmed, a whole zone that is cut off has said enough in
-   * less time; so have a few machines that do not answer when they are asked, while all others
-   * have.
+   * Returns how long the machine may be silent. The timeout of an unconfirmed machine is shortened
+   * in two cases, since all work waits for unconfirmed machines. Either its whole zone is cut off
+   * and this node is not, or only a few machines are unconfirmed: those have not answered, while
+   * all others have.
    */
-  private long timeoutOf(MonitoredMachine machine, boolean partitioned) {
-    boolean few = unconfirmed * FEW_FRACTION <= all;
+  private long timeoutMicrosOf(MonitoredMachine machine, boolean partitioned) {
+    boolean few = unconfirmed * FEW_UNCONFIRMED_DIVISOR <= all;
     boolean shortened = machine.unconfirmed() && ((partitioned && !isLeaderIsolated()) || few);
-    return shortened ? shortenedTimeout() : timeoutMicros;
+    return shortened ? shortenedTimeoutMicros() : timeoutMicros;
   }
 
   /**
-   * What peers reported before the machine was missing proves nothing; one that cannot be reached
-   * is not waited for longer.
+   * Returns whether the verdict must wait: the timeout has not passed, or a peer may still report
+   * that it has reached the machine since its last heartbeat. A report from before that heartbeat
+   * proves nothing. The wait for reports ends after a further quarter of the timeout.
    */
   private boolean isSuspected(long lastHeartbeatMicros, long timeout) {
     if (now <= lastHeartbeatMicros + timeout) {
       return true;
     }
-    return membership.mayYetReport(lastHeartbeatMicros)
+    return membership.isReportPending(lastHeartbeatMicros)
         && now <= lastHeartbeatMicros + timeout * 5 / 4;
   }
 
-  /** What the verdicts rest on, over all machines, for the log. */
+  /** Returns the counts over all machines that the verdicts are based on, for the log. */
   public String evidence() {
     return silent
         + " of "
@@ -201,12 +208,12 @@
         + membership.evidence();
   }
 
-  /** What a verdict rests on, for the log. */
+  /** Returns the counts that the verdict on a machine is based on, for the log. */
   public String evidence(MonitoredMachine machine) {
     ZoneCount zone = zones.getOrDefault(zoneOf(machine), new ZoneCount());
     return "silent for "
         + (now - machine.lastHeartbeatMicros()) / 1000
-        + " ms, as "
+        + " ms, as are "
         + silent
         + " of "
         + all
@@ -214,7 +221,7 @@
         + zone.silent
         + " of "
         + zone.all
-        + " in "
+        + " in zone="
         + machine.zone()
         + "; "
         + membership.evidence();
--- a/src/main/java/org/eiderstair/core/membership/ZonePartitions.java
+++ b/src/main/java/org/eiderstair/core/membership/ZonePartitions.java
@@ -5,17 +5,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Which zones are cut off from this node and its peers, and since when. */
+/** Tracks which zones are cut off from this node and its peers, and since when. */
 final class ZonePartitions {
-  /** A zone whose machines were all released has none that could show that it is back. */
-  private static final long MAX_PARTITIONED_MICROS = 120_000_000;
-
   /**
-   * PARTITIONED: most of a zone's machines are silent, and none of its controllers answers;
-   * REACHABLE else.
+   * A zone counts as partitioned for at most this long. If all its machines were released, none is
+   * left whose heartbeat could show that the zone is reachable again.
    */
+  private static final long MAX_PARTITIONED_MICROS = 120_000_000;
+
   private enum State {
+    /** The zone is not known to be cut off. */
     REACHABLE,
+    /**
+     * No controller in the zone answers. Most of the zone's machines are silent, or the term has
+     * just begun.
+     */
     PARTITIONED
   }
 
@@ -26,8 +30,8 @@
     this.log = log;
   }
 
-  /** The one function for every change of what is known of a zone. */
-  private void become(String zone, State next, String reason, long nowMicros) {
+  /** Performs and logs every change of a zone's state, except the reset by {@link #clear}. */
+  private void transitionTo(String zone, State next, String reason, long nowMicros) {
     if (next == State.PARTITIONED) {
       partitionedSince.put(zone, nowMicros);
     } else {
@@ -49,29 +53,33 @@
   }
 
   void add(String zone, String reason, long nowMicros) {
-    become(zone, State.PARTITIONED, reason, nowMicros);
+    transitionTo(zone, State.PARTITIONED, reason, nowMicros);
   }
 
-  /** Nothing happens when it is not partitioned. */
+  /** Marks a zone as reachable; does nothing when it is not partitioned. */
   void remove(String zone, String reason, long nowMicros) {
     if (contains(zone)) {
-      become(zone, State.REACHABLE, reason, nowMicros);
+      transitionTo(zone, State.REACHABLE, reason, nowMicros);
     }
   }
 
-  /** A heartbeat since the zone was cut off, and lately, shows that it is not any more. */
-  void heartbeat(String zone, long heartbeatMicros, long nowMicros) {
+  /**
+   * Marks a zone as reachable if a heartbeat from it is recent and newer than the partition.
+   *
+   * @param heartbeatMicros when the latest heartbeat from the zone arrived
+   */
+  void heartbeatReceived(String zone, long heartbeatMicros, long nowMicros) {
     Long since = partitionedSince.get(zone);
-    long lately = nowMicros - PeerReachability.REPORT_VALID_MICROS;
-    if (since != null && heartbeatMicros > Math.max(since, lately)) {
-      become(zone, State.REACHABLE, "its machines report again", nowMicros);
+    long recentSinceMicros = nowMicros - PeerReachability.REPORT_VALID_MICROS;
+    if (since != null && heartbeatMicros > Math.max(since, recentSinceMicros)) {
+      transitionTo(zone, State.REACHABLE, "its machines send heartbeats again", nowMicros);
     }
   }
 
   void expire(long nowMicros) {
     for (Map.Entry<String, Long> entry : List.copyOf(partitionedSince.entrySet())) {
       if (nowMicros > entry.getValue() + MAX_PARTITIONED_MICROS) {
-        become(entry.getKey(), State.REACHABLE, "nothing known for long", nowMicros);
+        transitionTo(entry.getKey(), State.REACHABLE, "partition state expired", nowMicros);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/membership/package-info.java
+++ b/src/main/java/org/eiderstair/core/membership/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which machines send heartbeats to any controller, and what the silence of a machine means. {@link
- * org.eiderstair.core.membership.Membership} is the type to enter by.
+ * Tracks which machines send heartbeats to any controller, and classifies silent machines. {@link
+ * org.eiderstair.core.membership.Membership} is the entry point.
  */
 package org.eiderstair.core.membership;
--- a/src/main/java/org/eiderstair/core/standby/HeldLaunches.java
+++ b/src/main/java/org/eiderstair/core/standby/HeldLaunches.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 
-/** Launches that wait until the standby has acknowledged all changes made before them. */
+/** Queues launches until the standby has acknowledged all changes made before them. */
 final class HeldLaunches {
   /**
-   * @param sequence must have been acknowledged before the launch
-   * @param withhold runs instead when the launch may not leave
+   * @param sequence the number of the change that must be acknowledged before the launch is sent
+   * @param withhold runs instead of {@code launch} when the launch may not be sent
    */
   private record HeldLaunch(long sequence, Runnable launch, Runnable withhold) {}
 
@@ -16,7 +16,7 @@
     launches.add(new HeldLaunch(sequence, launch, withhold));
   }
 
-  /** Lets those go whose changes have been acknowledged. */
+  /** Sends the launches whose changes have all been acknowledged. */
   void release(long acknowledgedSequence) {
     while (!launches.isEmpty() && launches.peek().sequence() <= acknowledgedSequence) {
       launches.poll().launch().run();
--- a/src/main/java/org/eiderstair/core/standby/InSyncRecordWriter.java
+++ b/src/main/java/org/eiderstair/core/standby/InSyncRecordWriter.java
@@ -4,69 +4,73 @@
 
 /**
  * Writes the record that names the standby in sync, by compare-and-swap on its version and this
- * leader's key. Of several writes that are wanted one at a time is on its way.
+ * leader's key. At most one request is in flight.
  */
 final class InSyncRecordWriter {
   private static final long RETRY_MICROS = 200_000;
 
   private final Standby.Host host;
   private final long term;
-  private final Runnable takenOver;
+  private final Runnable onTakenOver;
 
-  /** As this leader knows it; 0 when there is no record. */
+  /** The record's version as this leader knows it; 0 when there is no record. */
   private long version;
 
-  private boolean busy;
+  private boolean requestInFlight;
   private long nextWriteMicros;
   private long now;
 
   /**
-   * @param takenOver runs when the record shows that the standby has taken over this term
+   * @param version the record's version when the term began; 0 when there is no record
+   * @param onTakenOver runs when the record shows that the standby has taken over this term
    */
-  InSyncRecordWriter(Standby.Host host, long term, long version, Runnable takenOver) {
+  InSyncRecordWriter(Standby.Host host, long term, long version, Runnable onTakenOver) {
     this.host = host;
     this.term = term;
     this.version = version;
-    this.takenOver = takenOver;
+    this.onTakenOver = onTakenOver;
   }
 
-  void at(long nowMicros) {
+  void setNow(long nowMicros) {
     now = nowMicros;
   }
 
   /**
-   * Names a node and its run, or nobody when the node's name is empty; does nothing while another
-   * write is on its way, or has just failed.
+   * Writes a record that names a node and its run, or no standby when the node's name is empty.
+   * Does nothing while another request is in flight or shortly after a failed write; the caller
+   * repeats the call.
+   *
+   * @param onWritten runs when the record has been written
    */
-  void write(String node, String runId, Runnable written) {
-    if (busy || now < nextWriteMicros) {
+  void write(String node, String runId, Runnable onWritten) {
+    if (requestInFlight || now < nextWriteMicros) {
       return;
     }
-    busy = true;
+    requestInFlight = true;
     StandbyRecord record = new StandbyRecord(term, node, runId);
-    host.write(version, record, outcome -> finished(outcome, written));
+    host.write(version, record, outcome -> handleWrite(outcome, onWritten));
   }
 
-  private void finished(RecordWrite outcome, Runnable written) {
-    busy = false;
+  private void handleWrite(RecordWrite outcome, Runnable onWritten) {
+    requestInFlight = false;
     if (outcome instanceof RecordWrite.Written success) {
       version = success.version();
-      written.run();
+      onWritten.run();
       return;
     }
     nextWriteMicros = now + RETRY_MICROS;
     if (outcome instanceof RecordWrite.Uncertain) {
-      busy = true;
-      host.read(this::readAgain);
+      requestInFlight = true;
+      host.read(this::handleRead);
     }
   }
 
-  private void readAgain(RecordRead outcome) {
-    busy = false;
+  private void handleRead(RecordRead outcome) {
+    requestInFlight = false;
     if (outcome instanceof RecordRead.Found found) {
       if (found.record().takenOver()) {
-        // Nothing may be launched any more, whatever the lease says.
-        takenOver.run();
+        // No launch may be sent any more, even if this leader's lease has not expired.
+        onTakenOver.run();
         return;
       }
       version = found.version();
--- a/src/main/java/org/eiderstair/core/standby/RecordRead.java
+++ b/src/main/java/org/eiderstair/core/standby/RecordRead.java
@@ -2,14 +2,14 @@
 
 import org.eiderstair.core.record.StandbyRecord;
 
-/** What came of reading the in-sync record. */
+/** The outcome of reading the in-sync record. */
 public sealed interface RecordRead {
-  /** It is there. */
+  /** The record exists, with this version and value. */
   record Found(long version, StandbyRecord record) implements RecordRead {}
 
-  /** There is none. */
+  /** There is no record. */
   record Absent() implements RecordRead {}
 
-  /** No answer came. */
+  /** The read failed, so it is unknown whether there is a record. */
   record Unknown() implements RecordRead {}
 }
--- a/src/main/java/org/eiderstair/core/standby/RecordWrite.java
+++ b/src/main/java/org/eiderstair/core/standby/RecordWrite.java
@@ -1,13 +1,13 @@
 package org.eiderstair.core.standby;
 
-/** What came of writing the in-sync record. */
+/** The outcome of writing the in-sync record. */
 public sealed interface RecordWrite {
-  /** It was written and has this version now. */
+  /** The record was written and now has this version. */
   record Written(long version) implements RecordWrite {}
 
-  /** It was certainly not written, and the same write may be tried again. */
+  /** The record was certainly not written; the same write may be retried. */
   record NotWritten() implements RecordWrite {}
 
-  /** The version or the leader key differs, or it is not known whether it was written. */
+  /** The version or the leader key differs, or it is unknown whether the record was written. */
   record Uncertain() implements RecordWrite {}
 }
--- a/src/main/java/org/eiderstair/core/standby/RecoveredMachine.java
+++ b/src/main/java/org/eiderstair/core/standby/RecoveredMachine.java
@@ -3,9 +3,9 @@
 import java.util.Map;
 
 /**
- * What may be on a machine, as the last term's standby recovers it.
+ * The attempts that may be on a machine, recovered from the state replicated in the last term.
  *
  * @param incarnation the worker's incarnation; 0 when it is not known
- * @param attempts the attempt that may run, by job and index of the task
+ * @param attempts the number of the attempt that may run, by job and by the task's index
  */
 public record RecoveredMachine(long incarnation, Map<String, Map<Integer, Long>> attempts) {}
--- a/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationPrimary.java
@@ -4,33 +4,34 @@
 import org.eiderstair.core.message.ReplicationBatch;
 
 /**
- * The leader's side: who is in sync. It replicates to one peer at a time, names it in the record
- * once it has all changes, and from before that lets a launch go only after its acknowledgement.
+ * The leader's side of the replication. It replicates to one peer at a time and adds that peer to
+ * the in-sync record once the peer has all changes. Before it writes that record, it starts to hold
+ * each launch until the peer has acknowledged it.
  */
 final class ReplicationPrimary implements ReplicationStream.Listener {
   private static final long RETRY_MICROS = 2_000_000;
 
-  /** Retries come at most this many times two slower. */
+  /** The retry interval doubles at most this many times. */
   private static final int MAX_BACKOFF_SHIFT = 4;
 
-  /** The state of the in-sync record, and with it whether launches may leave. */
+  /** The state of the in-sync record, which decides whether launches may be sent. */
   enum State {
     /**
-     * The record of an earlier term names a standby, which knows nothing of this one: it is taken
-     * out, and nothing is launched until then.
+     * The record of an earlier term may name a standby that knows nothing of this term. That
+     * standby is removed from the record; no launch is sent until then.
      */
     REMOVING_PREVIOUS,
-    /** There is no standby; launches are free. */
+    /** There is no standby; launches need no acknowledgement. */
     UNREPLICATED,
-    /** All that is known is being sent to a peer; launches are free. */
+    /** A snapshot is being sent to a peer; launches need no acknowledgement. */
     TRANSFERRING_SNAPSHOT,
-    /** The record is being written; launches await acknowledgements. */
+    /** The peer is being added to the record; launches wait for acknowledgements. */
     ADDING,
-    /** The record names the standby; launches await acknowledgements. */
+    /** The record names the standby; launches wait for acknowledgements. */
     IN_SYNC,
-    /** The standby is being taken out of the record; nothing is launched until then. */
+    /** The standby is being removed from the record; no launch is sent until then. */
     REMOVING,
-    /** The term is over. */
+    /** The term has ended; no launch is sent any more. */
     ENDED
   }
 
@@ -43,22 +44,24 @@
   private State state;
   private int peerIndex;
   private int failures;
-  private long nextTryMicros;
+  private long nextAttemptMicros;
   private long now;
 
   /**
-   * @param recordVersion of the record as this leader knows it; 0 when there is none
+   * @param peers the candidates for the standby, in the order in which they are tried
+   * @param recordVersion the version of the in-sync record when the term began; 0 when there is no
+   *     record
    */
   ReplicationPrimary(Standby.Host host, long term, List<String> peers, long recordVersion) {
     this.host = host;
     this.term = term;
     this.peers = peers;
     this.stream = new ReplicationStream(host, term, this);
-    this.recordWriter = new InSyncRecordWriter(host, term, recordVersion, this::takenOver);
+    this.recordWriter = new InSyncRecordWriter(host, term, recordVersion, this::standbyTookOver);
     this.state = recordVersion == 0 ? State.UNREPLICATED : State.REMOVING_PREVIOUS;
   }
 
-  /** For the leader's log line: who is in sync, or the state. */
+  /** Returns the name of the standby in sync, or else the state, for the leader's log line. */
   String summary() {
     return state == State.IN_SYNC ? peer() + " in sync" : state.toString();
   }
@@ -67,8 +70,8 @@
     return peers.isEmpty() ? "none" : peers.get(peerIndex);
   }
 
-  /** The one function for every change of state. */
-  private void become(State next, String reason) {
+  /** Performs every change of state. No state follows {@link State#ENDED}. */
+  private void transitionTo(State next, String reason) {
     if (state == State.ENDED) {
       return;
     }
@@ -79,28 +82,31 @@
       stream.stop();
     }
     if (next == State.UNREPLICATED) {
-      tryNextPeerLater();
+      scheduleNextPeer();
     }
     if (!admitsLaunches()) {
       heldLaunches.withholdAll();
     }
   }
 
-  /** Where no peer can follow, a snapshot must not be made every two seconds for nothing. */
-  private void tryNextPeerLater() {
-    nextTryMicros = now + (RETRY_MICROS << Math.min(failures, MAX_BACKOFF_SHIFT));
+  /**
+   * Schedules an attempt with the next peer, after an interval that grows with each failure.
+   * Without the growth, a leader whose peers all fail would build a snapshot every two seconds.
+   */
+  private void scheduleNextPeer() {
+    nextAttemptMicros = now + (RETRY_MICROS << Math.min(failures, MAX_BACKOFF_SHIFT));
     failures++;
     peerIndex = peers.isEmpty() ? 0 : (peerIndex + 1) % peers.size();
   }
 
   void endTerm() {
-    become(State.ENDED, "the term is over");
+    transitionTo(State.ENDED, "term ended");
   }
 
   /**
-   * Whether a launch may leave, at once or after an acknowledgement. Not while the record is being
-   * written to name nobody: an outage of the state service makes that take as long as it lasts, and
-   * what comes with a launch must not wait for it.
+   * Returns whether a launch may be sent, at once or after an acknowledgement. Returns false while
+   * the standby is being removed from the record: in an outage of the state service that takes as
+   * long as the outage. Other contents of the message that carries the launch must not wait for it.
    */
   boolean admitsLaunches() {
     return switch (state) {
@@ -122,9 +128,9 @@
   }
 
   /**
-   * Runs {@code launch} as soon as everything up to now has been acknowledged, or needs not be.
-   * Where that will not be, runs {@code withhold} instead: within twice the time after which a
-   * standby counts as slow.
+   * Runs {@code launch} once all changes made so far are acknowledged, or at once if none needs to
+   * be. Runs {@code withhold} instead if the acknowledgement does not come. That happens within
+   * twice the time after which a standby counts as slow.
    */
   void launch(Runnable launch, Runnable withhold) {
     if (!admitsLaunches()) {
@@ -138,19 +144,19 @@
 
   void tick(long nowMicros) {
     now = nowMicros;
-    stream.at(now);
-    recordWriter.at(now);
+    stream.setNow(now);
+    recordWriter.setNow(now);
     switch (state) {
-      case REMOVING_PREVIOUS, REMOVING -> nameNobody();
-      case UNREPLICATED -> startIfDue();
+      case REMOVING_PREVIOUS, REMOVING -> removeStandbyFromRecord();
+      case UNREPLICATED -> startReplicationIfDue();
       case TRANSFERRING_SNAPSHOT -> {
-        addIfCaughtUp();
+        addPeerIfCaughtUp();
         stream.send();
       }
       case ADDING -> {
         stream.send();
         if (stream.snapshotAcknowledged()) {
-          namePeer();
+          addPeerToRecord();
         }
       }
       case IN_SYNC -> stream.send();
@@ -158,24 +164,27 @@
     }
   }
 
-  private void startIfDue() {
-    if (!peers.isEmpty() && now >= nextTryMicros && host.hasCompleteState()) {
+  private void startReplicationIfDue() {
+    if (!peers.isEmpty() && now >= nextAttemptMicros && host.hasCompleteState()) {
       stream.start(peer());
-      become(State.TRANSFERRING_SNAPSHOT, stream.lastSequence() + " changes");
+      transitionTo(
+          State.TRANSFERRING_SNAPSHOT, "snapshot started, changes=" + stream.lastSequence());
       stream.send();
     }
   }
 
   /**
-   * An answer must have come first, even where there is nothing to send: it says which run of the
-   * peer the record is to name. A record that names none lets nobody recover.
+   * Starts to add the peer to the record once it has the snapshot and lacks at most one batch. The
+   * peer must have accepted a batch first, even an empty one: its answer carries the run ID that
+   * the record needs. A record without a run ID lets no node recover.
    */
-  private void addIfCaughtUp() {
+  private void addPeerIfCaughtUp() {
     if (!stream.peerRunId().isEmpty()
         && stream.snapshotAcknowledged()
         && stream.unacknowledged() <= ReplicationStream.MAX_BATCH_CHANGES) {
       stream.extendSnapshot();
-      become(State.ADDING, "has all but " + stream.unacknowledged());
+      transitionTo(
+          State.ADDING, "snapshot acknowledged, unacknowledged changes=" + stream.unacknowledged());
     }
   }
 
@@ -189,36 +198,37 @@
   @Override
   public void failed(String reason) {
     if (state == State.TRANSFERRING_SNAPSHOT) {
-      become(State.UNREPLICATED, reason);
+      transitionTo(State.UNREPLICATED, reason);
     } else {
-      become(State.REMOVING, reason);
-      nameNobody();
+      transitionTo(State.REMOVING, reason);
+      removeStandbyFromRecord();
     }
   }
 
-  private void namePeer() {
-    recordWriter.write(peer(), stream.peerRunId(), this::named);
+  private void addPeerToRecord() {
+    recordWriter.write(peer(), stream.peerRunId(), this::peerAddedToRecord);
   }
 
-  private void named() {
+  private void peerAddedToRecord() {
     if (state == State.ADDING) {
       failures = 0;
-      become(State.IN_SYNC, "named in the record");
+      transitionTo(State.IN_SYNC, "record names the peer");
     }
   }
 
   /**
-   * Writes a record that names nobody; only then may launches go that no standby has acknowledged.
-   * A missing record proves nothing, since a newer leader may have dropped it, or a write of this
-   * leader that names a standby may yet arrive. A newer version, under this leader's key, makes
-   * both fail. The search in StandbyTest finds the harm otherwise.
+   * Writes a record that names no standby. Only after this write may launches be sent that no
+   * standby has acknowledged. An absent record is no proof: a newer leader may have deleted it, or
+   * an earlier write of this leader that names a standby may still arrive. This write rules out
+   * both, since it requires this leader's key and sets a newer version. The search in StandbyTest
+   * finds lost launches without it.
    */
-  private void nameNobody() {
+  private void removeStandbyFromRecord() {
     recordWriter.write(
-        "", stream.peerRunId(), () -> become(State.UNREPLICATED, "the record names nobody"));
+        "", stream.peerRunId(), () -> transitionTo(State.UNREPLICATED, "record names no standby"));
   }
 
-  private void takenOver() {
+  private void standbyTookOver() {
     endTerm();
     host.termTakenOver();
   }
--- a/src/main/java/org/eiderstair/core/standby/ReplicationStream.java
+++ b/src/main/java/org/eiderstair/core/standby/ReplicationStream.java
@@ -7,30 +7,36 @@
 import org.eiderstair.core.message.ReplicationBatch;
 
 /**
- * The numbered changes on their way to one peer, a snapshot first. One batch is on its way at a
- * time; what changes meanwhile goes with the next.
+ * The stream of numbered changes to one peer, which begins with a snapshot. One batch is in flight
+ * at a time; later changes are sent with the next batch.
  */
 final class ReplicationStream {
-  /** Fits well into what a peer takes at once. */
+  /** A batch of this size is well below the size limit of a message between controllers. */
   static final int MAX_BATCH_CHANGES = 400;
 
   /**
-   * So many changes may wait beside a snapshot, whose size is that of the cluster: two minutes of
-   * what 4,000 machines launch and end.
+   * The number of changes that may be queued in addition to a snapshot, whose size depends on the
+   * cluster. 4,000 machines launch and end about this many tasks in two minutes.
    */
   private static final int MAX_QUEUED_CHANGES = 200_000;
 
-  private static final long HEARTBEAT_MICROS = 300_000;
+  private static final long HEARTBEAT_INTERVAL_MICROS = 300_000;
 
-  /** Longer than a healthy standby takes, shorter than anyone notices that launches wait. */
+  /**
+   * Longer than a healthy standby takes to acknowledge a batch, yet so short that users do not
+   * notice the delay of launches.
+   */
   private static final long ACKNOWLEDGEMENT_TIMEOUT_MICROS = 400_000;
 
-  /** What the stream's owner does when something comes of a batch. */
+  /** Receives the outcome of each batch. */
   interface Listener {
-    /** The peer has all changes up to {@link #acknowledgedSequence}. */
+    /** Called when the peer has all changes up to {@link #acknowledgedSequence}. */
     void acknowledged();
 
-    /** The peer cannot be relied on; the stream does not go on by itself. */
+    /**
+     * Called when the peer failed to follow. The listener must stop the stream, which does not
+     * recover by itself.
+     */
     void failed(String reason);
   }
 
@@ -41,13 +47,13 @@
   private boolean active;
   private String peer;
 
-  /** Empty until the peer has answered. */
+  /** The run ID of the peer; empty until the peer has accepted a batch. */
   private String peerRunId = "";
 
   private long snapshot;
   private long snapshotSize;
 
-  /** The peer may be named when it has acknowledged all up to here. */
+  /** The peer has the snapshot once it has acknowledged all changes up to this number. */
   private long snapshotEnd;
 
   private long lastSequence;
@@ -62,7 +68,7 @@
     this.listener = listener;
   }
 
-  /** Begins with a snapshot of all that the leader knows; nothing is sent yet. */
+  /** Queues a snapshot of the leader's state for a peer; sends nothing yet. */
   void start(String toPeer) {
     queue.clear();
     host.snapshot(queue::add);
@@ -77,23 +83,23 @@
     active = true;
   }
 
-  /** Forgets what has not been sent; a late acknowledgement changes nothing any more. */
+  /** Discards all unsent changes; a late acknowledgement is ignored. */
   void stop() {
     queue.clear();
     awaitingAcknowledgement = false;
     active = false;
   }
 
-  void at(long nowMicros) {
+  void setNow(long nowMicros) {
     now = nowMicros;
   }
 
-  /** The run of the peer that has answered; empty before its first answer. */
+  /** Returns the run ID of the peer; empty until the peer has accepted a batch. */
   String peerRunId() {
     return peerRunId;
   }
 
-  /** The sequence number of the last change made. */
+  /** Returns the sequence number of the last change made, sent or not. */
   long lastSequence() {
     return lastSequence;
   }
@@ -106,12 +112,12 @@
     return lastSequence - acknowledgedSequence;
   }
 
-  /** Whether all that was to be known before the peer may be named has been acknowledged. */
+  /** Returns whether the peer has acknowledged all changes that count as part of the snapshot. */
   boolean snapshotAcknowledged() {
     return acknowledgedSequence >= snapshotEnd;
   }
 
-  /** From now on all changes so far count as part of the snapshot. */
+  /** Makes all changes made so far count as part of the snapshot. */
   void extendSnapshot() {
     snapshotEnd = lastSequence;
   }
@@ -122,31 +128,31 @@
     }
     queue.add(change);
     lastSequence++;
-    if (queuedBesideSnapshot() > MAX_QUEUED_CHANGES) {
-      listener.failed("too far behind");
+    if (queuedBeyondSnapshot() > MAX_QUEUED_CHANGES) {
+      listener.failed("too many queued changes, limit=" + MAX_QUEUED_CHANGES);
     }
   }
 
-  private long queuedBesideSnapshot() {
+  private long queuedBeyondSnapshot() {
     long sentSequence = lastSequence - queue.size();
     return lastSequence - Math.max(sentSequence, snapshotSize);
   }
 
-  /** Sends the next batch when it is due, or gives up on one that was not acknowledged in time. */
+  /** Sends the next batch when it is due, or fails if the last was not acknowledged in time. */
   void send() {
     if (awaitingAcknowledgement) {
       if (now > sentMicros + ACKNOWLEDGEMENT_TIMEOUT_MICROS) {
-        listener.failed("no answer for " + (now - sentMicros) / 1000 + " ms");
+        listener.failed("no acknowledgement for " + (now - sentMicros) / 1000 + " ms");
       }
       return;
     }
-    if (queue.isEmpty() && now < sentMicros + HEARTBEAT_MICROS) {
+    if (queue.isEmpty() && now < sentMicros + HEARTBEAT_INTERVAL_MICROS) {
       return;
     }
     ReplicationBatch batch = nextBatch();
     awaitingAcknowledgement = true;
     sentMicros = now;
-    host.send(peer, batch, ack -> answered(batch, ack));
+    host.send(peer, batch, ack -> handleAnswer(batch, ack));
   }
 
   private ReplicationBatch nextBatch() {
@@ -160,20 +166,20 @@
         term, snapshot, acknowledgedSequence + 1, snapshotIncomplete, changes);
   }
 
-  private void answered(ReplicationBatch batch, Optional<ReplicationBatch.Ack> answer) {
+  private void handleAnswer(ReplicationBatch batch, Optional<ReplicationBatch.Ack> answer) {
     if (!active || batch.snapshot() != snapshot) {
       return;
     }
     awaitingAcknowledgement = false;
     if (answer.isEmpty()) {
-      listener.failed("no answer");
+      listener.failed("no answer to the batch");
       return;
     }
     ReplicationBatch.Ack ack = answer.get();
     if (!peerRunId.isEmpty() && !peerRunId.equals(ack.runId())) {
-      listener.failed("it was restarted");
+      listener.failed("peer was restarted");
     } else if (!ack.accepted() || ack.throughSequence() < batch.lastSequence()) {
-      listener.failed("not accepted");
+      listener.failed("peer did not accept the batch");
     } else {
       peerRunId = ack.runId();
       acknowledgedSequence = batch.lastSequence();
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -8,53 +8,66 @@
 import org.eiderstair.core.record.StandbyRecord;
 
 /**
- * A hot standby: one controller that holds the leader's state of what may be on every machine, and
- * is named as in sync in a record under the leader key. While it is named, a launch leaves only
- * after the standby has acknowledged it; so when the standby is elected and the record still names
- * it, what it does not hold is nowhere. docs/standby.md has the argument.
+ * A hot standby: one controller that replicates the leader's view of which attempts may be on which
+ * machine. A record that is written only under the leader key names the standby as in sync. While
+ * the record names it, a launch is sent only after the standby has acknowledged it. So if the
+ * standby is elected while the record still names it, no machine holds an attempt that the standby
+ * does not know. docs/standby.md explains why this is safe.
  *
- * <p>Each node has one: it follows while the node is a follower, and replicates while it leads.
+ * <p>Each node has one instance, which follows the leader or, while the node leads, replicates to a
+ * peer.
  */
 public final class Standby {
-  /** A leader that sent nothing for so long is looked for; it sends five batches in that time. */
+  /**
+   * A leader that has sent no batch for this long is considered failed. A healthy leader sends five
+   * batches in this time.
+   */
   private static final long LEADER_TIMEOUT_MICROS = 1_500_000;
 
-  /** What the leader's side needs of its node. */
+  /** The operations of the node that the leader's side of the replication needs. */
   public interface Host {
-    /** Whether the leader knows the state of every machine, so that a snapshot is complete. */
+    /** Returns whether the leader knows the state of every machine, as a snapshot requires. */
     boolean hasCompleteState();
 
-    /** Hands over all that may be on any machine, and the machines whose incarnation is known. */
+    /**
+     * Passes to the consumer every attempt that may be on a machine, and every machine whose
+     * incarnation is known.
+     */
     void snapshot(Consumer<ReplicationBatch.Change> each);
 
-    /** Sends a batch; the callback gets the acknowledgement, empty when no answer came. */
+    /** Sends a batch. The callback gets the acknowledgement, or empty when no answer came. */
     void send(
         String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback);
 
-    /** Writes the record by compare-and-swap on its version and this leader's key. */
+    /**
+     * Writes the record if its version is still the given one (0 for an absent record) and the
+     * leader key is still this leader's.
+     */
     void write(long version, StandbyRecord record, Consumer<RecordWrite> callback);
 
-    /** Reads the record. */
+    /** Reads the record from the state service. */
     void read(Consumer<RecordRead> callback);
 
-    /** The standby has taken over the term: leave office. */
+    /** Makes the node stop leading, because the standby has taken over the term. */
     void termTakenOver();
 
-    /** Logs a line. */
+    /** Logs a line at the info level. */
     void info(String text);
   }
 
-  /** What a new leader must check before it decides on what it holds, in this order. */
+  /**
+   * The steps of a new leader's recovery from its replicated state, in the order of their checks.
+   */
   private enum RecoveryStep {
     /** This node was elected. */
     ELECTED,
-    /** Its replica of the stored keys reaches its own election. */
+    /** This node's replica of the stored keys includes its own election. */
     CAUGHT_UP,
-    /** The record names this node, and this run of it. */
+    /** The record names this run of this node. */
     NAMED,
-    /** Its state is complete, and of the term that the record names. */
+    /** The replicated state is complete and belongs to the term in the record. */
     COMPLETE,
-    /** A check failed: every machine is asked instead. */
+    /** A check failed, so the state of every machine is queried instead. */
     REFUSED
   }
 
@@ -66,8 +79,8 @@
   private long lastBatchMicros = Long.MIN_VALUE / 2;
 
   /**
-   * @param runId differs for every run of the node
-   * @param log takes lines for the log
+   * @param runId identifies this run of the node; each run has another
+   * @param log receives the lines to log
    */
   public Standby(String node, String runId, Consumer<String> log) {
     this.node = node;
@@ -76,9 +89,9 @@
   }
 
   /**
-   * Takes a batch from the leader.
+   * Applies a batch from the leader, and returns the answer to it.
    *
-   * @param mayFollow whether this node neither leads nor asks to
+   * @param mayFollow whether this node is a follower and the batch's leader has not been replaced
    */
   public ReplicationBatch.Ack receive(ReplicationBatch batch, boolean mayFollow, long nowMicros) {
     boolean accepted = mayFollow && replica.receive(batch);
@@ -88,77 +101,97 @@
     return new ReplicationBatch.Ack(runId, accepted, accepted ? batch.lastSequence() : 0);
   }
 
-  /** This node asks to lead: from now on it acknowledges nothing of older terms. */
+  /**
+   * Stops acknowledging batches of the snapshot that this node follows, and of older ones. Called
+   * when this node campaigns or takes over a term.
+   */
   public void stopFollowing() {
     replica.freeze();
   }
 
-  /** Whether the record names this run of this node, for the term whose state it holds. */
-  public boolean namesThisNode(StandbyRecord record) {
+  /**
+   * Returns whether the record names this run of this node as the standby, and this node holds the
+   * complete state of the record's term.
+   *
+   * @param record null when there is none
+   */
+  public boolean isInSync(StandbyRecord record) {
     return record != null
         && record.names(node, runId)
         && record.term() == replica.term()
         && replica.isComplete();
   }
 
-  /** Whether the record names any standby. */
+  /**
+   * Returns whether the record names any standby.
+   *
+   * @param record null when there is none
+   */
   public static boolean namesAnyNode(StandbyRecord record) {
     return record != null && record.namesStandby();
   }
 
-  /** Whether the leader that this node follows has sent nothing for too long. */
+  /**
+   * Returns whether this node follows a leader that has sent no batch for longer than the timeout.
+   */
   public boolean leaderTimedOut(long nowMicros) {
     return replica.state() == StandbyReplica.State.FOLLOWING
         && nowMicros > lastBatchMicros + LEADER_TIMEOUT_MICROS;
   }
 
-  private void reached(RecoveryStep step, String detail) {
+  private void logStep(RecoveryStep step, String detail) {
     log.accept("standby recovery -> " + step + ": " + detail);
   }
 
-  private Optional<Map<String, RecoveredMachine>> refused(String reason) {
-    reached(RecoveryStep.REFUSED, reason);
+  private Optional<Map<String, RecoveredMachine>> refuse(String reason) {
+    logStep(RecoveryStep.REFUSED, reason);
     return Optional.empty();
   }
 
   /**
-   * What this node as the leader of a new term knows from the last one, by machine; what it does
-   * not name is nowhere. Can be recovered once only.
+   * Returns the state of the last term that was replicated to this node, by the machine's name.
+   * Called when this node becomes the leader. An attempt that is not in the result is on no
+   * machine. A successful call discards the replicated state, so it succeeds only once.
    *
-   * @param record as of this term's beginning; null when there is none
-   * @return empty when a check fails, and every machine must be asked
+   * @param term the new term, which is the revision of this node's election
+   * @param revision the revision of this node's replica of the stored keys
+   * @param record the record at the beginning of the new term; null when there is none
+   * @return empty when a check fails, so that the state of every machine must be queried
    */
   public Optional<Map<String, RecoveredMachine>> recover(
       long term, long revision, StandbyRecord record) {
-    reached(RecoveryStep.ELECTED, "term=" + term);
+    logStep(RecoveryStep.ELECTED, "term=" + term);
     if (revision < term) {
-      return refused("its keys are of revision " + revision);
+      return refuse("replica is older than the election, revision=" + revision);
     }
-    reached(RecoveryStep.CAUGHT_UP, "revision " + revision);
+    logStep(RecoveryStep.CAUGHT_UP, "revision=" + revision);
     if (record == null || !record.names(node, runId)) {
-      return refused(
-          namesAnyNode(record) ? "the record names " + record.node() : "no standby was in sync");
+      return refuse(
+          namesAnyNode(record)
+              ? "record names another run or node, node=" + record.node()
+              : "no standby was in sync");
     }
-    reached(RecoveryStep.NAMED, "term=" + record.term());
-    if (!namesThisNode(record)) {
-      return refused("its state is " + replica.state() + ", term=" + replica.term());
+    logStep(RecoveryStep.NAMED, "term=" + record.term());
+    if (!isInSync(record)) {
+      return refuse("replicated state=" + replica.state() + ", term=" + replica.term());
     }
-    reached(RecoveryStep.COMPLETE, replica.machineCount() + " machines");
+    logStep(RecoveryStep.COMPLETE, "machines=" + replica.machineCount());
     Map<String, RecoveredMachine> machines = replica.recoveredMachines();
     replica.clear();
     return Optional.of(machines);
   }
 
   /**
-   * This node leads from now on, and keeps one of its peers in sync.
+   * Starts to replicate to one of the peers; called when this node becomes the leader.
    *
-   * @param recordVersion of the record as it was when the term began; 0 when there was none
+   * @param peers the candidates for the standby, in the order in which they are tried
+   * @param recordVersion the version of the record when the term began; 0 when there was none
    */
   public void startTerm(Host host, long term, List<String> peers, long recordVersion) {
     primary = new ReplicationPrimary(host, term, peers, recordVersion);
   }
 
-  /** This node leads no longer; launches that wait are withheld. */
+  /** Ends the replication, and withholds all launches that wait for an acknowledgement. */
   public void endTerm() {
     if (primary != null) {
       primary.endTerm();
@@ -166,22 +199,22 @@
     }
   }
 
-  /** Replicates a change of the leader's state. */
+  /** Replicates a change of the leader's state; does nothing outside a term. */
   public void replicate(ReplicationBatch.Change change) {
     if (primary != null) {
       primary.replicate(change);
     }
   }
 
-  /** Whether a launch may leave now, or as soon as the standby has acknowledged it. */
+  /** Returns whether a launch may be sent now or once the standby has acknowledged it. */
   public boolean admitsLaunches() {
     return primary == null || primary.admitsLaunches();
   }
 
   /**
-   * Runs {@code launch} once the standby in sync has acknowledged all changes made so far, at once
-   * when there is none; or {@code withhold} if that standby does not answer, the record must be
-   * written first, or the term is over.
+   * Runs {@code launch} once the standby in sync has acknowledged all changes made so far, or at
+   * once when there is no such standby. Runs {@code withhold} instead if that standby does not
+   * answer, the record must be written first, or the term has ended.
    */
   public void launch(Runnable launch, Runnable withhold) {
     if (primary != null) {
@@ -191,14 +224,14 @@
     }
   }
 
-  /** Does what time has made due. */
+  /** Sends the batches and writes that are due, and detects timeouts. */
   public void tick(long nowMicros) {
     if (primary != null) {
       primary.tick(nowMicros);
     }
   }
 
-  /** For the leader's log line: who is in sync. */
+  /** Returns the standby in sync or else the replication's state, for the leader's log line. */
   public String summary() {
     return primary == null ? "off" : primary.summary();
   }
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -5,27 +5,27 @@
 import java.util.Map;
 import org.eiderstair.core.message.ReplicationBatch;
 
-/** The follower's side: a leader's state, as far as it was acknowledged. */
+/** The follower's side of the replication: the leader's state up to the last accepted batch. */
 final class StandbyReplica {
 
-  /** What the replica is good for. */
+  /** How complete the replica is, and whether it still accepts batches. */
   enum State {
-    /** It has nothing of use. */
+    /** The replica holds no usable state. */
     EMPTY,
-    /** It has the beginning of a snapshot. */
+    /** The replica holds the first part of a snapshot. */
     RECEIVING_SNAPSHOT,
-    /** It has a complete snapshot, follows the changes, and acknowledges them. */
+    /** The replica holds a complete snapshot, and applies and acknowledges changes. */
     FOLLOWING,
     /**
-     * It is complete and does not change any more: this node asks to lead, so it acknowledges
-     * nothing of this or older terms.
+     * The replica is complete and no longer changes, because this node asks to lead. Further
+     * batches of its snapshot and of older ones are not acknowledged; a newer snapshot replaces it.
      */
     FROZEN
   }
 
   private record Task(String job, int index) {}
 
-  /** What may be on a machine in its latest incarnation. */
+  /** The attempts that may be on a machine in its latest known incarnation. */
   private static final class MachineState {
     long incarnation;
     final Map<Task, Long> attempts = new LinkedHashMap<>();
@@ -51,7 +51,7 @@
     return state;
   }
 
-  /** The term of the leader that it follows, or followed last. */
+  /** Returns the term of the leader that is or was last followed; 0 if there was none. */
   long term() {
     return term;
   }
@@ -64,25 +64,25 @@
     return machines.size();
   }
 
-  /** All that may be anywhere, by machine. */
+  /** Returns all attempts that may be on any machine, by the machine's name. */
   Map<String, RecoveredMachine> recoveredMachines() {
     Map<String, RecoveredMachine> recovered = new LinkedHashMap<>();
     machines.forEach((id, machine) -> recovered.put(id, machine.recovered()));
     return recovered;
   }
 
-  /** The one function for every change of state. */
-  private void become(State next) {
+  /** Performs every change of state. */
+  private void transitionTo(State next) {
     state = next;
   }
 
   /**
-   * Takes a batch.
+   * Applies the changes of a batch that are new to this replica.
    *
-   * @return whether all changes up to its end are here now
+   * @return whether the replica now holds all changes up to the end of the batch
    */
   boolean receive(ReplicationBatch batch) {
-    if (beginsAnew(batch)) {
+    if (startsNewSnapshot(batch)) {
       if (batch.firstSequence() != 1) {
         return false;
       }
@@ -91,20 +91,20 @@
       return false;
     }
     if (batch.firstSequence() > lastSequence + 1) {
-      // A gap: what is missing may be on a machine, so the rest is worth nothing.
+      // After a gap the replica may lack attempts that are on machines, so it is discarded.
       clear();
       return false;
     }
-    applyNew(batch);
+    applyNewChanges(batch);
     boolean repeated = batch.lastSequence() < lastSequence;
     lastSequence = Math.max(lastSequence, batch.lastSequence());
     if (!batch.snapshotIncomplete() && !repeated && state == State.RECEIVING_SNAPSHOT) {
-      become(State.FOLLOWING);
+      transitionTo(State.FOLLOWING);
     }
     return true;
   }
 
-  private boolean beginsAnew(ReplicationBatch batch) {
+  private boolean startsNewSnapshot(ReplicationBatch batch) {
     return batch.term() > term || (batch.term() == term && batch.snapshot() > snapshot);
   }
 
@@ -117,10 +117,10 @@
     snapshot = batch.snapshot();
     lastSequence = 0;
     machines.clear();
-    become(State.RECEIVING_SNAPSHOT);
+    transitionTo(State.RECEIVING_SNAPSHOT);
   }
 
-  private void applyNew(ReplicationBatch batch) {
+  private void applyNewChanges(ReplicationBatch batch) {
     long sequence = batch.firstSequence();
     for (ReplicationBatch.Change change : batch.changes()) {
       if (sequence > lastSequence) {
@@ -153,18 +153,21 @@
     }
   }
 
-  /** From now on nothing of this or an older term is acknowledged. */
+  /**
+   * Stops accepting batches of the current snapshot and of older ones. An incomplete snapshot is
+   * discarded. A newer snapshot is still accepted.
+   */
   void freeze() {
     if (state == State.FOLLOWING) {
-      become(State.FROZEN);
+      transitionTo(State.FROZEN);
     } else if (state == State.RECEIVING_SNAPSHOT) {
       clear();
     }
   }
 
-  /** Nothing of it is of use any more; a later snapshot begins anew. */
+  /** Discards all state; only a later snapshot is accepted from now on. */
   void clear() {
     machines.clear();
-    become(State.EMPTY);
+    transitionTo(State.EMPTY);
   }
 }
--- a/src/test/java/org/eiderstair/core/membership/MembershipScaleTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipScaleTest.java
@@ -20,25 +20,25 @@
 import org.eiderstair.core.model.MonitoredMachine;
 
 /**
- * Membership in a cluster of 4,000 machines on three controllers. Longer by {@code
- * -Dmembership.machines=8000 -Dmembership.seconds=600}.
+ * Tests the membership in a cluster of 4,000 machines with three controllers. Use {@code
+ * -Dmembership.machines=8000 -Dmembership.seconds=600} for a larger and longer run.
  */
 class MembershipScaleTest {
   private static final int MACHINES = Integer.getInteger("membership.machines", 4_000);
   private static final int SECONDS = Integer.getInteger("membership.seconds", 60);
   private static final int MAX_DIGEST_CHANGES = 400;
-  private static final int MAX_LOST_IN_A_ROW = 2;
-  private static final long SECOND = 1_000_000;
-  private static final long HEARTBEAT = 5 * SECOND;
-  private static final long TIMEOUT = 10 * SECOND;
-  private static final long STEP = 50_000;
+  private static final int MAX_CONSECUTIVE_LOSSES = 2;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long HEARTBEAT_MICROS = 5 * SECOND_MICROS;
+  private static final long TIMEOUT_MICROS = 10 * SECOND_MICROS;
+  private static final long STEP_MICROS = 50_000;
   private static final Map<String, String> ZONES = Map.of("n0", "a", "n1", "b", "n2", "c");
 
   private static final class Machine implements MonitoredMachine {
     final String id;
     final String zone;
 
-    /** The controller that it sends heartbeats to; null when it is dead. */
+    /** The controller that the machine sends heartbeats to; null when the machine is dead. */
     String controller;
 
     long lastHeartbeatMicros;
@@ -70,10 +70,10 @@
     }
   }
 
-  private record Timed(long atMicros, long order, Runnable action) {}
+  private record TimedEvent(long atMicros, long order, Runnable action) {}
 
   private final UniformRandomProvider random = new XoRoShiRo128PlusPlus(5, 17);
-  private final PriorityQueue<Timed> events =
+  private final PriorityQueue<TimedEvent> events =
       new PriorityQueue<>(
           (a, b) ->
               a.atMicros() == b.atMicros()
@@ -81,14 +81,14 @@
                   : Long.compare(a.atMicros(), b.atMicros()));
   private final Map<String, Membership> controllers = new LinkedHashMap<>();
   private final List<Machine> machines = new ArrayList<>();
-  private long now = SECOND;
+  private long now = SECOND_MICROS;
   private long order;
-  private int questions;
+  private int queries;
 
-  /** One question in so many gets no answer; 0 for none. */
-  private int lossOneIn;
+  /** One in this many queries is lost; 0 when none is. */
+  private int queriesPerLoss;
 
-  private final Map<String, Integer> lostInARow = new HashMap<>();
+  private final Map<String, Integer> consecutiveLosses = new HashMap<>();
 
   private MembershipScaleTest() {
     for (String name : List.of("n0", "n1", "n2")) {
@@ -96,7 +96,8 @@
       peers.remove(name);
       controllers.put(
           name,
-          new Membership(name, peers, ZONES, name + "-run", HEARTBEAT, this::ask, text -> {}));
+          new Membership(
+              name, peers, ZONES, name + "-run", HEARTBEAT_MICROS, this::query, text -> {}));
     }
     for (int i = 0; i < MACHINES; i++) {
       Machine machine = new Machine(i);
@@ -110,17 +111,18 @@
   }
 
   private void after(long micros, Runnable action) {
-    events.add(new Timed(now + micros, order++, action));
+    events.add(new TimedEvent(now + micros, order++, action));
   }
 
   /**
-   * Questions and answers take up to 20 ms each way. Of one peer at most two in a row are lost:
-   * after three it counts as out of reach, by design, and so does what reports to it alone.
+   * Sends a query; the query and its answer take up to 20 ms each. At most two queries in a row to
+   * one peer are lost. After three losses the peer and the machines that only it reaches count as
+   * out of reach, by design.
    */
-  private void ask(String peer, String runId, long after, Consumer<PeerAnswer> callback) {
-    questions++;
+  private void query(String peer, String runId, long after, Consumer<PeerAnswer> callback) {
+    queries++;
     if (isLost(peer)) {
-      after(SECOND, () -> callback.accept(new PeerAnswer.NoAnswer()));
+      after(SECOND_MICROS, () -> callback.accept(new PeerAnswer.NoAnswer()));
       return;
     }
     after(
@@ -134,33 +136,36 @@
 
   private boolean isLost(String peer) {
     boolean lost =
-        lossOneIn > 0
-            && random.nextInt(lossOneIn) == 0
-            && lostInARow.getOrDefault(peer, 0) < MAX_LOST_IN_A_ROW;
-    lostInARow.put(peer, lost ? lostInARow.getOrDefault(peer, 0) + 1 : 0);
+        queriesPerLoss > 0
+            && random.nextInt(queriesPerLoss) == 0
+            && consecutiveLosses.getOrDefault(peer, 0) < MAX_CONSECUTIVE_LOSSES;
+    consecutiveLosses.put(peer, lost ? consecutiveLosses.getOrDefault(peer, 0) + 1 : 0);
     return lost;
   }
 
-  /** Its heartbeats go to its controller from now on, the first within one interval. */
-  private void report(Machine machine) {
+  /** Starts the machine's heartbeats to its controller, the first within one interval. */
+  private void startHeartbeats(Machine machine) {
     after(
-        random.nextInt((int) HEARTBEAT),
+        random.nextInt((int) HEARTBEAT_MICROS),
         () -> {
           heartbeat(machine);
-          repeat(machine);
+          scheduleNextHeartbeat(machine);
         });
   }
 
-  private void repeat(Machine machine) {
+  private void scheduleNextHeartbeat(Machine machine) {
     after(
-        HEARTBEAT,
+        HEARTBEAT_MICROS,
         () -> {
           heartbeat(machine);
-          repeat(machine);
+          scheduleNextHeartbeat(machine);
         });
   }
 
-  /** The leader learns of those at a follower by asking alone: nothing is relayed here. */
+  /**
+   * Delivers a heartbeat to the machine's controller. Nothing is relayed, so the leader learns of
+   * the machines at a follower only by queries.
+   */
   private void heartbeat(Machine machine) {
     if (machine.controller == null) {
       return;
@@ -171,22 +176,22 @@
     }
   }
 
-  private void runDue() {
+  private void runDueEvents() {
     while (!events.isEmpty() && events.peek().atMicros() <= now) {
       events.poll().action().run();
     }
   }
 
-  private ReachabilityClassifier step(boolean leaderUnreached) {
-    now += STEP;
-    runDue();
+  private ReachabilityClassifier step(boolean reachedByFew) {
+    now += STEP_MICROS;
+    runDueEvents();
     ReachabilityClassifier classifier =
-        leader().classify(machines, leaderUnreached, TIMEOUT, TIMEOUT, now);
-    leader().tick(leaderUnreached || classifier.hasMissingMachines(), now);
+        leader().classify(machines, reachedByFew, TIMEOUT_MICROS, TIMEOUT_MICROS, now);
+    leader().tick(reachedByFew || classifier.hasMissingMachines(), now);
     return classifier;
   }
 
-  private void assertLiveOnesAreKept(ReachabilityClassifier classifier) {
+  private void assertNoLiveMachineIsUnreachable(ReachabilityClassifier classifier) {
     for (Machine machine : machines) {
       if (machine.controller != null) {
         assertNotEquals(
@@ -195,29 +200,29 @@
     }
   }
 
-  /** All machines of one peer: one answer of 400 changes after the other, without a pause. */
+  /** All machines reach one peer, whose pages of 400 changes must be fetched without a pause. */
   @Example
-  void whatAPeerReachesIsKnownAfterOneAnswerForEachPage() {
+  void reportOfAPeerNeedsOneAnswerPerPage() {
     Membership peer = controllers.get("n1");
     machines.forEach(machine -> peer.heartbeatReceived(machine.id, now));
     int pages = (MACHINES + MAX_DIGEST_CHANGES - 1) / MAX_DIGEST_CHANGES;
-    // One step for a question, one for its answer.
-    long end = now + (2 * pages + 1) * STEP;
+    // One step for a query, one for its answer.
+    long end = now + (2 * pages + 1) * STEP_MICROS;
     while (leader().countReachableByPeers(id -> true) < MACHINES) {
       step(true);
       assertTrue(now <= end, leader().evidence());
     }
-    // The other peer has nothing to report, and is asked twice a second.
-    assertTrue(questions >= pages && questions <= 2 * pages, questions + " questions");
+    // The other peer has nothing to report, and is queried twice a second.
+    assertTrue(queries >= pages && queries <= 2 * pages, queries + " queries");
     assertEquals("peer=n1 reachable=" + MACHINES, leader().evidence().split(", ")[0]);
   }
 
   /**
-   * A peer remembers machines that have left, up to a number. One that is alive is not forgotten
-   * for them: the leader would never learn of its end.
+   * Guards against a peer that drops a live machine because many others have left: the leader would
+   * never learn of the live machine's later silence.
    */
   @Example
-  void theEndOfAMachineIsReportedThoughManyHaveComeAndGone() {
+  void silenceIsReportedAfterManyMachinesHaveComeAndGone() {
     Membership peer = controllers.get("n1");
     Machine machine = machines.get(0);
     for (int left = 1; left < HeartbeatTracker.MAX_SILENT_MACHINES; left++) {
@@ -225,43 +230,44 @@
       peer.heartbeatReceived(machine.id, now);
       peer.heartbeatReceived("left-" + left, now);
       leader().tick(true, now);
-      runDue();
+      runDueEvents();
     }
     assertTrue(leader().isReachableByPeer(machine.id));
     for (int left = 0; left < MACHINES / 2; left++) {
       peer.heartbeatReceived("later-" + left, now);
     }
-    for (long end = now + 30 * SECOND; now < end; ) {
+    for (long end = now + 30 * SECOND_MICROS; now < end; ) {
       step(true);
     }
     assertFalse(leader().isReachableByPeer(machine.id), "it has sent no heartbeat for 30 s");
   }
 
   /**
-   * A third of the machines reports to each controller. Some move between them, some die, and for a
-   * while none reaches the leader: no live one is ever given up, and each dead one is in the end.
+   * Guards against live machines that are judged unreachable, and dead ones that are not. Each
+   * controller receives the heartbeats of a third of the machines. Some machines move to another
+   * controller, some die, and for ten seconds none reaches the leader.
    */
   @Example
-  void noLiveMachineIsGivenUpAndEachDeadOneIs() {
-    lossOneIn = 10;
-    machines.forEach(this::report);
-    long end = now + SECONDS * SECOND;
-    long cutFrom = now + 20 * SECOND;
-    long cutUntil = cutFrom + 10 * SECOND;
-    for (long nextChange = now + 10 * SECOND; now < end; ) {
-      boolean cut = now >= cutFrom && now < cutUntil;
+  void deadMachinesAreUnreachableAndLiveOnesNever() {
+    queriesPerLoss = 10;
+    machines.forEach(this::startHeartbeats);
+    long end = now + SECONDS * SECOND_MICROS;
+    long isolationStartMicros = now + 20 * SECOND_MICROS;
+    long isolationEndMicros = isolationStartMicros + 10 * SECOND_MICROS;
+    for (long nextChange = now + 10 * SECOND_MICROS; now < end; ) {
+      boolean leaderIsolated = now >= isolationStartMicros && now < isolationEndMicros;
       if (now >= nextChange) {
-        nextChange = now + SECOND;
-        change(cut);
+        nextChange = now + SECOND_MICROS;
+        moveAndKillMachines(leaderIsolated);
       }
-      ReachabilityClassifier classifier = step(cut);
-      if (now > 10 * SECOND && now % SECOND < STEP) {
-        assertLiveOnesAreKept(classifier);
+      ReachabilityClassifier classifier = step(leaderIsolated);
+      if (now > 10 * SECOND_MICROS && now % SECOND_MICROS < STEP_MICROS) {
+        assertNoLiveMachineIsUnreachable(classifier);
       }
     }
-    long last = now + 3 * TIMEOUT + HEARTBEAT;
+    long last = now + 3 * TIMEOUT_MICROS + HEARTBEAT_MICROS;
     while (now < last) {
-      assertLiveOnesAreKept(step(false));
+      assertNoLiveMachineIsUnreachable(step(false));
     }
     ReachabilityClassifier classifier = step(false);
     int dead = 0;
@@ -276,16 +282,19 @@
     assertFalse(leader().isPartitioned("a") || leader().isPartitioned("b"));
   }
 
-  /** A hundredth of the machines moves, one in a thousand dies; in a cut, all leave the leader. */
-  private void change(boolean cut) {
+  /**
+   * Moves one in a hundred machines to another controller and lets one in a thousand die. While the
+   * leader is isolated, all its machines move to the other controllers.
+   */
+  private void moveAndKillMachines(boolean leaderIsolated) {
     for (Machine machine : machines) {
       if (machine.controller == null) {
         continue;
       }
       if (random.nextInt(1_000) == 0) {
         machine.controller = null;
-      } else if ((cut && machine.controller.equals("n0")) || random.nextInt(100) == 0) {
-        machine.controller = "n" + (cut ? 1 + random.nextInt(2) : random.nextInt(3));
+      } else if ((leaderIsolated && machine.controller.equals("n0")) || random.nextInt(100) == 0) {
+        machine.controller = "n" + (leaderIsolated ? 1 + random.nextInt(2) : random.nextInt(3));
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/membership/MembershipTest.java
+++ b/src/test/java/org/eiderstair/core/membership/MembershipTest.java
@@ -19,20 +19,21 @@
 import org.eiderstair.core.model.MonitoredMachine;
 
 /**
- * Which controller reaches which machine, reported between controllers as changes; and what silence
- * means when many are silent.
+ * Tests the reports between controllers of the machines that they reach, and the classification of
+ * silent machines.
  */
 class MembershipTest {
-  private static final long SECOND = 1_000_000;
-  private static final long HEARTBEAT = 5 * SECOND;
-  private static final long TIMEOUT = 10 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long HEARTBEAT_MICROS = 5 * SECOND_MICROS;
+  private static final long TIMEOUT_MICROS = 10 * SECOND_MICROS;
 
-  private record Asked(String peer, String run, long after, Consumer<PeerAnswer> callback) {}
+  private record Query(String peer, String run, long after, Consumer<PeerAnswer> callback) {}
 
-  private record Known(String machine, String zone, long lastHeartbeatMicros, boolean unconfirmed)
+  private record TestMachine(
+      String machine, String zone, long lastHeartbeatMicros, boolean unconfirmed)
       implements MonitoredMachine {}
 
-  private final List<Asked> asked = new ArrayList<>();
+  private final List<Query> queries = new ArrayList<>();
   private final List<String> logs = new ArrayList<>();
   private final Membership leader = node("n0", "run");
 
@@ -42,38 +43,38 @@
         List.of("n1", "n2"),
         Map.of("n0", "a", "n1", "b", "n2", "c"),
         run,
-        HEARTBEAT,
-        (peer, of, after, callback) -> asked.add(new Asked(peer, of, after, callback)),
+        HEARTBEAT_MICROS,
+        (peer, of, after, callback) -> queries.add(new Query(peer, of, after, callback)),
         logs::add);
   }
 
-  private static List<Known> machines(int count, String zone, long lastHeartbeatMicros) {
-    List<Known> all = new ArrayList<>();
+  private static List<TestMachine> machines(int count, String zone, long lastHeartbeatMicros) {
+    List<TestMachine> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      all.add(new Known(zone + i, zone, lastHeartbeatMicros, false));
+      all.add(new TestMachine(zone + i, zone, lastHeartbeatMicros, false));
     }
     return all;
   }
 
   private void answer(Membership peer, String name, long nowMicros) {
-    for (Asked a : List.copyOf(asked)) {
+    for (Query a : List.copyOf(queries)) {
       if (a.peer().equals(name)) {
-        asked.remove(a);
+        queries.remove(a);
         a.callback().accept(new PeerAnswer.Digest(peer.digestAfter(a.run(), a.after(), nowMicros)));
       }
     }
   }
 
   /**
-   * Whatever is received, lost, restarted or paged: once reported, what the leader knows is what
-   * the peer reaches.
+   * Guards against a leader whose view of a peer's machines diverges through lost answers, restarts
+   * of the peer or paged digests. Once the peer has reported, both must agree.
    */
   @Property(tries = 100, seed = "5")
-  void changesAddUp(@ForAll long seed) {
+  void leaderKnowsTheMachinesThatAPeerReported(@ForAll long seed) {
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 3);
     Membership peer = node("n1", "p0");
     Set<String> reachable = new HashSet<>();
-    long now = SECOND;
+    long now = SECOND_MICROS;
     for (int step = 0; step < 60; step++) {
       now += random.nextInt(3_000_000);
       int count = random.nextInt(30) == 0 ? 1500 : random.nextInt(20);
@@ -85,18 +86,18 @@
       }
       leader.tick(true, now);
       if (random.nextInt(4) == 0) {
-        // No answer came.
-        asked.stream()
+        // The queries fail.
+        queries.stream()
             .filter(a -> a.peer().equals("n1"))
             .toList()
             .forEach(a -> a.callback().accept(new PeerAnswer.NoAnswer()));
-        asked.removeIf(a -> a.peer().equals("n1"));
+        queries.removeIf(a -> a.peer().equals("n1"));
       } else {
         answer(peer, "n1", now);
       }
     }
     for (int i = 0; i < 10; i++) {
-      now += SECOND;
+      now += SECOND_MICROS;
       leader.tick(true, now);
       answer(peer, "n1", now);
     }
@@ -117,143 +118,165 @@
     assertEquals(reachable.size(), leader.countReachableByPeers(m -> true));
   }
 
-  /** 1,600 machines that go on reporting here are reported once; after that an answer is empty. */
+  /** 1,600 machines that keep sending heartbeats are reported once; later digests are empty. */
   @Example
-  void whatDoesNotChangeIsNotReportedAgain() {
+  void unchangedMachinesAreNotReportedAgain() {
     Membership peer = node("n1", "p");
     for (int i = 0; i < 1600; i++) {
-      peer.heartbeatReceived("m" + i, SECOND);
+      peer.heartbeatReceived("m" + i, SECOND_MICROS);
     }
     long changes = 0;
-    HeartbeatDigest h = peer.digestAfter("", 0, SECOND);
-    for (; h.more(); h = peer.digestAfter(h.runId(), h.lastSequence(), SECOND)) {
+    HeartbeatDigest h = peer.digestAfter("", 0, SECOND_MICROS);
+    for (; h.more(); h = peer.digestAfter(h.runId(), h.lastSequence(), SECOND_MICROS)) {
       changes += h.changes().size();
       assertTrue(h.changes().size() <= 400);
     }
     assertEquals(1600, changes + h.changes().size());
     for (int i = 0; i < 1600; i++) {
-      peer.heartbeatReceived("m" + i, 4 * SECOND);
+      peer.heartbeatReceived("m" + i, 4 * SECOND_MICROS);
     }
-    assertEquals(0, peer.digestAfter("p", h.lastSequence(), 5 * SECOND).changes().size());
+    assertEquals(0, peer.digestAfter("p", h.lastSequence(), 5 * SECOND_MICROS).changes().size());
     assertEquals(
         1600,
-        peer.digestAfter("another run", h.lastSequence(), 30 * SECOND).lastSequence()
+        peer.digestAfter("another run", h.lastSequence(), 30 * SECOND_MICROS).lastSequence()
             - h.lastSequence(),
         "all have gone silent");
   }
 
   @Example
-  void aMachineThatAPeerReachesIsNotUnreachable() {
+  void machineReachedByPeerIsNotUnreachable() {
     Membership peer = node("n1", "p");
-    peer.heartbeatReceived("b1", 19 * SECOND);
-    leader.tick(true, 20 * SECOND);
-    answer(peer, "n1", 20 * SECOND);
-    List<Known> all = machines(2, "b", 9 * SECOND);
-    all.addAll(machines(20, "a", 20 * SECOND));
-    ReachabilityClassifier classifier = leader.classify(all, false, TIMEOUT, TIMEOUT, 21 * SECOND);
+    peer.heartbeatReceived("b1", 19 * SECOND_MICROS);
+    leader.tick(true, 20 * SECOND_MICROS);
+    answer(peer, "n1", 20 * SECOND_MICROS);
+    List<TestMachine> all = machines(2, "b", 9 * SECOND_MICROS);
+    all.addAll(machines(20, "a", 20 * SECOND_MICROS));
+    ReachabilityClassifier classifier =
+        leader.classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 21 * SECOND_MICROS);
     assertEquals(
         ReachabilityClassifier.Verdict.REACHABLE_BY_PEER, classifier.verdictOf(all.get(1)));
     assertEquals(ReachabilityClassifier.Verdict.UNREACHABLE, classifier.verdictOf(all.get(0)));
-    // What it reported is believed no longer than it goes on reporting.
-    leader.tick(false, 40 * SECOND);
+    // The report expires when the peer answers no longer.
+    leader.tick(false, 40 * SECOND_MICROS);
     assertEquals(
         ReachabilityClassifier.Verdict.UNREACHABLE,
-        leader.classify(all, false, TIMEOUT, TIMEOUT, 40 * SECOND).verdictOf(all.get(1)));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 40 * SECOND_MICROS)
+            .verdictOf(all.get(1)));
   }
 
   /**
-   * An answer that was long on its way must not stand for all of it: machines that report there
-   * would seem silent.
+   * Guards against a late answer with only the latest changes that is taken for the peer's whole
+   * state after the earlier report has expired. The peer's other machines would seem silent.
    */
   @Example
-  void changesAreNotAppliedOnTopOfWhatWasForgotten() {
+  void lateChangesAreNotAppliedToADiscardedReport() {
     Membership peer = node("n1", "p");
-    peer.heartbeatReceived("b0", 10 * SECOND);
-    leader.tick(true, 10 * SECOND);
-    answer(peer, "n1", 10 * SECOND);
-    leader.tick(true, 11 * SECOND);
-    peer.heartbeatReceived("b1", 13 * SECOND);
-    leader.tick(false, 14 * SECOND);
-    answer(peer, "n1", 14 * SECOND);
+    peer.heartbeatReceived("b0", 10 * SECOND_MICROS);
+    leader.tick(true, 10 * SECOND_MICROS);
+    answer(peer, "n1", 10 * SECOND_MICROS);
+    leader.tick(true, 11 * SECOND_MICROS);
+    peer.heartbeatReceived("b1", 13 * SECOND_MICROS);
+    leader.tick(false, 14 * SECOND_MICROS);
+    answer(peer, "n1", 14 * SECOND_MICROS);
     assertFalse(leader.isReachableByPeer("b1"), "without b0, which is reachable as well");
-    leader.tick(true, 15 * SECOND);
-    answer(peer, "n1", 15 * SECOND);
+    leader.tick(true, 15 * SECOND_MICROS);
+    answer(peer, "n1", 15 * SECOND_MICROS);
     assertTrue(leader.isReachableByPeer("b0") && leader.isReachableByPeer("b1"));
   }
 
   /**
-   * Its machines may all have been released by the leader before: then only its controllers can
-   * tell of a zone.
+   * Guards against a new leader that takes a partitioned zone for reachable. The previous leader
+   * may have released all machines of that zone, so that only its controllers can show its state.
    */
   @Example
-  void aNewTermAsksBeforeItDecidesOnZones() {
-    leader.startTerm(SECOND);
-    leader.tick(false, SECOND);
-    assertFalse(leader.hasConsultedPeers(SECOND));
-    answer(node("n2", "p"), "n2", SECOND + 10_000);
-    leader.tick(false, SECOND + 100_000);
-    assertFalse(leader.hasConsultedPeers(SECOND + 100_000), "n1 may yet answer");
-    leader.tick(false, 3 * SECOND);
-    assertTrue(leader.hasConsultedPeers(3 * SECOND));
+  void newTermQueriesPeersBeforeItDecidesOnZones() {
+    leader.startTerm(SECOND_MICROS);
+    leader.tick(false, SECOND_MICROS);
+    assertFalse(leader.hasConsultedPeers(SECOND_MICROS));
+    answer(node("n2", "p"), "n2", SECOND_MICROS + 10_000);
+    leader.tick(false, SECOND_MICROS + 100_000);
+    assertFalse(leader.hasConsultedPeers(SECOND_MICROS + 100_000), "n1 may yet answer");
+    leader.tick(false, 3 * SECOND_MICROS);
+    assertTrue(leader.hasConsultedPeers(3 * SECOND_MICROS));
     assertTrue(leader.isPartitioned("b"));
     assertFalse(leader.isPartitioned("a") || leader.isPartitioned("c"));
-    leader.classify(machines(1, "b", 4 * SECOND), false, TIMEOUT, TIMEOUT, 4 * SECOND);
+    leader.classify(
+        machines(1, "b", 4 * SECOND_MICROS),
+        false,
+        TIMEOUT_MICROS,
+        TIMEOUT_MICROS,
+        4 * SECOND_MICROS);
     assertFalse(leader.isPartitioned("b"), "one of its machines reports");
   }
 
   @Example
-  void whenMostAreSilentTheFaultIsLikelyOurs() {
-    List<Known> all = machines(8, "a", 9 * SECOND);
-    all.addAll(machines(5, "b", 20 * SECOND));
-    leader.tick(true, 18 * SECOND);
-    Known one = all.get(0);
+  void leaderIsIsolatedWhenMostMachinesAreSilent() {
+    List<TestMachine> all = machines(8, "a", 9 * SECOND_MICROS);
+    all.addAll(machines(5, "b", 20 * SECOND_MICROS));
+    leader.tick(true, 18 * SECOND_MICROS);
+    TestMachine one = all.get(0);
     assertEquals(
         ReachabilityClassifier.Verdict.LEADER_ISOLATED,
-        leader.classify(all, false, TIMEOUT, TIMEOUT, 21 * SECOND).verdictOf(one));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 21 * SECOND_MICROS)
+            .verdictOf(one));
     assertEquals(
         ReachabilityClassifier.Verdict.UNREACHABLE,
-        leader.classify(all, false, TIMEOUT, TIMEOUT, 40 * SECOND).verdictOf(one));
-    // None reaches this node any more: these are merely the first to time out.
-    List<Known> first = machines(8, "a", 9 * SECOND);
-    first.addAll(machines(50, "b", 20 * SECOND));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 40 * SECOND_MICROS)
+            .verdictOf(one));
+    // No machine reaches this node any more: these are only the first to time out.
+    List<TestMachine> first = machines(8, "a", 9 * SECOND_MICROS);
+    first.addAll(machines(50, "b", 20 * SECOND_MICROS));
     assertEquals(
         ReachabilityClassifier.Verdict.UNREACHABLE,
-        leader.classify(first, false, TIMEOUT, TIMEOUT, 21 * SECOND).verdictOf(first.get(0)));
+        leader
+            .classify(first, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 21 * SECOND_MICROS)
+            .verdictOf(first.get(0)));
     assertEquals(
         ReachabilityClassifier.Verdict.LEADER_ISOLATED,
-        leader.classify(first, true, TIMEOUT, TIMEOUT, 21 * SECOND).verdictOf(first.get(0)));
+        leader
+            .classify(first, true, TIMEOUT_MICROS, TIMEOUT_MICROS, 21 * SECOND_MICROS)
+            .verdictOf(first.get(0)));
   }
 
   @Example
-  void aPartitionedZoneIsToldFromOneWhoseMachinesDied() {
-    List<Known> all = machines(8, "b", 9 * SECOND);
-    all.addAll(machines(20, "a", 20 * SECOND));
-    leader.tick(true, 18 * SECOND);
-    Known one = all.get(0);
+  void partitionedZoneIsDistinguishedFromDeadMachines() {
+    List<TestMachine> all = machines(8, "b", 9 * SECOND_MICROS);
+    all.addAll(machines(20, "a", 20 * SECOND_MICROS));
+    leader.tick(true, 18 * SECOND_MICROS);
+    TestMachine one = all.get(0);
     assertEquals(
         ReachabilityClassifier.Verdict.ZONE_PARTITIONED,
-        leader.classify(all, false, TIMEOUT, 60 * SECOND, 21 * SECOND).verdictOf(one));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, 60 * SECOND_MICROS, 21 * SECOND_MICROS)
+            .verdictOf(one));
     assertTrue(leader.isPartitioned("b"));
     assertEquals(1, logs.size());
-    // Its controller answers: the zone is not cut off, so its machines are dead.
-    answer(node("n1", "p"), "n1", 22 * SECOND);
+    // The zone's controller answers, so the zone is not cut off and its machines are dead.
+    answer(node("n1", "p"), "n1", 22 * SECOND_MICROS);
     assertFalse(leader.isPartitioned("b"));
     assertEquals(
         ReachabilityClassifier.Verdict.UNREACHABLE,
-        leader.classify(all, false, TIMEOUT, 60 * SECOND, 22 * SECOND).verdictOf(one));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, 60 * SECOND_MICROS, 22 * SECOND_MICROS)
+            .verdictOf(one));
   }
 
   @Example
-  void aPeerOfTheVersionBeforeIsNotWaitedFor() {
-    List<Known> all = machines(1, "b", 9 * SECOND);
-    all.addAll(machines(20, "a", 20 * SECOND));
-    leader.tick(true, 19 * SECOND);
+  void peerWithoutSupportForQueriesIsNotWaitedFor() {
+    List<TestMachine> all = machines(1, "b", 9 * SECOND_MICROS);
+    all.addAll(machines(20, "a", 20 * SECOND_MICROS));
+    leader.tick(true, 19 * SECOND_MICROS);
     ReachabilityClassifier asking =
-        leader.classify(all, false, TIMEOUT, TIMEOUT, 19 * SECOND + 100_000);
+        leader.classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 19 * SECOND_MICROS + 100_000);
     assertEquals(ReachabilityClassifier.Verdict.SUSPECTED, asking.verdictOf(all.get(0)));
-    asked.forEach(a -> a.callback().accept(new PeerAnswer.Unsupported()));
+    queries.forEach(a -> a.callback().accept(new PeerAnswer.Unsupported()));
     assertEquals(
         ReachabilityClassifier.Verdict.UNREACHABLE,
-        leader.classify(all, false, TIMEOUT, TIMEOUT, 19 * SECOND + 200_000).verdictOf(all.get(0)));
+        leader
+            .classify(all, false, TIMEOUT_MICROS, TIMEOUT_MICROS, 19 * SECOND_MICROS + 200_000)
+            .verdictOf(all.get(0)));
   }
 }
--- a/src/test/java/org/eiderstair/core/membership/package-info.java
+++ b/src/test/java/org/eiderstair/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of which machines are taken for silent. */
+/** Tests of {@code org.eiderstair.core.membership}. */
 package org.eiderstair.core.membership;
--- a/src/test/java/org/eiderstair/core/standby/InstantHost.java
+++ b/src/test/java/org/eiderstair/core/standby/InstantHost.java
@@ -4,8 +4,8 @@
 import org.eiderstair.core.record.StandbyRecord;
 
 /**
- * A leader whose state is complete and whose records are written at once; what it replicates to
- * whom is for the test to say.
+ * A leader whose state is complete and whose records are written at once. The test implements the
+ * snapshot and the transport of batches.
  */
 public abstract class InstantHost implements Standby.Host {
   @Override
--- a/src/test/java/org/eiderstair/core/standby/StandbyScaleTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyScaleTest.java
@@ -19,15 +19,15 @@
 import org.eiderstair.core.record.StandbyRecord;
 
 /**
- * Replication in a cluster of 4,000 machines, as full as the largest snapshot that was tried with
- * fewer. Longer by {@code -Dstandby.machines=8000 -Dstandby.seconds=600}.
+ * Tests the replication in a cluster of 4,000 machines with 62 tasks each. Use {@code
+ * -Dstandby.machines=8000 -Dstandby.seconds=600} for a larger and longer run.
  */
 class StandbyScaleTest {
   private static final int MACHINES = Integer.getInteger("standby.machines", 4_000);
   private static final int SECONDS = Integer.getInteger("standby.seconds", 10);
   private static final int TASKS_PER_MACHINE = 62;
 
-  /** 170 a second at 1,040 machines, and as many that end. */
+  /** 170 launches a second per 1,040 machines, and as many tasks that end. */
   private static final int CHANGES_PER_SECOND = 2 * 170 * MACHINES / 1_040;
 
   private static final long ROUND_TRIP_MICROS = 3_000;
@@ -83,7 +83,7 @@
     return new ReplicationBatch.Change(present, machine, 1, job, 0, 1);
   }
 
-  /** A round trip to the follower, and what is launched and ends meanwhile. */
+  /** Simulates one round trip to the follower, and the launches and ends of tasks meanwhile. */
   private void step() {
     leader.tick(now);
     now += ROUND_TRIP_MICROS;
@@ -118,14 +118,14 @@
   private int stepsUntilInSync() {
     int steps = 0;
     while (!inSync()) {
-      assertFalse(leader.summary().equals("UNREPLICATED") && batches > 0, "gave up");
+      assertFalse(leader.summary().equals("UNREPLICATED") && batches > 0, "replication failed");
       assertTrue(++steps < 100_000, leader.summary());
       step();
     }
     return steps;
   }
 
-  /** All that may be anywhere, and nothing else, is recovered by the standby. */
+  /** Asserts that the standby recovers exactly the attempts that may be on machines. */
   private void assertRecoversAll() {
     for (int i = 0; i < 100; i++) {
       leader.tick(now += ROUND_TRIP_MICROS);
@@ -143,18 +143,18 @@
   }
 
   @Example
-  void aFullClusterIsInSyncWithinSeconds() {
+  void standbyOfFullClusterIsInSyncWithinSeconds() {
     start();
     long began = now;
     stepsUntilInSync();
     int tasks = MACHINES * TASKS_PER_MACHINE;
-    // One batch of 400 changes a round trip, and what changes meanwhile.
+    // One batch of 400 changes per round trip, plus the changes made meanwhile.
     assertTrue(now - began < 2L * tasks / 400 * ROUND_TRIP_MICROS, (now - began) + " us");
     assertRecoversAll();
   }
 
   @Example
-  void launchesLeaveAfterTwoRoundTripsWhileAllRunsOn() {
+  void launchesAreSentWithinTwoRoundTripsUnderLoad() {
     start();
     stepsUntilInSync();
     long end = now + SECONDS * 1_000_000L;
@@ -178,9 +178,11 @@
     assertRecoversAll();
   }
 
-  /** A third of the machines is lost at once; the standby stays in sync and follows. */
+  /**
+   * Guards against a standby that falls out of sync when a third of the machines is lost at once.
+   */
   @Example
-  void aZonesLossDoesNotCostTheStandby() {
+  void standbyStaysInSyncWhenAZoneIsLost() {
     start();
     stepsUntilInSync();
     for (int i = 0; i < MACHINES; i += 3) {
@@ -195,7 +197,7 @@
       step();
       assertTrue(inSync(), leader.summary());
     }
-    // All batches before it, one a round trip.
+    // The launch waits for all batches before it, one per round trip.
     int removals = MACHINES / 3 * TASKS_PER_MACHINE;
     assertTrue(now - began < 2L * removals / 400 * ROUND_TRIP_MICROS, (now - began) + " us");
     assertRecoversAll();
--- a/src/test/java/org/eiderstair/core/standby/StandbyTest.java
+++ b/src/test/java/org/eiderstair/core/standby/StandbyTest.java
@@ -20,26 +20,27 @@
 import org.eiderstair.core.record.StandbyRecord;
 
 /**
- * The record, the acknowledgements and the election, in every order: whoever recovers the state of
- * the term before recovers all that was ever launched and may still be somewhere.
+ * Tests the replication to the standby. A search over the orders of record writes, acknowledgements
+ * and elections guards against lost launches: a node that recovers the state of the last term must
+ * recover every launch that may still be on a machine.
  */
 class StandbyTest {
   private static final int LAUNCHES = 3;
   private static final int MAX_STEPS = 16;
 
   /**
-   * Two or three nodes, a state service, and messages that wait until they are chosen; all of it
-   * made anew for each path.
+   * Two nodes, a state service, and messages that are delivered only when the search chooses them.
+   * Each path of the search starts with a new model.
    */
-  private static final class World {
-    final List<String> broken = new ArrayList<>();
+  private static final class ClusterModel {
+    final List<String> violations = new ArrayList<>();
     final List<Runnable> messages = new ArrayList<>();
     final List<String> names = new ArrayList<>();
 
-    /** Batches that were sent: late copies of them may arrive at any time. */
+    /** Late copies of batches that were sent, which may arrive at any time. */
     final TreeMap<String, Runnable> copies = new TreeMap<>();
 
-    int copied;
+    int copiesMade;
     long revision;
     String leader;
     long leaderTerm;
@@ -60,7 +61,7 @@
       return nodes["ab".indexOf(name)];
     }
 
-    /** What can happen next, each by its name. */
+    /** Returns the possible next steps by name. */
     SortedMap<String, Runnable> choices() {
       SortedMap<String, Runnable> all = new TreeMap<>();
       for (int i = 0; i < messages.size(); i++) {
@@ -92,13 +93,14 @@
           all.put("slow at " + n.name, () -> n.tick(500_000));
         }
         if (n.term == 0 && elections < 3) {
-          // The lease of another has expired, by which that one has stopped; or a takeover has
-          // revoked it, of which it knows nothing.
+          // Either the current leader's lease has expired and that leader has stopped by itself, or
+          // a
+          // takeover has revoked the lease without that leader's knowledge.
           all.put(
               "elect " + n.name,
               () -> {
                 if (leader != null) {
-                  node(leader).authority = false;
+                  node(leader).mayLaunch = false;
                 }
                 n.elected();
               });
@@ -124,23 +126,23 @@
           .append(restarts)
           .append(new java.util.TreeSet<>(names))
           .append(copies.keySet())
-          .append(copied);
+          .append(copiesMade);
       for (Node n : nodes) {
         s.append('|')
             .append(n.term)
             .append(n.run)
             .append(n.standby.summary())
-            .append(n.known)
-            .append(n.held())
+            .append(n.knownTasks)
+            .append(n.inSyncState())
             .append(n.campaigning)
-            .append(n.authority);
+            .append(n.mayLaunch);
       }
       return s.toString();
     }
   }
 
   private static final class Node implements Standby.Host {
-    final World world;
+    final ClusterModel cluster;
     final String name;
     int runs = 1;
     String run;
@@ -149,95 +151,95 @@
     long now;
     boolean campaigning;
 
-    /** Whether its own clock still allows it to launch. */
-    boolean authority;
+    /** Whether the node may launch according to its own clock. */
+    boolean mayLaunch;
 
-    /** What this node knows may be somewhere, while it leads. */
-    final Set<String> known = new HashSet<>();
+    /** The tasks that may be on a machine, as this node knows while it leads. */
+    final Set<String> knownTasks = new HashSet<>();
 
-    Node(World world, String name) {
-      this.world = world;
+    Node(ClusterModel cluster, String name) {
+      this.cluster = cluster;
       this.name = name;
-      begin();
+      startRun();
     }
 
-    private void begin() {
+    private void startRun() {
       run = name + runs;
       standby = new Standby(name, run, text -> {});
       term = 0;
-      known.clear();
+      knownTasks.clear();
       campaigning = false;
     }
 
     void restart() {
-      world.restarts++;
+      cluster.restarts++;
       runs++;
-      begin();
+      startRun();
     }
 
-    String held() {
-      return standby.namesThisNode(world.record) ? "named" : "";
+    String inSyncState() {
+      return standby.isInSync(cluster.record) ? "named" : "";
     }
 
     void elected() {
-      world.elections++;
+      cluster.elections++;
       standby.stopFollowing();
-      authority = true;
-      world.leader = name;
-      world.leaderTerm = ++world.revision;
-      term = world.leaderTerm;
+      mayLaunch = true;
+      cluster.leader = name;
+      cluster.leaderTerm = ++cluster.revision;
+      term = cluster.leaderTerm;
       Optional<Map<String, RecoveredMachine>> recovered =
-          standby.recover(term, world.revision, world.record);
-      known.clear();
+          standby.recover(term, cluster.revision, cluster.record);
+      knownTasks.clear();
       if (recovered.isPresent()) {
-        recovered.get().values().forEach(machine -> known.addAll(machine.attempts().keySet()));
-        if (!known.containsAll(world.launched)) {
-          world.broken.add(name + " recovered " + known + " of " + world.launched);
+        recovered.get().values().forEach(machine -> knownTasks.addAll(machine.attempts().keySet()));
+        if (!knownTasks.containsAll(cluster.launched)) {
+          cluster.violations.add(name + " recovered " + knownTasks + " of " + cluster.launched);
         }
       } else {
-        // Every machine is asked, and fenced.
-        known.addAll(world.launched);
+        // The state of every machine is queried, and the machines are fenced.
+        knownTasks.addAll(cluster.launched);
       }
       standby.startTerm(
           this,
           term,
           List.of(name.equals("a") ? "b" : "a"),
-          world.record == null ? 0 : world.recordVersion);
+          cluster.record == null ? 0 : cluster.recordVersion);
       tick(10_000_000);
     }
 
     void takeOver() {
-      if (world.record != null
-          && standby.namesThisNode(world.record)
-          && world.record.term() == world.leaderTerm) {
+      if (cluster.record != null
+          && standby.isInSync(cluster.record)
+          && cluster.record.term() == cluster.leaderTerm) {
         standby.stopFollowing();
-        world.record = world.record.withTakeover();
-        world.recordVersion = ++world.revision;
-        // Its lease is revoked soon; whoever is elected next, the old leader's clock still allows
-        // it everything.
-        long takenOver = world.leaderTerm;
-        world.send(
+        cluster.record = cluster.record.withTakeover();
+        cluster.recordVersion = ++cluster.revision;
+        // The old leader's lease is revoked soon, but its own clock still allows it to launch, even
+        // after the next election.
+        long takenOver = cluster.leaderTerm;
+        cluster.send(
             "end lease " + takenOver,
             () -> {
-              if (world.leaderTerm == takenOver) {
-                world.leader = null;
+              if (cluster.leaderTerm == takenOver) {
+                cluster.leader = null;
               }
             });
       }
     }
 
     void launch(String task) {
-      long ofTerm = term;
-      String ofRun = run;
-      known.add(task);
-      standby.replicate(new ReplicationBatch.Change(true, "m", 1, task, 0, ofTerm));
+      long termAtSend = term;
+      String runAtSend = run;
+      knownTasks.add(task);
+      standby.replicate(new ReplicationBatch.Change(true, "m", 1, task, 0, termAtSend));
       standby.launch(
           () -> {
-            if (run.equals(ofRun) && authority) {
-              world.launched.add(task);
-              Node latest = world.leader == null ? null : world.node(world.leader);
-              if (latest != null && latest != this && !latest.known.contains(task)) {
-                world.broken.add(
+            if (run.equals(runAtSend) && mayLaunch) {
+              cluster.launched.add(task);
+              Node latest = cluster.leader == null ? null : cluster.node(cluster.leader);
+              if (latest != null && latest != this && !latest.knownTasks.contains(task)) {
+                cluster.violations.add(
                     name
                         + " launched "
                         + task
@@ -263,23 +265,23 @@
 
     @Override
     public void snapshot(Consumer<ReplicationBatch.Change> each) {
-      known.forEach(t -> each.accept(new ReplicationBatch.Change(true, "m", 1, t, 0, 1)));
+      knownTasks.forEach(t -> each.accept(new ReplicationBatch.Change(true, "m", 1, t, 0, 1)));
     }
 
     @Override
     public void send(
         String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback) {
-      String ofRun = run;
-      if (!batch.changes().isEmpty() && world.copied < 2) {
-        world.copied++;
-        world.copies.put(
+      String runAtSend = run;
+      if (!batch.changes().isEmpty() && cluster.copiesMade < 2) {
+        cluster.copiesMade++;
+        cluster.copies.put(
             name + batch.term() + "." + batch.snapshot() + "." + batch.firstSequence(),
             () -> {
-              Node to = world.node(peer);
+              Node to = cluster.node(peer);
               to.standby.receive(batch, to.term == 0, 0);
             });
       }
-      world.send(
+      cluster.send(
           "batch "
               + name
               + batch.term()
@@ -290,9 +292,9 @@
               + "+"
               + batch.changes().size(),
           () -> {
-            Node to = world.node(peer);
+            Node to = cluster.node(peer);
             ReplicationBatch.Ack ack = to.standby.receive(batch, to.term == 0, 0);
-            world.send(
+            cluster.send(
                 "ack "
                     + name
                     + batch.term()
@@ -302,7 +304,7 @@
                     + batch.firstSequence()
                     + ack.accepted(),
                 () -> {
-                  if (run.equals(ofRun)) {
+                  if (run.equals(runAtSend)) {
                     callback.accept(Optional.of(ack));
                     tick(1);
                   }
@@ -312,25 +314,27 @@
 
     @Override
     public void write(long version, StandbyRecord value, Consumer<RecordWrite> callback) {
-      String ofRun = run;
-      long ofTerm = term;
-      world.send(
-          "write " + name + ofTerm + (value == null ? "drop" : "put") + version,
+      String runAtSend = run;
+      long termAtSend = term;
+      cluster.send(
+          "write " + name + termAtSend + (value == null ? "drop" : "put") + version,
           () -> {
             boolean holds =
-                name.equals(world.leader)
-                    && world.leaderTerm == ofTerm
-                    && (world.record == null ? 0 : world.recordVersion) == version;
+                name.equals(cluster.leader)
+                    && cluster.leaderTerm == termAtSend
+                    && (cluster.record == null ? 0 : cluster.recordVersion) == version;
             if (holds) {
-              world.record = value;
-              world.recordVersion = ++world.revision;
+              cluster.record = value;
+              cluster.recordVersion = ++cluster.revision;
             }
             RecordWrite result =
-                holds ? new RecordWrite.Written(world.recordVersion) : new RecordWrite.Uncertain();
-            world.send(
-                "written " + name + ofTerm,
+                holds
+                    ? new RecordWrite.Written(cluster.recordVersion)
+                    : new RecordWrite.Uncertain();
+            cluster.send(
+                "written " + name + termAtSend,
                 () -> {
-                  if (run.equals(ofRun)) {
+                  if (run.equals(runAtSend)) {
                     callback.accept(result);
                     tick(200_000);
                   }
@@ -340,19 +344,19 @@
 
     @Override
     public void read(Consumer<RecordRead> callback) {
-      String ofRun = run;
-      long ofTerm = term;
-      world.send(
-          "read " + name + ofTerm,
+      String runAtSend = run;
+      long termAtSend = term;
+      cluster.send(
+          "read " + name + termAtSend,
           () -> {
             RecordRead result =
-                world.record == null
+                cluster.record == null
                     ? new RecordRead.Absent()
-                    : new RecordRead.Found(world.recordVersion, world.record);
-            world.send(
-                "found " + name + ofTerm,
+                    : new RecordRead.Found(cluster.recordVersion, cluster.record);
+            cluster.send(
+                "found " + name + termAtSend,
                 () -> {
-                  if (run.equals(ofRun)) {
+                  if (run.equals(runAtSend)) {
                     callback.accept(result);
                     tick(200_000);
                   }
@@ -370,39 +374,42 @@
     public void info(String text) {}
   }
 
-  private static World replay(List<String> path) {
-    World world = new World();
+  private static ClusterModel replay(List<String> path) {
+    ClusterModel cluster = new ClusterModel();
     for (String choice : path) {
-      world.choices().get(choice).run();
+      cluster.choices().get(choice).run();
     }
-    return world;
+    return cluster;
   }
 
   /**
-   * All orders, with loss and late copies, of two nodes, three launches, three elections and a
-   * restart; from the start, and from being in sync.
+   * Searches the orders of events, with lost batches and late copies, of two nodes with three
+   * launches, three elections and one restart. The search starts from an empty cluster, from a
+   * standby in sync, and from a takeover.
    */
   @Example
-  void everyOrderOfASmallCase() {
+  void everyLaunchIsRecoveredInAllOrdersOfASmallCase() {
     List<String> inSync = new ArrayList<>(List.of("elect a"));
     while (replay(inSync).record == null
         || !replay(inSync).nodes[0].standby.summary().endsWith("in sync")) {
-      World world = replay(inSync);
+      ClusterModel cluster = replay(inSync);
       inSync.add(
-          world.choices().keySet().stream()
+          cluster.choices().keySet().stream()
               .filter(c -> c.startsWith("deliver"))
               .findFirst()
               .orElse("slow at a"));
     }
     assertTrue(explore(List.of(), true) > 100, "in sync");
     assertTrue(explore(inSync, true) > 100, "in sync");
-    // A takeover, and a leader that knows nothing of it: it cannot remove the standby from the
-    // record, and must see why.
+    // The leader does not know of the takeover. It cannot remove the standby from the record, and
+    // must detect the reason.
     inSync.add("begin takeover by b");
     explore(inSync, false);
   }
 
-  /** How many of the states were in sync. */
+  /**
+   * Explores the orders after a path, and returns in how many states node a had a standby in sync.
+   */
   private static int explore(List<String> start, boolean withCopies) {
     ArrayDeque<List<String>> open = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
@@ -410,17 +417,17 @@
     int inSync = 0;
     while (!open.isEmpty() && seen.size() < MAX_STATES) {
       List<String> path = open.poll();
-      World world = replay(path);
-      assertEquals(List.of(), world.broken, () -> String.join("\n", path));
-      inSync += world.nodes[0].standby.summary().endsWith("in sync") ? 1 : 0;
+      ClusterModel cluster = replay(path);
+      assertEquals(List.of(), cluster.violations, () -> String.join("\n", path));
+      inSync += cluster.nodes[0].standby.summary().endsWith("in sync") ? 1 : 0;
       if (!withCopies) {
-        world.copies.clear();
-        world.copied = 0;
+        cluster.copies.clear();
+        cluster.copiesMade = 0;
       }
-      if (path.size() == start.size() + MAX_STEPS || !seen.add(world.state())) {
+      if (path.size() == start.size() + MAX_STEPS || !seen.add(cluster.state())) {
         continue;
       }
-      for (String choice : world.choices().keySet()) {
+      for (String choice : cluster.choices().keySet()) {
         if (!withCopies && choice.startsWith("copy")) {
           continue;
         }
@@ -445,53 +452,56 @@
     return new ReplicationBatch(term, snapshot, first, incomplete, List.of(changes));
   }
 
-  private static ReplicationBatch.Change there(String job) {
+  private static ReplicationBatch.Change presentChange(String job) {
     return new ReplicationBatch.Change(true, "m", 1, job, 0, 5);
   }
 
   @Example
-  void aGapIsNotFollowedAndARepeatChangesNothing() {
-    assertTrue(replica.receive(batch(3, 1, 1, true, there("a"), there("b"))));
+  void batchAfterGapIsRejectedAndDuplicateChangesNothing() {
+    assertTrue(replica.receive(batch(3, 1, 1, true, presentChange("a"), presentChange("b"))));
     assertEquals(StandbyReplica.State.RECEIVING_SNAPSHOT, replica.state());
-    assertTrue(replica.receive(batch(3, 1, 3, false, there("c"))));
+    assertTrue(replica.receive(batch(3, 1, 3, false, presentChange("c"))));
     assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
-    assertTrue(replica.receive(batch(3, 1, 1, true, there("a"), there("b"))), "late copy");
+    assertTrue(
+        replica.receive(batch(3, 1, 1, true, presentChange("a"), presentChange("b"))), "late copy");
     assertEquals(3, replica.recoveredMachines().get("m").attempts().size());
     assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
-    assertFalse(replica.receive(batch(3, 1, 5, false, there("e"))));
+    assertFalse(replica.receive(batch(3, 1, 5, false, presentChange("e"))));
     assertEquals(StandbyReplica.State.EMPTY, replica.state());
-    assertFalse(replica.receive(batch(3, 1, 1, false, there("a"))), "an earlier snapshot");
+    assertFalse(replica.receive(batch(3, 1, 1, false, presentChange("a"))), "an earlier snapshot");
     assertTrue(replica.receive(batch(3, 2, 1, false)));
     assertEquals(StandbyReplica.State.FOLLOWING, replica.state());
     assertFalse(replica.receive(batch(2, 9, 1, false)), "an earlier term");
   }
 
   @Example
-  void aNodeThatAsksToLeadAcknowledgesNothingOfOlderTerms() {
-    assertTrue(replica.receive(batch(3, 1, 1, false, there("a"))));
+  void frozenReplicaRejectsItsSnapshotAndAcceptsNewerTerm() {
+    assertTrue(replica.receive(batch(3, 1, 1, false, presentChange("a"))));
     replica.freeze();
-    assertFalse(replica.receive(batch(3, 1, 2, false, there("b"))));
+    assertFalse(replica.receive(batch(3, 1, 2, false, presentChange("b"))));
     assertEquals(1, replica.recoveredMachines().get("m").attempts().size());
-    assertTrue(replica.receive(batch(4, 1, 1, false)), "another was elected");
+    assertTrue(replica.receive(batch(4, 1, 1, false)), "a newer term");
   }
 
-  /** 1,600 machines with 100,000 tasks in pages, mixed with changes. */
+  /** The snapshot has 100,000 tasks on 1,600 machines, and changes are made while it is sent. */
   @Example
-  void aLargeSnapshotInBatchesWithChangesBetween() {
+  void largeSnapshotWithConcurrentChangesIsRecoveredInFull() {
     Standby standby = new Standby("b", "b1", text -> {});
-    Map<String, Map<String, Long>> truth = new HashMap<>();
+    Map<String, Map<String, Long>> expectedAttempts = new HashMap<>();
     List<ReplicationBatch> batches = new ArrayList<>();
     List<Consumer<Optional<ReplicationBatch.Ack>>> acks = new ArrayList<>();
     Standby leader = new Standby("a", "a1", text -> {});
     for (int i = 0; i < 100_000; i++) {
-      truth.computeIfAbsent("m" + i % 1600, m -> new HashMap<>()).put("job-" + i, (long) i);
+      expectedAttempts
+          .computeIfAbsent("m" + i % 1600, m -> new HashMap<>())
+          .put("job-" + i, (long) i);
     }
     leader.startTerm(
         new InstantHost() {
 
           @Override
           public void snapshot(Consumer<ReplicationBatch.Change> each) {
-            truth.forEach(
+            expectedAttempts.forEach(
                 (m, jobs) ->
                     jobs.forEach(
                         (j, a) -> each.accept(new ReplicationBatch.Change(true, m, 1, j, 0, a))));
@@ -516,12 +526,12 @@
       assertTrue(batches.get(0).changes().size() <= 400);
       ReplicationBatch.Ack ack = standby.receive(batches.remove(0), true, now);
       String machine = "m" + i % 1600;
-      truth.get(machine).put("new-" + i, 9L);
+      expectedAttempts.get(machine).put("new-" + i, 9L);
       leader.replicate(new ReplicationBatch.Change(true, machine, 1, "new-" + i, 0, 9));
-      Long gone = truth.get(machine).remove("job-" + i % 1600);
-      if (gone != null) {
+      Long endedAttempt = expectedAttempts.get(machine).remove("job-" + i % 1600);
+      if (endedAttempt != null) {
         leader.replicate(
-            new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, gone));
+            new ReplicationBatch.Change(false, machine, 1, "job-" + i % 1600, 0, endedAttempt));
       }
       acks.remove(0).accept(Optional.of(ack));
       leader.tick(++now);
@@ -534,56 +544,57 @@
     standby.stopFollowing();
     StandbyRecord record = new StandbyRecord(3, "b", "b1");
     Map<String, RecoveredMachine> recovered = standby.recover(9, 9, record).orElseThrow();
-    truth.forEach(
+    expectedAttempts.forEach(
         (machine, jobs) ->
             assertEquals(jobs.keySet(), recovered.get(machine).attempts().keySet(), machine));
-    assertEquals(Optional.empty(), standby.recover(10, 10, record), "once");
+    assertEquals(Optional.empty(), standby.recover(10, 10, record), "succeeds only once");
   }
 
   /**
-   * Seen on the bench: with nothing to tell, the record was written before any answer, and named no
-   * run.
+   * Guards against a record without a run ID: with an empty snapshot, the leader once wrote the
+   * record before the peer had answered.
    */
   @Example
-  void nobodyIsNamedBeforeItHasAnswered() {
-    World world = new World();
-    world.nodes[0].elected();
+  void recordIsNotWrittenBeforePeerHasAnswered() {
+    ClusterModel cluster = new ClusterModel();
+    cluster.nodes[0].elected();
     for (int i = 0; i < 5; i++) {
-      world.nodes[0].tick(10_000);
+      cluster.nodes[0].tick(10_000);
     }
-    assertEquals(1, world.messages.size(), "a batch, no record: " + world.names);
-    for (int i = 0; world.record == null; i++) {
-      assertTrue(i < 20, world.nodes[0].standby.summary());
-      if (!world.messages.isEmpty()) {
-        world.names.remove(0);
-        world.messages.remove(0).run();
+    assertEquals(1, cluster.messages.size(), "a batch and no record write: " + cluster.names);
+    for (int i = 0; cluster.record == null; i++) {
+      assertTrue(i < 20, cluster.nodes[0].standby.summary());
+      if (!cluster.messages.isEmpty()) {
+        cluster.names.remove(0);
+        cluster.messages.remove(0).run();
       }
-      world.nodes[0].tick(10_000);
+      cluster.nodes[0].tick(10_000);
     }
-    assertEquals("b1", world.record.runId());
+    assertEquals("b1", cluster.record.runId());
   }
 
   @Example
-  void eachCheckRefuses() {
-    List<String> said = new ArrayList<>();
-    Standby standby = new Standby("b", "b1", said::add);
+  void recoveryIsRefusedWhenACheckFails() {
+    List<String> logLines = new ArrayList<>();
+    Standby standby = new Standby("b", "b1", logLines::add);
     StandbyRecord record = new StandbyRecord(3, "b", "b1");
-    assertEquals(Optional.empty(), standby.recover(5, 5, record), "no state");
-    standby.receive(batch(3, 1, 1, true, there("a")), true, 1);
+    assertEquals(Optional.empty(), standby.recover(5, 5, record), "no replicated state");
+    standby.receive(batch(3, 1, 1, true, presentChange("a")), true, 1);
     standby.stopFollowing();
-    assertEquals(Optional.empty(), standby.recover(5, 5, record), "not complete");
-    standby.receive(batch(3, 2, 1, false, there("a")), true, 1);
-    assertEquals(Optional.empty(), standby.recover(5, 4, record), "keys are old");
-    assertEquals(Optional.empty(), standby.recover(5, 5, null), "removed");
+    assertEquals(Optional.empty(), standby.recover(5, 5, record), "incomplete snapshot");
+    standby.receive(batch(3, 2, 1, false, presentChange("a")), true, 1);
+    assertEquals(
+        Optional.empty(), standby.recover(5, 4, record), "replica is older than the election");
+    assertEquals(Optional.empty(), standby.recover(5, 5, null), "no record");
     assertEquals(
         Optional.empty(), standby.recover(5, 5, new StandbyRecord(3, "b", "b0")), "an earlier run");
-    assertFalse(standby.namesThisNode(new StandbyRecord(3, "b", "b0")), "an earlier run");
-    assertTrue(standby.namesThisNode(record));
+    assertFalse(standby.isInSync(new StandbyRecord(3, "b", "b0")), "an earlier run");
+    assertTrue(standby.isInSync(record));
     assertEquals(
-        Optional.empty(), standby.recover(5, 5, new StandbyRecord(3, "c", "b1")), "another");
+        Optional.empty(), standby.recover(5, 5, new StandbyRecord(3, "c", "b1")), "another node");
     assertEquals(
         Optional.empty(), standby.recover(5, 5, new StandbyRecord(2, "b", "b1")), "another term");
     assertEquals(Set.of("m"), standby.recover(5, 5, record).orElseThrow().keySet());
-    assertTrue(said.get(said.size() - 1).contains("standby recovery -> COMPLETE"));
+    assertTrue(logLines.get(logLines.size() - 1).contains("standby recovery -> COMPLETE"));
   }
 }
--- a/src/test/java/org/eiderstair/core/standby/package-info.java
+++ b/src/test/java/org/eiderstair/core/standby/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the replication to the standby, with a search of small cases. */
+/** Tests of {@code org.eiderstair.core.standby}. */
 package org.eiderstair.core.standby;
