--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -74,7 +74,7 @@
 
   /** Cancelled work must end in time by the leases alone, whatever cannot be reached. */
   private void requireCancellationBounds(Settings core) throws InvalidConfigException {
-    if (!LeadershipBounds.boundsHold(core)) {
+    if (!LeadershipBounds.isAnswerPeriodSufficient(core)) {
       throw workers.invalid(
           "cancel_s",
           "must be longer than lease_s by leader_ttl_s (now "
--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -21,11 +21,12 @@
 import org.eiderstair.core.workers.OverloadMonitor;
 
 /**
- * One controller without input, output, clock or thread: events come in with the time, effects go
- * out. Given the same events, times and random numbers it does the same again.
+ * The decision logic of one controller, as a deterministic state machine without I/O, clock or
+ * threads. Callers pass in events with the current time, and the core emits effects. The same
+ * events, times and random numbers always lead to the same effects.
  */
 public final class Core {
-  private static final long MAX_TICK_MICROS = 50_000;
+  private static final long MAX_TICK_INTERVAL_MICROS = 50_000;
 
   private final Settings settings;
   private final EffectSink sink;
@@ -39,7 +40,7 @@
   private final Standby standby;
   private final OverloadMonitor overload;
   private final StandbyTakeover standbyTakeover;
-  private final FollowerHeartbeats followerHeartbeats;
+  private final FollowerHeartbeatHandler followerHeartbeats;
   private final PeerRequestHandler peerRequests;
   private final Event.Handler eventHandler = new EventHandler();
 
@@ -49,21 +50,25 @@
   private long now;
 
   /**
-   * @param runId differs for every run of a node, so that it can tell its own earlier runs
-   * @param dayOffsetMicros the time of day less the steady time, by which other nodes and later
-   *     runs know how old a job is
-   * @param random a uniformly random number below its argument
+   * Creates the core of a node that has just started.
+   *
+   * @param runId unique to this run of the node, so that a node can tell its earlier runs apart
+   * @param wallClockOffsetMicros the wall-clock time minus the monotonic time; other nodes and
+   *     later runs compute the age of a job from wall-clock times
+   * @param random returns a uniformly distributed number from 0 up to, but not including, its
+   *     argument
+   * @param effects receives the effects in their order
    */
   public Core(
       Settings settings,
       String runId,
-      long dayOffsetMicros,
+      long wallClockOffsetMicros,
       IntUnaryOperator random,
       Consumer<Effect> effects) {
     this.settings = settings;
     this.random = random;
     this.sink = new EffectSink(effects);
-    this.replica = new Replica(settings, sink, new ReplicaChanges(), dayOffsetMicros);
+    this.replica = new Replica(settings, sink, new ReplicaListener(), wallClockOffsetMicros);
     this.cancellationBroadcast = new CancellationBroadcast(settings.node(), sink);
     this.jobService = new JobService(settings, sink, replica, cancellationBroadcast::committed);
     this.stateServiceHealth = new StateServiceHealth(settings, sink, replica);
@@ -80,36 +85,36 @@
     this.standby = new Standby(settings.node(), runId, sink::info);
     this.overload = new OverloadMonitor(settings, sink);
     this.leadership =
-        new Leadership(settings, sink, replica, runId, random, new LeadershipChanges());
+        new Leadership(settings, sink, replica, runId, random, new LeadershipListener());
     this.standbyTakeover = new StandbyTakeover(sink, replica, leadership, standby, () -> now);
     this.followerHeartbeats =
-        new FollowerHeartbeats(settings, sink, replica, stateServiceHealth, membership);
+        new FollowerHeartbeatHandler(settings, sink, replica, stateServiceHealth, membership);
     this.peerRequests =
         new PeerRequestHandler(sink, replica, leadership, stateServiceHealth, membership, standby);
   }
 
-  /** Takes one event and does what is due by now. */
+  /** Processes one event, then performs all work that is due. */
   public void handle(Event event, long nowMicros) {
-    take(event, nowMicros);
+    process(event, nowMicros);
     tick(nowMicros);
   }
 
   /**
-   * Takes one event of several at hand: what is decided for all of them together waits for {@link
-   * #tick}.
+   * Processes one event of a batch. Decisions that are made once for the whole batch are left to
+   * {@link #tick}, which the caller must call after the last event.
    */
-  public void take(Event event, long nowMicros) {
+  public void process(Event event, long nowMicros) {
     now = nowMicros;
     try {
       replica.advanceTo(now);
       leadership.setTime(now);
       event.dispatchTo(eventHandler);
     } catch (RuntimeException | StackOverflowError e) {
-      recoverFrom(e, "event " + event.getClass().getSimpleName());
+      recoverFrom(e, "handling of event=" + event.getClass().getSimpleName());
     }
   }
 
-  /** Decides what is due by now, once for all events that were taken. */
+  /** Performs all work that is due, once for all events processed since the last call. */
   public void tick(long nowMicros) {
     now = nowMicros;
     try {
@@ -120,26 +125,26 @@
   }
 
   /**
-   * What may be on a machine is not known any more after half an event. A leader resigns and lets
-   * another begin a new term; it must never go on. What else fails concerns one request, and the
-   * node goes on without it.
+   * Handles an exception that interrupted the processing of an event. After it, the leader's state
+   * of the machines may be inconsistent. A leader therefore resigns, so that another node begins a
+   * new term. On a follower, the failure affects one request only, and the node continues.
    */
-  private void recoverFrom(Throwable failure, String what) {
+  private void recoverFrom(Throwable failure, String operation) {
     StackTraceElement[] trace = failure.getStackTrace();
     String where = trace.length == 0 ? "" : " at " + trace[0];
-    sink.error(what + " failed: " + failure + where);
+    sink.error(operation + " failed: " + failure + where);
     if (leadership.isLeader()) {
-      leadership.resign("an event was only half handled");
+      leadership.resign("an exception interrupted " + operation);
     }
   }
 
-  /** When the next tick is needed at the latest, if nothing happens before. */
+  /** Returns the latest time at which {@link #tick} must be called if no event arrives earlier. */
   public long dueMicros() {
-    long due = Math.min(now + MAX_TICK_MICROS, jobService.dueMicros());
+    long due = Math.min(now + MAX_TICK_INTERVAL_MICROS, jobService.dueMicros());
     return leaderTerm == null ? due : Math.min(due, leaderTerm.passDueMicros());
   }
 
-  /** Whether this node holds the leader key. */
+  /** Returns whether this node holds the leader key. */
   public boolean isLeader() {
     return leadership.isLeader();
   }
@@ -163,10 +168,10 @@
           .newerLeader(leadership.term())
           .ifPresent(
               newer ->
-                  leadership.deposed(
+                  leadership.stepDown(
                       "a peer that the state service serves follows leader="
                           + newer.node()
-                          + ", term="
+                          + " term="
                           + newer.term()));
     }
   }
@@ -186,7 +191,7 @@
     return unsupported ? new PeerAnswer.Unsupported() : new PeerAnswer.NoAnswer();
   }
 
-  /** Hands each type of event to the part that it is for. */
+  /** Dispatches each type of event to the component that handles it. */
   private final class EventHandler implements Event.Handler {
     @Override
     public void tick() {}
@@ -245,15 +250,15 @@
     @Override
     public void heartbeatReceived(Event.HeartbeatReceived event) {
       if (leaderTerm == null) {
-        followerHeartbeats.received(event, now);
+        followerHeartbeats.handle(event, now);
       } else {
         leaderTerm.heartbeatReceived(event.exchange(), event.heartbeat(), event.relayed(), now);
       }
     }
   }
 
-  /** What changes in the replica. */
-  private final class ReplicaChanges implements Replica.Listener {
+  /** Passes changes of the replica on to leadership and to the current term. */
+  private final class ReplicaListener implements Replica.Listener {
     @Override
     public void leaderChanged() {
       cancellationBroadcast.leaderChanged(replica.leader());
@@ -269,12 +274,12 @@
 
     @Override
     public void loaded() {
-      sink.info("node " + settings.node() + " ready");
+      sink.info("node ready: node=" + settings.node());
     }
   }
 
-  /** What changes in this node's leadership. */
-  private final class LeadershipChanges implements Leadership.Listener {
+  /** Starts and ends terms as this node gains and loses leadership. */
+  private final class LeadershipListener implements Leadership.Listener {
     @Override
     public void campaignStarted() {
       standby.stopFollowing();
@@ -296,7 +301,7 @@
     }
 
     @Override
-    public void leadershipLost(String why) {
+    public void leadershipLost(String reason) {
       LeaderTerm ended = leaderTerm;
       leaderTerm = null;
       ended.close();
--- a/src/main/java/org/eiderstair/core/FollowerHeartbeats.java
+++ b/src/main/java/org/eiderstair/core/FollowerHeartbeatHandler.java
@@ -10,10 +10,10 @@
 import org.eiderstair.core.workers.HeartbeatRelay;
 
 /**
- * Heartbeats that reach a node which does not lead: it notes which machines reach it, and redirects
- * or relays them to the leader.
+ * Handles the heartbeats that a node receives while it does not lead. The handler records which
+ * machines reach this node, and redirects or relays their heartbeats to the leader.
  */
-final class FollowerHeartbeats {
+final class FollowerHeartbeatHandler {
   private final Settings settings;
   private final EffectSink sink;
   private final Replica replica;
@@ -21,7 +21,7 @@
   private final Membership membership;
   private final HeartbeatRelay relay;
 
-  FollowerHeartbeats(
+  FollowerHeartbeatHandler(
       Settings settings,
       EffectSink sink,
       Replica replica,
@@ -35,9 +35,10 @@
     this.relay = new HeartbeatRelay(sink);
   }
 
-  void received(Event.HeartbeatReceived event, long nowMicros) {
+  /** Answers the heartbeat with a redirect, or relays it to the leader. */
+  void handle(Event.HeartbeatReceived event, long nowMicros) {
     if (event.relayed()) {
-      // The peer takes this node for the leader. It is not, and a heartbeat is relayed only once.
+      // The peer wrongly assumes that this node leads. A heartbeat is relayed only once.
       sink.respond(event.exchange(), new Answer.Redirect(null));
       return;
     }
@@ -47,10 +48,10 @@
     relay.receive(event.exchange(), event.heartbeat(), target, nowMicros);
   }
 
-  /** Null when no leader is known. */
+  /** Returns the name of the leader's node, or null if no leader is known. */
   private String leaderNode() {
     Replica.Leader leader = replica.leader();
-    // While the state service refuses this node alone, its own replica of the leader key is old.
+    // While the state service refuses only this node, the leader key in its replica is outdated.
     return stateServiceHealth
         .newerLeader(leader == null ? 0 : leader.term())
         .map(StateServiceHealth.PeerLeader::node)
--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -24,27 +24,35 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Everything that a leader does in one term. A new term starts with a new one: nothing is carried
- * over.
+ * Performs the work of a leader during one term. Each term has a new instance, and no state is
+ * carried over from one to the next.
  */
 final class LeaderTerm implements StateWriter.Listener {
-  private static final long PASS_GAP_MICROS = 30_000;
+  /** The minimum time between two scheduling passes. */
+  private static final long MIN_PASS_INTERVAL_MICROS = 30_000;
 
-  /** A pass costs the same for one event as for hundreds, so that fewer passes are less work. */
-  private static final long OVERLOADED_PASS_GAP_MICROS = 200_000;
+  /**
+   * The minimum time between two scheduling passes while events wait for too long. A pass costs the
+   * same for one event as for hundreds, so fewer passes reduce the load.
+   */
+  private static final long OVERLOADED_MIN_PASS_INTERVAL_MICROS = 200_000;
 
-  /** Capacity can wait while heartbeats cannot: a comparison with the demand looks at the fleet. */
+  /**
+   * The time between two capacity decisions while events wait for too long. A decision compares the
+   * demand with all machines, and heartbeats are more urgent.
+   */
   private static final long OVERLOADED_CAPACITY_INTERVAL_MICROS = 4_000_000;
 
-  private static final long QUIET_PASS_MICROS = 1_000_000;
+  /** The maximum time between two scheduling passes. */
+  private static final long MAX_PASS_INTERVAL_MICROS = 1_000_000;
 
-  /** A scheduling pass that is late by so much shows that there is more to do than can be done. */
-  private static final long LATE_PASS_MICROS = 60_000;
+  /** A pass that is late by more than this shows that more work arrives than the node can do. */
+  private static final long LATE_PASS_THRESHOLD_MICROS = 60_000;
 
   private static final long SUMMARY_INTERVAL_MICROS = 10_000_000;
-  private static final long REACHABILITY_INTERVAL_MICROS = 500_000;
+  private static final long REACHABILITY_CHECK_INTERVAL_MICROS = 500_000;
 
-  /** Fewer may be machines that have just come up, and went to any node. */
+  /** Fewer machines may have just started and contacted an arbitrary node. */
   private static final int MIN_MACHINES_REACHING_PEERS = 3;
 
   private final Settings settings;
@@ -109,16 +117,22 @@
             settings, sink, replica, workers, leadership, stateWriter, demand, membership, term);
   }
 
-  /** Ends the term: what waits to be sent or written is withheld. */
+  /** Ends the term. Pending orders and writes are withheld. */
   void close() {
     stateWriter.close();
     workers.close();
-    // After the workers: launches that the standby withholds now see that the term is over.
+    // The workers are closed first: launches that the standby now withholds must find the term
+    // ended.
     standby.endTerm();
     capacity.close();
   }
 
-  /** A worker's heartbeat; it is answered in the next pass. */
+  /**
+   * Handles a worker's heartbeat, which is answered in the next pass. Until the term has started,
+   * the heartbeat is refused.
+   *
+   * @param relayed whether the heartbeat came through another node
+   */
   void heartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed, long nowMicros) {
     if (started) {
       workers.receive(exchange, heartbeat, relayed, nowMicros);
@@ -127,7 +141,7 @@
     }
   }
 
-  /** A job was created or has changed in the replica. */
+  /** Handles the creation or change of a job in the replica. */
   void jobChanged(Job job) {
     if (!started) {
       return;
@@ -138,7 +152,7 @@
     workers.noteChange();
   }
 
-  /** Does what is due by now. */
+  /** Performs all work that is due. */
   void tick(long nowMicros) {
     now = nowMicros;
     if (electedMicros.isEmpty()) {
@@ -164,8 +178,9 @@
   }
 
   /**
-   * What an earlier term wrote last must be in the replica, above all its registered workers and
-   * its newest jobs.
+   * Starts the term once the replica has reached the election, and returns whether it did. The
+   * replica must hold everything that earlier terms wrote, in particular the registered workers and
+   * the newest jobs.
    */
   private boolean startOnceSynchronized() {
     if (replica.revision() < term) {
@@ -180,29 +195,30 @@
   }
 
   private boolean isPassLate() {
-    return now > passDueMicros() + LATE_PASS_MICROS;
+    return now > passDueMicros() + LATE_PASS_THRESHOLD_MICROS;
   }
 
   private boolean resignIfMachinesAreSilent() {
     if (now < nextReachabilityCheckMicros) {
       return false;
     }
-    nextReachabilityCheckMicros = now + REACHABILITY_INTERVAL_MICROS;
+    nextReachabilityCheckMicros = now + REACHABILITY_CHECK_INTERVAL_MICROS;
     if (!workers.reachability().isIsolated()) {
       return false;
     }
-    leadership.resign("no heartbeats from most machines for a while");
+    leadership.resign("no recent heartbeats from most machines");
     return true;
   }
 
   /**
-   * The next leader receives their heartbeats: sooner than this node would otherwise resign, since
-   * that waits for as long as machines may be dead.
+   * Resigns if hardly any machine reaches this node while peers receive heartbeats, so that the
+   * next leader receives them. This check acts sooner than {@link #resignIfMachinesAreSilent},
+   * which has to wait because the machines may be dead.
    */
   private boolean resignIfMachinesReachPeersOnly() {
-    boolean unreached = workers.reachability().isReachedByFew();
-    membership.tick(unreached || capacity.hasMissingMachines(), now);
-    int reachingPeers = unreached ? workers.reachability().countReachableByPeers(membership) : 0;
+    boolean reachedByFew = workers.reachability().isReachedByFew();
+    membership.tick(reachedByFew || capacity.hasMissingMachines(), now);
+    int reachingPeers = reachedByFew ? workers.reachability().countReachableByPeers(membership) : 0;
     if (reachingPeers < MIN_MACHINES_REACHING_PEERS) {
       return false;
     }
@@ -231,8 +247,8 @@
   }
 
   /**
-   * Begins with what this node holds as the standby of the last term, if all checks hold; else
-   * every registered machine is asked.
+   * Recovers the state of the machines. If this node was the standby in sync of the previous term
+   * and all checks pass, it uses the replicated state. Otherwise it asks every registered machine.
    */
   private void recoverState() {
     Replica.StoredStandby record = replica.standby();
@@ -250,32 +266,34 @@
   }
 
   /**
-   * The peers, those of other zones first: a zone that is cut off should not take the leader and
-   * its standby at once.
+   * Returns the peers, those in other zones first. The partition of one zone should not affect both
+   * the leader and its standby.
    */
   private List<String> standbyCandidates() {
     Map<String, String> zones = settings.nodeZones();
-    String own = zones.getOrDefault(settings.node(), "");
+    String ownZone = zones.getOrDefault(settings.node(), "");
     return settings.peers().stream()
-        .sorted(Comparator.comparing((String peer) -> own.equals(zones.get(peer))))
+        .sorted(Comparator.comparing((String peer) -> ownZone.equals(zones.get(peer))))
         .toList();
   }
 
   /**
-   * When the next pass is to be made: soon after something changed, and now and then for what time
-   * alone changes.
+   * Returns when the next scheduling pass is due. A pass follows soon after a change or heartbeat.
+   * Without these, passes run at the maximum interval, because some decisions depend on time alone.
    */
   long passDueMicros() {
     if (!workers.hasChanged() && !workers.hasPendingAnswers()) {
-      return lastPassMicros + QUIET_PASS_MICROS;
+      return lastPassMicros + MAX_PASS_INTERVAL_MICROS;
     }
     return lastPassMicros
-        + (overload.putsOffWork(now) ? OVERLOADED_PASS_GAP_MICROS : PASS_GAP_MICROS);
+        + (overload.putsOffWork(now)
+            ? OVERLOADED_MIN_PASS_INTERVAL_MICROS
+            : MIN_PASS_INTERVAL_MICROS);
   }
 
-  /** Places what can be placed for all events at hand, and answers the machines. */
+  /** Places tasks once for all events since the last pass, and answers the machines. */
   private void runPass() {
-    boolean placementDue = workers.hasChanged() || now >= lastPassMicros + QUIET_PASS_MICROS;
+    boolean placementDue = workers.hasChanged() || now >= lastPassMicros + MAX_PASS_INTERVAL_MICROS;
     lastPassMicros = now;
     if (placementDue && leadership.mayLaunch(now)) {
       workers.clearChange();
--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -34,28 +34,35 @@
     this.standby = standby;
   }
 
+  /** Answers whether the state service serves this node, and which leader this node follows. */
   void stateServiceStatus(Event.StateServiceStatusRequested event) {
     sink.respond(event.exchange(), stateServiceHealth.status());
   }
 
+  /** Answers which machines reach this node directly, as changes since an earlier answer. */
   void membership(Event.MembershipRequested event, long nowMicros) {
     sink.respond(
         event.exchange(),
         new Answer.ReachableWorkers(membership.digestAfter(event.run(), event.after(), nowMicros)));
   }
 
+  /** Passes a replication batch to the standby and answers with its acknowledgement. */
   void replication(Event.ReplicationReceived event, long nowMicros) {
     ReplicationBatch.Ack ack =
         standby.receive(event.batch(), mayFollow(event.batch().term()), nowMicros);
     sink.respond(event.exchange(), new Answer.ReplicationAck(ack));
   }
 
-  /** A leader that is known to have been replaced is not followed. */
+  /**
+   * Returns whether this node may follow the leader of the given term. It does not follow a leader
+   * that it knows to have been replaced.
+   */
   private boolean mayFollow(long term) {
     Replica.Leader leader = replica.leader();
     return leadership.isFollower() && (leader == null || term >= leader.term());
   }
 
+  /** Applies cancellations that a peer has committed to the replica. */
   void cancellations(Event.CancellationsReceived event) {
     event.cancellations().forEach(replica::applyCancellation);
     sink.respond(event.exchange(), new Answer.Acknowledged());
--- a/src/main/java/org/eiderstair/core/StandbyReplication.java
+++ b/src/main/java/org/eiderstair/core/StandbyReplication.java
@@ -17,8 +17,9 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * What the leader's side of the standby needs in one term: the state that is replicated, the link
- * to the peer, and the standby's record, which is written only while the leader key is this term's.
+ * Gives the leader's side of the standby access to its node for one term: to the replicated state,
+ * the connection to the peer, and the standby's record. The record is written only while the leader
+ * key belongs to this term.
  */
 final class StandbyReplication implements Standby.Host {
   private final EffectSink sink;
@@ -49,10 +50,10 @@
   @Override
   public void send(
       String peer, ReplicationBatch batch, Consumer<Optional<ReplicationBatch.Ack>> callback) {
-    sink.call(new Request.PeerReplicate(peer, batch), reply -> callback.accept(ack(reply)));
+    sink.call(new Request.PeerReplicate(peer, batch), reply -> callback.accept(toAck(reply)));
   }
 
-  private static Optional<ReplicationBatch.Ack> ack(Reply reply) {
+  private static Optional<ReplicationBatch.Ack> toAck(Reply reply) {
     return reply instanceof Reply.ReplicationAck received
         ? Optional.of(received.ack())
         : Optional.empty();
@@ -66,10 +67,10 @@
                 new Request.Condition(StateKeys.LEADER, term),
                 new Request.Condition(StateKeys.STANDBY, version)),
             List.of(Request.Write.put(StateKeys.STANDBY, record))),
-        reply -> callback.accept(written(record, reply)));
+        reply -> callback.accept(applyWrite(record, reply)));
   }
 
-  private RecordWrite written(StandbyRecord record, Reply reply) {
+  private RecordWrite applyWrite(StandbyRecord record, Reply reply) {
     if (reply instanceof Reply.Applied applied) {
       replica.apply(new Reply.Item(StateKeys.STANDBY, record, applied.revision()));
       return new RecordWrite.Written(applied.revision());
@@ -81,10 +82,11 @@
 
   @Override
   public void read(Consumer<RecordRead> callback) {
-    sink.call(new Request.StoreGet(StateKeys.STANDBY), reply -> callback.accept(found(reply)));
+    sink.call(
+        new Request.StoreGet(StateKeys.STANDBY), reply -> callback.accept(toRecordRead(reply)));
   }
 
-  private static RecordRead found(Reply reply) {
+  private static RecordRead toRecordRead(Reply reply) {
     if (reply instanceof Reply.Found found) {
       Reply.Item item = found.item();
       return new RecordRead.Found(item.version(), (StandbyRecord) item.value());
@@ -94,7 +96,7 @@
 
   @Override
   public void termTakenOver() {
-    leadership.deposed("its standby has taken over the term");
+    leadership.stepDown("the standby has taken over the term");
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/StandbyTakeover.java
+++ b/src/main/java/org/eiderstair/core/StandbyTakeover.java
@@ -12,21 +12,24 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * The failover that the standby in sync starts by itself when its leader sends no replication
- * batches for a while. It marks the term as taken over in the standby's record by compare-and-swap,
- * so that the leader, which launches nothing that the standby does not acknowledge, can never
- * launch again; then it revokes that leader's lease instead of waiting for its expiry. A leader
- * that is alive and merely out of this node's reach has removed it from the record by now.
+ * Starts a failover on the standby in sync when its leader sends no replication batches for a
+ * while. The takeover first marks the term as taken over in the standby's record by
+ * compare-and-swap. The leader launches nothing that the standby does not acknowledge, so it can
+ * never launch again. The takeover then revokes the leader's lease instead of waiting until the
+ * lease expires.
+ *
+ * <p>A leader that is alive but cannot reach this node has removed it from the record by then. In
+ * that case no takeover is attempted, or its compare-and-swap fails.
  */
 final class StandbyTakeover {
-  private static final long RETRY_MICROS = 2_000_000;
+  private static final long RETRY_DELAY_MICROS = 2_000_000;
 
   private final EffectSink sink;
   private final Replica replica;
   private final Leadership leadership;
   private final Standby standby;
   private final LongSupplier nowMicros;
-  private boolean underWay;
+  private boolean inFlight;
   private long nextAttemptMicros;
 
   StandbyTakeover(
@@ -42,12 +45,12 @@
     this.nowMicros = nowMicros;
   }
 
-  /** Takes the term over if this node is its standby in sync and its leader has timed out. */
+  /** Takes over the term if this node is the standby in sync and the leader has timed out. */
   void tick() {
     long now = nowMicros.getAsLong();
     Replica.StoredStandby record = replica.standby();
     Replica.Leader leader = replica.leader();
-    if (underWay
+    if (inFlight
         || now < nextAttemptMicros
         || record == null
         || leader == null
@@ -65,10 +68,13 @@
 
   private void takeOver(Replica.Leader leader, Replica.StoredStandby record) {
     StandbyRecord takenOver = record.value().withTakeover();
-    underWay = true;
+    inFlight = true;
     standby.stopFollowing();
     sink.info(
-        "taking over from leader=" + leader.node() + ", which is silent, term=" + leader.term());
+        "taking over because the leader sends no replication batches: leader="
+            + leader.node()
+            + " term="
+            + leader.term());
     sink.call(
         new Request.StoreTransaction(
             List.of(
@@ -76,8 +82,8 @@
                 new Request.Condition(StateKeys.STANDBY, record.version())),
             List.of(Request.Write.put(StateKeys.STANDBY, takenOver))),
         reply -> {
-          underWay = false;
-          nextAttemptMicros = nowMicros.getAsLong() + RETRY_MICROS;
+          inFlight = false;
+          nextAttemptMicros = nowMicros.getAsLong() + RETRY_DELAY_MICROS;
           sink.info("takeover of term=" + leader.term() + ": " + reply);
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(StateKeys.STANDBY, takenOver, applied.revision()));
--- a/src/main/java/org/eiderstair/core/leadership/ElectionBackoff.java
+++ b/src/main/java/org/eiderstair/core/leadership/ElectionBackoff.java
@@ -3,20 +3,25 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * When this node may campaign for the leader key. It decides who campaigns first, never who may
- * lead: that is for the state service's compare-and-swap on the key.
+ * Decides when this node may campaign for the leader key. The backoff only affects which node
+ * campaigns first. The state service's compare-and-swap on the key decides who leads.
  */
 final class ElectionBackoff {
-  private static final long RETRY_MICROS = 400_000;
-  private static final long RESIGNATION_PAUSE_MICROS = 15_000_000;
+  private static final long RETRY_DELAY_MICROS = 400_000;
+  private static final long RESIGNATION_DELAY_MICROS = 15_000_000;
 
-  /** About as long as a controller that was just started interprets most of its code. */
+  /** The JVM of a newly started controller interprets most of its code for about this long. */
   private static final long WARM_UP_MICROS = 20_000_000;
 
-  /** In gather periods: the time for which a node may gather changes before it learns of this. */
-  private static final int YIELD_PERIODS = 2;
+  /**
+   * The minimum delay, in gather periods, before a node campaigns that yields for one reason.
+   * Another node may gather changes for one period before it learns of the deletion.
+   */
+  private static final int YIELD_GATHER_PERIODS = 2;
+
+  /** The minimum delay, in gather periods, of a node that yields for both reasons. */
+  private static final int DOUBLE_YIELD_GATHER_PERIODS = 4;
 
-  private static final int YIELD_TWICE_PERIODS = 4;
   private static final long NOT_LOADED = Long.MAX_VALUE;
 
   private final long gatherMicros;
@@ -25,40 +30,47 @@
   private long notBeforeMicros;
 
   /**
-   * @param gatherMicros for how long changes may be gathered before a node learns of them
-   * @param random a uniformly random number below its argument
+   * @param gatherMicros the longest time for which a node gathers changes before it reads them
+   * @param random returns a uniformly distributed number from 0 up to, but not including, its
+   *     argument
    */
   ElectionBackoff(long gatherMicros, IntUnaryOperator random) {
     this.gatherMicros = gatherMicros;
     this.random = random;
   }
 
-  /** The replica holds the state service's keys; warming up counts from the first call. */
+  /**
+   * Records that the replica holds the state service's keys. The warm-up period starts at the first
+   * call; later calls have no effect.
+   */
   void replicaLoaded(long nowMicros) {
     if (replicaLoadedMicros == NOT_LOADED) {
       replicaLoadedMicros = nowMicros;
     }
   }
 
+  /** Returns whether this node may campaign at the given time. */
   boolean mayCampaign(long nowMicros) {
     return nowMicros >= notBeforeMicros;
   }
 
-  /** A campaign failed, or a term ended. */
+  /** Delays the next campaign after a failed campaign, a failed revocation or the end of a term. */
   void retryLater(long nowMicros) {
-    notBeforeMicros = nowMicros + RETRY_MICROS;
+    notBeforeMicros = nowMicros + RETRY_DELAY_MICROS;
   }
 
-  /** This node gave up the leader key; the others get their turn first. */
+  /** Delays the next campaign after a resignation, so that other nodes campaign first. */
   void resigned(long nowMicros) {
-    notBeforeMicros = nowMicros + RESIGNATION_PAUSE_MICROS;
+    notBeforeMicros = nowMicros + RESIGNATION_DELAY_MICROS;
   }
 
   /**
-   * The leader key was deleted while this node followed. A node that is warming up needs many times
-   * the processor time for the same heartbeats, so it lets the others campaign first; and a standby
-   * in sync goes before both. A key that is absent when the replica is loaded was left by all nodes
-   * that are warm, so then nothing waits.
+   * Delays the next campaign after the leader key was deleted while this node was a follower. A
+   * node that is warming up yields to warm nodes, because it needs many times the processor time
+   * for the same heartbeats. Every other node yields to a standby in sync. If the key is already
+   * absent when the replica is loaded, no warm node has taken it, so there is no delay.
+   *
+   * @param anotherNodeInSync whether another node is the standby in sync
    */
   void leaderKeyDeleted(long nowMicros, boolean anotherNodeInSync) {
     if (replicaLoadedMicros == NOT_LOADED) {
@@ -68,9 +80,10 @@
     if (!warmingUp && !anotherNodeInSync) {
       return;
     }
-    int periods = warmingUp && anotherNodeInSync ? YIELD_TWICE_PERIODS : YIELD_PERIODS;
-    int pauseMicros = (int) (periods * gatherMicros);
+    int periods =
+        warmingUp && anotherNodeInSync ? DOUBLE_YIELD_GATHER_PERIODS : YIELD_GATHER_PERIODS;
+    int delayMicros = (int) (periods * gatherMicros);
     notBeforeMicros =
-        Math.max(notBeforeMicros, nowMicros + pauseMicros + random.applyAsInt(pauseMicros));
+        Math.max(notBeforeMicros, nowMicros + delayMicros + random.applyAsInt(delayMicros));
   }
 }
--- a/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
@@ -4,47 +4,54 @@
 import org.eiderstair.core.message.EffectSink;
 
 /**
- * How a term began: where the time between the election and ordinary work went, for one line in the
- * log.
+ * Records the progress of a failover and logs one summary line when it is complete. The line tells
+ * how long after the election each step took place. One instance serves one term.
  */
 public final class FailoverTimeline {
 
-  /** How far the new leader has come. */
+  /** The phase of a failover. */
   enum Phase {
-    /** Reads what the term before wrote last. */
+    /** The new leader reads what the previous term wrote last. */
     SYNCHRONIZING,
     /**
-     * Waits for heartbeats of the registered machines. Older work waits meanwhile, unless the
-     * standby's replica shows all that may be on them.
+     * The new leader waits for heartbeats of the registered machines. Older work waits meanwhile,
+     * unless the standby's replica shows everything that may be on the machines.
      */
     RECONCILING,
     /** Every registered machine has sent a heartbeat, or is proven to be terminated. */
     COMPLETE
   }
 
-  /** Reciprocals of the parts of the machines whose confirmation is timed. */
-  private static final int HALF = 2;
+  /** At most one machine in this many is unconfirmed once half of the machines are confirmed. */
+  private static final int HALF_DIVISOR = 2;
 
-  private static final int TWENTIETH = 20;
+  /** At most one machine in this many is unconfirmed once 95% of the machines are confirmed. */
+  private static final int TWENTIETH_DIVISOR = 20;
 
   private final EffectSink sink;
   private final long term;
   private final long electedMicros;
   private Phase phase = Phase.SYNCHRONIZING;
   private int machines;
-  private boolean fromStandby;
+  private boolean fromStandbyReplica;
   private OptionalLong synchronizedMicros = OptionalLong.empty();
   private OptionalLong halfConfirmedMicros = OptionalLong.empty();
   private OptionalLong nearlyAllConfirmedMicros = OptionalLong.empty();
   private OptionalLong firstLaunchMicros = OptionalLong.empty();
 
+  /**
+   * Starts the timeline of a failover.
+   *
+   * @param term the term of the new leader
+   * @param electedMicros when this node was elected
+   */
   public FailoverTimeline(EffectSink sink, long term, long electedMicros) {
     this.sink = sink;
     this.term = term;
     this.electedMicros = electedMicros;
   }
 
-  /** The one function for every change of phase. */
+  /** Changes the phase. All phase changes go through this method. */
   private void transitionTo(Phase next, long nowMicros) {
     phase = next;
     if (next == Phase.COMPLETE) {
@@ -59,7 +66,7 @@
             + ": "
             + machines
             + " machines"
-            + (fromStandby ? " known from the standby's replica" : "")
+            + (fromStandbyReplica ? " known from the standby's replica" : "")
             + "; ms after the election: synchronized "
             + sinceElection(synchronizedMicros)
             + ", first launch "
@@ -79,28 +86,33 @@
   }
 
   /**
-   * The replica holds everything up to the election.
+   * Records that the replica holds every change up to the election.
    *
-   * @param unconfirmed registered machines without a heartbeat in this term
-   * @param withStandby whether this node was the standby in sync of the term before
+   * @param unconfirmed the number of registered machines without a heartbeat in this term
+   * @param recoveredFromStandbyReplica whether this node was the standby in sync of the previous
+   *     term
    */
-  public void replicaCaughtUp(int unconfirmed, boolean withStandby, long nowMicros) {
+  public void replicaCaughtUp(
+      int unconfirmed, boolean recoveredFromStandbyReplica, long nowMicros) {
     machines = unconfirmed;
-    fromStandby = withStandby;
+    fromStandbyReplica = recoveredFromStandbyReplica;
     synchronizedMicros = OptionalLong.of(nowMicros);
     transitionTo(Phase.RECONCILING, nowMicros);
-    unconfirmedMachines(unconfirmed, nowMicros);
+    unconfirmedMachinesChanged(unconfirmed, nowMicros);
   }
 
-  /** So many registered machines are still without a heartbeat in this term. */
-  public void unconfirmedMachines(int unconfirmed, long nowMicros) {
+  /**
+   * Records the number of registered machines without a heartbeat in this term. Calls outside
+   * {@link Phase#RECONCILING} have no effect.
+   */
+  public void unconfirmedMachinesChanged(int unconfirmed, long nowMicros) {
     if (phase != Phase.RECONCILING) {
       return;
     }
-    if (halfConfirmedMicros.isEmpty() && atMostOneIn(HALF, unconfirmed)) {
+    if (halfConfirmedMicros.isEmpty() && isAtMostOneIn(HALF_DIVISOR, unconfirmed)) {
       halfConfirmedMicros = OptionalLong.of(nowMicros);
     }
-    if (nearlyAllConfirmedMicros.isEmpty() && atMostOneIn(TWENTIETH, unconfirmed)) {
+    if (nearlyAllConfirmedMicros.isEmpty() && isAtMostOneIn(TWENTIETH_DIVISOR, unconfirmed)) {
       nearlyAllConfirmedMicros = OptionalLong.of(nowMicros);
     }
     if (unconfirmed == 0) {
@@ -108,11 +120,11 @@
     }
   }
 
-  private boolean atMostOneIn(int parts, int unconfirmed) {
-    return (long) unconfirmed * parts <= machines;
+  private boolean isAtMostOneIn(int divisor, int unconfirmed) {
+    return (long) unconfirmed * divisor <= machines;
   }
 
-  /** A task was launched. */
+  /** Records the launch of a task. Only the first launch of the term is kept. */
   public void taskLaunched(long nowMicros) {
     if (firstLaunchMicros.isEmpty()) {
       firstLaunchMicros = OptionalLong.of(nowMicros);
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -10,24 +10,36 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * The requests of an election: a lease, then the leader key on that lease by compare-and-swap. The
- * key's revision is the term, which serves as the fencing token. Who campaigns when, and what an
- * outcome means for the node, is for {@link Leadership} to say.
+ * Sends the requests of an election: one for a lease, then one that creates the leader key on that
+ * lease by compare-and-swap. The key's revision is the term, which serves as the fencing token.
+ * {@link Leadership} decides when to campaign and handles the outcome.
  */
 final class LeaderElection {
 
-  /** Takes the outcome of each request. */
-  interface Candidate {
-    /** A lease was granted to a request sent at that time, and the leader key is still absent. */
+  /** Receives the outcome of each request. */
+  interface Listener {
+    /**
+     * Called when a lease was granted and the leader key is still absent.
+     *
+     * @param sentMicros when the request for the lease was sent
+     */
     void leaseGranted(long lease, long sentMicros);
 
-    /** This node's key was created with the term as its revision; its lease is held. */
+    /**
+     * Called when the leader key was created for this node; the node holds the key's lease.
+     *
+     * @param term the revision of the new key
+     * @param sentMicros when the request for the key was sent
+     */
     void elected(long term, long sentMicros);
 
-    /** The campaign failed: no lease, or another node's key, or no usable answer. */
-    void notElected(String why);
+    /**
+     * Called when the campaign failed: no lease was granted, another node created the leader key,
+     * or there was no usable answer.
+     */
+    void notElected(String reason);
 
-    /** The lease of an earlier run of this node could not be revoked. */
+    /** Called when the lease of an earlier run of this node could not be revoked. */
     void revocationFailed();
   }
 
@@ -37,27 +49,27 @@
   private final EffectSink sink;
   private final Replica replica;
   private final String runId;
-  private final Candidate candidate;
+  private final Listener listener;
   private long revokedLease = NO_LEASE;
 
   LeaderElection(
-      Settings settings, EffectSink sink, Replica replica, String runId, Candidate candidate) {
+      Settings settings, EffectSink sink, Replica replica, String runId, Listener listener) {
     this.settings = settings;
     this.sink = sink;
     this.replica = replica;
     this.runId = runId;
-    this.candidate = candidate;
+    this.listener = listener;
   }
 
-  /** Asks for the lease that the leader key is to be created on. */
+  /** Requests the lease for the leader key. */
   void requestLease(long nowMicros) {
     sink.call(
         new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
         reply -> {
           if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
-            candidate.leaseGranted(granted.lease(), nowMicros);
+            listener.leaseGranted(granted.lease(), nowMicros);
           } else {
-            candidate.notElected("no lease: " + reply);
+            listener.notElected("no lease granted, or a leader key exists: " + reply);
           }
         });
   }
@@ -75,38 +87,39 @@
             replica.recordAnswer(nowMicros, term);
             replica.apply(new Reply.Item(StateKeys.LEADER, value, term));
             if (replica.leader() != null && replica.leader().term() == term) {
-              candidate.elected(term, nowMicros);
+              listener.elected(term, nowMicros);
               return;
             }
           }
-          // With no answer the key may yet appear: revoking the lease deletes it and makes a late
-          // write fail.
+          // Without an answer, the key may still be created later. Revoking the lease deletes the
+          // key and makes a late write fail.
           revoke(lease);
-          candidate.notElected("not elected: " + reply);
+          listener.notElected("not elected: " + reply);
         });
   }
 
-  /** Revokes a lease of this node, and with it the leader key. */
+  /** Revokes a lease of this node. The state service then deletes the leader key on that lease. */
   void revoke(long lease) {
     sink.call(new Request.LeaseRevoke(lease), ignored -> {});
   }
 
   /**
-   * Revokes the lease of a leader key that names this node: the run that created it has certainly
-   * ended, so its lease need not expire by itself.
+   * Revokes the lease of the leader key if the key names this node. The run that created the key
+   * has certainly ended, so there is no need to wait until the lease expires. Each lease is revoked
+   * once; a failed revocation may be repeated.
    */
   void revokeLeaseOfEarlierRun(Replica.Leader leader) {
     if (!leader.node().equals(settings.node()) || leader.lease() == revokedLease) {
       return;
     }
     revokedLease = leader.lease();
-    sink.info("revoking the lease of an earlier run of this node, term=" + leader.term());
+    sink.info("revoking the lease of an earlier run of this node: term=" + leader.term());
     sink.call(
         new Request.LeaseRevoke(leader.lease()),
         reply -> {
           if (!(reply instanceof Reply.Applied)) {
             revokedLease = NO_LEASE;
-            candidate.revocationFailed();
+            listener.revocationFailed();
           }
         });
   }
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -10,49 +10,52 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Whether this node leads: the state machine of one node's part in leader election. The leader key
- * hangs on a lease; the revision that created it is the term. {@link LeaderElection} and {@link
- * LeaseRenewal} make the requests, {@link ElectionBackoff} says when to campaign, and {@link
- * LeadershipBounds} until when a leader may do what.
+ * The state machine of one node's role in leader election. The leader key is attached to a lease,
+ * and the revision that created the key is the term. {@link LeaderElection} and {@link
+ * LeaseRenewal} send the requests. {@link ElectionBackoff} decides when to campaign, and {@link
+ * LeadershipBounds} until when a leader may launch tasks and answer workers.
  */
 public final class Leadership {
 
-  /** This node's part. The last three states hold the leader key, see {@link #isLeader}. */
+  /** This node's role. The last three states hold the leader key, see {@link #isLeader}. */
   enum State {
-    /** Another node leads, or none does. */
+    /** This node is a follower; another node leads, or none does. */
     FOLLOWING,
-    /** Asks for the lease of the leader key. */
+    /** This node has requested the lease for the leader key. */
     ACQUIRING_LEASE,
-    /** Tries to create the leader key on its lease. */
+    /** This node tries to create the leader key on its lease. */
     CANDIDATE,
-    /** May launch: the lease is held and the replica is current. */
+    /** This node leads and may launch tasks: it holds the lease, and its replica is current. */
     LEADING,
     /**
-     * The lease was not renewed in time, or the replica is too old to launch by. It goes on
-     * answering workers, so that running work survives a short outage.
+     * This node leads but may not launch tasks: the lease was not renewed in time, or the replica
+     * is too old. The leader still answers workers, so that running tasks survive a short outage.
      */
     SUSPENDED,
     /**
-     * Holds its lease, just elected or renewed after a suspension, but the replica has not been
-     * shown to be current since then. A lease proves nothing about the replica, so nothing is
-     * launched yet.
+     * This node leads but may not launch tasks yet. The node was just elected, or renewed its lease
+     * after a suspension, and the replica has not been shown to be current since then. The lease
+     * proves nothing about the replica.
      */
     SYNCHRONIZING
   }
 
-  /** What the node does when its part in leadership changes. */
+  /** Receives the changes of this node's role. */
   public interface Listener {
-    /** This node campaigns; nothing that it has replicated as a follower may change any more. */
+    /**
+     * Called when this node starts a campaign. From now on, the state that it has replicated as a
+     * follower must not change.
+     */
     void campaignStarted();
 
-    /** Whether another node is the standby in sync, and so should campaign first. */
+    /** Returns whether another node is the standby in sync, which should campaign first. */
     boolean anotherNodeInSync();
 
-    /** This node leads, in this term. */
+    /** Called when this node becomes the leader of the given term. */
     void leadershipGained(long term);
 
-    /** This node does not lead any more. */
-    void leadershipLost(String why);
+    /** Called when this node stops being the leader. */
+    void leadershipLost(String reason);
   }
 
   private static final long NOT_HELD = -1;
@@ -72,14 +75,17 @@
   private long term;
 
   /**
-   * Since when the lease is held without a break: the replica must be shown to be current as of
-   * then before anything is launched.
+   * The time since which the lease has been held without a gap, or {@link #NOT_HELD}. Nothing is
+   * launched until the replica is shown to be current as of this time.
    */
   private long leaseHeldSinceMicros = NOT_HELD;
 
   /**
-   * @param runId differs for every run of this node
-   * @param random a uniformly random number below its argument
+   * Creates the state machine of a node that is a follower.
+   *
+   * @param runId unique to this run of the node
+   * @param random returns a uniformly distributed number from 0 up to, but not including, its
+   *     argument
    */
   public Leadership(
       Settings settings,
@@ -94,50 +100,50 @@
     this.listener = listener;
     this.bounds = new LeadershipBounds(settings, replica);
     this.backoff = new ElectionBackoff(settings.gatherMicros(), random);
-    this.election = new LeaderElection(settings, sink, replica, runId, new ElectionOutcome());
+    this.election = new LeaderElection(settings, sink, replica, runId, new ElectionListener());
     this.renewal =
-        new LeaseRenewal(sink, settings.tuning().leaderRenewMicros(), new RenewalOutcome());
+        new LeaseRenewal(sink, settings.tuning().leaderRenewMicros(), new RenewalListener());
   }
 
-  /** Whether this node neither leads nor campaigns. */
+  /** Returns whether this node neither leads nor campaigns. */
   public boolean isFollower() {
     return state == State.FOLLOWING;
   }
 
-  /** Whether this node holds the leader key, and so answers workers' heartbeats. */
+  /** Returns whether this node holds the leader key and therefore answers workers' heartbeats. */
   public boolean isLeader() {
     return state == State.LEADING || state == State.SUSPENDED || state == State.SYNCHRONIZING;
   }
 
-  /** Whether launches may be sent at this moment. */
+  /** Returns whether launches may be sent at the given time. */
   public boolean mayLaunch(long nowMicros) {
     return state == State.LEADING && nowMicros < bounds.launchEndMicros();
   }
 
   /**
-   * Whether kills and questions may be sent to machines at this moment: they harm nobody, whoever
-   * leads by now.
+   * Returns whether kills and probes may be sent to machines at the given time. They are harmless
+   * even if another node leads by then.
    */
   public boolean mayKill(long nowMicros) {
     return isLeader() && nowMicros < bounds.answerEndMicros();
   }
 
-  /** The term of the leader key that this node holds, or held last. */
+  /** Returns the term of the leader key that this node holds, or held last; 0 if it never did. */
   public long term() {
     return term;
   }
 
-  /** Until when this node may launch, and answer workers. */
+  /** Returns the bounds until which this node may launch tasks and answer workers. */
   public LeadershipBounds bounds() {
     return bounds;
   }
 
-  /** The time of the events that follow. */
+  /** Sets the time of the events that follow. */
   public void setTime(long nowMicros) {
     now = nowMicros;
   }
 
-  /** Does what is due by now. */
+  /** Campaigns, renews the lease and changes the state where one of these is due. */
   public void tick(long nowMicros) {
     now = nowMicros;
     if (replica.isLoaded()) {
@@ -147,19 +153,20 @@
       case FOLLOWING -> campaignIfPossible();
       case ACQUIRING_LEASE, CANDIDATE -> {}
       case LEADING -> {
-        suspendIfOutOfBounds();
+        suspendIfLaunchPeriodOver();
         renewal.tick(lease, term, now);
       }
       case SUSPENDED, SYNCHRONIZING -> {
-        if (answersEnded()) {
-          // Its lease may go on for ever while its watch hangs: then another has to lead.
-          deposed(
+        if (isAnswerPeriodOver()) {
+          // While the watch hangs, the lease can still be renewed indefinitely. Another node has to
+          // lead then.
+          stepDown(
               "replica not shown to be current for "
                   + (now - bounds.replicaCurrentMicros()) / 1000
-                  + " ms: workers' leases expire, since jobs may have been cancelled meanwhile");
+                  + " ms: workers' leases expire, because jobs may have been cancelled meanwhile");
           return;
         }
-        resumeIfProven();
+        resumeIfLeaseAndReplicaCurrent();
         renewal.tick(lease, term, now);
       }
     }
@@ -179,7 +186,7 @@
     election.requestLease(now);
   }
 
-  private void suspendIfOutOfBounds() {
+  private void suspendIfLaunchPeriodOver() {
     if (now < bounds.launchEndMicros()) {
       return;
     }
@@ -188,19 +195,23 @@
         now >= bounds.leaseEndMicros() ? "lease not renewed" : "replica not shown to be current");
   }
 
-  /** One that was elected after a long outage has the replica of before; it is updated soon. */
-  private boolean answersEnded() {
-    boolean justElected =
+  /**
+   * Returns whether this leader may no longer answer heartbeats. A leader that was elected after a
+   * long outage still has a replica from before the outage, which is updated soon. A synchronizing
+   * leader is therefore exempt for one lease period from {@link #leaseHeldSinceMicros}.
+   */
+  private boolean isAnswerPeriodOver() {
+    boolean leaseRecentlyObtained =
         state == State.SYNCHRONIZING
             && now < leaseHeldSinceMicros + settings.tuning().leaderTtlMicros();
-    return now >= bounds.answerEndMicros() && !justElected;
+    return now >= bounds.answerEndMicros() && !leaseRecentlyObtained;
   }
 
   /**
-   * A suspension ends only by both proofs: a renewed lease, and a current replica shown by a
-   * request sent no earlier than the renewal.
+   * Ends a suspension once the lease is renewed and the replica is current. The request that shows
+   * the replica to be current must have been sent no earlier than the renewal.
    */
-  private void resumeIfProven() {
+  private void resumeIfLeaseAndReplicaCurrent() {
     if (state == State.SUSPENDED
         && leaseHeldSinceMicros != NOT_HELD
         && now < bounds.leaseEndMicros()) {
@@ -216,30 +227,33 @@
     }
   }
 
-  /** The one function for every change of state. */
-  private void transitionTo(State next, String why) {
+  /**
+   * Changes the state, logs the transition and notifies the listener. All state changes go through
+   * this method.
+   */
+  private void transitionTo(State next, String reason) {
     if (next == state) {
       return;
     }
     boolean wasLeader = isLeader();
-    sink.info("leadership " + state + " -> " + next + " term=" + term + ": " + why);
+    sink.info("leadership " + state + " -> " + next + " term=" + term + ": " + reason);
     state = next;
     if (next == State.SUSPENDED) {
       leaseHeldSinceMicros = NOT_HELD;
-      renewal.hasten(now);
+      renewal.scheduleImmediately(now);
     }
     if (!wasLeader && isLeader()) {
       listener.leadershipGained(term);
     } else if (wasLeader && !isLeader()) {
       backoff.retryLater(now);
-      listener.leadershipLost(why);
+      listener.leadershipLost(reason);
     }
   }
 
   /**
-   * Asks which revision the state service is at, unless the replica was shown to be current just
-   * now: on a quiet day no watch is answered for seconds. The request compares the leader key, so
-   * it also notices when that is lost.
+   * Asks the state service for its current revision, unless the replica was recently shown to be
+   * current. Without changes, no watch is answered for seconds. The transaction is conditional on
+   * the leader key, so it fails if this node has lost the key.
    */
   private void confirmReplicaCurrent() {
     if (state == State.LEADING
@@ -257,24 +271,28 @@
         });
   }
 
-  /** Another node was seen to lead, or a worker showed a newer fencing token. */
-  public void deposed(String why) {
+  /**
+   * Gives up leadership and revokes the lease, for example because another node leads or a worker
+   * has a newer fencing token. Has no effect if this node does not lead.
+   */
+  public void stepDown(String reason) {
     if (isLeader()) {
       election.revoke(lease);
-      transitionTo(State.FOLLOWING, why);
+      transitionTo(State.FOLLOWING, reason);
     }
   }
 
   /**
-   * Gives up leadership although the lease can be renewed, because this node is of no use as the
-   * leader, for example when it cannot reach the machines. It campaigns again only after a pause.
+   * Gives up leadership although the lease can be renewed, because this node cannot act as the
+   * leader, for example when it cannot reach the machines. This node campaigns again only after a
+   * delay.
    */
-  public void resign(String why) {
-    deposed(why);
+  public void resign(String reason) {
+    stepDown(reason);
     backoff.resigned(now);
   }
 
-  /** The leader key in the replica changed. */
+  /** Handles a change of the leader key in the replica. */
   public void leaderChanged() {
     Replica.Leader leader = replica.leader();
     if (isLeader() && (leader == null || leader.term() != term)) {
@@ -286,14 +304,14 @@
     }
   }
 
-  /** What the outcome of an election's requests does to the state. */
-  private final class ElectionOutcome implements LeaderElection.Candidate {
+  /** Applies the outcome of the requests of an election to the state. */
+  private final class ElectionListener implements LeaderElection.Listener {
     @Override
     public void leaseGranted(long granted, long sentMicros) {
       lease = granted;
       bounds.renewed(sentMicros);
       renewal.renewedAt(sentMicros);
-      transitionTo(State.CANDIDATE, "lease " + lease);
+      transitionTo(State.CANDIDATE, "lease granted, lease=" + lease);
       election.createLeaderKey(lease, now);
     }
 
@@ -305,9 +323,9 @@
     }
 
     @Override
-    public void notElected(String why) {
+    public void notElected(String reason) {
       backoff.retryLater(now);
-      transitionTo(State.FOLLOWING, why);
+      transitionTo(State.FOLLOWING, reason);
     }
 
     @Override
@@ -316,8 +334,8 @@
     }
   }
 
-  /** What the outcome of a renewal does to the state. */
-  private final class RenewalOutcome implements LeaseRenewal.Holder {
+  /** Applies the outcome of a lease renewal to the state. */
+  private final class RenewalListener implements LeaseRenewal.Listener {
     @Override
     public boolean leadsInTerm(long renewedTerm) {
       return isLeader() && renewedTerm == term;
@@ -339,7 +357,7 @@
 
     @Override
     public void renewalFailed() {
-      renewal.retryAfter(now);
+      renewal.scheduleRetry(now);
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -4,29 +4,30 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * Until when a leader may launch and until when it may answer heartbeats: the one place for both
- * bounds. They rest on two times, neither of which says anything about the other:
+ * Computes until when a leader may launch tasks and until when it may answer heartbeats. Both
+ * bounds derive from two independent times:
  *
  * <ul>
- *   <li><em>lease validity</em>: no other node can lead until this node's lease expires, counted
- *       from when its latest renewal was sent;
- *   <li><em>replica freshness</em>: the replica holds every change that was made up to the time at
- *       which the latest request was sent whose answer shows so ({@link Replica#currentMicros}).
+ *   <li><em>lease validity</em>: no other node can lead until this node's lease expires. The lease
+ *       period counts from the time at which the latest successful renewal was sent.
+ *   <li><em>replica freshness</em>: the replica holds every change made up to a certain time
+ *       ({@link Replica#currentMicros}). An answer of the state service shows this, and the time is
+ *       when its request was sent.
  * </ul>
  *
- * A cancellation that this node does not know of was confirmed after the replica was last shown to
- * be current. All times are of this node's steady clock, in microseconds. docs/design.md, "What a
- * leader may do with an old replica", has the argument.
+ * A cancellation unknown to this node was confirmed after the time up to which the replica is
+ * current. All times are in microseconds of this node's monotonic clock. For the full argument, see
+ * docs/design.md, "What a leader may do with an old replica".
  */
 public final class LeadershipBounds {
-  /** Allows for the time between a decision and its sending. */
-  private static final long MARGIN_MICROS = 250_000;
+  /** Allows for the delay between a decision and the sending of its result. */
+  private static final long SEND_MARGIN_MICROS = 250_000;
 
   /** Within this time a worker notices that its lease has expired, and ends its tasks. */
   private static final long TASK_END_MICROS = 3_000_000;
 
-  /** Clocks of two machines drift apart by at most one part in so many (0.05%). */
-  private static final long DRIFT_PARTS = 2_000;
+  /** The clocks of two machines drift apart by at most one part in this many (0.05%). */
+  private static final long MAX_CLOCK_DRIFT_DIVISOR = 2_000;
 
   private final long leaseMicros;
   private final long answerPeriodMicros;
@@ -35,60 +36,71 @@
 
   LeadershipBounds(Settings settings, Replica replica) {
     long ttl = settings.tuning().leaderTtlMicros();
-    this.leaseMicros = ttl - ttl / DRIFT_PARTS - MARGIN_MICROS;
+    this.leaseMicros = ttl - ttl / MAX_CLOCK_DRIFT_DIVISOR - SEND_MARGIN_MICROS;
     this.answerPeriodMicros = Math.max(0, answerPeriodMicros(settings));
     this.replica = replica;
   }
 
   private static long answerPeriodMicros(Settings settings) {
     long cancel = settings.workerTimings().cancelMicros();
-    return cancel - settings.workerTimings().leaseMicros() - cancel / DRIFT_PARTS - TASK_END_MICROS;
+    return cancel
+        - settings.workerTimings().leaseMicros()
+        - cancel / MAX_CLOCK_DRIFT_DIVISOR
+        - TASK_END_MICROS;
   }
 
   /**
-   * Whether the settings leave room for the bounds: a leader must be able to answer heartbeats for
-   * at least as long as its own lease lasts, else it would stop its workers between two renewals.
+   * Returns whether the settings allow a leader to answer heartbeats for at least as long as its
+   * own lease lasts. Otherwise workers would stop their tasks between two renewals of the leader's
+   * lease.
    */
-  public static boolean boundsHold(Settings settings) {
+  public static boolean isAnswerPeriodSufficient(Settings settings) {
     return answerPeriodMicros(settings) >= settings.tuning().leaderTtlMicros();
   }
 
-  /** The lease was granted or renewed by a request sent then. */
+  /**
+   * Records that the lease was granted or renewed.
+   *
+   * @param sentMicros when the request was sent
+   */
   public void renewed(long sentMicros) {
     renewedMicros = sentMicros;
   }
 
+  /** Returns when the latest successful request for the lease was sent. */
   long renewedMicros() {
     return renewedMicros;
   }
 
-  /** The replica holds every change made up to this time. */
+  /** Returns the time up to which the replica is known to hold every change. */
   long replicaCurrentMicros() {
     return replica.currentMicros();
   }
 
   /**
-   * Until when no other node can lead: bounds what is durable or fenced, such as requests to the
-   * cloud.
+   * Returns until when no other node can lead. This is the bound for operations that are durable or
+   * fenced, such as requests to the cloud.
    */
   public long leaseEndMicros() {
     return renewedMicros + leaseMicros;
   }
 
   /**
-   * Until when it may launch: while no other node can lead, and while the replica is no older than
-   * the lease may be. What was cancelled elsewhere longer ago is never started. A launch may be
-   * part of an answer, so no longer than answers may be sent.
+   * Returns until when the leader may launch tasks. Until then no other node can lead, and the
+   * replica is no older than the lease period. Tasks that another node cancelled longer ago are
+   * therefore never started. A launch may be part of a heartbeat answer, so this bound is never
+   * later than {@link #answerEndMicros}.
    */
   public long launchEndMicros() {
-    long provenMicros = Math.min(renewedMicros, replicaCurrentMicros());
-    return Math.min(provenMicros + leaseMicros, answerEndMicros());
+    long confirmedMicros = Math.min(renewedMicros, replicaCurrentMicros());
+    return Math.min(confirmedMicros + leaseMicros, answerEndMicros());
   }
 
   /**
-   * Until when it may answer heartbeats, which renews workers' leases: workers that were last
-   * answered without a kill lose them, and with them the tasks of every job cancelled unknown to
-   * this node, within {@code cancel_s} of the cancellation.
+   * Returns until when the leader may answer heartbeats. Each answer renews a worker's lease. A job
+   * may have been cancelled without this node's knowledge; answers then contain no kill for the
+   * job's tasks. After this bound, workers lose their leases and end these tasks within {@code
+   * cancel_s} of the cancellation.
    */
   public long answerEndMicros() {
     return replicaCurrentMicros() + answerPeriodMicros;
--- a/src/main/java/org/eiderstair/core/leadership/LeaseRenewal.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaseRenewal.java
@@ -4,76 +4,85 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 
-/** Renews the lease of the leader key at a fixed interval, one renewal at a time. */
+/** Renews the lease of the leader key at a fixed interval, with one renewal in flight at a time. */
 final class LeaseRenewal {
 
-  /** Takes the outcome of a renewal, while it still leads in the term of that renewal. */
-  interface Holder {
+  /** Receives the outcome of a renewal, unless the term of that renewal has ended. */
+  interface Listener {
+    /** Returns whether this node is still the leader in the given term. */
     boolean leadsInTerm(long term);
 
-    /** The lease was renewed by a request sent at that time. */
+    /**
+     * Called when the lease was renewed.
+     *
+     * @param sentMicros when the renewal was sent
+     */
     void renewed(long sentMicros);
 
-    /** The state service does not know the lease any more. */
+    /** Called when the state service no longer knows the lease. */
     void leaseExpired();
 
-    /** No usable answer, or a refusal that says nothing of the lease. */
+    /** Called when there was no usable answer, or a refusal for a reason other than the lease. */
     void renewalFailed();
   }
 
-  private static final long RETRY_MICROS = 400_000;
+  private static final long RETRY_DELAY_MICROS = 400_000;
 
   private final EffectSink sink;
   private final long intervalMicros;
-  private final Holder holder;
-  private boolean underWay;
+  private final Listener listener;
+  private boolean inFlight;
   private long nextMicros;
 
-  LeaseRenewal(EffectSink sink, long intervalMicros, Holder holder) {
+  LeaseRenewal(EffectSink sink, long intervalMicros, Listener listener) {
     this.sink = sink;
     this.intervalMicros = intervalMicros;
-    this.holder = holder;
+    this.listener = listener;
   }
 
-  /** The lease was granted or renewed by a request sent at that time. */
+  /**
+   * Schedules the next renewal one interval after the latest successful request.
+   *
+   * @param sentMicros when the request that granted or renewed the lease was sent
+   */
   void renewedAt(long sentMicros) {
     nextMicros = sentMicros + intervalMicros;
   }
 
-  /** The next renewal is due at once. */
-  void hasten(long nowMicros) {
+  /** Makes the next renewal due immediately. */
+  void scheduleImmediately(long nowMicros) {
     nextMicros = Math.min(nextMicros, nowMicros);
   }
 
-  /** The last renewal failed. */
-  void retryAfter(long nowMicros) {
-    nextMicros = nowMicros + RETRY_MICROS;
+  /** Schedules the next renewal after a failed one. */
+  void scheduleRetry(long nowMicros) {
+    nextMicros = nowMicros + RETRY_DELAY_MICROS;
   }
 
-  /** Renews the lease if that is due and no renewal is under way. */
+  /** Renews the lease if a renewal is due and none is in flight. */
   void tick(long lease, long term, long nowMicros) {
-    if (underWay || nowMicros < nextMicros) {
+    if (inFlight || nowMicros < nextMicros) {
       return;
     }
-    underWay = true;
+    inFlight = true;
     sink.call(
         new Request.LeaseRenew(lease),
         reply -> {
-          underWay = false;
-          if (holder.leadsInTerm(term)) {
-            take(reply, nowMicros);
+          inFlight = false;
+          if (listener.leadsInTerm(term)) {
+            handleReply(reply, nowMicros);
           }
         });
   }
 
-  private void take(Reply reply, long sentMicros) {
+  private void handleReply(Reply reply, long sentMicros) {
     if (reply instanceof Reply.Applied) {
       renewedAt(sentMicros);
-      holder.renewed(sentMicros);
+      listener.renewed(sentMicros);
     } else if (reply instanceof Reply.Refused refused && refused.isNotFound()) {
-      holder.leaseExpired();
+      listener.leaseExpired();
     } else {
-      holder.renewalFailed();
+      listener.renewalFailed();
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/package-info.java
+++ b/src/main/java/org/eiderstair/core/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Every decision of a controller, as a state machine without input, output, clock or thread: events
- * and the time go in, effects come out. {@link org.eiderstair.core.Core} is the type to enter by.
+ * The decision logic of a controller, as a state machine without I/O, clock or threads. Events and
+ * the current time go in, and effects come out. {@link org.eiderstair.core.Core} is the entry
+ * point.
  */
 package org.eiderstair.core;
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -64,7 +64,7 @@
       sink.respond(exchange, new Answer.Redirect(null));
       context
           .leadership()
-          .deposed(
+          .stepDown(
               "machine="
                   + heartbeat.machine()
                   + " has seen fencing token "
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -146,7 +146,7 @@
     if (heartbeat.fencingToken().term() > context.term()) {
       context
           .leadership()
-          .deposed(
+          .stepDown(
               "machine=" + machine.id() + " has seen fencing token " + heartbeat.fencingToken());
       return true;
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -116,7 +116,7 @@
     machine.enterPhase(next);
     addToSets(machine);
     if (failover != null) {
-      failover.unconfirmedMachines(unconfirmedCount(), context.nowMicros());
+      failover.unconfirmedMachinesChanged(unconfirmedCount(), context.nowMicros());
     }
   }
 
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -176,6 +176,6 @@
     if (LOG.isInfoEnabled()) {
       counts.merge(event.getClass().getSimpleName(), 1, Integer::sum);
     }
-    core.take(event, nowMicros());
+    core.process(event, nowMicros());
   }
 }
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -30,46 +30,48 @@
 import org.eiderstair.protocol.WorkerMessages;
 
 /**
- * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM
- * counts for each thread: the measure of processor time in a test without a clock. An event's must
- * not grow with the workers.
+ * Tests how many bytes the processing of an event allocates, from the request body to the answer
+ * body. The JVM counts allocated bytes per thread, which stands for processor time in a test
+ * without a clock. The bytes per event must not grow with the number of workers.
  */
 class AllocationTest {
   private static final int ROUNDS = 400;
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  /** One event's whole way. */
-  private interface Way {
-    void go(int round) throws MalformedMessageException;
+  /** The processing of one event. */
+  private interface EventProcessing {
+    void run(int round) throws MalformedMessageException;
   }
 
-  private static long bytes(Way way) throws MalformedMessageException {
+  /** Returns the bytes that one round allocates on average, after as many warm-up rounds. */
+  private static long allocatedBytes(EventProcessing processing) throws MalformedMessageException {
     for (int i = 0; i < ROUNDS; i++) {
-      way.go(i);
+      processing.run(i);
     }
     long before = THREADS.getCurrentThreadAllocatedBytes();
     for (int i = ROUNDS; i < 2 * ROUNDS; i++) {
-      way.go(i);
+      processing.run(i);
     }
     return (THREADS.getCurrentThreadAllocatedBytes() - before) / ROUNDS;
   }
 
-  private static void within(String what, int machines, long bytes, long maxBytes) {
+  private static void assertAllocatedAtMost(String event, int machines, long bytes, long maxBytes) {
     assertTrue(
         bytes <= maxBytes,
-        what + " at " + machines + " machines: " + bytes + " bytes, at most " + maxBytes);
+        event + " at " + machines + " machines: " + bytes + " bytes, at most " + maxBytes);
   }
 
-  private static LeaderBench busy(int machines) {
+  /** Creates a leader whose machines are all fully loaded with tasks of one CPU. */
+  private static LeaderBench fullyLoaded(int machines) {
     LeaderBench bench = new LeaderBench();
     bench.machines(machines);
     bench.job("blue", JobSpec.Priority.NORMAL, machines * 8, 1);
     bench.placement.place(bench.now);
-    bench.deliver();
+    bench.deliverPlannedLaunches();
     return bench;
   }
 
-  private static byte[] report(LeaderBench bench, Machine machine) {
+  private static byte[] encodeHeartbeat(LeaderBench bench, Machine machine) {
     List<Object> tasks = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() != Attempt.Phase.QUEUED) {
@@ -85,37 +87,38 @@
   }
 
   /**
-   * A heartbeat of a machine with eight tasks in which nothing has changed, the most frequent event
-   * there is.
+   * The most frequent event is the heartbeat of a machine with eight tasks whose state has not
+   * changed. A negative number of machines stands for a run with a standby.
    */
   @Example
-  void anUnchangedReportIsNearlyFree() throws MalformedMessageException {
+  void anUnchangedHeartbeatAllocatesFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000, -2000}) {
-      anUnchangedReport(Math.abs(machines), machines < 0);
+      processUnchangedHeartbeats(Math.abs(machines), machines < 0);
     }
   }
 
-  private static void anUnchangedReport(int machines, boolean withStandby)
+  private static void processUnchangedHeartbeats(int machines, boolean withStandby)
       throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
+    LeaderBench bench = fullyLoaded(machines);
     if (withStandby) {
-      bench.keepStandby();
+      bench.startStandby();
       assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
     }
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      bodies.add(report(bench, bench.workers.machines().get("m-" + i % machines)));
+      bodies.add(encodeHeartbeat(bench, bench.workers.machines().get("m-" + i % machines)));
     }
     bench.effects.clear();
-    within(
-        "report",
+    assertAllocatedAtMost(
+        "heartbeat",
         machines,
-        bytes(
-            i -> {
+        allocatedBytes(
+            round -> {
               bench.now += 1_000;
               bench.workers.receive(
                   bench.nextExchange(),
-                  WorkerMessages.decodeHeartbeat(bodies.get(i)),
+                  WorkerMessages.decodeHeartbeat(bodies.get(round)),
                   false,
                   bench.now);
               bench.workers.flush(bench.now);
@@ -129,60 +132,61 @@
   }
 
   /**
-   * With a standby in sync: its changes, batches and what holds a launch until they are
-   * acknowledged.
+   * Includes what a standby in sync adds: replicated changes, batches, and launches that wait for
+   * acknowledgements.
    */
   @Example
-  void aPlacedTaskWithAStandby() throws MalformedMessageException {
-    LeaderBench bench = busy(500);
-    bench.keepStandby();
-    placedTasks(bench, 500, 12_000);
+  void aPlacedTaskAllocatesFewBytesWithAStandby() throws MalformedMessageException {
+    LeaderBench bench = fullyLoaded(500);
+    bench.startStandby();
+    placeTasks(bench, 500, 12_000);
     assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
   }
 
   @Example
-  void aPlacedTask() throws MalformedMessageException {
+  void aPlacedTaskAllocatesFewBytesWithAnyNumberOfMachines() throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      // At the largest size 4,000 attempts wait in queues, and a pass looks at more of them.
-      placedTasks(busy(machines), machines, machines <= 500 ? 10_000 : 25_000);
+      // At the largest size, 4,000 attempts wait in queues, and a pass examines more of them.
+      placeTasks(fullyLoaded(machines), machines, machines <= 500 ? 10_000 : 25_000);
     }
   }
 
-  private static void placedTasks(LeaderBench bench, int machines, long maxBytes)
+  private static void placeTasks(LeaderBench bench, int machines, long maxBytes)
       throws MalformedMessageException {
     for (int i = 0; i < 20; i++) {
       bench.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
     }
     int[] placed = {0};
-    long all =
-        bytes(
-            i -> {
-              bench.report(bench.workers.machines().get("m-" + i % machines), 4);
+    long bytesPerRound =
+        allocatedBytes(
+            round -> {
+              bench.report(bench.workers.machines().get("m-" + round % machines), 4);
               bench.placement.place(bench.now);
               for (Machine machine : bench.workers.machines().values()) {
-                placed[0] += i >= ROUNDS ? machine.plannedLaunches().size() : 0;
+                placed[0] += round >= ROUNDS ? machine.plannedLaunches().size() : 0;
               }
               bench.workers.flush(bench.now);
               bench.standby.tick(bench.now);
-              bench.deliver();
+              bench.deliverPlannedLaunches();
               bench.effects.clear();
             });
     assertTrue(placed[0] > ROUNDS, "placed " + placed[0]);
-    within("placed task", machines, all * ROUNDS / placed[0], maxBytes);
+    assertAllocatedAtMost("placed task", machines, bytesPerRound * ROUNDS / placed[0], maxBytes);
   }
 
   @Example
-  void aChangeInTheWatch() throws MalformedMessageException {
+  void aChangeFromTheWatchAllocatesFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      aChangeInTheWatch(machines);
+      applyWatchChanges(machines);
     }
   }
 
-  private static void aChangeInTheWatch(int machines) throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
-    List<byte[]> news = new ArrayList<>();
+  private static void applyWatchChanges(int machines) throws MalformedMessageException {
+    LeaderBench bench = fullyLoaded(machines);
+    List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      news.add(
+      bodies.add(
           MessagePackCodec.write(
               Map.of(
                   "LedgerRev",
@@ -198,14 +202,14 @@
                           "Stamp",
                           100L + i)))));
     }
-    within(
+    assertAllocatedAtMost(
         "watch change",
         machines,
-        bytes(
-            i -> {
+        allocatedBytes(
+            round -> {
               Reply.Changed changed =
                   (Reply.Changed)
-                      StoreMessages.decodeChanged(MessagePackCodec.readMap(news.get(i)));
+                      StoreMessages.decodeChanged(MessagePackCodec.readMap(bodies.get(round)));
               changed.changes().forEach(bench.replica::apply);
             }),
         1800);
@@ -216,14 +220,15 @@
   }
 
   @Example
-  void aSubmissionAndAPoll() throws MalformedMessageException {
+  void aSubmissionAndAPollAllocateFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      aSubmissionAndAPoll(machines);
+      submitAndPoll(machines);
     }
   }
 
-  private static void aSubmissionAndAPoll(int machines) throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
+  private static void submitAndPoll(int machines) throws MalformedMessageException {
+    LeaderBench bench = fullyLoaded(machines);
     bench.replica.apply(
         new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 2));
     bench.load();
@@ -234,31 +239,31 @@
       bodies.add(
           MessagePackCodec.write(SampleMessages.submission("job-" + (500_000 + i), 12, 2.0)));
     }
-    within(
+    assertAllocatedAtMost(
         "submission",
         machines,
-        bytes(
-            i -> {
-              Map<String, Object> message = MessagePackCodec.readMap(bodies.get(i));
-              // As the router does it: the id first, then all of the message.
+        allocatedBytes(
+            round -> {
+              Map<String, Object> message = MessagePackCodec.readMap(bodies.get(round));
+              // Like the HTTP router, decodes the id first and then the whole message.
               UserMessages.decodeJobId(message);
               jobService.submit(1, new Submission.Parsed(UserMessages.decodeSubmission(message)));
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
-              bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
+              bench.sink.replied(call.callId(), new Reply.Applied(1000 + round));
               Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
               bench.effects.clear();
             }),
         12_500);
     long[] now = {1_000_000};
-    within(
+    assertAllocatedAtMost(
         "poll",
         machines,
-        bytes(
-            i -> {
+        allocatedBytes(
+            round -> {
               jobService.tick(now[0] += 1_000_000);
-              jobService.poll(1, "job-" + (500_000 + i));
+              jobService.poll(1, "job-" + (500_000 + round));
               jobService.tick(now[0] += 1_000_000);
               Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
--- a/src/test/java/org/eiderstair/core/CoreFailureTest.java
+++ b/src/test/java/org/eiderstair/core/CoreFailureTest.java
@@ -18,31 +18,33 @@
 import org.eiderstair.core.settings.SettingsBuilder;
 
 /**
- * An event that throws half-way leaves a state that nobody knows: a leader must not go on with it.
+ * Tests the recovery from an exception during the processing of an event. The leader's state may be
+ * inconsistent afterwards, so the leader must resign.
  */
 class CoreFailureTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private final Settings settings =
       SettingsBuilder.settings().peers("n1").team("red", 0, 0).build();
   private final List<Effect> effects = new ArrayList<>();
   private final Core core = new Core(settings, "run", 0, n -> 0, effects::add);
-  private long now = SECOND;
+  private long now = SECOND_MICROS;
 
-  private <T extends Request> long taken(Class<T> kind) {
+  /** Removes the first call with a request of the given type and returns its id. */
+  private <T extends Request> long takeCall(Class<T> type) {
     for (Effect e : effects) {
-      if (e instanceof Effect.Call call && kind.isInstance(call.request())) {
+      if (e instanceof Effect.Call call && type.isInstance(call.request())) {
         effects.remove(e);
         return call.callId();
       }
     }
-    throw new AssertionError("no " + kind.getSimpleName() + " in " + effects);
+    throw new AssertionError("no " + type.getSimpleName() + " in " + effects);
   }
 
-  private void reply(Class<? extends Request> kind, Reply reply) {
-    core.handle(new Event.ReplyReceived(taken(kind), reply), now);
+  private void reply(Class<? extends Request> type, Reply reply) {
+    core.handle(new Event.ReplyReceived(takeCall(type), reply), now);
   }
 
-  private void lead() {
+  private void becomeLeader() {
     core.handle(new Event.Tick(), now);
     reply(Request.StoreList.class, new Reply.Listed(List.of(), false, 5));
     core.handle(new Event.Tick(), now);
@@ -54,10 +56,10 @@
   }
 
   /**
-   * A heartbeat without its tasks: nothing that the protocol lets through, so it represents any
-   * fault of ours.
+   * Returns a heartbeat whose list of tasks is null. The protocol never lets one through, so it
+   * stands for any bug in the core.
    */
-  private static Event broken(long exchange) {
+  private static Event malformedHeartbeat(long exchange) {
     return new Event.HeartbeatReceived(
         exchange,
         new Heartbeat("m", "x", "t", "a", true, 1, 1, FencingToken.NONE, -1, null),
@@ -65,11 +67,11 @@
   }
 
   @Example
-  void aLeaderResignsAndCampaignsAgainOnlyAfterOthersCould() {
-    lead();
-    core.handle(broken(1), now);
+  void aLeaderResignsAfterAnExceptionAndDelaysItsNextCampaign() {
+    becomeLeader();
+    core.handle(malformedHeartbeat(1), now);
     assertFalse(core.isLeader());
-    taken(Request.LeaseRevoke.class);
+    takeCall(Request.LeaseRevoke.class);
     assertTrue(
         effects.stream()
             .anyMatch(
@@ -80,19 +82,19 @@
     reply(
         Request.StoreWatch.class,
         new Reply.Changed(List.of(new Reply.Item(StateKeys.LEADER, null, 9)), 9));
-    now += 5 * SECOND;
+    now += 5 * SECOND_MICROS;
     core.handle(new Event.Tick(), now);
     assertTrue(
         effects.stream()
             .noneMatch(
                 e -> e instanceof Effect.Call c && c.request() instanceof Request.LeaseGrant));
-    now += 15 * SECOND;
+    now += 15 * SECOND_MICROS;
     core.handle(new Event.Tick(), now);
-    taken(Request.LeaseGrant.class);
+    takeCall(Request.LeaseGrant.class);
   }
 
   @Example
-  void aFollowerGoesOn() {
+  void aFollowerContinuesAfterAnException() {
     core.handle(new Event.Tick(), now);
     core.handle(new Event.Submit(1, null), now);
     core.handle(new Event.ReadyProbe(2), now);
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -41,7 +41,10 @@
 import org.eiderstair.core.workers.OverloadMonitor;
 import org.eiderstair.core.workers.WorkerManager;
 
-/** A leader's core with nothing round it: machines are made up, and commands stay unanswered. */
+/**
+ * A fixture with the components of a leader and no environment. Tests add machines and deliver
+ * replies; commands to machines stay unanswered.
+ */
 public final class LeaderBench {
   public static final MachineType TYPE =
       new MachineType("t", 8, 0, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a", "b", "c"));
@@ -59,7 +62,10 @@
   public final Placement placement;
   final UniformRandomProvider random = new XoRoShiRo128PlusPlus(5, 7);
   public long now = 1_000_000;
-  public long versions;
+
+  /** The latest version (and revision) that this fixture has assigned to a stored value. */
+  public long lastVersion;
+
   private long exchange;
   private final Map<String, Long> sequences = new LinkedHashMap<>();
 
@@ -70,7 +76,7 @@
   public final OverloadMonitor overload;
 
   public LeaderBench(long term) {
-    versions = term;
+    lastVersion = term;
     settings =
         SettingsBuilder.settings()
             .zones("a", "b", "c")
@@ -101,7 +107,7 @@
               public void leadershipGained(long term) {}
 
               @Override
-              public void leadershipLost(String why) {}
+              public void leadershipLost(String reason) {}
             });
     overload = new OverloadMonitor(settings, sink);
     workers =
@@ -130,14 +136,14 @@
             random::nextInt);
   }
 
-  /** The leadership believes that it leads. */
+  /** Wins an election and makes the replica current, so that the leader may launch tasks. */
   public void lead() {
     load();
     leadership.tick(now);
-    reply(new Reply.LeaseGranted(1));
-    reply(new Reply.Applied(++versions));
-    // The watch has brought the election, so the replica is current.
-    replica.recordAnswer(now, versions);
+    replyToLatestCall(new Reply.LeaseGranted(1));
+    replyToLatestCall(new Reply.Applied(++lastVersion));
+    // The watch reports the election, so the replica is current.
+    replica.recordAnswer(now, lastVersion);
     Effect.Call watch =
         (Effect.Call)
             effects.stream()
@@ -145,12 +151,12 @@
                     e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
                 .findFirst()
                 .orElseThrow();
-    sink.replied(watch.callId(), new Reply.Changed(List.of(), versions));
+    sink.replied(watch.callId(), new Reply.Changed(List.of(), lastVersion));
     leadership.tick(now);
     effects.clear();
   }
 
-  private void reply(Reply reply) {
+  private void replyToLatestCall(Reply reply) {
     sink.replied(
         ((Effect.Call)
                 effects.stream()
@@ -161,54 +167,56 @@
         reply);
   }
 
-  /**
-   * What the standby has acknowledged and the state service has written, once somebody lets this
-   * leader know.
-   */
+  /** The acknowledgements of the standby that are not delivered yet. */
   private final List<Runnable> acknowledgements = new ArrayList<>();
 
-  private final List<Runnable> records = new ArrayList<>();
+  /** The completions of writes to the standby's record that are not delivered yet. */
+  private final List<Runnable> recordWrites = new ArrayList<>();
+
   private boolean acknowledgementsDeferred;
-  private boolean recordsDeferred;
+  private boolean recordWritesDeferred;
 
-  /** From now on the standby's acknowledgements wait for {@link #deliverAcknowledgements}. */
+  /** Holds back the standby's acknowledgements until {@link #deliverAcknowledgements}. */
   public void deferAcknowledgements() {
     acknowledgementsDeferred = true;
   }
 
-  /** From now on writes of the standby's record wait for {@link #completeRecords}. */
-  public void deferRecords() {
-    recordsDeferred = true;
+  /** Holds back writes of the standby's record until {@link #completeRecordWrites}. */
+  public void deferRecordWrites() {
+    recordWritesDeferred = true;
   }
 
-  /** The acknowledgements that were held back arrive. */
+  /** Delivers the acknowledgements that were held back. */
   public void deliverAcknowledgements() {
     acknowledgements.forEach(Runnable::run);
   }
 
-  /** The writes of the standby's record that were held back succeed. */
-  public void completeRecords() {
-    records.forEach(Runnable::run);
+  /** Completes the writes of the standby's record that were held back; all succeed. */
+  public void completeRecordWrites() {
+    recordWrites.forEach(Runnable::run);
   }
 
-  /** The number of a machine's next heartbeat. */
+  /** Returns the sequence number of a machine's next heartbeat. */
   public long nextSequence(Machine machine) {
     return sequences.merge(machine.id(), 1L, Long::sum);
   }
 
-  /** The machine's worker goes on from that number. */
+  /** Sets the sequence number of the machine's latest heartbeat. */
   public void continueSequenceFrom(String machine, long sequence) {
     sequences.put(machine, sequence);
   }
 
-  /** The number under which the next request is answered. */
+  /** Returns a new exchange number for a request. */
   public long nextExchange() {
     return ++exchange;
   }
 
-  /** A standby in sync that answers at once, unless its acknowledgements are deferred. */
-  public void keepStandby() {
-    Standby other = new Standby("n1", "run1", text -> {});
+  /**
+   * Starts a standby and waits until it is in sync. Its acknowledgements arrive immediately, unless
+   * they are deferred.
+   */
+  public void startStandby() {
+    Standby follower = new Standby("n1", "run1", text -> {});
     standby.startTerm(
         new InstantHost() {
 
@@ -222,7 +230,7 @@
               String peer,
               ReplicationBatch batch,
               Consumer<Optional<ReplicationBatch.Ack>> callback) {
-            ReplicationBatch.Ack ack = other.receive(batch, true, now);
+            ReplicationBatch.Ack ack = follower.receive(batch, true, now);
             if (acknowledgementsDeferred) {
               acknowledgements.add(() -> callback.accept(Optional.of(ack)));
             } else {
@@ -232,8 +240,8 @@
 
           @Override
           public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
-            if (recordsDeferred) {
-              records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
+            if (recordWritesDeferred) {
+              recordWrites.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
             } else {
               callback.accept(new RecordWrite.Written(version + 1));
             }
@@ -248,9 +256,10 @@
   }
 
   /**
-   * The record of an earlier term names a standby: it must name nobody before anything is launched.
+   * Starts the term with a record that still names the standby of the previous term. The leader
+   * must remove it from the record before it launches anything.
    */
-  public void standbyOfTheTermBefore() {
+  public void startWithStandbyOfPreviousTerm() {
     standby.startTerm(
         new InstantHost() {
           @Override
@@ -264,7 +273,7 @@
 
           @Override
           public void write(long version, StandbyRecord record, Consumer<RecordWrite> callback) {
-            records.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
+            recordWrites.add(() -> callback.accept(new RecordWrite.Written(version + 1)));
           }
         },
         TERM,
@@ -272,20 +281,20 @@
         5);
   }
 
-  /** The lease was renewed and the replica shown to be current just now. */
+  /** Renews the lease and shows the replica to be current, both as of now. */
   public void renew() {
     leadership.bounds().renewed(now);
     replica.recordAnswer(now, replica.revision());
   }
 
-  /** The replica has read the state service's keys, of which there are none. */
+  /** Loads the replica from a state service without any keys. */
   void load() {
     replica.tick(now);
     Effect.Call list = (Effect.Call) effects.get(effects.size() - 1);
-    sink.replied(list.callId(), new Reply.Listed(List.of(), false, versions));
+    sink.replied(list.callId(), new Reply.Listed(List.of(), false, lastVersion));
   }
 
-  /** A membership that has no peers to ask. */
+  /** Creates a membership without peers. */
   public static Membership membershipWithoutPeers() {
     return new Membership(
         "n0",
@@ -293,11 +302,11 @@
         Map.of(),
         "run",
         3_000_000,
-        (peer, run, after, callback) -> {},
+        (peer, runId, afterSequence, callback) -> {},
         text -> {});
   }
 
-  /** Adds confirmed machines of the default type that hold nothing. */
+  /** Adds confirmed machines of the default type without any tasks, named m-0, m-1 and so on. */
   public void machines(int count) {
     for (int i = 0; i < count; i++) {
       Machine machine = new Machine("m-" + i, TERM, Machine.Phase.CONFIRMED, now);
@@ -311,22 +320,22 @@
     }
   }
 
-  /** Creates an open job. */
+  /** Creates an open job without progress. */
   public Job job(String team, JobSpec.Priority priority, int tasks, double cpus) {
     JobSpec spec =
-        JobSpecBuilder.job("job-" + versions)
+        JobSpecBuilder.job("job-" + lastVersion)
             .team(team)
             .priority(priority)
             .tasks(tasks)
             .cpus(cpus)
             .build();
-    replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++versions));
+    replica.apply(new Reply.Item(StateKeys.job(spec.id()), JobRecord.open(spec, 0), ++lastVersion));
     Job job = replica.job(spec.id());
     job.setDurableProgress(new BitSet(), 1);
     return job;
   }
 
-  /** A machine's next heartbeat, with the fencing token of this term. */
+  /** Returns a machine's next heartbeat with its current fencing token. */
   public Heartbeat heartbeat(Machine machine, List<Heartbeat.Entry> entries) {
     long sequence = nextSequence(machine);
     return new Heartbeat(
@@ -343,15 +352,15 @@
   }
 
   /**
-   * The machine reports what is on it as if all orders had reached it; {@code ended} of its tasks
-   * are over.
+   * Sends a heartbeat of the machine as if all orders had reached it. The first {@code ended} of
+   * its tasks have ended, and the others are running.
    */
   public void report(Machine machine, int ended) {
     List<Heartbeat.Entry> entries = new ArrayList<>();
-    int over = ended;
+    int remainingEnded = ended;
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() == Attempt.Phase.SENT || attempt.phase() == Attempt.Phase.REPORTED) {
-        boolean ends = over-- > 0;
+        boolean ends = remainingEnded-- > 0;
         entries.add(
             new Heartbeat.Entry(
                 attempt.task(),
@@ -366,10 +375,10 @@
     workers.receive(nextExchange(), heartbeat, false, now);
   }
 
-  /** As if commands and answers had brought what was planned to the machines. */
-  void deliver() {
+  /** Delivers all planned launches to the machines, as commands and answers would. */
+  void deliverPlannedLaunches() {
     for (Machine machine : workers.machines().values()) {
-      // An iterator of an empty list for each machine would show in AllocationTest's figures.
+      // The check avoids an iterator for each machine, which would add to AllocationTest's figures.
       if (!machine.plannedLaunches().isEmpty()) {
         machine.takeLaunches().forEach(attempt -> attempt.send(Attempt.SENT_BY_COMMAND));
       }
--- a/src/test/java/org/eiderstair/core/LeaderTermTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -14,11 +14,11 @@
 import org.eiderstair.core.model.Heartbeat;
 import org.eiderstair.core.workers.OverloadMonitor;
 
-/** How a leader's term begins. */
+/** Tests the start of a leader's term. */
 class LeaderTermTest {
   private final LeaderBench bench = new LeaderBench();
 
-  private Effect.Call watch() {
+  private Effect.Call latestWatch() {
     return (Effect.Call)
         bench.effects.stream()
             .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
@@ -27,12 +27,12 @@
   }
 
   /**
-   * A leader between the last one that this node saw and itself may have used machines that its
-   * replica does not show yet: it must have read up to its own election before it decides what is
-   * where.
+   * Guards against recovery from an old replica. There may have been another leader that this node
+   * has not seen yet, and that leader may have used machines missing from the replica. The replica
+   * must therefore reach this node's own election before the term starts.
    */
   @Example
-  void nothingIsRecoveredBeforeTheReplicaReachesTheElection() {
+  void theTermStartsOnlyOnceTheReplicaReachesTheElection() {
     bench.load();
     bench.replica.tick(bench.now);
     long term = bench.replica.revision() + 50;
@@ -49,10 +49,10 @@
             term,
             n -> 0);
     leaderTerm.tick(bench.now);
-    Heartbeat report =
+    Heartbeat heartbeat =
         new Heartbeat(
             "m", "x", "t", "a", false, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
-    leaderTerm.heartbeatReceived(7, report, false, bench.now);
+    leaderTerm.heartbeatReceived(7, heartbeat, false, bench.now);
     assertTrue(
         bench.effects.stream()
             .anyMatch(
@@ -62,12 +62,12 @@
                         && f.status() == 503));
     bench.effects.removeIf(e -> e instanceof Effect.Respond);
 
-    bench.sink.replied(watch().callId(), new Reply.Changed(List.of(), term));
+    bench.sink.replied(latestWatch().callId(), new Reply.Changed(List.of(), term));
     assertEquals(term, bench.replica.revision());
     leaderTerm.tick(bench.now);
-    leaderTerm.heartbeatReceived(8, report, false, bench.now);
+    leaderTerm.heartbeatReceived(8, heartbeat, false, bench.now);
     assertTrue(
         bench.effects.stream().noneMatch(e -> e instanceof Effect.Respond),
-        "answered in the next pass");
+        "the heartbeat is answered in the next pass");
   }
 }
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -20,8 +20,9 @@
 import org.eiderstair.core.record.WorkerRecord;
 
 /**
- * A leader of 4,000 machines with sockets for a few of them: the others reach its peers. That looks
- * like a partition, and is none.
+ * Guards against the resignation of an overloaded leader. A leader of 4,000 machines has too few
+ * sockets for all of them, so the others send their heartbeats to its peers. This looks like a
+ * partition between the leader and its machines, but is none.
  */
 class OverloadTest {
   private static final int MACHINES = 4_000;
@@ -37,7 +38,8 @@
           Map.of(),
           "run",
           bench.settings.workerTimings().heartbeatMicros(),
-          (peer, run, after, callback) -> callback.accept(new PeerAnswer.Digest(digest())),
+          (peer, runId, afterSequence, callback) ->
+              callback.accept(new PeerAnswer.Digest(digest())),
           text -> {});
   private LeaderTerm leaderTerm;
 
@@ -49,7 +51,7 @@
     return new HeartbeatDigest("peer-run", true, REACHING_PEERS, false, changes);
   }
 
-  private void lead() {
+  private void becomeLeader() {
     for (int i = 0; i < MACHINES; i++) {
       bench.replica.apply(
           new Reply.Item(
@@ -86,7 +88,7 @@
     leaderTerm.tick(bench.now);
   }
 
-  /** No heartbeat arrives any more, and peers receive most of them. */
+  /** Advances the time without heartbeats to the leader, while peers receive most of them. */
   private void runWithoutHeartbeats(boolean overloaded) {
     for (long end = bench.now + RUN_MICROS; bench.now < end; bench.now += TICK_MICROS) {
       if (overloaded) {
@@ -104,24 +106,25 @@
   }
 
   @Example
-  void anOverloadedLeaderDoesNotHandOver() {
-    lead();
+  void anOverloadedLeaderDoesNotResign() {
+    becomeLeader();
     runWithoutHeartbeats(true);
     assertFalse(hasResigned());
   }
 
   @Example
-  void aLeaderThatIsCutFromItsMachinesHandsOver() {
-    lead();
+  void aLeaderPartitionedFromItsMachinesResigns() {
+    becomeLeader();
     runWithoutHeartbeats(false);
     assertTrue(hasResigned());
   }
 
   /**
-   * Machines that were silent for long are no reason either; once the overload is over they are.
+   * During an overload, machines that have long been silent are no reason to consider the leader
+   * isolated. After the overload, they are.
    */
   @Example
-  void silenceCountsAgainOnceTheOverloadIsOver() {
+  void silentMachinesShowIsolationOnlyOnceTheOverloadIsOver() {
     bench.machines(MACHINES);
     bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
     bench.workers.tick(bench.now, false);
@@ -130,11 +133,9 @@
     assertTrue(bench.workers.reachability().isIsolated());
   }
 
-  /**
-   * Without a socket to spare a node may still keep up with its events: nothing is put off then.
-   */
+  /** A node that has run out of sockets may still keep up with its events, and defers no work. */
   @Example
-  void workIsPutOffOnlyWhileEventsWait() {
+  void workIsDeferredOnlyWhileEventsWait() {
     bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
     assertFalse(bench.overload.putsOffWork(bench.now));
     bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now);
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/ScalabilityTest.java
@@ -25,47 +25,50 @@
 import org.eiderstair.core.record.WorkerRecord;
 
 /**
- * What an event costs must not grow with the workers, and what is kept by increments must equal a
- * full count.
+ * Tests that the cost of an event does not grow with the number of workers, and that incrementally
+ * updated totals equal a full count.
  */
-class GrowthTest {
-  private static double stepsPerTask(int machines) {
+class ScalabilityTest {
+  private static double placementStepsPerTask(int machines) {
     LeaderBench bench = new LeaderBench();
     bench.machines(machines);
     for (int i = 0; i < 40; i++) {
       bench.job("blue", JobSpec.Priority.NORMAL, machines * 2, 1);
     }
     bench.placement.place(bench.now);
-    bench.deliver();
+    bench.deliverPlannedLaunches();
     long before = bench.placement.steps();
     int placed = 0;
-    // As many heartbeats as come in one pass at that size: one machine in twenty has a task that
-    // ended.
+    // Each pass receives a number of heartbeats in proportion to the machines: one machine in
+    // twenty reports that a task has ended.
     for (int round = 0; round < 20; round++) {
-      int reports = Math.max(1, machines / 20);
-      for (int i = 0; i < reports; i++) {
-        bench.report(bench.workers.machines().get("m-" + (round * reports + i) % machines), 1);
+      int heartbeats = Math.max(1, machines / 20);
+      for (int i = 0; i < heartbeats; i++) {
+        bench.report(bench.workers.machines().get("m-" + (round * heartbeats + i) % machines), 1);
       }
       bench.placement.place(bench.now);
       for (Machine machine : bench.workers.machines().values()) {
         placed += machine.plannedLaunches().size();
       }
-      bench.deliver();
+      bench.deliverPlannedLaunches();
     }
     assertTrue(placed >= 15 * Math.max(1, machines / 20), "placed " + placed);
     return (double) (bench.placement.steps() - before) / placed;
   }
 
   @Example
-  void aPlacedTaskCostsTheSameHoweverManyMachinesThereAre() {
-    double small = stepsPerTask(50);
-    assertTrue(stepsPerTask(500) <= small * 1.5, "500: " + stepsPerTask(500) + " against " + small);
+  void aPlacedTaskTakesTheSameNumberOfStepsWithAnyNumberOfMachines() {
+    double small = placementStepsPerTask(50);
     assertTrue(
-        stepsPerTask(2000) <= small * 1.5, "2000: " + stepsPerTask(2000) + " against " + small);
+        placementStepsPerTask(500) <= small * 1.5,
+        "500: " + placementStepsPerTask(500) + " against " + small);
+    assertTrue(
+        placementStepsPerTask(2000) <= small * 1.5,
+        "2000: " + placementStepsPerTask(2000) + " against " + small);
   }
 
   @Example
-  void aFailoverSendsNothingInABurst() {
+  void theStartOfAFailoverSendsNoMessages() {
     for (int machines : new int[] {50, 500, 2000}) {
       LeaderBench bench = new LeaderBench();
       for (int i = 0; i < machines; i++) {
@@ -74,13 +77,17 @@
       }
       bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
       assertEquals(machines, bench.workers.unconfirmed().size());
-      assertTrue(bench.effects.isEmpty(), "nothing is sent in a burst");
+      assertTrue(
+          bench.effects.isEmpty(), "a failover must not send messages to all machines at once");
     }
   }
 
-  /** Machines that nobody reaches must not keep the others from being asked after a failover. */
+  /**
+   * Guards against a delay of a failover by unreachable machines: the requests to them must not
+   * prevent the new leader from probing the others.
+   */
   @Example
-  void machinesOutOfReachDoNotHoldUpTheOthers() {
+  void unreachableMachinesDoNotDelayTheProbesOfOthers() {
     LeaderBench bench = new LeaderBench();
     bench.lead();
     for (int i = 0; i < 60; i++) {
@@ -89,24 +96,24 @@
               StateKeys.worker("m-" + i), new WorkerRecord("x" + i, "t", "a", false), 1));
     }
     bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
-    // None of them answers, for less than a time limit.
+    // No machine answers during this time, which is shorter than the timeout of a request.
     for (int i = 0; i < 100; i++) {
       bench.workers.tick(bench.now += 20_000, false);
     }
-    long asked =
+    long probes =
         bench.effects.stream()
             .filter(
                 e -> e instanceof Effect.Call c && c.request() instanceof Request.WorkerCommands)
             .count();
-    assertEquals(60, asked);
+    assertEquals(60, probes);
   }
 
   /**
-   * Random heartbeats, ends, cancellations and deletions: team use and room must equal what the
-   * attempts add up to.
+   * Applies random heartbeats, ended tasks, cancellations and deletions of machines. The recorded
+   * use of each team and the free resources of each machine must equal the sums over all attempts.
    */
   @Property(tries = 40, seed = "11")
-  void increments(@ForAll long seed) {
+  void incrementalTotalsEqualAFullCount(@ForAll long seed) {
     LeaderBench bench = new LeaderBench();
     bench.machines(12);
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 3);
@@ -127,7 +134,7 @@
                 new Reply.Item(
                     StateKeys.job(job.id()),
                     JobRecord.cancelled(job.spec(), 0, 0),
-                    ++bench.versions));
+                    ++bench.lastVersion));
             bench.workers.jobEnded(job);
           }
         }
@@ -149,23 +156,23 @@
       }
       bench.placement.place(bench.now += 100_000);
       if (random.nextBoolean()) {
-        bench.deliver();
+        bench.deliverPlannedLaunches();
       }
-      check(bench);
+      assertTotalsEqualFullCount(bench);
     }
   }
 
-  private static void check(LeaderBench bench) {
-    Map<String, Double> use = new LinkedHashMap<>();
+  private static void assertTotalsEqualFullCount(LeaderBench bench) {
+    Map<String, Double> cpusInUse = new LinkedHashMap<>();
     for (Machine machine : bench.workers.machines().values()) {
-      double free = LeaderBench.TYPE.cpus();
+      double freeCpus = LeaderBench.TYPE.cpus();
       for (Attempt attempt : machine.attempts()) {
         if (attempt.phase() != Attempt.Phase.QUEUED) {
-          use.merge(attempt.spec().team(), attempt.spec().cpus(), Double::sum);
-          free -= attempt.spec().cpus();
+          cpusInUse.merge(attempt.spec().team(), attempt.spec().cpus(), Double::sum);
+          freeCpus -= attempt.spec().cpus();
         }
       }
-      assertEquals(Math.max(0, free), machine.freeCpus(), 1e-6, "room of " + machine.id());
+      assertEquals(Math.max(0, freeCpus), machine.freeCpus(), 1e-6, "free CPUs of " + machine.id());
       assertEquals(
           machine.attempts().stream()
               .filter(attempt -> attempt.phase() == Attempt.Phase.QUEUED)
@@ -174,7 +181,10 @@
     }
     for (String team : bench.settings.teams().keySet()) {
       assertEquals(
-          use.getOrDefault(team, 0.0), bench.quotas.cpusInUse(team), 1e-6, "use of " + team);
+          cpusInUse.getOrDefault(team, 0.0),
+          bench.quotas.cpusInUse(team),
+          1e-6,
+          "CPUs in use by " + team);
     }
     for (Job job : bench.replica.openJobs()) {
       assertEquals(
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -100,7 +100,7 @@
     Job job = bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
     capacity.tick(bench.now += 1_000_000);
     bench.replica.apply(
-        new Reply.Item(StateKeys.job(job.id()), JobRecord.done(job.tasks()), ++bench.versions));
+        new Reply.Item(StateKeys.job(job.id()), JobRecord.done(job.tasks()), ++bench.lastVersion));
     assertTrue(bench.replica.openJobs().isEmpty());
     capacity.tick(bench.now += 1_000_000);
     assertEquals(1, capacity.pendingRentalCount());
--- a/src/test/java/org/eiderstair/core/leadership/ElectionBackoffTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/ElectionBackoffTest.java
@@ -6,78 +6,78 @@
 
 import net.jqwik.api.Example;
 
-/** When a node may campaign for the leader key. */
+/** Tests how long a node waits before it campaigns for the leader key. */
 class ElectionBackoffTest {
-  private static final long SECOND = 1_000_000;
-  private static final long GATHER = 60_000;
-  private static final long LOADED = SECOND;
-  private static final long WARM = LOADED + 60 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long GATHER_MICROS = 60_000;
+  private static final long LOADED_MICROS = SECOND_MICROS;
+  private static final long WARM_MICROS = LOADED_MICROS + 60 * SECOND_MICROS;
 
-  /** Draws the largest number that may be drawn. */
-  private final ElectionBackoff backoff = new ElectionBackoff(GATHER, bound -> bound - 1);
+  /** Always draws the largest number allowed. */
+  private final ElectionBackoff backoff = new ElectionBackoff(GATHER_MICROS, bound -> bound - 1);
 
-  private long pauseAfterKeyDeleted(long nowMicros, boolean anotherNodeInSync) {
-    backoff.replicaLoaded(LOADED);
+  private long delayAfterKeyDeleted(long nowMicros, boolean anotherNodeInSync) {
+    backoff.replicaLoaded(LOADED_MICROS);
     backoff.leaderKeyDeleted(nowMicros, anotherNodeInSync);
-    long pause = 0;
-    while (!backoff.mayCampaign(nowMicros + pause)) {
-      pause++;
+    long delayMicros = 0;
+    while (!backoff.mayCampaign(nowMicros + delayMicros)) {
+      delayMicros++;
     }
-    return pause;
+    return delayMicros;
   }
 
   @Example
-  void aWarmNodeCampaignsAtOnce() {
-    assertEquals(0, pauseAfterKeyDeleted(WARM, false));
+  void aWarmNodeCampaignsImmediately() {
+    assertEquals(0, delayAfterKeyDeleted(WARM_MICROS, false));
   }
 
   @Example
-  void aNodeThatWarmsUpYieldsToWarmOnes() {
-    assertEquals(4 * GATHER - 1, pauseAfterKeyDeleted(LOADED + SECOND, false));
+  void aNodeThatWarmsUpYieldsToWarmNodes() {
+    assertEquals(4 * GATHER_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, false));
   }
 
   @Example
   void aWarmNodeYieldsToTheStandbyInSync() {
-    assertEquals(4 * GATHER - 1, pauseAfterKeyDeleted(WARM, true));
+    assertEquals(4 * GATHER_MICROS - 1, delayAfterKeyDeleted(WARM_MICROS, true));
   }
 
   @Example
-  void aNodeThatWarmsUpYieldsToTheStandbyAndToWarmOnes() {
-    assertEquals(8 * GATHER - 1, pauseAfterKeyDeleted(LOADED + SECOND, true));
+  void aNodeThatWarmsUpYieldsToTheStandbyAndToWarmNodes() {
+    assertEquals(8 * GATHER_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, true));
   }
 
   @Example
-  void nothingIsYieldedBeforeTheReplicaIsLoaded() {
-    backoff.leaderKeyDeleted(LOADED, true);
-    assertTrue(backoff.mayCampaign(LOADED));
+  void aNodeDoesNotYieldBeforeItsReplicaIsLoaded() {
+    backoff.leaderKeyDeleted(LOADED_MICROS, true);
+    assertTrue(backoff.mayCampaign(LOADED_MICROS));
   }
 
   @Example
-  void warmingUpCountsFromWhenTheReplicaWasFirstLoaded() {
-    backoff.replicaLoaded(LOADED);
-    backoff.replicaLoaded(WARM);
-    assertEquals(0, pauseAfterKeyDeleted(WARM, false));
+  void theWarmUpPeriodStartsWhenTheReplicaIsFirstLoaded() {
+    backoff.replicaLoaded(LOADED_MICROS);
+    backoff.replicaLoaded(WARM_MICROS);
+    assertEquals(0, delayAfterKeyDeleted(WARM_MICROS, false));
   }
 
   @Example
-  void aNodeThatResignedLetsOthersGoFirst() {
-    backoff.resigned(WARM);
-    assertFalse(backoff.mayCampaign(WARM + 15 * SECOND - 1));
-    assertTrue(backoff.mayCampaign(WARM + 15 * SECOND));
+  void aNodeThatResignedDelaysItsNextCampaign() {
+    backoff.resigned(WARM_MICROS);
+    assertFalse(backoff.mayCampaign(WARM_MICROS + 15 * SECOND_MICROS - 1));
+    assertTrue(backoff.mayCampaign(WARM_MICROS + 15 * SECOND_MICROS));
   }
 
   @Example
-  void aDeletedKeyDoesNotShortenThePauseAfterAResignation() {
-    backoff.replicaLoaded(LOADED);
-    backoff.resigned(WARM);
-    backoff.leaderKeyDeleted(WARM + SECOND, true);
-    assertFalse(backoff.mayCampaign(WARM + 15 * SECOND - 1));
+  void aDeletedLeaderKeyDoesNotShortenTheDelayAfterAResignation() {
+    backoff.replicaLoaded(LOADED_MICROS);
+    backoff.resigned(WARM_MICROS);
+    backoff.leaderKeyDeleted(WARM_MICROS + SECOND_MICROS, true);
+    assertFalse(backoff.mayCampaign(WARM_MICROS + 15 * SECOND_MICROS - 1));
   }
 
   @Example
-  void aFailedCampaignIsRetriedSoon() {
-    backoff.retryLater(WARM);
-    assertFalse(backoff.mayCampaign(WARM + 400_000 - 1));
-    assertTrue(backoff.mayCampaign(WARM + 400_000));
+  void aFailedCampaignIsRetriedAfterTheRetryDelay() {
+    backoff.retryLater(WARM_MICROS);
+    assertFalse(backoff.mayCampaign(WARM_MICROS + 400_000 - 1));
+    assertTrue(backoff.mayCampaign(WARM_MICROS + 400_000));
   }
 }
--- a/src/test/java/org/eiderstair/core/leadership/FailoverTimelineTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/FailoverTimelineTest.java
@@ -8,26 +8,26 @@
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.EffectSink;
 
-/** The line that says how a term began. */
+/** Tests the log line that summarizes a failover. */
 class FailoverTimelineTest {
-  private static final long ELECTED = 5_000_000;
+  private static final long ELECTED_MICROS = 5_000_000;
   private final List<String> lines = new ArrayList<>();
   private final FailoverTimeline timeline =
       new FailoverTimeline(
-          new EffectSink(effect -> lines.add(((Effect.Log) effect).text())), 7, ELECTED);
+          new EffectSink(effect -> lines.add(((Effect.Log) effect).text())), 7, ELECTED_MICROS);
 
   @Example
-  void itIsLoggedOnceWhenAllMachinesAreConfirmed() {
-    timeline.replicaCaughtUp(40, true, ELECTED + 10_000);
-    timeline.taskLaunched(ELECTED + 12_000);
-    timeline.taskLaunched(ELECTED + 900_000);
-    timeline.unconfirmedMachines(21, ELECTED + 100_000);
-    timeline.unconfirmedMachines(20, ELECTED + 200_000);
-    timeline.unconfirmedMachines(3, ELECTED + 300_000);
-    timeline.unconfirmedMachines(2, ELECTED + 400_000);
+  void theSummaryIsLoggedOnceWhenAllMachinesAreConfirmed() {
+    timeline.replicaCaughtUp(40, true, ELECTED_MICROS + 10_000);
+    timeline.taskLaunched(ELECTED_MICROS + 12_000);
+    timeline.taskLaunched(ELECTED_MICROS + 900_000);
+    timeline.unconfirmedMachinesChanged(21, ELECTED_MICROS + 100_000);
+    timeline.unconfirmedMachinesChanged(20, ELECTED_MICROS + 200_000);
+    timeline.unconfirmedMachinesChanged(3, ELECTED_MICROS + 300_000);
+    timeline.unconfirmedMachinesChanged(2, ELECTED_MICROS + 400_000);
     assertEquals(List.of(), lines);
-    timeline.unconfirmedMachines(0, ELECTED + 500_000);
-    timeline.unconfirmedMachines(0, ELECTED + 600_000);
+    timeline.unconfirmedMachinesChanged(0, ELECTED_MICROS + 500_000);
+    timeline.unconfirmedMachinesChanged(0, ELECTED_MICROS + 600_000);
     assertEquals(
         List.of(
             "failover COMPLETE, term=7: 40 machines known from the standby's replica;"
@@ -37,8 +37,8 @@
   }
 
   @Example
-  void aTermWithoutMachinesIsCompleteAtOnce() {
-    timeline.replicaCaughtUp(0, false, ELECTED + 1_000);
+  void aFailoverWithoutMachinesIsCompleteImmediately() {
+    timeline.replicaCaughtUp(0, false, ELECTED_MICROS + 1_000);
     assertEquals(
         List.of(
             "failover COMPLETE, term=7: 0 machines;"
--- a/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/LeadershipTest.java
@@ -17,9 +17,9 @@
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.settings.SettingsBuilder;
 
-/** Who campaigns first when the leader key is free, and what keeps a leader in its term. */
+/** Tests which node campaigns first for a free leader key, and how long a leader stays leader. */
 class LeadershipTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private final Settings settings =
       SettingsBuilder.settings().peers("n1").team("red", 0, 0).build();
   private final List<Effect.Call> calls = new ArrayList<>();
@@ -41,25 +41,26 @@
         });
   }
 
-  /** Takes the one call of that kind. */
-  private <T extends Request> long taken(Class<T> kind) {
+  /** Removes the first call with a request of the given type and returns its id. */
+  private <T extends Request> long takeCall(Class<T> type) {
     for (Effect.Call call : calls) {
-      if (kind.isInstance(call.request())) {
+      if (type.isInstance(call.request())) {
         calls.remove(call);
         return call.callId();
       }
     }
-    throw new AssertionError("no " + kind.getSimpleName() + " in " + calls);
+    throw new AssertionError("no " + type.getSimpleName() + " in " + calls);
   }
 
-  private boolean campaigns() {
+  private boolean hasCampaigned() {
     return calls.stream().anyMatch(c -> c.request() instanceof Request.LeaseGrant);
   }
 
-  private void loadedAt(long nowMicros, List<Reply.Item> items) {
+  private void loadReplica(long nowMicros, List<Reply.Item> items) {
     core.handle(new Event.Tick(), nowMicros);
     core.handle(
-        new Event.ReplyReceived(taken(Request.StoreList.class), new Reply.Listed(items, false, 5)),
+        new Event.ReplyReceived(
+            takeCall(Request.StoreList.class), new Reply.Listed(items, false, 5)),
         nowMicros);
   }
 
@@ -67,46 +68,48 @@
     return new Reply.Item(StateKeys.LEADER, new LeaderRecord(node, 3, "other run"), 4);
   }
 
-  private void leaderKeyDeleted(long nowMicros) {
+  private void deleteLeaderKey(long nowMicros) {
     core.handle(
         new Event.ReplyReceived(
-            taken(Request.StoreWatch.class),
+            takeCall(Request.StoreWatch.class),
             new Reply.Changed(List.of(new Reply.Item(StateKeys.LEADER, null, 9)), 9)),
         nowMicros);
   }
 
   @Example
-  void aWarmControllerCampaignsAtOnceAndOneThatWarmsUpSoon() {
-    loadedAt(SECOND, List.of(leaderKey("n1")));
-    assertFalse(campaigns());
-    leaderKeyDeleted(2 * SECOND);
-    core.handle(new Event.Tick(), 2 * SECOND + 100_000);
-    assertFalse(campaigns(), "one that warms up lets a warm one go first");
-    core.handle(new Event.Tick(), 2 * SECOND + 600_000);
-    assertTrue(campaigns(), "alone, it leads soon");
+  void aWarmControllerCampaignsImmediatelyAndOneThatWarmsUpCampaignsLater() {
+    loadReplica(SECOND_MICROS, List.of(leaderKey("n1")));
+    assertFalse(hasCampaigned());
+    deleteLeaderKey(2 * SECOND_MICROS);
+    core.handle(new Event.Tick(), 2 * SECOND_MICROS + 100_000);
+    assertFalse(hasCampaigned(), "a controller that warms up yields to warm ones");
+    core.handle(new Event.Tick(), 2 * SECOND_MICROS + 600_000);
+    assertTrue(hasCampaigned(), "a controller without competitors campaigns after the delay");
 
     calls.clear();
     core = core();
-    loadedAt(SECOND, List.of(leaderKey("n1")));
-    leaderKeyDeleted(60 * SECOND);
-    assertTrue(campaigns() || campaignsAfterTick(60 * SECOND), "a warm one waits for nobody");
+    loadReplica(SECOND_MICROS, List.of(leaderKey("n1")));
+    deleteLeaderKey(60 * SECOND_MICROS);
+    assertTrue(
+        hasCampaigned() || hasCampaignedAfterTick(60 * SECOND_MICROS),
+        "a warm controller campaigns without delay");
   }
 
-  private boolean campaignsAfterTick(long nowMicros) {
+  private boolean hasCampaignedAfterTick(long nowMicros) {
     core.handle(new Event.Tick(), nowMicros);
-    return campaigns();
+    return hasCampaigned();
   }
 
-  private void replied(Class<? extends Request> kind, Reply reply, long nowMicros) {
-    core.handle(new Event.ReplyReceived(taken(kind), reply), nowMicros);
+  private void reply(Class<? extends Request> type, Reply reply, long nowMicros) {
+    core.handle(new Event.ReplyReceived(takeCall(type), reply), nowMicros);
   }
 
-  private void elected(long watchSentMicros, long nowMicros) {
-    loadedAt(watchSentMicros, List.of(leaderKey("n1")));
-    leaderKeyDeleted(nowMicros);
+  private void winElection(long watchSentMicros, long nowMicros) {
+    loadReplica(watchSentMicros, List.of(leaderKey("n1")));
+    deleteLeaderKey(nowMicros);
     core.handle(new Event.Tick(), nowMicros + 1_000);
-    replied(Request.LeaseGrant.class, new Reply.LeaseGranted(9), nowMicros + 2_000);
-    replied(Request.StoreTransaction.class, new Reply.Applied(12), nowMicros + 3_000);
+    reply(Request.LeaseGrant.class, new Reply.LeaseGranted(9), nowMicros + 2_000);
+    reply(Request.StoreTransaction.class, new Reply.Applied(12), nowMicros + 3_000);
   }
 
   private String lastTransition() {
@@ -114,36 +117,38 @@
   }
 
   /**
-   * A watch that stayed open through an outage brought the key's deletion: what it shows is as old
-   * as its sending. The new leader must neither launch by it nor resign for it.
+   * Guards against a leader that trusts an old watch after a long outage. The watch was sent before
+   * the outage and reported the key's deletion after it, so it only shows the replica to be current
+   * as of its sending. The new leader must neither launch tasks nor step down because of it.
    */
   @Example
-  void oneElectedAfterALongOutageWaitsForItsReplicaAndStaysLeader() {
+  void aLeaderElectedAfterALongOutageWaitsForACurrentReplica() {
     core = core();
-    elected(20 * SECOND, 90 * SECOND);
+    winElection(20 * SECOND_MICROS, 90 * SECOND_MICROS);
     assertTrue(lastTransition().contains("CANDIDATE -> SYNCHRONIZING"), lastTransition());
-    core.handle(new Event.Tick(), 90 * SECOND + 50_000);
+    core.handle(new Event.Tick(), 90 * SECOND_MICROS + 50_000);
     assertTrue(lastTransition().contains("CANDIDATE -> SYNCHRONIZING"), lastTransition());
-    core.handle(new Event.Tick(), 90 * SECOND + 300_000);
-    replied(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), 90 * SECOND + 310_000);
+    core.handle(new Event.Tick(), 90 * SECOND_MICROS + 300_000);
+    reply(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), 90 * SECOND_MICROS + 310_000);
     assertTrue(lastTransition().contains("SYNCHRONIZING -> LEADING"), lastTransition());
   }
 
   /**
-   * Renewals succeed, and nothing shows that the replica is current: it stops launching, then
-   * answering, and gives way.
+   * Guards against a leader that stays leader through lease renewals alone. The renewals succeed,
+   * but nothing shows that the replica is current. The leader must first stop launching tasks, then
+   * stop answering heartbeats and step down.
    */
   @Example
-  void renewalsAloneKeepNobodyLeading() {
+  void aLeaderWithoutACurrentReplicaStepsDownThoughItsLeaseIsRenewed() {
     core = core();
-    elected(60 * SECOND, 90 * SECOND);
-    long now = 91 * SECOND;
+    winElection(60 * SECOND_MICROS, 90 * SECOND_MICROS);
+    long now = 91 * SECOND_MICROS;
     core.handle(new Event.Tick(), now);
-    replied(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), now);
+    reply(Request.StoreWatch.class, new Reply.Changed(List.of(), 12), now);
     assertTrue(core.isLeader());
-    long lastProofMicros = now;
+    long replicaCurrentMicros = now;
     boolean revoked = false;
-    while (core.isLeader() && now < 140 * SECOND) {
+    while (core.isLeader() && now < 140 * SECOND_MICROS) {
       now += 100_000;
       core.handle(new Event.Tick(), now);
       for (Effect.Call call : List.copyOf(calls)) {
@@ -157,19 +162,19 @@
     assertTrue(
         logs.stream()
             .anyMatch(l -> l.contains("LEADING -> SUSPENDED") && l.contains("replica not shown")));
-    assertTrue(revoked, "another may lead");
-    // cancel_s 40, lease_s 20: with 3 s to end tasks and the clocks' drift.
-    assertEquals(lastProofMicros + 17 * SECOND, now, 200_000.0);
+    assertTrue(revoked, "the lease is revoked, so that another node can lead");
+    // cancel_s (40 s) minus lease_s (20 s) and 3 s to end tasks, less the clock drift.
+    assertEquals(replicaCurrentMicros + 17 * SECOND_MICROS, now, 200_000.0);
   }
 
   /**
-   * No warm one has taken a key that was free already: all controllers are warming up, and nobody
-   * is to be waited for.
+   * The leader key is already absent when the replica is loaded, and no warm controller has taken
+   * it. All controllers are therefore warming up, and a delay would be pointless.
    */
   @Example
-  void whenAllWarmUpNobodyWaits() {
-    loadedAt(SECOND, List.of());
-    core.handle(new Event.Tick(), SECOND + 1);
-    assertEquals(true, campaigns());
+  void aControllerThatWarmsUpCampaignsImmediatelyIfTheKeyWasAlreadyAbsent() {
+    loadReplica(SECOND_MICROS, List.of());
+    core.handle(new Event.Tick(), SECOND_MICROS + 1);
+    assertEquals(true, hasCampaigned());
   }
 }
--- a/src/test/java/org/eiderstair/core/package-info.java
+++ b/src/test/java/org/eiderstair/core/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the core's parts, with made-up machines and replies. */
+/** Tests of the core as a whole, with simulated machines and replies. */
 package org.eiderstair.core;
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -53,7 +53,7 @@
     Request.StoreTransaction txn = (Request.StoreTransaction) call.request();
     assertEquals(
         new Request.Condition(StateKeys.LEADER, LeaderBench.TERM), txn.conditions().get(0));
-    bench.sink.replied(call.callId(), new Reply.Applied(++bench.versions));
+    bench.sink.replied(call.callId(), new Reply.Applied(++bench.lastVersion));
     return txn.writes();
   }
 
@@ -104,7 +104,7 @@
             .orElseThrow()
             .version();
     Request.StoreTransaction barrier =
-        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
+        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.lastVersion));
     assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
     assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
@@ -118,11 +118,11 @@
                       ? new Reply.Found(
                           new Reply.Item(
                               StateKeys.LEADER, new LeaderRecord("n0", 1, "run"), LeaderBench.TERM))
-                      : new Reply.Absent(bench.versions));
+                      : new Reply.Absent(bench.lastVersion));
       assertTrue(read instanceof Request.StoreGet);
     }
     Request.StoreTransaction again =
-        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
+        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.lastVersion));
     assertTrue(
         again.conditions().stream()
             .anyMatch(c -> c.key().equals(StateKeys.BARRIER) && c.version() > before));
@@ -143,7 +143,7 @@
     stateWriter.tick(now);
     stateWriter.removeDuty(key, () -> durable.add("removed"));
     bench.sink.replied(
-        ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.versions));
+        ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.lastVersion));
     assertEquals(List.of("first", "second", "third"), durable);
     assertEquals(null, next().get(0).value());
     assertEquals(List.of("first", "second", "third", "removed"), durable);
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -235,7 +235,7 @@
     if (withReplica) {
       // Its standby has taken over the term: it never launches again.
       first.workers.close();
-      first.leadership.deposed("claimed");
+      first.leadership.stepDown("claimed");
     }
   }
 
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -32,7 +32,7 @@
   private final LeaderBench bench = new LeaderBench();
 
   private Machine leadsOneMachine() {
-    bench.keepStandby();
+    bench.startStandby();
     bench.lead();
     bench.machines(1);
     return bench.workers.machines().get("m-0");
@@ -85,7 +85,7 @@
   }
 
   private void cancel(Job job) {
-    bench.replica.applyCancellation(new Cancellation(job.id(), bench.versions + 1_000, 0));
+    bench.replica.applyCancellation(new Cancellation(job.id(), bench.lastVersion + 1_000, 0));
     bench.workers.jobEnded(job);
   }
 
@@ -102,7 +102,7 @@
     Machine machine = leadsOneMachine();
     Job cancelled = running(machine);
     bench.deferAcknowledgements();
-    bench.deferRecords();
+    bench.deferRecordWrites();
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
     cancel(cancelled);
@@ -120,7 +120,7 @@
     pass();
     assertEquals(1, answers().size(), "nothing waits for the record");
     assertEquals(List.of(), commands(), "and nothing is launched before it");
-    bench.completeRecords();
+    bench.completeRecordWrites();
     pass();
     assertEquals(
         List.of(kept.id()),
@@ -150,8 +150,8 @@
   @Example
   void whatIsCancelledBeforeTheRecordIsClearedIsNotStarted() {
     bench.lead();
-    bench.deferRecords();
-    bench.standbyOfTheTermBefore();
+    bench.deferRecordWrites();
+    bench.startWithStandbyOfPreviousTerm();
     bench.machines(1);
     Machine machine = bench.workers.machines().get("m-0");
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
@@ -163,7 +163,7 @@
         List.of(), answers().get(0).orders(), "nothing is launched before the record names nobody");
     assertEquals(List.of(), commands());
     cancel(cancelled);
-    bench.completeRecords();
+    bench.completeRecordWrites();
     pass();
     assertEquals(
         List.of(kept.id()),
