--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -1,7 +1,7 @@
 package org.eiderstair.compatibility;
 
 import java.util.List;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.jobs.JobService;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
@@ -22,7 +22,7 @@
   private CreatedJob() {}
 
   static Request.Write write(JobSpec spec) {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture bench = new LeaderFixture();
     bench.replica.tick(bench.now);
     Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
     Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
@@ -53,7 +53,7 @@
 
   /** The transactions of a leader's writer, with all that was to be written. */
   private static List<Request.StoreTransaction> leaderTransactions() {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture bench = new LeaderFixture();
     StateWriter.Listener listener =
         new StateWriter.Listener() {
           @Override
@@ -63,7 +63,7 @@
           public void workerRegistered(String machine) {}
         };
     StateWriter writer =
-        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, listener);
+        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderFixture.TERM, listener);
     Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
     finished.advanceProgressTo(4);
     writer.writeFinished(finished);
@@ -80,7 +80,7 @@
     writer.writeProgress(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
     for (boolean spot : new boolean[] {true, false}) {
       Machine machine =
-          new Machine(spot ? "i-1" : "i-2", LeaderBench.TERM, Machine.Phase.CONFIRMED, 0);
+          new Machine(spot ? "i-1" : "i-2", LeaderFixture.TERM, Machine.Phase.CONFIRMED, 0);
       machine.describe("10.0.0.1:80", "t", spot ? "a" : null, spot);
       writer.register(machine);
     }
@@ -182,7 +182,7 @@
   }
 
   private static Replica replicaOf(String... names) throws MalformedMessageException {
-    Replica replica = new LeaderBench().replica;
+    Replica replica = new LeaderFixture().replica;
     long version = 10;
     for (String name : names) {
       read(name, ++version).forEach(replica::apply);
@@ -219,7 +219,7 @@
 
   @Example
   void whenAJobWasCreatedIsRead() throws MalformedMessageException {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture bench = new LeaderFixture();
     bench.replica.advanceTo(5_000_000);
     read("created:e/job/job-9", 11).forEach(bench.replica::apply);
     Job job = bench.replica.job("job-9");
@@ -229,7 +229,7 @@
 
   @Example
   void finishedJobsProgressAndWorkersAreRead() throws MalformedMessageException {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture bench = new LeaderFixture();
     Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
     Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
     Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -62,16 +62,16 @@
   }
 
   /** Creates a leader whose machines are all fully loaded with tasks of one CPU. */
-  private static LeaderBench fullyLoaded(int machines) {
-    LeaderBench bench = new LeaderBench();
-    bench.machines(machines);
-    bench.job("blue", JobSpec.Priority.NORMAL, machines * 8, 1);
-    bench.placement.place(bench.now);
-    bench.deliverPlannedLaunches();
-    return bench;
+  private static LeaderFixture fullyLoaded(int machines) {
+    LeaderFixture leader = new LeaderFixture();
+    leader.machines(machines);
+    leader.job("blue", JobSpec.Priority.NORMAL, machines * 8, 1);
+    leader.placement.place(leader.now);
+    leader.deliverPlannedLaunches();
+    return leader;
   }
 
-  private static byte[] encodeHeartbeat(LeaderBench bench, Machine machine) {
+  private static byte[] encodeHeartbeat(LeaderFixture leader, Machine machine) {
     List<Object> tasks = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() != Attempt.Phase.QUEUED) {
@@ -83,7 +83,7 @@
             machine.id(), "10.0.0.1:9000", "t", machine.zone(), machine.isSpot());
     return MessagePackCodec.write(
         SampleMessages.heartbeat(
-            worker, bench.nextSequence(machine), machine.fencingToken().value(), tasks));
+            worker, leader.nextSequence(machine), machine.fencingToken().value(), tasks));
   }
 
   /**
@@ -100,33 +100,33 @@
 
   private static void processUnchangedHeartbeats(int machines, boolean withStandby)
       throws MalformedMessageException {
-    LeaderBench bench = fullyLoaded(machines);
+    LeaderFixture leader = fullyLoaded(machines);
     if (withStandby) {
-      bench.startStandby();
-      assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
+      leader.startStandby();
+      assertTrue(leader.standby.summary().endsWith("in sync"), leader.standby.summary());
     }
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      bodies.add(encodeHeartbeat(bench, bench.workers.machines().get("m-" + i % machines)));
+      bodies.add(encodeHeartbeat(leader, leader.workers.machines().get("m-" + i % machines)));
     }
-    bench.effects.clear();
+    leader.effects.clear();
     assertAllocatedAtMost(
         "heartbeat",
         machines,
         allocatedBytes(
             round -> {
-              bench.now += 1_000;
-              bench.workers.receive(
-                  bench.nextExchange(),
+              leader.now += 1_000;
+              leader.workers.receive(
+                  leader.nextExchange(),
                   WorkerMessages.decodeHeartbeat(bodies.get(round)),
                   false,
-                  bench.now);
-              bench.workers.flush(bench.now);
-              bench.standby.tick(bench.now);
+                  leader.now);
+              leader.workers.flush(leader.now);
+              leader.standby.tick(leader.now);
               Answer.Command answer =
-                  (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
+                  (Answer.Command) ((Effect.Respond) leader.effects.get(0)).answer();
               WorkerMessages.encodeHeartbeatAnswer(answer.fencingToken(), answer.orders());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         8000);
   }
@@ -137,10 +137,10 @@
    */
   @Example
   void aPlacedTaskAllocatesFewBytesWithAStandby() throws MalformedMessageException {
-    LeaderBench bench = fullyLoaded(500);
-    bench.startStandby();
-    placeTasks(bench, 500, 12_000);
-    assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
+    LeaderFixture leader = fullyLoaded(500);
+    leader.startStandby();
+    placeTasks(leader, 500, 12_000);
+    assertTrue(leader.standby.summary().endsWith("in sync"), leader.standby.summary());
   }
 
   @Example
@@ -151,24 +151,24 @@
     }
   }
 
-  private static void placeTasks(LeaderBench bench, int machines, long maxBytes)
+  private static void placeTasks(LeaderFixture leader, int machines, long maxBytes)
       throws MalformedMessageException {
     for (int i = 0; i < 20; i++) {
-      bench.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
+      leader.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
     }
     int[] placed = {0};
     long bytesPerRound =
         allocatedBytes(
             round -> {
-              bench.report(bench.workers.machines().get("m-" + round % machines), 4);
-              bench.placement.place(bench.now);
-              for (Machine machine : bench.workers.machines().values()) {
+              leader.report(leader.workers.machines().get("m-" + round % machines), 4);
+              leader.placement.place(leader.now);
+              for (Machine machine : leader.workers.machines().values()) {
                 placed[0] += round >= ROUNDS ? machine.plannedLaunches().size() : 0;
               }
-              bench.workers.flush(bench.now);
-              bench.standby.tick(bench.now);
-              bench.deliverPlannedLaunches();
-              bench.effects.clear();
+              leader.workers.flush(leader.now);
+              leader.standby.tick(leader.now);
+              leader.deliverPlannedLaunches();
+              leader.effects.clear();
             });
     assertTrue(placed[0] > ROUNDS, "placed " + placed[0]);
     assertAllocatedAtMost("placed task", machines, bytesPerRound * ROUNDS / placed[0], maxBytes);
@@ -183,7 +183,7 @@
   }
 
   private static void applyWatchChanges(int machines) throws MalformedMessageException {
-    LeaderBench bench = fullyLoaded(machines);
+    LeaderFixture leader = fullyLoaded(machines);
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
       bodies.add(
@@ -195,10 +195,10 @@
                   List.of(
                       Map.of(
                           "Put",
-                          "e/prog/" + firstJob(bench).id(),
+                          "e/prog/" + firstJob(leader).id(),
                           "Data",
                           StoredValueCodec.encode(
-                              ProgressRecord.of(firstJob(bench).completedTasks(), 3)),
+                              ProgressRecord.of(firstJob(leader).completedTasks(), 3)),
                           "Stamp",
                           100L + i)))));
     }
@@ -210,13 +210,13 @@
               Reply.Changed changed =
                   (Reply.Changed)
                       StoreMessages.decodeChanged(MessagePackCodec.readMap(bodies.get(round)));
-              changed.changes().forEach(bench.replica::apply);
+              changed.changes().forEach(leader.replica::apply);
             }),
         1800);
   }
 
-  private static Job firstJob(LeaderBench bench) {
-    return bench.replica.openJobs().iterator().next();
+  private static Job firstJob(LeaderFixture leader) {
+    return leader.replica.openJobs().iterator().next();
   }
 
   @Example
@@ -228,12 +228,12 @@
   }
 
   private static void submitAndPoll(int machines) throws MalformedMessageException {
-    LeaderBench bench = fullyLoaded(machines);
-    bench.replica.apply(
-        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 2));
-    bench.load();
+    LeaderFixture leader = fullyLoaded(machines);
+    leader.replica.apply(
+        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderFixture.TYPE)), 2));
+    leader.load();
     JobService jobService =
-        new JobService(bench.settings, bench.sink, bench.replica, cancellation -> {});
+        new JobService(leader.settings, leader.sink, leader.replica, cancellation -> {});
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
       bodies.add(
@@ -248,12 +248,13 @@
               // Like the HTTP router, decodes the id first and then the whole message.
               UserMessages.decodeJobId(message);
               jobService.submit(1, new Submission.Parsed(UserMessages.decodeSubmission(message)));
-              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              Effect.Call call = (Effect.Call) leader.effects.get(leader.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
-              bench.sink.replied(call.callId(), new Reply.Applied(1000 + round));
-              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              leader.sink.replied(call.callId(), new Reply.Applied(1000 + round));
+              Effect.Respond answer =
+                  (Effect.Respond) leader.effects.get(leader.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         12_500);
     long[] now = {1_000_000};
@@ -265,12 +266,13 @@
               jobService.tick(now[0] += 1_000_000);
               jobService.poll(1, "job-" + (500_000 + round));
               jobService.tick(now[0] += 1_000_000);
-              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              Effect.Call call = (Effect.Call) leader.effects.get(leader.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
-              bench.sink.replied(call.callId(), new Reply.Applied(0));
-              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              leader.sink.replied(call.callId(), new Reply.Applied(0));
+              Effect.Respond answer =
+                  (Effect.Respond) leader.effects.get(leader.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         6000);
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderFixture.java
@@ -42,10 +42,10 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * A fixture with the components of a leader and no environment. Tests add machines and deliver
+ * A test fixture with the components of a leader and no environment. Tests add machines and deliver
  * replies; commands to machines stay unanswered.
  */
-public final class LeaderBench {
+public final class LeaderFixture {
   public static final MachineType TYPE =
       new MachineType("t", 8, 0, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a", "b", "c"));
   public static final long TERM = 1;
@@ -69,13 +69,13 @@
   private long exchange;
   private final Map<String, Long> sequences = new LinkedHashMap<>();
 
-  public LeaderBench() {
+  public LeaderFixture() {
     this(TERM);
   }
 
   public final OverloadMonitor overload;
 
-  public LeaderBench(long term) {
+  public LeaderFixture(long term) {
     lastVersion = term;
     settings =
         SettingsBuilder.settings()
--- a/src/test/java/org/eiderstair/core/LeaderTermTest.java
+++ b/src/test/java/org/eiderstair/core/LeaderTermTest.java
@@ -16,11 +16,11 @@
 
 /** Tests the start of a leader's term. */
 class LeaderTermTest {
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture leader = new LeaderFixture();
 
   private Effect.Call latestWatch() {
     return (Effect.Call)
-        bench.effects.stream()
+        leader.effects.stream()
             .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.StoreWatch)
             .reduce((first, last) -> last)
             .orElseThrow();
@@ -33,41 +33,41 @@
    */
   @Example
   void theTermStartsOnlyOnceTheReplicaReachesTheElection() {
-    bench.load();
-    bench.replica.tick(bench.now);
-    long term = bench.replica.revision() + 50;
-    Membership membership = LeaderBench.membershipWithoutPeers();
+    leader.load();
+    leader.replica.tick(leader.now);
+    long term = leader.replica.revision() + 50;
+    Membership membership = LeaderFixture.membershipWithoutPeers();
     LeaderTerm leaderTerm =
         new LeaderTerm(
-            bench.settings,
-            bench.sink,
-            bench.replica,
-            bench.leadership,
+            leader.settings,
+            leader.sink,
+            leader.replica,
+            leader.leadership,
             membership,
-            bench.standby,
-            new OverloadMonitor(bench.settings, bench.sink),
+            leader.standby,
+            new OverloadMonitor(leader.settings, leader.sink),
             term,
             n -> 0);
-    leaderTerm.tick(bench.now);
+    leaderTerm.tick(leader.now);
     Heartbeat heartbeat =
         new Heartbeat(
             "m", "x", "t", "a", false, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
-    leaderTerm.heartbeatReceived(7, heartbeat, false, bench.now);
+    leaderTerm.heartbeatReceived(7, heartbeat, false, leader.now);
     assertTrue(
-        bench.effects.stream()
+        leader.effects.stream()
             .anyMatch(
                 e ->
                     e instanceof Effect.Respond r
                         && r.answer() instanceof Answer.Failure f
                         && f.status() == 503));
-    bench.effects.removeIf(e -> e instanceof Effect.Respond);
+    leader.effects.removeIf(e -> e instanceof Effect.Respond);
 
-    bench.sink.replied(latestWatch().callId(), new Reply.Changed(List.of(), term));
-    assertEquals(term, bench.replica.revision());
-    leaderTerm.tick(bench.now);
-    leaderTerm.heartbeatReceived(8, heartbeat, false, bench.now);
+    leader.sink.replied(latestWatch().callId(), new Reply.Changed(List.of(), term));
+    assertEquals(term, leader.replica.revision());
+    leaderTerm.tick(leader.now);
+    leaderTerm.heartbeatReceived(8, heartbeat, false, leader.now);
     assertTrue(
-        bench.effects.stream().noneMatch(e -> e instanceof Effect.Respond),
+        leader.effects.stream().noneMatch(e -> e instanceof Effect.Respond),
         "the heartbeat is answered in the next pass");
   }
 }
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -30,14 +30,14 @@
   private static final long TICK_MICROS = 50_000;
   private static final long RUN_MICROS = 3_500_000;
 
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture leader = new LeaderFixture();
   private final Membership membership =
       new Membership(
           "n0",
           List.of("n1"),
           Map.of(),
           "run",
-          bench.settings.workerTimings().heartbeatMicros(),
+          leader.settings.workerTimings().heartbeatMicros(),
           (peer, runId, afterSequence, callback) ->
               callback.accept(new PeerAnswer.Digest(digest())),
           text -> {});
@@ -53,23 +53,23 @@
 
   private void becomeLeader() {
     for (int i = 0; i < MACHINES; i++) {
-      bench.replica.apply(
+      leader.replica.apply(
           new Reply.Item(
               StateKeys.worker("m-" + i), new WorkerRecord("10.0.0.1:1", "t", "a", false), 1));
     }
-    bench.lead();
+    leader.lead();
     leaderTerm =
         new LeaderTerm(
-            bench.settings,
-            bench.sink,
-            bench.replica,
-            bench.leadership,
+            leader.settings,
+            leader.sink,
+            leader.replica,
+            leader.leadership,
             membership,
-            bench.standby,
-            bench.overload,
-            bench.leadership.term(),
+            leader.standby,
+            leader.overload,
+            leader.leadership.term(),
             n -> 0);
-    leaderTerm.tick(bench.now);
+    leaderTerm.tick(leader.now);
     for (int i = 0; i < MACHINES; i++) {
       Heartbeat heartbeat =
           new Heartbeat(
@@ -80,28 +80,28 @@
               false,
               1,
               1,
-              FencingToken.first(bench.leadership.term()),
+              FencingToken.first(leader.leadership.term()),
               Heartbeat.NO_NOTICE,
               List.of());
-      leaderTerm.heartbeatReceived(i + 1, heartbeat, false, bench.now);
+      leaderTerm.heartbeatReceived(i + 1, heartbeat, false, leader.now);
     }
-    leaderTerm.tick(bench.now);
+    leaderTerm.tick(leader.now);
   }
 
   /** Advances the time without heartbeats to the leader, while peers receive most of them. */
   private void runWithoutHeartbeats(boolean overloaded) {
-    for (long end = bench.now + RUN_MICROS; bench.now < end; bench.now += TICK_MICROS) {
+    for (long end = leader.now + RUN_MICROS; leader.now < end; leader.now += TICK_MICROS) {
       if (overloaded) {
-        bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
+        leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
       }
       if (!hasResigned()) {
-        leaderTerm.tick(bench.now);
+        leaderTerm.tick(leader.now);
       }
     }
   }
 
   private boolean hasResigned() {
-    return bench.effects.stream()
+    return leader.effects.stream()
         .anyMatch(e -> e instanceof Effect.Call c && c.request() instanceof Request.LeaseRevoke);
   }
 
@@ -125,23 +125,23 @@
    */
   @Example
   void silentMachinesShowIsolationOnlyOnceTheOverloadIsOver() {
-    bench.machines(MACHINES);
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
-    bench.workers.tick(bench.now, false);
-    assertFalse(bench.workers.reachability().isIsolated());
-    bench.workers.tick(bench.now += 12_000_000, false);
-    assertTrue(bench.workers.reachability().isIsolated());
+    leader.machines(MACHINES);
+    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now += 8_000_000);
+    leader.workers.tick(leader.now, false);
+    assertFalse(leader.workers.reachability().isIsolated());
+    leader.workers.tick(leader.now += 12_000_000, false);
+    assertTrue(leader.workers.reachability().isIsolated());
   }
 
   /** A node that has run out of sockets may still keep up with its events, and defers no work. */
   @Example
   void workIsDeferredOnlyWhileEventsWait() {
-    bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
-    assertFalse(bench.overload.putsOffWork(bench.now));
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now);
-    assertTrue(bench.overload.putsOffWork(bench.now + 500_000));
-    assertFalse(bench.overload.putsOffWork(bench.now + 11_000_000));
-    bench.workers.tick(bench.now + 2_000_000, false);
-    assertTrue(bench.workers.reachability().isOverloaded());
+    leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
+    assertFalse(leader.overload.putsOffWork(leader.now));
+    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now);
+    assertTrue(leader.overload.putsOffWork(leader.now + 500_000));
+    assertFalse(leader.overload.putsOffWork(leader.now + 11_000_000));
+    leader.workers.tick(leader.now + 2_000_000, false);
+    assertTrue(leader.workers.reachability().isOverloaded());
   }
 }
--- a/src/test/java/org/eiderstair/core/ScalabilityTest.java
+++ b/src/test/java/org/eiderstair/core/ScalabilityTest.java
@@ -30,30 +30,30 @@
  */
 class ScalabilityTest {
   private static double placementStepsPerTask(int machines) {
-    LeaderBench bench = new LeaderBench();
-    bench.machines(machines);
+    LeaderFixture leader = new LeaderFixture();
+    leader.machines(machines);
     for (int i = 0; i < 40; i++) {
-      bench.job("blue", JobSpec.Priority.NORMAL, machines * 2, 1);
+      leader.job("blue", JobSpec.Priority.NORMAL, machines * 2, 1);
     }
-    bench.placement.place(bench.now);
-    bench.deliverPlannedLaunches();
-    long before = bench.placement.steps();
+    leader.placement.place(leader.now);
+    leader.deliverPlannedLaunches();
+    long before = leader.placement.steps();
     int placed = 0;
     // Each pass receives a number of heartbeats in proportion to the machines: one machine in
     // twenty reports that a task has ended.
     for (int round = 0; round < 20; round++) {
       int heartbeats = Math.max(1, machines / 20);
       for (int i = 0; i < heartbeats; i++) {
-        bench.report(bench.workers.machines().get("m-" + (round * heartbeats + i) % machines), 1);
+        leader.report(leader.workers.machines().get("m-" + (round * heartbeats + i) % machines), 1);
       }
-      bench.placement.place(bench.now);
-      for (Machine machine : bench.workers.machines().values()) {
+      leader.placement.place(leader.now);
+      for (Machine machine : leader.workers.machines().values()) {
         placed += machine.plannedLaunches().size();
       }
-      bench.deliverPlannedLaunches();
+      leader.deliverPlannedLaunches();
     }
     assertTrue(placed >= 15 * Math.max(1, machines / 20), "placed " + placed);
-    return (double) (bench.placement.steps() - before) / placed;
+    return (double) (leader.placement.steps() - before) / placed;
   }
 
   @Example
@@ -70,15 +70,15 @@
   @Example
   void theStartOfAFailoverSendsNoMessages() {
     for (int machines : new int[] {50, 500, 2000}) {
-      LeaderBench bench = new LeaderBench();
+      LeaderFixture leader = new LeaderFixture();
       for (int i = 0; i < machines; i++) {
-        bench.replica.apply(
+        leader.replica.apply(
             new Reply.Item(StateKeys.worker("m-" + i), new WorkerRecord("x", "t", "a", false), 1));
       }
-      bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
-      assertEquals(machines, bench.workers.unconfirmed().size());
+      leader.workers.takeOver(leader.now, Optional.empty(), leader.now);
+      assertEquals(machines, leader.workers.unconfirmed().size());
       assertTrue(
-          bench.effects.isEmpty(), "a failover must not send messages to all machines at once");
+          leader.effects.isEmpty(), "a failover must not send messages to all machines at once");
     }
   }
 
@@ -88,20 +88,20 @@
    */
   @Example
   void unreachableMachinesDoNotDelayTheProbesOfOthers() {
-    LeaderBench bench = new LeaderBench();
-    bench.lead();
+    LeaderFixture leader = new LeaderFixture();
+    leader.lead();
     for (int i = 0; i < 60; i++) {
-      bench.replica.apply(
+      leader.replica.apply(
           new Reply.Item(
               StateKeys.worker("m-" + i), new WorkerRecord("x" + i, "t", "a", false), 1));
     }
-    bench.workers.takeOver(bench.now, Optional.empty(), bench.now);
+    leader.workers.takeOver(leader.now, Optional.empty(), leader.now);
     // No machine answers during this time, which is shorter than the timeout of a request.
     for (int i = 0; i < 100; i++) {
-      bench.workers.tick(bench.now += 20_000, false);
+      leader.workers.tick(leader.now += 20_000, false);
     }
     long probes =
-        bench.effects.stream()
+        leader.effects.stream()
             .filter(
                 e -> e instanceof Effect.Call c && c.request() instanceof Request.WorkerCommands)
             .count();
@@ -114,58 +114,58 @@
    */
   @Property(tries = 40, seed = "11")
   void incrementalTotalsEqualAFullCount(@ForAll long seed) {
-    LeaderBench bench = new LeaderBench();
-    bench.machines(12);
+    LeaderFixture leader = new LeaderFixture();
+    leader.machines(12);
     UniformRandomProvider random = new XoRoShiRo128PlusPlus(seed, 3);
     for (int step = 0; step < 60; step++) {
-      List<Machine> machines = new ArrayList<>(bench.workers.machines().values());
+      List<Machine> machines = new ArrayList<>(leader.workers.machines().values());
       Machine machine = machines.isEmpty() ? null : machines.get(random.nextInt(machines.size()));
       switch (random.nextInt(6)) {
         case 0 ->
-            bench.job(
+            leader.job(
                 random.nextBoolean() ? "red" : "blue",
                 JobSpec.Priority.values()[random.nextInt(4)],
                 1 + random.nextInt(20),
                 1 + random.nextInt(3));
         case 1 -> {
-          if (!bench.replica.openJobs().isEmpty()) {
-            Job job = bench.replica.openJobs().iterator().next();
-            bench.replica.apply(
+          if (!leader.replica.openJobs().isEmpty()) {
+            Job job = leader.replica.openJobs().iterator().next();
+            leader.replica.apply(
                 new Reply.Item(
                     StateKeys.job(job.id()),
                     JobRecord.cancelled(job.spec(), 0, 0),
-                    ++bench.lastVersion));
-            bench.workers.jobEnded(job);
+                    ++leader.lastVersion));
+            leader.workers.jobEnded(job);
           }
         }
         case 2 -> {
           if (machine != null && random.nextInt(4) == 0) {
-            bench.workers.drain(machine);
+            leader.workers.drain(machine);
           }
         }
         case 3 -> {
           if (machine != null && random.nextInt(8) == 0) {
-            bench.workers.terminated(machine.id());
+            leader.workers.terminated(machine.id());
           }
         }
         default -> {
           if (machine != null) {
-            bench.report(machine, random.nextInt(3));
+            leader.report(machine, random.nextInt(3));
           }
         }
       }
-      bench.placement.place(bench.now += 100_000);
+      leader.placement.place(leader.now += 100_000);
       if (random.nextBoolean()) {
-        bench.deliverPlannedLaunches();
+        leader.deliverPlannedLaunches();
       }
-      assertTotalsEqualFullCount(bench);
+      assertTotalsEqualFullCount(leader);
     }
   }
 
-  private static void assertTotalsEqualFullCount(LeaderBench bench) {
+  private static void assertTotalsEqualFullCount(LeaderFixture leader) {
     Map<String, Double> cpusInUse = new LinkedHashMap<>();
-    for (Machine machine : bench.workers.machines().values()) {
-      double freeCpus = LeaderBench.TYPE.cpus();
+    for (Machine machine : leader.workers.machines().values()) {
+      double freeCpus = LeaderFixture.TYPE.cpus();
       for (Attempt attempt : machine.attempts()) {
         if (attempt.phase() != Attempt.Phase.QUEUED) {
           cpusInUse.merge(attempt.spec().team(), attempt.spec().cpus(), Double::sum);
@@ -179,14 +179,14 @@
               .count(),
           machine.queue().size());
     }
-    for (String team : bench.settings.teams().keySet()) {
+    for (String team : leader.settings.teams().keySet()) {
       assertEquals(
           cpusInUse.getOrDefault(team, 0.0),
-          bench.quotas.cpusInUse(team),
+          leader.quotas.cpusInUse(team),
           1e-6,
           "CPUs in use by " + team);
     }
-    for (Job job : bench.replica.openJobs()) {
+    for (Job job : leader.replica.openJobs()) {
       assertEquals(
           job.attempts().stream()
               .filter(attempt -> attempt.phase() == Attempt.Phase.QUEUED)
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Event;
@@ -21,17 +21,17 @@
 
 /** How the leader treats rentals, its own and those of earlier terms. */
 class CapacityManagerTest {
-  private final LeaderBench bench = new LeaderBench();
-  private final Membership membership = LeaderBench.membershipWithoutPeers();
+  private final LeaderFixture bench = new LeaderFixture();
+  private final Membership membership = LeaderFixture.membershipWithoutPeers();
   private StateWriter stateWriter;
   private CapacityManager capacity;
 
   private void begin() {
     bench.lead();
     bench.replica.apply(
-        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 50));
+        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderFixture.TYPE)), 50));
     stateWriter =
-        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, null);
+        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderFixture.TERM, null);
     capacity =
         new CapacityManager(
             bench.settings,
@@ -42,7 +42,7 @@
             stateWriter,
             new Demand(bench.settings, bench.replica),
             membership,
-            LeaderBench.TERM);
+            LeaderFixture.TERM);
     capacity.takeOver(bench.now);
     membership.startTerm(bench.now);
     membership.tick(false, bench.now);
--- a/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
@@ -5,18 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.Machine;
 
 /** How demand is assigned to a machine of 8 processors. */
 class PlannedMachineTest {
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture bench = new LeaderFixture();
 
   private PlannedMachine machine() {
-    Machine machine = new Machine("m", LeaderBench.TERM, Machine.Phase.BOOTING, 0);
+    Machine machine = new Machine("m", LeaderFixture.TERM, Machine.Phase.BOOTING, 0);
     machine.describe(null, "t", "a", true);
-    machine.assignType(LeaderBench.TYPE);
+    machine.assignType(LeaderFixture.TYPE);
     return new PlannedMachine(machine);
   }
 
--- a/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.membership.Membership;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.model.JobSpec;
@@ -27,9 +27,9 @@
   private static final MachineType SMALL =
       new MachineType("small", 4, 0, 16, 10, 1, 0.4, 0, 30 * SECOND, List.of("a", "b"));
 
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture bench = new LeaderFixture();
   private final CapacityClock clock = new CapacityClock();
-  private final Membership membership = LeaderBench.membershipWithoutPeers();
+  private final Membership membership = LeaderFixture.membershipWithoutPeers();
   private final RentalOptionSelector selector =
       new RentalOptionSelector(bench.replica, membership, clock);
 
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
@@ -27,7 +27,7 @@
 /** What makes this node's copy newer, what shows that it is current, and what does neither. */
 class ReplicaTest {
   private static final long SECOND = 1_000_000;
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture bench = new LeaderFixture();
   private final Replica replica = bench.replica;
   private final Deque<Effect.Call> calls = new ArrayDeque<>();
   private long now = 100 * SECOND;
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Function;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
@@ -21,14 +21,14 @@
 
 /** In which order the leader's writes go, and what becomes of those that are written twice. */
 class StateWriterTest {
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture bench = new LeaderFixture();
   private final List<String> finished = new ArrayList<>();
   private final StateWriter stateWriter =
       new StateWriter(
           bench.settings,
           bench.sink,
           bench.replica,
-          LeaderBench.TERM,
+          LeaderFixture.TERM,
           new StateWriter.Listener() {
             @Override
             public void jobFinished(Job job) {
@@ -52,7 +52,7 @@
     Effect.Call call = (Effect.Call) bench.effects.get(0);
     Request.StoreTransaction txn = (Request.StoreTransaction) call.request();
     assertEquals(
-        new Request.Condition(StateKeys.LEADER, LeaderBench.TERM), txn.conditions().get(0));
+        new Request.Condition(StateKeys.LEADER, LeaderFixture.TERM), txn.conditions().get(0));
     bench.sink.replied(call.callId(), new Reply.Applied(++bench.lastVersion));
     return txn.writes();
   }
@@ -92,7 +92,7 @@
    */
   @Example
   void aCreationWithoutAnAnswerIsDeadOnceTheBarrierIsWritten() {
-    Machine machine = new Machine("i-1", LeaderBench.TERM, Machine.Phase.CONFIRMED, now);
+    Machine machine = new Machine("i-1", LeaderFixture.TERM, Machine.Phase.CONFIRMED, now);
     stateWriter.register(machine);
     Request.StoreTransaction lost =
         (Request.StoreTransaction) answered(r -> new Reply.NoResponse("timeout"));
@@ -108,7 +108,7 @@
     assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
     assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
-        barrier.conditions().contains(new Request.Condition(StateKeys.LEADER, LeaderBench.TERM)));
+        barrier.conditions().contains(new Request.Condition(StateKeys.LEADER, LeaderFixture.TERM)));
     // Read only now, when nothing of before can change it any more.
     while (!bench.effects.isEmpty()) {
       Request read =
@@ -117,7 +117,9 @@
                   ((Request.StoreGet) r).key().equals(StateKeys.LEADER)
                       ? new Reply.Found(
                           new Reply.Item(
-                              StateKeys.LEADER, new LeaderRecord("n0", 1, "run"), LeaderBench.TERM))
+                              StateKeys.LEADER,
+                              new LeaderRecord("n0", 1, "run"),
+                              LeaderFixture.TERM))
                       : new Reply.Absent(bench.lastVersion));
       assertTrue(read instanceof Request.StoreGet);
     }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandWorld.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
@@ -39,7 +39,7 @@
   private static final long SECOND_TERM = 1_000;
   private static final int MAX_INCARNATIONS = 2;
 
-  final List<LeaderBench> leaders = new ArrayList<>();
+  final List<LeaderFixture> leaders = new ArrayList<>();
   final int taskCount;
   final boolean withReplica;
   final SearchWorker worker = new SearchWorker();
@@ -55,7 +55,7 @@
   CommandWorld(int taskCount, boolean withReplica) {
     this.taskCount = taskCount;
     this.withReplica = withReplica;
-    LeaderBench first = new LeaderBench();
+    LeaderFixture first = new LeaderFixture();
     first.now = now;
     first.lead();
     first.machines(1);
@@ -71,11 +71,11 @@
     return leaders.size() - 1;
   }
 
-  LeaderBench newestLeader() {
+  LeaderFixture newestLeader() {
     return leaders.get(newest());
   }
 
-  private void addJob(LeaderBench leader) {
+  private void addJob(LeaderFixture leader) {
     JobSpec spec = JobSpecBuilder.job(JOB).tasks(taskCount).build();
     leader.replica.apply(new Reply.Item(StateKeys.job(JOB), JobRecord.open(spec, 0), 5));
     leader.replica.job(JOB).setDurableProgress(new BitSet(), 1);
@@ -177,7 +177,7 @@
     if (now > worker.answeredSentMicros + newestLeader().settings.workerTimings().leaseMicros()) {
       newIncarnation();
     }
-    for (LeaderBench leader : leaders) {
+    for (LeaderFixture leader : leaders) {
       leader.now = now;
       leader.replica.advanceTo(now);
       leader.leadership.setTime(now);
@@ -199,7 +199,7 @@
   }
 
   private void pass(int leaderIndex) {
-    LeaderBench leader = leaders.get(leaderIndex);
+    LeaderFixture leader = leaders.get(leaderIndex);
     now += 2 * SECOND;
     leader.now = now;
     if (leaderIndex == newest()) {
@@ -213,12 +213,12 @@
   }
 
   private void takeOver() {
-    LeaderBench first = leaders.get(0);
+    LeaderFixture first = leaders.get(0);
     Map<String, RecoveredMachine> recovered = withReplica ? recovered(first) : null;
     if (!withReplica) {
       now += first.settings.tuning().leaderTtlMicros();
     }
-    LeaderBench second = new LeaderBench(SECOND_TERM);
+    LeaderFixture second = new LeaderFixture(SECOND_TERM);
     second.now = now;
     second.lead();
     addJob(second);
@@ -229,7 +229,7 @@
         new Reply.Item(StateKeys.worker(MACHINE), new WorkerRecord("x", "t", "a", false), 4));
     second.workers.takeOver(now, Optional.ofNullable(recovered), now);
     Machine machine = second.workers.machines().get(MACHINE);
-    machine.assignType(LeaderBench.TYPE);
+    machine.assignType(LeaderFixture.TYPE);
     machine.recomputeFreeResources();
     leaders.add(second);
     if (withReplica) {
@@ -239,7 +239,7 @@
     }
   }
 
-  private Map<String, RecoveredMachine> recovered(LeaderBench first) {
+  private Map<String, RecoveredMachine> recovered(LeaderFixture first) {
     Map<Integer, Long> held = new HashMap<>();
     long[] incarnation = new long[1];
     first.workers.snapshot(
@@ -256,13 +256,13 @@
 
   private void cancel() {
     cancelled = true;
-    LeaderBench leader = newestLeader();
+    LeaderFixture leader = newestLeader();
     leader.replica.applyCancellation(new Cancellation(JOB, 6, 0));
     leader.workers.jobEnded(leader.replica.job(JOB));
   }
 
   private void deliver(InFlightHeartbeat heartbeat) {
-    LeaderBench leader = leaders.get(heartbeat.leader);
+    LeaderFixture leader = leaders.get(heartbeat.leader);
     if (!leader.leadership.isLeader()) {
       heartbeat.answer = new Answer.Redirect(null);
       heartbeat.exchange = -1;
@@ -303,7 +303,7 @@
   }
 
   /** Takes what a leader has sent. */
-  private void collect(LeaderBench leader) {
+  private void collect(LeaderFixture leader) {
     int leaderIndex = leaders.indexOf(leader);
     for (Effect effect : leader.effects) {
       if (effect instanceof Effect.Respond respond
@@ -332,7 +332,7 @@
   }
 
   private void check() {
-    LeaderBench leader = newestLeader();
+    LeaderFixture leader = newestLeader();
     if (!leader.leadership.isLeader()) {
       return;
     }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.List;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
@@ -29,7 +29,7 @@
  */
 class DelayedCommandsTest {
   private static final long SECOND = 1_000_000;
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture bench = new LeaderFixture();
 
   private Machine leadsOneMachine() {
     bench.startStandby();
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Heartbeat;
@@ -76,7 +76,7 @@
     }
   }
 
-  private void leader(LeaderBench leader) {
+  private void leader(LeaderFixture leader) {
     Machine machine = leader.workers.machines().get(CommandWorld.MACHINE);
     Job job = leader.replica.job(CommandWorld.JOB);
     ranks.add(machine.incarnation(), machine.sequence());
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -8,7 +8,7 @@
 import java.util.BitSet;
 import java.util.List;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.leadership.Leadership;
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.message.Effect;
@@ -240,7 +240,7 @@
    */
   @Example
   void whatIsDoneIsReapedOnlyOnceThatIsDurable() {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture bench = new LeaderFixture();
     bench.lead();
     bench.machines(1);
     Machine m = bench.workers.machines().get("m-0");
@@ -262,7 +262,7 @@
         reapsAfter(bench, m, shown.get(0)));
   }
 
-  private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
+  private static List<Order> reapsAfter(LeaderFixture bench, Machine m, Entry entry) {
     bench.effects.clear();
     Heartbeat report = bench.heartbeat(m, List.of(entry));
     bench.workers.receive(bench.nextExchange(), report, false, bench.now);
