--- a/src/test/java/org/eiderstair/core/AllocationTest.java
+++ b/src/test/java/org/eiderstair/core/AllocationTest.java
@@ -30,46 +30,48 @@
 import org.eiderstair.protocol.WorkerMessages;
 
 /**
- * Bytes that an event's whole way allocates, from its body to its answer's body, which the JVM
- * counts for each thread: the measure of processor time in a test without a clock. An event's must
- * not grow with the workers.
+ * Tests how many bytes the processing of an event allocates, from the request body to the answer
+ * body. The JVM counts allocated bytes per thread, which stands for processor time in a test
+ * without a clock. The bytes per event must not grow with the number of workers.
  */
 class AllocationTest {
   private static final int ROUNDS = 400;
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
 
-  /** One event's whole way. */
-  private interface Way {
-    void go(int round) throws MalformedMessageException;
+  /** The processing of one event. */
+  private interface EventProcessing {
+    void run(int round) throws MalformedMessageException;
   }
 
-  private static long bytes(Way way) throws MalformedMessageException {
+  /** Returns the bytes that one round allocates on average, after as many warm-up rounds. */
+  private static long allocatedBytes(EventProcessing processing) throws MalformedMessageException {
     for (int i = 0; i < ROUNDS; i++) {
-      way.go(i);
+      processing.run(i);
     }
     long before = THREADS.getCurrentThreadAllocatedBytes();
     for (int i = ROUNDS; i < 2 * ROUNDS; i++) {
-      way.go(i);
+      processing.run(i);
     }
     return (THREADS.getCurrentThreadAllocatedBytes() - before) / ROUNDS;
   }
 
-  private static void within(String what, int machines, long bytes, long maxBytes) {
+  private static void assertAllocatedAtMost(String event, int machines, long bytes, long maxBytes) {
     assertTrue(
         bytes <= maxBytes,
-        what + " at " + machines + " machines: " + bytes + " bytes, at most " + maxBytes);
+        event + " at " + machines + " machines: " + bytes + " bytes, at most " + maxBytes);
   }
 
-  private static LeaderBench busy(int machines) {
-    LeaderBench bench = new LeaderBench();
-    bench.machines(machines);
-    bench.job("blue", JobSpec.Priority.NORMAL, machines * 8, 1);
-    bench.placement.place(bench.now);
-    bench.deliver();
-    return bench;
+  /** Creates a leader whose machines are all fully loaded with tasks of one CPU. */
+  private static LeaderFixture fullyLoaded(int machines) {
+    LeaderFixture leader = new LeaderFixture();
+    leader.machines(machines);
+    leader.job("blue", JobSpec.Priority.NORMAL, machines * 8, 1);
+    leader.placement.place(leader.now);
+    leader.deliverPlannedLaunches();
+    return leader;
   }
 
-  private static byte[] report(LeaderBench bench, Machine machine) {
+  private static byte[] encodeHeartbeat(LeaderFixture leader, Machine machine) {
     List<Object> tasks = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.phase() != Attempt.Phase.QUEUED) {
@@ -81,108 +83,110 @@
             machine.id(), "10.0.0.1:9000", "t", machine.zone(), machine.isSpot());
     return MessagePackCodec.write(
         SampleMessages.heartbeat(
-            worker, bench.nextSequence(machine), machine.fencingToken().value(), tasks));
+            worker, leader.nextSequence(machine), machine.fencingToken().value(), tasks));
   }
 
   /**
-   * A heartbeat of a machine with eight tasks in which nothing has changed, the most frequent event
-   * there is.
+   * The most frequent event is the heartbeat of a machine with eight tasks whose state has not
+   * changed. A negative number of machines stands for a run with a standby.
    */
   @Example
-  void anUnchangedReportIsNearlyFree() throws MalformedMessageException {
+  void anUnchangedHeartbeatAllocatesFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000, -2000}) {
-      anUnchangedReport(Math.abs(machines), machines < 0);
+      processUnchangedHeartbeats(Math.abs(machines), machines < 0);
     }
   }
 
-  private static void anUnchangedReport(int machines, boolean withStandby)
+  private static void processUnchangedHeartbeats(int machines, boolean withStandby)
       throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
+    LeaderFixture leader = fullyLoaded(machines);
     if (withStandby) {
-      bench.keepStandby();
-      assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
+      leader.startStandby();
+      assertTrue(leader.standby.summary().endsWith("in sync"), leader.standby.summary());
     }
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      bodies.add(report(bench, bench.workers.machines().get("m-" + i % machines)));
+      bodies.add(encodeHeartbeat(leader, leader.workers.machines().get("m-" + i % machines)));
     }
-    bench.effects.clear();
-    within(
-        "report",
+    leader.effects.clear();
+    assertAllocatedAtMost(
+        "heartbeat",
         machines,
-        bytes(
-            i -> {
-              bench.now += 1_000;
-              bench.workers.receive(
-                  bench.nextExchange(),
-                  WorkerMessages.decodeHeartbeat(bodies.get(i)),
+        allocatedBytes(
+            round -> {
+              leader.now += 1_000;
+              leader.workers.receive(
+                  leader.nextExchange(),
+                  WorkerMessages.decodeHeartbeat(bodies.get(round)),
                   false,
-                  bench.now);
-              bench.workers.flush(bench.now);
-              bench.standby.tick(bench.now);
+                  leader.now);
+              leader.workers.flush(leader.now);
+              leader.standby.tick(leader.now);
               Answer.Command answer =
-                  (Answer.Command) ((Effect.Respond) bench.effects.get(0)).answer();
+                  (Answer.Command) ((Effect.Respond) leader.effects.get(0)).answer();
               WorkerMessages.encodeHeartbeatAnswer(answer.fencingToken(), answer.orders());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         8000);
   }
 
   /**
-   * With a standby in sync: its changes, batches and what holds a launch until they are
-   * acknowledged.
+   * Includes what a standby in sync adds: replicated changes, batches, and launches that wait for
+   * acknowledgements.
    */
   @Example
-  void aPlacedTaskWithAStandby() throws MalformedMessageException {
-    LeaderBench bench = busy(500);
-    bench.keepStandby();
-    placedTasks(bench, 500, 12_000);
-    assertTrue(bench.standby.summary().endsWith("in sync"), bench.standby.summary());
+  void aPlacedTaskAllocatesFewBytesWithAStandby() throws MalformedMessageException {
+    LeaderFixture leader = fullyLoaded(500);
+    leader.startStandby();
+    placeTasks(leader, 500, 12_000);
+    assertTrue(leader.standby.summary().endsWith("in sync"), leader.standby.summary());
   }
 
   @Example
-  void aPlacedTask() throws MalformedMessageException {
+  void aPlacedTaskAllocatesFewBytesWithAnyNumberOfMachines() throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      // At the largest size 4,000 attempts wait in queues, and a pass looks at more of them.
-      placedTasks(busy(machines), machines, machines <= 500 ? 10_000 : 25_000);
+      // At the largest size, 4,000 attempts wait in queues, and a pass examines more of them.
+      placeTasks(fullyLoaded(machines), machines, machines <= 500 ? 10_000 : 25_000);
     }
   }
 
-  private static void placedTasks(LeaderBench bench, int machines, long maxBytes)
+  private static void placeTasks(LeaderFixture leader, int machines, long maxBytes)
       throws MalformedMessageException {
     for (int i = 0; i < 20; i++) {
-      bench.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
+      leader.job("blue", JobSpec.Priority.NORMAL, ROUNDS, 1);
     }
     int[] placed = {0};
-    long all =
-        bytes(
-            i -> {
-              bench.report(bench.workers.machines().get("m-" + i % machines), 4);
-              bench.placement.place(bench.now);
-              for (Machine machine : bench.workers.machines().values()) {
-                placed[0] += i >= ROUNDS ? machine.plannedLaunches().size() : 0;
+    long bytesPerRound =
+        allocatedBytes(
+            round -> {
+              leader.report(leader.workers.machines().get("m-" + round % machines), 4);
+              leader.placement.place(leader.now);
+              for (Machine machine : leader.workers.machines().values()) {
+                placed[0] += round >= ROUNDS ? machine.plannedLaunches().size() : 0;
               }
-              bench.workers.flush(bench.now);
-              bench.standby.tick(bench.now);
-              bench.deliver();
-              bench.effects.clear();
+              leader.workers.flush(leader.now);
+              leader.standby.tick(leader.now);
+              leader.deliverPlannedLaunches();
+              leader.effects.clear();
             });
     assertTrue(placed[0] > ROUNDS, "placed " + placed[0]);
-    within("placed task", machines, all * ROUNDS / placed[0], maxBytes);
+    assertAllocatedAtMost("placed task", machines, bytesPerRound * ROUNDS / placed[0], maxBytes);
   }
 
   @Example
-  void aChangeInTheWatch() throws MalformedMessageException {
+  void aChangeFromTheWatchAllocatesFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      aChangeInTheWatch(machines);
+      applyWatchChanges(machines);
     }
   }
 
-  private static void aChangeInTheWatch(int machines) throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
-    List<byte[]> news = new ArrayList<>();
+  private static void applyWatchChanges(int machines) throws MalformedMessageException {
+    LeaderFixture leader = fullyLoaded(machines);
+    List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
-      news.add(
+      bodies.add(
           MessagePackCodec.write(
               Map.of(
                   "LedgerRev",
@@ -191,81 +195,84 @@
                   List.of(
                       Map.of(
                           "Put",
-                          "e/prog/" + firstJob(bench).id(),
+                          "e/prog/" + firstJob(leader).id(),
                           "Data",
                           StoredValueCodec.encode(
-                              ProgressRecord.of(firstJob(bench).completedTasks(), 3)),
+                              ProgressRecord.of(firstJob(leader).completedTasks(), 3)),
                           "Stamp",
                           100L + i)))));
     }
-    within(
+    assertAllocatedAtMost(
         "watch change",
         machines,
-        bytes(
-            i -> {
+        allocatedBytes(
+            round -> {
               Reply.Changed changed =
                   (Reply.Changed)
-                      StoreMessages.decodeChanged(MessagePackCodec.readMap(news.get(i)));
-              changed.changes().forEach(bench.replica::apply);
+                      StoreMessages.decodeChanged(MessagePackCodec.readMap(bodies.get(round)));
+              changed.changes().forEach(leader.replica::apply);
             }),
         1800);
   }
 
-  private static Job firstJob(LeaderBench bench) {
-    return bench.replica.openJobs().iterator().next();
+  private static Job firstJob(LeaderFixture leader) {
+    return leader.replica.openJobs().iterator().next();
   }
 
   @Example
-  void aSubmissionAndAPoll() throws MalformedMessageException {
+  void aSubmissionAndAPollAllocateFewBytesWithAnyNumberOfMachines()
+      throws MalformedMessageException {
     for (int machines : new int[] {50, 500, 2000}) {
-      aSubmissionAndAPoll(machines);
+      submitAndPoll(machines);
     }
   }
 
-  private static void aSubmissionAndAPoll(int machines) throws MalformedMessageException {
-    LeaderBench bench = busy(machines);
-    bench.replica.apply(
-        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderBench.TYPE)), 2));
-    bench.load();
+  private static void submitAndPoll(int machines) throws MalformedMessageException {
+    LeaderFixture leader = fullyLoaded(machines);
+    leader.replica.apply(
+        new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderFixture.TYPE)), 2));
+    leader.load();
     JobService jobService =
-        new JobService(bench.settings, bench.sink, bench.replica, cancellation -> {});
+        new JobService(leader.settings, leader.sink, leader.replica, cancellation -> {});
     List<byte[]> bodies = new ArrayList<>();
     for (int i = 0; i < 2 * ROUNDS; i++) {
       bodies.add(
           MessagePackCodec.write(SampleMessages.submission("job-" + (500_000 + i), 12, 2.0)));
     }
-    within(
+    assertAllocatedAtMost(
         "submission",
         machines,
-        bytes(
-            i -> {
-              Map<String, Object> message = MessagePackCodec.readMap(bodies.get(i));
-              // As the router does it: the id first, then all of the message.
+        allocatedBytes(
+            round -> {
+              Map<String, Object> message = MessagePackCodec.readMap(bodies.get(round));
+              // Like the HTTP router, decodes the id first and then the whole message.
               UserMessages.decodeJobId(message);
               jobService.submit(1, new Submission.Parsed(UserMessages.decodeSubmission(message)));
-              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              Effect.Call call = (Effect.Call) leader.effects.get(leader.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
-              bench.sink.replied(call.callId(), new Reply.Applied(1000 + i));
-              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              leader.sink.replied(call.callId(), new Reply.Applied(1000 + round));
+              Effect.Respond answer =
+                  (Effect.Respond) leader.effects.get(leader.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         12_500);
     long[] now = {1_000_000};
-    within(
+    assertAllocatedAtMost(
         "poll",
         machines,
-        bytes(
-            i -> {
+        allocatedBytes(
+            round -> {
               jobService.tick(now[0] += 1_000_000);
-              jobService.poll(1, "job-" + (500_000 + i));
+              jobService.poll(1, "job-" + (500_000 + round));
               jobService.tick(now[0] += 1_000_000);
-              Effect.Call call = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+              Effect.Call call = (Effect.Call) leader.effects.get(leader.effects.size() - 1);
               StoreMessages.encodeTransaction((Request.StoreTransaction) call.request());
-              bench.sink.replied(call.callId(), new Reply.Applied(0));
-              Effect.Respond answer = (Effect.Respond) bench.effects.get(bench.effects.size() - 1);
+              leader.sink.replied(call.callId(), new Reply.Applied(0));
+              Effect.Respond answer =
+                  (Effect.Respond) leader.effects.get(leader.effects.size() - 1);
               UserMessages.encodeJobStatus((Answer.JobView) answer.answer());
-              bench.effects.clear();
+              leader.effects.clear();
             }),
         6000);
   }
