--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -81,7 +81,7 @@
                 sink, replica, workers, stateWriter, cloud, pendingMachines, selector, clock),
             term,
             TOMBSTONE_MICROS,
-            replica.dayMicros(0));
+            replica.wallClockMicros(0));
     scaleIn = new ScaleIn(sink, workers, provisioning, term);
     retirement =
         new MachineRetirement(settings, sink, replica, workers, membership, scaleIn, clock, term);
@@ -103,7 +103,7 @@
   public void takeOver(long nowMicros) {
     clock.advanceTo(nowMicros);
     workers.setReleasing(provisioning::isReleasing);
-    provisioning.resume(replica.dutyRecords(), nowMicros);
+    provisioning.resume(replica.coordinationRecords(), nowMicros);
     for (Machine machine : workers.machines().values()) {
       if (provisioning.isReleasing(machine.id())) {
         scaleIn.stopUsing(machine);
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -53,12 +53,12 @@
 
   @Override
   public void put(String key, StoredValue value, Runnable onDurable) {
-    stateWriter.putDuty(key, value, onDurable);
+    stateWriter.putProvisioningRecord(key, value, onDurable);
   }
 
   @Override
   public void remove(String key) {
-    stateWriter.removeDuty(key, NOTHING);
+    stateWriter.removeProvisioningRecord(key, NOTHING);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
@@ -74,7 +74,7 @@
     String key = StateKeys.job(job.id());
     JobRecord record =
         JobRecord.cancelled(
-            job.spec(), job.durablyCompleted(), replica.dayMicros(nowMicros.getAsLong()));
+            job.spec(), job.durablyCompleted(), replica.wallClockMicros(nowMicros.getAsLong()));
     sink.call(
         new Request.StoreTransaction(
             List.of(new Request.Condition(key, job.version())),
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -72,7 +72,7 @@
   }
 
   private void create(long exchange, JobSpec spec, long nowMicros) {
-    JobRecord record = JobRecord.open(spec, replica.dayMicros(nowMicros));
+    JobRecord record = JobRecord.open(spec, replica.wallClockMicros(nowMicros));
     String key = StateKeys.job(spec.id());
     sink.call(
         new Request.StoreTransaction(
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -11,7 +11,7 @@
  *   <li><em>lease validity</em>: no other node can lead until this node's lease expires, counted
  *       from when its latest renewal was sent;
  *   <li><em>replica freshness</em>: the replica holds every change that was made up to the time at
- *       which the latest request was sent whose answer shows so ({@link Replica#currentMicros}).
+ *       which the latest request was sent whose answer shows so ({@link Replica#freshAsOfMicros}).
  * </ul>
  *
  * A cancellation that this node does not know of was confirmed after the replica was last shown to
@@ -64,7 +64,7 @@
 
   /** The replica holds every change made up to this time. */
   long replicaCurrentMicros() {
-    return replica.currentMicros();
+    return replica.freshAsOfMicros();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
+++ b/src/main/java/org/eiderstair/core/provisioning/RentalIntent.java
@@ -147,7 +147,7 @@
         new RentalIntent(
             new RentalRequest(requestId, option, record.count()),
             record.term(),
-            record.decidedDayMicros(),
+            record.decidedWallClockMicros(),
             record.granted() ? State.GRANTED : State.DURABLE);
     if (record.granted()) {
       intent.addMachines(record.machines());
--- a/src/main/java/org/eiderstair/core/record/CatalogRecord.java
+++ b/src/main/java/org/eiderstair/core/record/CatalogRecord.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.eiderstair.core.model.MachineType;
 
-/** The machine types that can be rented, kept so that every node can judge jobs. */
+/** The machine types that can be rented, stored so that every node can validate jobs. */
 public record CatalogRecord(List<MachineType> types) implements StoredValue {
 
   @Override
--- a/src/main/java/org/eiderstair/core/record/LeaderRecord.java
+++ b/src/main/java/org/eiderstair/core/record/LeaderRecord.java
@@ -1,10 +1,11 @@
 package org.eiderstair.core.record;
 
 /**
- * Who leads. The version of its key is the term.
+ * The value of the leader key. The version of the key is the term.
  *
- * @param lease to which the key is attached: it is removed when the lease expires
- * @param runId identifies the process, since a restarted node has the same name
+ * @param node the name of the leading node
+ * @param lease the lease to which the key is attached; the key is removed when the lease expires
+ * @param runId identifies the process, because a restarted node keeps its name
  */
 public record LeaderRecord(String node, long lease, String runId) implements StoredValue {
 
--- a/src/main/java/org/eiderstair/core/record/ProgressRecord.java
+++ b/src/main/java/org/eiderstair/core/record/ProgressRecord.java
@@ -4,22 +4,22 @@
 import org.eiderstair.core.model.TaskSet;
 
 /**
- * How far an open job is.
+ * The progress of an open job.
  *
- * @param doneTasks the finished tasks in the form of {@link TaskSet}
- * @param running how many tasks are running, for its user
+ * @param doneTasks the finished tasks, encoded as a {@link TaskSet}
+ * @param running the number of running tasks, as shown to the user of the job
  */
 public record ProgressRecord(String doneTasks, int running) implements StoredValue {
 
-  /** The progress of a job with these finished tasks. */
+  /** Returns the progress record of a job with these finished tasks. */
   public static ProgressRecord of(BitSet done, int running) {
     return new ProgressRecord(TaskSet.write(done), running);
   }
 
   /**
-   * The finished tasks.
+   * Returns the finished tasks.
    *
-   * @throws IllegalArgumentException when their text has no known form
+   * @throws IllegalArgumentException when {@code doneTasks} is not a valid task set
    */
   public BitSet done() {
     return TaskSet.read(doneTasks);
--- a/src/main/java/org/eiderstair/core/record/ReleaseRecord.java
+++ b/src/main/java/org/eiderstair/core/record/ReleaseRecord.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Machines that are released, written before the cloud is asked.
+ * A decision to release machines, written before the request to the cloud.
  *
- * @param term the one that decided it
+ * @param term the term of the leader that made the decision
+ * @param machines the names of the machines to release
  */
 public record ReleaseRecord(long term, List<String> machines) implements StoredValue {
 
--- a/src/main/java/org/eiderstair/core/record/RentalIntentRecord.java
+++ b/src/main/java/org/eiderstair/core/record/RentalIntentRecord.java
@@ -3,11 +3,13 @@
 import java.util.List;
 
 /**
- * A rental, written before the cloud is asked.
+ * A decision to rent machines, written before the request to the cloud.
  *
- * @param term the one that decided it
- * @param decidedDayMicros when, by the time of day
- * @param machines those of the cloud's answer that no other record tells of; null before that
+ * @param count the number of machines to rent
+ * @param term the term of the leader that made the decision
+ * @param decidedWallClockMicros the wall clock time of the decision
+ * @param machines the machines that the cloud granted and no other record covers yet; null until
+ *     the cloud has granted the rental
  */
 public record RentalIntentRecord(
     String type,
@@ -15,11 +17,11 @@
     boolean spot,
     int count,
     long term,
-    long decidedDayMicros,
+    long decidedWallClockMicros,
     List<String> machines)
     implements StoredValue {
 
-  /** Whether the cloud has granted it. */
+  /** Returns whether the cloud has granted the rental. */
   public boolean granted() {
     return machines != null;
   }
--- a/src/main/java/org/eiderstair/core/record/StandbyRecord.java
+++ b/src/main/java/org/eiderstair/core/record/StandbyRecord.java
@@ -1,36 +1,36 @@
 package org.eiderstair.core.record;
 
 /**
- * The standby that holds all of the leader's state.
+ * Names the standby that holds all of the leader's state.
  *
- * @param term of the leader that wrote it; 0 when it names none
- * @param node the standby, or empty when there is none
- * @param runId identifies the standby's process
+ * @param term the term of the leader that wrote the record; 0 when the stored value has no term
+ * @param node the name of the standby; empty or null when there is none
+ * @param runId identifies the process of the standby
  * @param takenOver whether the standby has ended the term
- * @param unknownFields what a newer version has added
+ * @param unknownFields fields added by a newer version
  */
 public record StandbyRecord(
     long term, String node, String runId, boolean takenOver, UnknownFields unknownFields)
     implements StoredValue {
 
-  /** A record that the standby has not ended. */
+  /** Creates a record of a term that the standby has not ended. */
   public StandbyRecord(long term, String node, String runId) {
     this(term, node, runId, false, UnknownFields.NONE);
   }
 
-  /** Whether it names a standby. */
+  /** Returns whether the record names a standby. */
   public boolean namesStandby() {
     return node != null && !node.isEmpty();
   }
 
-  /** Whether it names that process of that node. */
+  /** Returns whether the record names this process of this node as the standby. */
   public boolean names(String otherNode, String otherRunId) {
     return otherNode.equals(node) && otherRunId.equals(runId);
   }
 
   /**
-   * The same record, with which the standby takes over: its leader can neither drop it nor launch
-   * beside it.
+   * Returns a copy of the record with which the standby takes over. Once the copy is stored, the
+   * leader can neither drop this standby nor launch tasks in parallel with it.
    */
   public StandbyRecord withTakeover() {
     return new StandbyRecord(term, node, runId, true, unknownFields);
--- a/src/main/java/org/eiderstair/core/record/StateKeys.java
+++ b/src/main/java/org/eiderstair/core/record/StateKeys.java
@@ -1,30 +1,36 @@
 package org.eiderstair.core.record;
 
-/** The keys of the state service, and which kind of value each holds. */
+/** The keys in the state service and the kind of value of each key. */
 public final class StateKeys {
   /** The prefix of all keys. */
   public static final String ROOT = "e/";
 
-  /** Names the leader; removed when its lease expires. */
+  /** The key that names the leader; removed when the lease of the leader expires. */
   public static final String LEADER = "e/leader";
 
-  /** The machine types that can be rented. */
+  /** The key of the machine types that can be rented. */
   public static final String CATALOG = "e/catalog";
 
-  /** Never removed; its version is a condition of every transaction of a leader. */
+  /**
+   * The key of the write barrier; never removed. Every transaction of a state writer requires its
+   * version.
+   */
   public static final String BARRIER = "e/duty/barrier";
 
-  /** Names the standby that is in sync. */
+  /** The key that names the standby that is in sync. */
   public static final String STANDBY = "e/duty/standby";
 
   private static final String JOB = "e/job/";
   private static final String PROGRESS = "e/prog/";
   private static final String WORKER = "e/roster/";
-  private static final String DUTY = "e/duty/";
+
+  /** The prefix of records with which leaders coordinate: barrier, standby, rentals, releases. */
+  private static final String COORDINATION = "e/duty/";
+
   private static final String RENTAL = "e/duty/rent/";
   private static final String RELEASE = "e/duty/leave/";
 
-  /** What kind of value a key holds. */
+  /** The kind of value of a key. */
   public enum Kind {
     LEADER(StateKeys.LEADER),
     CATALOG(StateKeys.CATALOG),
@@ -36,11 +42,11 @@
     RENTAL(StateKeys.RENTAL),
     RELEASE(StateKeys.RELEASE),
 
-    /** Written by a newer version beside the records of a leader. */
-    OTHER_DUTY(StateKeys.DUTY),
+    /** A coordination record of a kind that only a newer version knows. */
+    OTHER_COORDINATION(StateKeys.COORDINATION),
 
-    /** Of no use to this version. */
-    FOREIGN("");
+    /** A key that this version does not know. */
+    UNKNOWN("");
 
     private final String prefix;
 
@@ -48,7 +54,10 @@
       this.prefix = prefix;
     }
 
-    /** What the key says after the prefix of its kind: the id of a job, the name of a machine. */
+    /**
+     * Returns the part of a key after the prefix of its kind: a job id or a machine name, for
+     * example.
+     */
     public String idOf(String key) {
       return key.substring(prefix.length());
     }
@@ -56,32 +65,32 @@
 
   private StateKeys() {}
 
-  /** The key of a job. */
+  /** Returns the key of a job. */
   public static String job(String id) {
     return JOB + id;
   }
 
-  /** The key of a job's progress. */
+  /** Returns the key of the progress of a job. */
   public static String progress(String job) {
     return PROGRESS + job;
   }
 
-  /** The key of a worker's registration. */
+  /** Returns the key of the registration of a worker. */
   public static String worker(String machine) {
     return WORKER + machine;
   }
 
-  /** The key of a rental. */
+  /** Returns the key of a rental, by the name of its request. */
   public static String rental(String request) {
     return RENTAL + request;
   }
 
-  /** The key of machines that are released together. */
+  /** Returns the key of a release of machines, by its name. */
   public static String release(String name) {
     return RELEASE + name;
   }
 
-  /** The kind of value that a key holds. */
+  /** Returns the kind of value of a key. */
   public static Kind kindOf(String key) {
     if (key.startsWith(JOB)) {
       return Kind.JOB;
@@ -92,17 +101,17 @@
     if (key.startsWith(WORKER)) {
       return Kind.WORKER;
     }
-    if (key.startsWith(DUTY)) {
-      return kindOfDuty(key);
+    if (key.startsWith(COORDINATION)) {
+      return kindOfCoordinationRecord(key);
     }
     return switch (key) {
       case LEADER -> Kind.LEADER;
       case CATALOG -> Kind.CATALOG;
-      default -> Kind.FOREIGN;
+      default -> Kind.UNKNOWN;
     };
   }
 
-  private static Kind kindOfDuty(String key) {
+  private static Kind kindOfCoordinationRecord(String key) {
     if (key.startsWith(RENTAL)) {
       return Kind.RENTAL;
     }
@@ -112,7 +121,7 @@
     return switch (key) {
       case BARRIER -> Kind.BARRIER;
       case STANDBY -> Kind.STANDBY;
-      default -> Kind.OTHER_DUTY;
+      default -> Kind.OTHER_COORDINATION;
     };
   }
 }
--- a/src/main/java/org/eiderstair/core/record/StoredFields.java
+++ b/src/main/java/org/eiderstair/core/record/StoredFields.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Reads the fields of a stored value. Those that always had a number or a flag may be missing, and
- * count as zero or false also when they hold something else; a text that holds something else makes
- * the value unreadable.
+ * Reads typed fields of a stored value. Most number fields and all flags may be missing; a missing
+ * one, or one of another type, counts as a default. A string field of another type mostly makes the
+ * value unreadable.
  */
 final class StoredFields {
   private final Map<String, Object> fields;
@@ -18,118 +18,155 @@
     this.fields = fields;
   }
 
+  /** Returns whether the field is present, even with a null value. */
   boolean has(String field) {
     return fields.containsKey(field);
   }
 
   private static UnreadableValueException unreadable(String field, String expected) {
-    return new UnreadableValueException(field + ": not " + expected);
+    return new UnreadableValueException(field + ": expected " + expected);
   }
 
-  /** A text; null when it is missing. */
-  String textOrNull(String field) {
+  /**
+   * Returns a string, or null when the field is missing.
+   *
+   * @throws UnreadableValueException when the field has another type
+   */
+  String stringOrNull(String field) {
     Object value = fields.get(field);
     if (value == null || value instanceof String) {
       return (String) value;
     }
-    throw unreadable(field, "a text");
+    throw unreadable(field, "a string");
   }
 
-  /** A text; null when there is none or something else. */
-  String textIfAny(String field) {
+  /** Returns a string, or null when the field is missing or has another type. */
+  String stringIfValid(String field) {
     return fields.get(field) instanceof String text ? text : null;
   }
 
-  /** A text that is there, and may be empty. */
-  String text(String field) {
+  /**
+   * Returns a string, which may be empty.
+   *
+   * @throws UnreadableValueException when the field is missing or has another type
+   */
+  String requiredString(String field) {
     if (fields.get(field) instanceof String text) {
       return text;
     }
-    throw unreadable(field, "a text");
+    throw unreadable(field, "a string");
   }
 
-  /** A text that is there and not empty. */
-  String name(String field) {
-    String text = text(field);
+  /**
+   * Returns a string that is not empty.
+   *
+   * @throws UnreadableValueException when the field is missing, empty or has another type
+   */
+  String requiredNonEmptyString(String field) {
+    String text = requiredString(field);
     if (text.isEmpty()) {
-      throw unreadable(field, "a text");
+      throw unreadable(field, "a non-empty string");
     }
     return text;
   }
 
-  /** A constant of an enumeration, in any case. */
-  <E extends Enum<E>> E constant(String field, Class<E> type) {
-    return exactConstant(field, text(field).toUpperCase(Locale.ROOT), type);
+  /**
+   * Returns an enum constant by its name, ignoring case.
+   *
+   * @throws UnreadableValueException when the field does not name a constant
+   */
+  <E extends Enum<E>> E constantIgnoringCase(String field, Class<E> type) {
+    return constant(field, requiredString(field).toUpperCase(Locale.ROOT), type);
   }
 
-  /** A constant of an enumeration, as it is written in the code. */
-  <E extends Enum<E>> E exactConstant(String field, Class<E> type) {
-    return exactConstant(field, text(field), type);
+  /**
+   * Returns an enum constant by its exact name.
+   *
+   * @throws UnreadableValueException when the field does not name a constant
+   */
+  <E extends Enum<E>> E constant(String field, Class<E> type) {
+    return constant(field, requiredString(field), type);
   }
 
-  private static <E extends Enum<E>> E exactConstant(String field, String name, Class<E> type) {
+  private static <E extends Enum<E>> E constant(String field, String name, Class<E> type) {
     try {
       return Enum.valueOf(type, name);
     } catch (IllegalArgumentException e) {
-      throw unreadable(field, "a known word: " + name);
+      throw unreadable(field, "a constant of " + type.getSimpleName() + ", got " + name);
     }
   }
 
-  /** A real number, or 0. */
-  double real(String field) {
+  /** Returns a number, or 0 when the field is missing or has another type. */
+  double doubleOrZero(String field) {
     return fields.get(field) instanceof Number number ? number.doubleValue() : 0;
   }
 
-  /** An integer, or another when there is none. */
-  long wholeOr(String field, long otherwise) {
-    return fields.get(field) instanceof Number number ? number.longValue() : otherwise;
+  /** Returns an integer, or the default when the field is missing or has another type. */
+  long longOr(String field, long defaultValue) {
+    return fields.get(field) instanceof Number number ? number.longValue() : defaultValue;
   }
 
-  /** An integer that is there. */
-  long whole(String field) {
+  /**
+   * Returns an integer.
+   *
+   * @throws UnreadableValueException when the field is missing or has another type
+   */
+  long requiredLong(String field) {
     if (fields.get(field) instanceof Number number) {
       return number.longValue();
     }
     throw unreadable(field, "a number");
   }
 
-  /** Whether the field is there and true. */
+  /** Returns whether the field is present and true. */
   boolean flag(String field) {
     return Boolean.TRUE.equals(fields.get(field));
   }
 
-  /** The text in a list; null when the list is missing. What is no text is passed over. */
-  List<String> textsOrNull(String field) {
+  /**
+   * Returns the strings of a list, or null when the field is missing. Skips other items.
+   *
+   * @throws UnreadableValueException when the field is not a list
+   */
+  List<String> stringsOrNull(String field) {
     if (fields.get(field) == null) {
       return null;
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (Object item : list(field)) {
       if (item instanceof String text) {
-        texts.add(text);
+        strings.add(text);
       }
     }
-    return Collections.unmodifiableList(texts);
+    return Collections.unmodifiableList(strings);
   }
 
-  /** A list that is there and holds nothing but text. */
-  List<String> texts(String field) {
-    List<String> texts = new ArrayList<>();
+  /**
+   * Returns a list of strings.
+   *
+   * @throws UnreadableValueException when the field is missing, not a list, or has another item
+   */
+  List<String> requiredStrings(String field) {
+    List<String> strings = new ArrayList<>();
     if (!(fields.get(field) instanceof List<?> items)) {
-      throw unreadable(field, "a list of texts");
+      throw unreadable(field, "a list of strings");
     }
     for (Object item : items) {
       if (!(item instanceof String text)) {
-        throw unreadable(field, "a list of texts");
+        throw unreadable(field, "a list of strings");
       }
-      texts.add(text);
+      strings.add(text);
     }
-    return Collections.unmodifiableList(texts);
+    return Collections.unmodifiableList(strings);
   }
 
-  /** The maps in a list; none when the list is missing. */
+  /**
+   * Returns the maps of a list; empty when the field is missing.
+   *
+   * @throws UnreadableValueException when the field is not a list or has an item that is not a map
+   */
   @SuppressWarnings("unchecked")
-  List<StoredFields> records(String field) {
+  List<StoredFields> mapsOrEmpty(String field) {
     if (!fields.containsKey(field)) {
       return List.of();
     }
--- a/src/main/java/org/eiderstair/core/record/StoredValue.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValue.java
@@ -12,44 +12,44 @@
         ReleaseRecord,
         StandbyRecord,
         UnreadableValue,
-        ForeignValue {
+        UnknownKeyValue {
 
-  /** Calls the method of the visitor that is for this kind of value. */
+  /** Calls the method of the visitor for this kind of value and returns its result. */
   <T> T accept(Visitor<T> visitor);
 
   /** One method for each kind of value. */
   interface Visitor<T> {
-    /** For the leader key. */
+    /** Visits the value of the leader key. */
     T leader(LeaderRecord value);
 
-    /** For the catalog of machine types. */
+    /** Visits the catalog of machine types. */
     T catalog(CatalogRecord value);
 
-    /** For a job. */
+    /** Visits a job. */
     T job(JobRecord value);
 
-    /** For the progress of a job. */
+    /** Visits the progress of a job. */
     T progress(ProgressRecord value);
 
-    /** For a registered worker. */
+    /** Visits the registration of a worker. */
     T worker(WorkerRecord value);
 
-    /** For the write barrier. */
+    /** Visits the write barrier. */
     T barrier(BarrierRecord value);
 
-    /** For a rental. */
+    /** Visits a rental. */
     T rentalIntent(RentalIntentRecord value);
 
-    /** For machines that are released. */
+    /** Visits a release of machines. */
     T release(ReleaseRecord value);
 
-    /** For the standby. */
+    /** Visits the standby record. */
     T standby(StandbyRecord value);
 
-    /** For a value of a known key in an unknown form. */
+    /** Visits a value of a known key that could not be decoded. */
     T unreadable(UnreadableValue value);
 
-    /** For the value of an unknown key. */
-    T foreign(ForeignValue value);
+    /** Visits the value of an unknown key. */
+    T unknownKey(UnknownKeyValue value);
   }
 }
--- a/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
@@ -11,9 +11,9 @@
 import org.eiderstair.core.model.MachineType;
 
 /**
- * Between stored values and the fields of a message. Readers pass over fields that they do not
- * know, so a newer version may add some while an older one still runs. The order of fields is part
- * of the form.
+ * Converts between stored values and the fields of a message. Readers ignore unknown fields, so a
+ * newer version may add fields while an older one still runs. The order of fields is part of the
+ * format.
  */
 public final class StoredValueCodec {
   private static final Set<String> STANDBY_FIELDS = Set.of("epoch", "node", "run", "claimed");
@@ -22,15 +22,18 @@
   private StoredValueCodec() {}
 
   /**
-   * The fields of a value.
+   * Returns the fields of a value.
    *
-   * @throws IllegalArgumentException for a value that was not understood when it was read
+   * @throws IllegalArgumentException for an {@link UnreadableValue} or {@link UnknownKeyValue}
    */
   public static Map<String, Object> encode(StoredValue value) {
     return value.accept(ENCODER);
   }
 
-  /** Reads the value of a key. One of an unknown form is an {@link UnreadableValue}. */
+  /**
+   * Decodes the value of a key. Returns an {@link UnreadableValue} when the fields cannot be
+   * decoded, and an {@link UnknownKeyValue} for an unknown key.
+   */
   public static StoredValue decode(String key, Map<String, Object> message) {
     StoredFields fields = new StoredFields(message);
     try {
@@ -38,13 +41,15 @@
         case LEADER -> leader(fields);
         case CATALOG -> catalog(fields);
         case JOB -> job(StateKeys.Kind.JOB.idOf(key), fields);
-        case PROGRESS -> new ProgressRecord(fields.text("done"), (int) fields.wholeOr("run", 0));
+        case PROGRESS ->
+            new ProgressRecord(fields.requiredString("done"), (int) fields.longOr("run", 0));
         case WORKER -> worker(fields);
-        case BARRIER -> new BarrierRecord(fields.wholeOr("term", 0));
+        case BARRIER -> new BarrierRecord(fields.longOr("term", 0));
         case STANDBY -> standby(fields, UnknownFields.of(message, STANDBY_FIELDS));
         case RENTAL -> rentalIntent(fields);
-        case RELEASE -> new ReleaseRecord(fields.whole("epoch"), fields.texts("ids"));
-        case OTHER_DUTY, FOREIGN -> new ForeignValue();
+        case RELEASE ->
+            new ReleaseRecord(fields.requiredLong("epoch"), fields.requiredStrings("ids"));
+        case OTHER_COORDINATION, UNKNOWN -> new UnknownKeyValue();
       };
     } catch (UnreadableValueException e) {
       return new UnreadableValue(e.getMessage());
@@ -53,96 +58,96 @@
 
   private static LeaderRecord leader(StoredFields fields) {
     return new LeaderRecord(
-        fields.textOrNull("node"), fields.wholeOr("lease", 0), fields.textOrNull("run"));
+        fields.stringOrNull("node"), fields.longOr("lease", 0), fields.stringOrNull("run"));
   }
 
   private static CatalogRecord catalog(StoredFields fields) {
     List<MachineType> types = new ArrayList<>();
-    for (StoredFields type : fields.records("types")) {
+    for (StoredFields type : fields.mapsOrEmpty("types")) {
       types.add(
           new MachineType(
-              type.textOrNull("name"),
-              type.real("cpus"),
-              type.real("acc"),
-              type.real("mem"),
-              type.real("cache"),
-              type.real("fetch"),
-              type.real("price"),
-              type.real("spot"),
-              type.wholeOr("boot", 0),
-              type.textsOrNull("zones")));
+              type.stringOrNull("name"),
+              type.doubleOrZero("cpus"),
+              type.doubleOrZero("acc"),
+              type.doubleOrZero("mem"),
+              type.doubleOrZero("cache"),
+              type.doubleOrZero("fetch"),
+              type.doubleOrZero("price"),
+              type.doubleOrZero("spot"),
+              type.longOr("boot", 0),
+              type.stringsOrNull("zones")));
     }
     return new CatalogRecord(Collections.unmodifiableList(types));
   }
 
   private static JobRecord job(String id, StoredFields fields) {
-    Job.State state = fields.constant("s", Job.State.class);
+    Job.State state = fields.constantIgnoringCase("s", Job.State.class);
     return new JobRecord(
         state,
         state == Job.State.DONE ? null : spec(id, fields),
-        (int) fields.wholeOr("n", 0),
-        (int) fields.wholeOr("d", 0),
-        fields.wholeOr("at", 0),
-        fields.wholeOr("c", 0));
+        (int) fields.longOr("n", 0),
+        (int) fields.longOr("d", 0),
+        fields.longOr("at", 0),
+        fields.longOr("c", 0));
   }
 
   private static JobSpec spec(String id, StoredFields fields) {
     return new JobSpec(
         id,
-        fields.textOrNull("class"),
-        fields.textOrNull("team"),
-        fields.exactConstant("shape", JobSpec.Shape.class),
-        fields.exactConstant("prio", JobSpec.Priority.class),
-        (int) fields.wholeOr("n", 0),
-        fields.real("cpus"),
-        fields.real("acc"),
-        fields.real("mem"),
-        fields.textOrNull("img"),
-        fields.real("imgGb"),
-        fields.textsOrNull("types"),
-        fields.textOrNull("zone"),
+        fields.stringOrNull("class"),
+        fields.stringOrNull("team"),
+        fields.constant("shape", JobSpec.Shape.class),
+        fields.constant("prio", JobSpec.Priority.class),
+        (int) fields.longOr("n", 0),
+        fields.doubleOrZero("cpus"),
+        fields.doubleOrZero("acc"),
+        fields.doubleOrZero("mem"),
+        fields.stringOrNull("img"),
+        fields.doubleOrZero("imgGb"),
+        fields.stringsOrNull("types"),
+        fields.stringOrNull("zone"),
         fields.flag("one"),
         fields.flag("spread"),
         fields.flag("spot"),
-        fields.wholeOr("est", 0),
-        fields.wholeOr("ckpt", 0),
-        fields.wholeOr("save", 0),
-        fields.wholeOr("due", JobSpec.NO_DEADLINE));
+        fields.longOr("est", 0),
+        fields.longOr("ckpt", 0),
+        fields.longOr("save", 0),
+        fields.longOr("due", JobSpec.NO_DEADLINE));
   }
 
   private static WorkerRecord worker(StoredFields fields) {
     return new WorkerRecord(
-        fields.textOrNull("addr"),
-        fields.textOrNull("type"),
-        fields.textOrNull("zone"),
+        fields.stringOrNull("addr"),
+        fields.stringOrNull("type"),
+        fields.stringOrNull("zone"),
         fields.flag("spot"));
   }
 
   private static StandbyRecord standby(StoredFields fields, UnknownFields unknown) {
     return new StandbyRecord(
-        fields.wholeOr("epoch", 0),
-        fields.textIfAny("node"),
-        fields.textIfAny("run"),
+        fields.longOr("epoch", 0),
+        fields.stringIfValid("node"),
+        fields.stringIfValid("run"),
         fields.flag("claimed"),
         unknown);
   }
 
   private static RentalIntentRecord rentalIntent(StoredFields fields) {
-    int count = (int) fields.whole("n");
+    int count = (int) fields.requiredLong("n");
     if (count < 1) {
-      throw new UnreadableValueException("n: " + count);
+      throw new UnreadableValueException("n: expected at least 1, got " + count);
     }
     return new RentalIntentRecord(
-        fields.name("type"),
-        fields.name("zone"),
+        fields.requiredNonEmptyString("type"),
+        fields.requiredNonEmptyString("zone"),
         fields.flag("spot"),
         count,
-        fields.whole("epoch"),
-        fields.whole("at"),
-        fields.has("ids") ? fields.texts("ids") : null);
+        fields.requiredLong("epoch"),
+        fields.requiredLong("at"),
+        fields.has("ids") ? fields.requiredStrings("ids") : null);
   }
 
-  /** Writes each kind of value. */
+  /** Encodes each kind of value. */
   private static final class Encoder implements StoredValue.Visitor<Map<String, Object>> {
     @Override
     public Map<String, Object> leader(LeaderRecord value) {
@@ -190,8 +195,8 @@
       Map<String, Object> fields = new LinkedHashMap<>();
       fields.put("s", "open");
       putSpec(fields, value.spec());
-      if (value.createdDayMicros() != 0) {
-        fields.put("at", value.createdDayMicros());
+      if (value.createdWallClockMicros() != 0) {
+        fields.put("at", value.createdWallClockMicros());
       }
       return fields;
     }
@@ -208,7 +213,7 @@
       fields.put("s", "cancelled");
       putSpec(fields, value.spec());
       fields.put("d", (long) value.done());
-      fields.put("c", value.cancelledDayMicros());
+      fields.put("c", value.cancelledWallClockMicros());
       return fields;
     }
 
@@ -265,7 +270,7 @@
       fields.put("spot", value.spot());
       fields.put("n", (long) value.count());
       fields.put("epoch", value.term());
-      fields.put("at", value.decidedDayMicros());
+      fields.put("at", value.decidedWallClockMicros());
       if (value.granted()) {
         fields.put("ids", value.machines());
       }
@@ -295,12 +300,12 @@
 
     @Override
     public Map<String, Object> unreadable(UnreadableValue value) {
-      throw new IllegalArgumentException("cannot write what could not be read: " + value.problem());
+      throw new IllegalArgumentException("cannot encode an unreadable value: " + value.problem());
     }
 
     @Override
-    public Map<String, Object> foreign(ForeignValue value) {
-      throw new IllegalArgumentException("cannot write a value of unknown form");
+    public Map<String, Object> unknownKey(UnknownKeyValue value) {
+      throw new IllegalArgumentException("cannot encode the value of an unknown key");
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/record/UnknownFields.java
+++ b/src/main/java/org/eiderstair/core/record/UnknownFields.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * Fields of a record that this version does not know. They are kept where a record is changed and
- * written again, so that an older version does not take from it what a newer one has added.
+ * Fields of a record that this version does not know. A record that is changed and written again
+ * keeps these fields, so that an older version does not remove fields added by a newer one.
  */
 public final class UnknownFields {
-  /** No such fields. */
+  /** The empty set of fields. */
   public static final UnknownFields NONE = new UnknownFields(Map.of());
 
   private final Map<String, Object> fields;
@@ -18,7 +18,7 @@
     this.fields = fields;
   }
 
-  /** The fields that are not among the known ones. */
+  /** Returns the fields whose names are not among the known ones. */
   static UnknownFields of(Map<String, Object> all, Set<String> known) {
     if (known.containsAll(all.keySet())) {
       return NONE;
@@ -28,6 +28,7 @@
     return new UnknownFields(unknown);
   }
 
+  /** Adds the fields to a message. */
   void writeTo(Map<String, Object> message) {
     message.putAll(fields);
   }
--- a/src/main/java/org/eiderstair/core/record/UnreadableValue.java
+++ b/src/main/java/org/eiderstair/core/record/UnreadableValue.java
@@ -1,9 +1,9 @@
 package org.eiderstair.core.record;
 
 /**
- * A known key holds what this version cannot read: its writer is broken or much newer.
+ * The value of a known key that this version cannot decode, from a faulty or much newer writer.
  *
- * @param problem the field and what is wrong with it
+ * @param problem the field, followed by a description of the error
  */
 public record UnreadableValue(String problem) implements StoredValue {
 
--- a/src/main/java/org/eiderstair/core/record/UnreadableValueException.java
+++ b/src/main/java/org/eiderstair/core/record/UnreadableValueException.java
@@ -1,11 +1,11 @@
 package org.eiderstair.core.record;
 
-/** A stored value has not the form that its key demands. */
+/** Thrown when a stored value does not have the format that its key requires. */
 public final class UnreadableValueException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
   /**
-   * @param problem the field and what is wrong with it
+   * @param problem the field, followed by a description of the error
    */
   public UnreadableValueException(String problem) {
     super(problem);
--- a/src/main/java/org/eiderstair/core/record/WorkerRecord.java
+++ b/src/main/java/org/eiderstair/core/record/WorkerRecord.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.record;
 
-/** A registered worker: a machine on which tasks may be. */
+/** The registration of a worker: a machine on which tasks may run. */
 public record WorkerRecord(String address, String type, String zone, boolean spot)
     implements StoredValue {
 
--- a/src/main/java/org/eiderstair/core/state/JobTable.java
+++ b/src/main/java/org/eiderstair/core/state/JobTable.java
@@ -11,75 +11,86 @@
 import org.eiderstair.core.record.JobRecord;
 import org.eiderstair.core.settings.Settings;
 
-/** The jobs that this node knows of, by their state. */
+/** The jobs that this node knows, indexed by state. */
 final class JobTable {
   private static final long CANCEL_MARGIN_MICROS = 5_000_000;
 
   private final Settings settings;
   private final Replica.Listener listener;
-  private final long dayOffsetMicros;
+  private final long wallClockOffsetMicros;
   private long now;
 
   private final Map<String, Job> jobs = new HashMap<>();
 
-  /** In the order in which this node learnt of them. */
+  /** Open jobs in the order in which this node learned of them. */
   private final Map<String, Job> open = new LinkedHashMap<>();
 
-  /** The one whose cancellation was seen first in front: a worker may still run their tasks. */
+  /**
+   * Cancelled jobs whose tasks a worker may still run, ordered by when this node saw the
+   * cancellation.
+   */
   private final ArrayDeque<Job> cancelled = new ArrayDeque<>();
 
   private final Collection<Job> jobsView = Collections.unmodifiableCollection(jobs.values());
   private final Collection<Job> openView = Collections.unmodifiableCollection(open.values());
   private final Collection<Job> cancelledView = Collections.unmodifiableCollection(cancelled);
 
-  JobTable(Settings settings, Replica.Listener listener, long dayOffsetMicros) {
+  JobTable(Settings settings, Replica.Listener listener, long wallClockOffsetMicros) {
     this.settings = settings;
     this.listener = listener;
-    this.dayOffsetMicros = dayOffsetMicros;
+    this.wallClockOffsetMicros = wallClockOffsetMicros;
   }
 
+  /** Sets the current time. */
   void advanceTo(long nowMicros) {
     now = nowMicros;
   }
 
-  /** A job; null when it is not known. */
+  /** Returns a job, or null when the job is unknown. */
   Job get(String id) {
     return jobs.get(id);
   }
 
+  /** Returns a read-only view of all jobs. */
   Collection<Job> all() {
     return jobsView;
   }
 
+  /** Returns a read-only view of the open jobs, in the order in which this node learned of them. */
   Collection<Job> open() {
     return openView;
   }
 
-  /** Whether the job is new, or known in an older version. */
+  /** Returns whether the job is unknown, or known only in an older version. */
   boolean isNewer(String id, long version) {
     Job job = jobs.get(id);
     return job == null || version > job.version();
   }
 
+  /** Applies a stored job record of this version. */
   void apply(String id, JobRecord record, long version) {
     Job job = jobs.get(id);
     boolean isNew = job == null;
     if (isNew) {
-      // A node that was not there when the job came must not take it for new.
-      job = new Job(id, steadyMicros(record.createdDayMicros()));
+      // The stored submission time keeps a node that was absent at submission from treating the job
+      // as recently submitted.
+      job = new Job(id, monotonicMicros(record.createdWallClockMicros()));
       jobs.put(id, job);
     }
-    job.setCancelledMicros(steadyMicros(record.cancelledDayMicros()));
+    job.setCancelledMicros(monotonicMicros(record.cancelledWallClockMicros()));
     job.transitionTo(record.state(), version, record.tasks(), record.spec(), record.done());
-    changed(job, isNew);
+    handleChange(job, isNew);
   }
 
-  /** A time of day as this node's steady time; now when it is not known, or by clocks in future. */
-  private long steadyMicros(long dayMicros) {
-    return dayMicros == 0 ? now : Math.min(now, dayMicros - dayOffsetMicros);
+  /**
+   * Converts a wall clock time to this node's monotonic time. Returns the current time when the
+   * wall clock time is unknown (0) or lies in the future because of clock skew.
+   */
+  private long monotonicMicros(long wallClockMicros) {
+    return wallClockMicros == 0 ? now : Math.min(now, wallClockMicros - wallClockOffsetMicros);
   }
 
-  private void changed(Job job, boolean isNew) {
+  private void handleChange(Job job, boolean isNew) {
     if (job.open()) {
       open.put(job.id(), job);
     } else {
@@ -93,17 +104,18 @@
     job.releaseIfDone();
   }
 
+  /** Applies a committed cancellation if the job is known, open and older than the cancellation. */
   void apply(Cancellation cancellation) {
     Job job = jobs.get(cancellation.job());
     if (job != null && job.open() && cancellation.version() > job.version()) {
       job.setCancelledMicros(now);
       job.transitionTo(
           Job.State.CANCELLED, cancellation.version(), job.tasks(), null, cancellation.done());
-      changed(job, false);
+      handleChange(job, false);
     }
   }
 
-  /** The progress of a job was not there as of a revision. */
+  /** Records that the progress key of a job did not exist at a revision. */
   void progressAbsent(String id, long atRevision) {
     Job job = jobs.get(id);
     if (job != null) {
@@ -111,7 +123,10 @@
     }
   }
 
-  /** Cancelled jobs whose tasks a worker may still run; older ones are forgotten here. */
+  /**
+   * Drops cancelled jobs whose tasks no worker can still run, and returns a read-only view of the
+   * others.
+   */
   Collection<Job> recentlyCancelled(long nowMicros) {
     long since = nowMicros - settings.workerTimings().cancelMicros() - CANCEL_MARGIN_MICROS;
     while (!cancelled.isEmpty() && cancelled.peek().cancellationSeenMicros() < since) {
--- a/src/main/java/org/eiderstair/core/state/PendingJobs.java
+++ b/src/main/java/org/eiderstair/core/state/PendingJobs.java
@@ -10,18 +10,20 @@
 import org.eiderstair.core.record.ProgressRecord;
 import org.eiderstair.core.record.StateKeys;
 
-/** Jobs whose final state or whose progress is to be written. */
+/** Jobs whose final state or progress still has to be written. */
 final class PendingJobs {
-  private static final long PROGRESS_EVERY_MICROS = 500_000;
+  private static final long PROGRESS_INTERVAL_MICROS = 500_000;
 
-  /** Of progress in one transaction. */
+  /**
+   * Limits the size of progress records in one transaction; the last record may exceed the limit.
+   */
   private static final int MAX_PROGRESS_BYTES = 40_000;
 
-  /** What a progress record takes besides its text. */
-  private static final int RECORD_BYTES = 200;
+  /** The size of a progress record without the text of its task set. */
+  private static final int PROGRESS_OVERHEAD_BYTES = 200;
 
-  /** The job's final state, and its progress that goes. */
-  private static final int WRITES_OF_FINISHED_JOB = 2;
+  /** Writing the final state and removing the progress. */
+  private static final int WRITES_PER_FINISHED_JOB = 2;
 
   private final Consumer<Job> onFinished;
   private final Map<String, Job> finished = new LinkedHashMap<>();
@@ -29,30 +31,33 @@
   private long lastProgressMicros;
 
   /**
-   * @param onFinished gets each job whose final state is durable
+   * @param onFinished receives each job whose final state has become durable
    */
   PendingJobs(Consumer<Job> onFinished) {
     this.onFinished = onFinished;
   }
 
-  void finished(Job job) {
+  /** Schedules the write of the final state of a job; replaces a pending progress write. */
+  void addFinished(Job job) {
     finished.put(job.id(), job);
     progressed.remove(job.id());
   }
 
-  void progressed(Job job) {
+  /** Schedules the write of the progress of a job, unless its final state is pending. */
+  void addProgressed(Job job) {
     if (!finished.containsKey(job.id())) {
       progressed.put(job.id(), job);
     }
   }
 
+  /** Adds the pending final states, as far as the batch has room. */
   void addFinishedTo(WriteBatch batch) {
     for (Job job : new ArrayList<>(finished.values())) {
       if (!job.open()) {
         finished.remove(job.id());
         continue;
       }
-      if (!batch.reserve(WRITES_OF_FINISHED_JOB)) {
+      if (!batch.reserve(WRITES_PER_FINISHED_JOB)) {
         return;
       }
       batch.require(StateKeys.job(job.id()), job.version());
@@ -69,10 +74,13 @@
     }
   }
 
-  /** Progress may wait, but goes at once with what is written anyway. */
+  /**
+   * Adds pending progress, as far as the batch has room. Progress is delayed by up to {@link
+   * #PROGRESS_INTERVAL_MICROS} unless the batch contains other writes.
+   */
   void addProgressTo(WriteBatch batch, long nowMicros) {
     if (progressed.isEmpty()
-        || (!batch.hasWrites() && nowMicros < lastProgressMicros + PROGRESS_EVERY_MICROS)) {
+        || (!batch.hasWrites() && nowMicros < lastProgressMicros + PROGRESS_INTERVAL_MICROS)) {
       return;
     }
     lastProgressMicros = nowMicros;
@@ -89,6 +97,7 @@
     }
   }
 
+  /** Adds the progress of a job and returns the approximate size of its record in bytes. */
   private int addProgressTo(WriteBatch batch, Job job) {
     BitSet done = job.completedTasks();
     ProgressRecord record = ProgressRecord.of(done, job.runningCount());
@@ -101,6 +110,6 @@
             progressed.remove(job.id());
           }
         });
-    return record.doneTasks().length() + RECORD_BYTES;
+    return record.doneTasks().length() + PROGRESS_OVERHEAD_BYTES;
   }
 }
--- a/src/main/java/org/eiderstair/core/state/PendingDuties.java
+++ b/src/main/java/org/eiderstair/core/state/PendingProvisioningRecords.java
@@ -8,25 +8,31 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.record.StoredValue;
 
-/** Records of rentals and releases that are to be written before what they announce is done. */
-final class PendingDuties {
+/**
+ * Pending records of rentals and releases. A record is durable before its request goes to the
+ * cloud.
+ */
+final class PendingProvisioningRecords {
   private final Replica replica;
   private final int maxInBatch;
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-  /** A value to be written, null to remove the key, and who waits for that. */
+  /** A value to be written (null removes the key) and the callbacks that wait for it. */
   private record Entry(StoredValue value, List<Runnable> onDurable) {}
 
   /**
-   * @param maxInBatch of one transaction: hundreds of records at once must not hold up completions,
-   *     nor wait for hundreds of those
+   * @param maxInBatch the largest number of records in one transaction. The limit keeps hundreds of
+   *     records from delaying job completions. Records go first, so completions do not delay them.
    */
-  PendingDuties(Replica replica, int maxInBatch) {
+  PendingProvisioningRecords(Replica replica, int maxInBatch) {
     this.replica = replica;
     this.maxInBatch = maxInBatch;
   }
 
-  /** The latest value counts; whoever waited for an earlier one waits for this one. */
+  /**
+   * Schedules the write of a value, or the removal of the key when the value is null. The value
+   * replaces a pending one for the same key, whose callbacks then wait for the new value.
+   */
   void put(String key, StoredValue value, Runnable onDurable) {
     Entry earlier = entries.remove(key);
     List<Runnable> waiting = earlier == null ? new ArrayList<>() : earlier.onDurable();
@@ -34,27 +40,28 @@
     entries.put(key, new Entry(value, waiting));
   }
 
+  /** Adds pending records up to the limit; completes removals of absent keys at once. */
   void addTo(WriteBatch batch) {
-    int left = Math.min(batch.room(), maxInBatch);
+    int remaining = Math.min(batch.remainingWrites(), maxInBatch);
     for (Map.Entry<String, Entry> pending : new ArrayList<>(entries.entrySet())) {
-      if (left < 1) {
+      if (remaining < 1) {
         return;
       }
       String key = pending.getKey();
       Entry entry = pending.getValue();
-      Reply.Item known = replica.dutyRecord(key);
+      Reply.Item known = replica.coordinationRecord(key);
       if (known == null && entry.value() == null) {
         entries.remove(key);
         entry.onDurable().forEach(Runnable::run);
         continue;
       }
-      left--;
+      remaining--;
       batch.reserve(1);
       add(batch, key, entry, known == null ? Request.Condition.ABSENT : known.version());
     }
   }
 
-  // The same object: an equal entry that was queued later still has to be written.
+  // Compares identity: an equal entry that was scheduled later still has to be written.
   @SuppressWarnings("ReferenceEquality")
   private void add(WriteBatch batch, String key, Entry entry, long knownVersion) {
     batch.require(key, knownVersion);
@@ -63,7 +70,7 @@
     } else {
       batch.put(key, entry.value());
     }
-    // Whoever comes while this value is on its way waits for the next.
+    // Callbacks added while this value is in flight wait for the next value.
     List<Runnable> waiting = new ArrayList<>(entry.onDurable());
     batch.whenDurable(
         () -> {
--- a/src/main/java/org/eiderstair/core/state/PendingRegistrations.java
+++ b/src/main/java/org/eiderstair/core/state/PendingRegistrations.java
@@ -11,7 +11,7 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.record.WorkerRecord;
 
-/** Workers that are to be registered or unregistered. */
+/** Registrations of workers that still have to be written or removed. */
 final class PendingRegistrations {
   private final Replica replica;
   private final Consumer<String> onRegistered;
@@ -19,18 +19,20 @@
   private final Set<String> toUnregister = new LinkedHashSet<>();
 
   /**
-   * @param onRegistered gets the name of each machine whose registration is durable
+   * @param onRegistered receives the name of each machine whose registration has become durable
    */
   PendingRegistrations(Replica replica, Consumer<String> onRegistered) {
     this.replica = replica;
     this.onRegistered = onRegistered;
   }
 
+  /** Schedules the registration of a worker; replaces a pending removal. */
   void register(Machine machine) {
     toRegister.put(machine.id(), machine);
     toUnregister.remove(machine.id());
   }
 
+  /** Cancels a pending registration and schedules the removal of a known one. */
   void unregister(String machine) {
     toRegister.remove(machine);
     if (replica.isRegistered(machine)) {
@@ -38,6 +40,7 @@
     }
   }
 
+  /** Adds pending registrations, then pending removals, as far as the batch has room. */
   void addTo(WriteBatch batch) {
     for (Machine machine : new ArrayList<>(toRegister.values())) {
       if (!batch.reserve(1)) {
--- a/src/main/java/org/eiderstair/core/state/RateBudget.java
+++ b/src/main/java/org/eiderstair/core/state/RateBudget.java
@@ -1,6 +1,9 @@
 package org.eiderstair.core.state;
 
-/** A token bucket that holds one second's worth, to stay below a rate limit of the platform. */
+/**
+ * A token bucket that keeps requests below a rate limit of the platform; holds one second of
+ * tokens.
+ */
 public final class RateBudget {
   private static final double MICROS_PER_SECOND = 1e6;
 
@@ -9,14 +12,14 @@
   private long refilledMicros;
 
   /**
-   * @param perSecond what may be spent in a second, and at once after a pause
+   * @param perSecond the number of tokens added per second, and the capacity of the bucket
    */
   public RateBudget(double perSecond) {
     this.perSecond = perSecond;
     this.available = perSecond;
   }
 
-  /** What may be spent now. */
+  /** Adds the tokens due by now and returns the available number; negative after an overdraft. */
   public double available(long nowMicros) {
     available =
         Math.min(
@@ -25,7 +28,7 @@
     return available;
   }
 
-  /** Spends from the budget. */
+  /** Takes tokens from the bucket, whether or not it holds that many. */
   public void take(double amount) {
     available -= amount;
   }
--- a/src/main/java/org/eiderstair/core/state/Replica.java
+++ b/src/main/java/org/eiderstair/core/state/Replica.java
@@ -27,48 +27,60 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * This node's copy of the state service's keys. It may be old, so only final states are answered to
- * users from it without asking. Every value has a version, and only a newer one replaces an older:
- * values may come in any order, from the watch, a list, a read, or this node's own transaction.
+ * This node's copy of the keys in the state service. The copy may be stale, so users get only final
+ * job states from it without a request to the state service.
+ *
+ * <p>Every value has a version, and only a newer version replaces an older one. Values may arrive
+ * in any order: from the watch, a list, a read, or this node's own transactions.
  */
 public final class Replica {
 
-  /** Is called once the replica holds a change. */
+  /** Receives changes after the replica has applied them. */
   public interface Listener {
-    /** The leader key has changed. */
+    /** Called when the leader key was written or removed. */
     void leaderChanged();
 
-    /** A job was created or has changed. */
+    /**
+     * Called when a job was created or has changed.
+     *
+     * @param isNew whether this node did not know the job before
+     */
     void jobChanged(Job job, boolean isNew);
 
-    /** All keys have been read for the first time. */
+    /** Called once, when the replica has read all keys for the first time. */
     void loaded();
   }
 
-  /** The leader as the leader key names it. */
+  /**
+   * The leader named by the leader key.
+   *
+   * @param runId identifies the process of the node
+   * @param lease the lease to which the leader key is attached
+   * @param term the version of the leader key
+   */
   public record Leader(String node, String runId, long lease, long term) {}
 
   /** A worker's registration. */
   public record RegisteredWorker(
       String machine, String address, String type, String zone, boolean spot, long version) {}
 
-  /** The standby's record and its version. */
+  /** The stored standby record and the version of its key. */
   public record StoredStandby(StandbyRecord value, long version) {}
 
   private final EffectSink sink;
   private final Listener listener;
-  private final long dayOffsetMicros;
-  private final ReplicaCurrency currency = new ReplicaCurrency();
+  private final long wallClockOffsetMicros;
+  private final ReplicaFreshness freshness = new ReplicaFreshness();
   private final ReplicaFeed feed;
   private final JobTable jobs;
   private final Map<String, RegisteredWorker> registeredWorkers = new HashMap<>();
   private final Collection<RegisteredWorker> registeredWorkersView =
       Collections.unmodifiableCollection(registeredWorkers.values());
 
-  /** The records of a leader by key: rentals, releases, standby, barrier, as they were written. */
-  private final Map<String, Reply.Item> duties = new HashMap<>();
+  /** Records under the coordination prefix by key: rentals, releases, standby, barrier. */
+  private final Map<String, Reply.Item> coordinationRecords = new HashMap<>();
 
-  private final RemovedKeys removed = new RemovedKeys();
+  private final RemovedKeys removedKeys = new RemovedKeys();
   private boolean loaded;
   private Leader leader;
   private long leaderVersion;
@@ -76,138 +88,143 @@
   private long catalogVersion;
 
   /**
-   * @param dayOffsetMicros the time of day less the steady time
+   * @param listener called after the replica has applied a change
+   * @param wallClockOffsetMicros the wall clock time minus this node's monotonic time
    */
-  public Replica(Settings settings, EffectSink sink, Listener listener, long dayOffsetMicros) {
-    this.dayOffsetMicros = dayOffsetMicros;
+  public Replica(
+      Settings settings, EffectSink sink, Listener listener, long wallClockOffsetMicros) {
+    this.wallClockOffsetMicros = wallClockOffsetMicros;
     this.sink = sink;
     this.listener = listener;
-    this.jobs = new JobTable(settings, listener, dayOffsetMicros);
-    this.feed = new ReplicaFeed(settings, sink, currency, new FeedTarget());
+    this.jobs = new JobTable(settings, listener, wallClockOffsetMicros);
+    this.feed = new ReplicaFeed(settings, sink, freshness, new FeedTarget());
   }
 
-  /** The time of the event at hand. */
+  /** Sets the current time, before the node handles an event. */
   public void advanceTo(long nowMicros) {
     feed.advanceTo(nowMicros);
     jobs.advanceTo(nowMicros);
   }
 
-  /** Keeps the watch open and reads what is missing. */
+  /** Keeps the watch open and loads all keys when required. */
   public void tick(long nowMicros) {
     advanceTo(nowMicros);
     feed.tick();
   }
 
-  // What the replica knows.
+  // State.
 
-  /** Whether all keys have been read. */
+  /** Returns whether the replica has read all keys at least once. */
   public boolean isLoaded() {
     return loaded;
   }
 
-  /** The current leader, or null. */
+  /** Returns the current leader, or null when no leader is known. */
   public Leader leader() {
     return leader;
   }
 
-  /** The machine types that can be rented. */
+  /** Returns the machine types that can be rented; empty until the catalog is read. */
   public List<MachineType> catalog() {
     return catalog;
   }
 
-  /** The version of the catalog's key. */
+  /** Returns the version of the catalog key, or 0 when the key was not read yet. */
   public long catalogVersion() {
     return catalogVersion;
   }
 
-  /** A job, or null when this node does not know it. */
+  /** Returns a job, or null when this node does not know the job. */
   public Job job(String id) {
     return jobs.get(id);
   }
 
-  /** All jobs, open and final. */
+  /** Returns a read-only view of all jobs, open and final. */
   public Collection<Job> jobs() {
     return jobs.all();
   }
 
-  /** Open jobs in the order in which this node learnt of them. */
+  /** Returns a read-only view of the open jobs, in the order in which this node learned of them. */
   public Collection<Job> openJobs() {
     return jobs.open();
   }
 
   /**
-   * Cancelled jobs whose tasks a worker may still run, by when this node has seen the cancellation.
-   * Older ones are forgotten here, so there is one bound for all who ask: what one of them would
-   * drop sooner, another would no longer count.
+   * Returns the cancelled jobs whose tasks a worker may still run, ordered by when this node saw
+   * the cancellation. This method drops older jobs, so the age limit is the same for every caller.
+   * A caller with a shorter limit would drop jobs that another caller still has to count.
    */
   public Collection<Job> recentlyCancelled(long nowMicros) {
     return jobs.recentlyCancelled(nowMicros);
   }
 
-  /** The registered workers: every machine on which tasks may be. */
+  /** Returns a read-only view of the registered workers: every machine on which tasks may run. */
   public Collection<RegisteredWorker> registeredWorkers() {
     return registeredWorkersView;
   }
 
-  /** A worker's registration, or null. */
+  /** Returns the registration of a worker, or null when the worker is not registered. */
   public RegisteredWorker registeredWorker(String machine) {
     return registeredWorkers.get(machine);
   }
 
-  /** Whether a worker is registered. */
+  /** Returns whether a worker is registered on the machine. */
   public boolean isRegistered(String machine) {
     return registeredWorkers.containsKey(machine);
   }
 
-  /** The records of leaders, by key. */
-  public SortedMap<String, StoredValue> dutyRecords() {
+  /** Returns a copy of the coordination records of leaders, ordered by key. */
+  public SortedMap<String, StoredValue> coordinationRecords() {
     SortedMap<String, StoredValue> records = new TreeMap<>();
-    duties.values().forEach(item -> records.put(item.key(), item.value()));
+    coordinationRecords.values().forEach(item -> records.put(item.key(), item.value()));
     return records;
   }
 
-  /** A record of a leader, or null. */
-  public Reply.Item dutyRecord(String key) {
-    return duties.get(key);
+  /** Returns the coordination record with this key, or null when there is none. */
+  public Reply.Item coordinationRecord(String key) {
+    return coordinationRecords.get(key);
   }
 
-  /** The standby's record, or null when there is none. */
+  /** Returns the standby record, or null when there is none. */
   public StoredStandby standby() {
-    Reply.Item item = duties.get(StateKeys.STANDBY);
+    Reply.Item item = coordinationRecords.get(StateKeys.STANDBY);
     return item == null ? null : new StoredStandby((StandbyRecord) item.value(), item.version());
   }
 
-  /** The time of day, as this node has it, for what other nodes read. */
-  public long dayMicros(long nowMicros) {
-    return nowMicros + dayOffsetMicros;
+  /**
+   * Converts a monotonic time of this node to its wall clock time, for records that other nodes
+   * read.
+   */
+  public long wallClockMicros(long nowMicros) {
+    return nowMicros + wallClockOffsetMicros;
   }
 
-  // How new it is.
+  // Freshness.
 
-  /** Every change up to this revision is in the replica. */
+  /** Returns the revision up to which the replica holds every change. */
   public long revision() {
-    return currency.revision();
+    return freshness.revision();
   }
 
   /**
-   * When the latest request was sent whose answer shows that all changes up to then are in the
-   * replica. Nothing but such an answer moves it; above all not the renewal of a lease.
+   * Returns the send time of the latest request whose answer shows that the replica holds every
+   * change made until that time. Only such an answer advances the time; a lease renewal does not.
    */
-  public long currentMicros() {
-    return currency.currentMicros();
+  public long freshAsOfMicros() {
+    return freshness.freshAsOfMicros();
   }
 
   /**
-   * A request that was sent at that time was answered with that revision: it shows that the replica
-   * is as new as that, once it has reached the revision.
+   * Records the revision with which the state service answered a request. The replica is fresh as
+   * of the send time of the request once the replica has reached that revision.
    */
   public void recordAnswer(long sentMicros, long atRevision) {
-    currency.recordAnswer(sentMicros, atRevision);
+    freshness.recordAnswer(sentMicros, atRevision);
   }
 
   // Changes.
 
-  /** Takes over a key's value, if it is newer than what is known. */
+  /** Applies the value of a key if its version is newer than the known one. */
   public void apply(Reply.Item item) {
     String key = item.key();
     StateKeys.Kind kind = StateKeys.kindOf(key);
@@ -216,31 +233,31 @@
         case JOB -> applyJob(kind.idOf(key), item);
         case PROGRESS -> applyProgress(kind.idOf(key), item);
         case WORKER -> applyWorker(kind.idOf(key), item);
-        case BARRIER, STANDBY, RENTAL, RELEASE, OTHER_DUTY -> applyDuty(item);
+        case BARRIER, STANDBY, RENTAL, RELEASE, OTHER_COORDINATION -> applyCoordinationRecord(item);
         case LEADER -> applyLeader(item);
         case CATALOG -> applyCatalog(item);
-        case FOREIGN -> {}
+        case UNKNOWN -> {}
       }
     } catch (RuntimeException e) {
-      // Guards against a value written by a broken or much newer version: one bad key must not stop
-      // the node.
+      // One unreadable value, written by a faulty or much newer version, must not stop the node.
       sink.error("unreadable value key=" + key + ": " + e);
     }
   }
 
   /**
-   * A peer has committed a cancellation. What this node knows of later, or not at all, the watch
-   * will bring.
+   * Applies a cancellation that a peer has committed. Ignores the cancellation when the job is
+   * unknown, already final, or has the same or a newer version; the watch delivers the state of
+   * such a job.
    */
   public void applyCancellation(Cancellation cancellation) {
     jobs.apply(cancellation);
   }
 
   /**
-   * A read showed that the key does not exist as of a revision. That is a fact with a date like any
-   * other: what was written after it is still there. Without that, a registration written after the
-   * read, and brought by a watch that was faster than the read's answer, left the replica: a
-   * failover of this node would not have asked that machine.
+   * Removes a key that did not exist at a revision, as a read has shown. A value written after that
+   * revision stays. Without the revision check, a watch could deliver a registration written after
+   * the read, before the answer to the read arrived. The answer then removed the registration from
+   * the replica, and this node would not have queried that machine after a failover.
    */
   void applyAbsence(String key, long atRevision) {
     StateKeys.Kind kind = StateKeys.kindOf(key);
@@ -255,8 +272,12 @@
     apply(new Reply.Item(key, null, atRevision));
   }
 
-  /** The value of an item in the form that its key demands. */
-  private static <T extends StoredValue> T read(Reply.Item item, Class<T> type) {
+  /**
+   * Returns the value of an item as the type that its key requires.
+   *
+   * @throws UnreadableValueException when the value could not be decoded
+   */
+  private static <T extends StoredValue> T valueOf(Reply.Item item, Class<T> type) {
     if (item.value() instanceof UnreadableValue unreadable) {
       throw new UnreadableValueException(unreadable.problem());
     }
@@ -265,22 +286,23 @@
 
   private void applyJob(String id, Reply.Item item) {
     if (item.value() != null && jobs.isNewer(id, item.version())) {
-      jobs.apply(id, read(item, JobRecord.class), item.version());
+      jobs.apply(id, valueOf(item, JobRecord.class), item.version());
     }
   }
 
   private void applyProgress(String id, Reply.Item item) {
     Job job = jobs.get(id);
     if (job == null) {
-      // A job's key sorts before its progress, and is older; it must have been seen.
+      // The key of a job is written earlier and sorts before its progress key, so the job is
+      // normally known before its progress arrives.
       if (item.value() != null) {
-        sink.debug("progress of unknown job=" + id);
+        sink.debug("ignored progress of unknown job=" + id);
       }
       return;
     }
-    // Of a value that cannot be read the version counts all the same, so that it can be replaced.
+    // The version of an unreadable value is recorded too, so that the leader can replace the value.
     if (item.value() != null && job.advanceProgressTo(item.version())) {
-      ProgressRecord record = read(item, ProgressRecord.class);
+      ProgressRecord record = valueOf(item, ProgressRecord.class);
       job.setDurableProgress(record.done(), record.running());
     }
   }
@@ -288,15 +310,15 @@
   private void applyWorker(String machine, Reply.Item item) {
     RegisteredWorker known = registeredWorkers.get(machine);
     if ((known != null && item.version() <= known.version())
-        || removed.isRemovedSince(item.key(), item.version())) {
+        || removedKeys.isRemovedSince(item.key(), item.version())) {
       return;
     }
     if (item.value() == null) {
       registeredWorkers.remove(machine);
-      removed.add(item.key(), item.version());
+      removedKeys.add(item.key(), item.version());
       return;
     }
-    WorkerRecord record = read(item, WorkerRecord.class);
+    WorkerRecord record = valueOf(item, WorkerRecord.class);
     registeredWorkers.put(
         machine,
         new RegisteredWorker(
@@ -308,17 +330,17 @@
             item.version()));
   }
 
-  private void applyDuty(Reply.Item item) {
-    Reply.Item known = duties.get(item.key());
+  private void applyCoordinationRecord(Reply.Item item) {
+    Reply.Item known = coordinationRecords.get(item.key());
     if ((known != null && item.version() <= known.version())
-        || removed.isRemovedSince(item.key(), item.version())) {
+        || removedKeys.isRemovedSince(item.key(), item.version())) {
       return;
     }
     if (item.value() == null) {
-      duties.remove(item.key());
-      removed.add(item.key(), item.version());
+      coordinationRecords.remove(item.key());
+      removedKeys.add(item.key(), item.version());
     } else {
-      duties.put(item.key(), item);
+      coordinationRecords.put(item.key(), item);
     }
   }
 
@@ -331,18 +353,18 @@
   }
 
   private static Leader leader(Reply.Item item) {
-    LeaderRecord record = read(item, LeaderRecord.class);
+    LeaderRecord record = valueOf(item, LeaderRecord.class);
     return new Leader(record.node(), record.runId(), record.lease(), item.version());
   }
 
   private void applyCatalog(Reply.Item item) {
     if (item.value() != null && item.version() > catalogVersion) {
       catalogVersion = item.version();
-      catalog = read(item, CatalogRecord.class).types();
+      catalog = valueOf(item, CatalogRecord.class).types();
     }
   }
 
-  /** Takes what is read from the state service. */
+  /** Applies to the replica what the feed reads from the state service. */
   private final class FeedTarget implements ReplicaFeed.Target {
     @Override
     public void apply(Reply.Item item) {
@@ -359,19 +381,21 @@
       if (!loaded) {
         loaded = true;
         sink.info(
-            "replica loaded: revision "
+            "replica loaded revision="
                 + revision()
-                + ", "
+                + " jobs="
                 + jobs().size()
-                + " jobs, "
-                + openJobs().size()
-                + " open");
+                + " openJobs="
+                + openJobs().size());
         listener.loaded();
       }
     }
   }
 
-  /** After a gap in the watch, keys that the list no longer holds were removed meanwhile. */
+  /**
+   * Removes the leader, registrations and coordination records that a full list does not contain.
+   * These keys were removed from the state service during a gap in the watch.
+   */
   private void removeUnlisted(Set<String> listedKeys, long atRevision) {
     if (leader != null && !listedKeys.contains(StateKeys.LEADER) && leaderVersion <= atRevision) {
       remove(StateKeys.LEADER, atRevision);
@@ -382,9 +406,9 @@
         remove(key, atRevision);
       }
     }
-    for (Reply.Item duty : new ArrayList<>(duties.values())) {
-      if (!listedKeys.contains(duty.key()) && duty.version() <= atRevision) {
-        remove(duty.key(), atRevision);
+    for (Reply.Item record : new ArrayList<>(coordinationRecords.values())) {
+      if (!listedKeys.contains(record.key()) && record.version() <= atRevision) {
+        remove(record.key(), atRevision);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
+++ b/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
@@ -8,60 +8,70 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.settings.Settings;
 
-/** Brings the replica what the state service holds: all keys page by page, then their changes. */
+/**
+ * Reads the contents of the state service for the replica: first all keys page by page, then their
+ * changes through a watch.
+ */
 final class ReplicaFeed {
   private static final int PAGE_SIZE = 500;
   private static final long WATCH_HOLD_MICROS = 4_000_000;
-  private static final long RETRY_MICROS = 500_000;
+  private static final long RETRY_DELAY_MICROS = 500_000;
 
-  /** Longer than a slow answer of the state service takes. */
-  private static final long SILENT_MICROS = 1_500_000;
+  /** Longer than the state service takes for a slow answer. */
+  private static final long SILENCE_TIMEOUT_MICROS = 1_500_000;
 
-  /** LOADING reads every key; FOLLOWING has them and waits for changes. */
   private enum State {
+    /** Waits until the next load is due. */
     IDLE,
+
+    /** Reads every key. */
     LOADING,
+
+    /** Has read every key and watches for changes. */
     FOLLOWING
   }
 
-  /** Who takes what is read. */
+  /** Receives the values that the feed reads. */
   interface Target {
-    /** A key's value, as new as the state service had it. */
+    /** Applies the value of a key as the state service returned it. */
     void apply(Reply.Item item);
 
-    /** All keys have been read; whatever was known of others before that revision was removed. */
+    /**
+     * Called when all keys have been read. Every known key outside the list, with a version up to
+     * the revision, was removed from the state service.
+     */
     void loaded(Set<String> listedKeys, long revision);
 
-    /** The replica is as new as the list. */
+    /** Called when the replica holds every change up to the revision of the list. */
     void caughtUp();
   }
 
   private final Settings settings;
   private final EffectSink sink;
-  private final ReplicaCurrency currency;
+  private final ReplicaFreshness freshness;
   private final Target target;
   private State state = State.IDLE;
   private long now;
   private long nextLoadMicros;
 
-  /** What is being loaded; null while nothing is. */
+  /** The load in progress; unused outside LOADING. */
   private Load load;
 
-  /** Tells the newest watch from those that were given up. */
+  /** Identifies the newest watch; answers to abandoned watches are ignored. */
   private long watchNumber;
 
   private long watchSentMicros;
 
-  /** The last watch has ended, and the next is due at {@link #nextWatchMicros}. */
+  /** Whether the last watch has ended; the next one is due at {@link #nextWatchMicros}. */
   private boolean watchEnded;
 
   private long nextWatchMicros;
 
-  /** A list of all keys: those that were seen, and the revision of the first page. */
+  /** A list of all keys in progress: the keys read so far and the revision of the first page. */
   private static final class Load {
     final long sentMicros;
     final Set<String> keys = new HashSet<>();
-    boolean begun;
+    boolean hasFirstPage;
     long revision;
 
     Load(long sentMicros) {
@@ -69,20 +79,21 @@
     }
 
     /**
-     * A change between two pages may be missing from both: only the first page's revision counts.
+     * Records the revision of the first page. Later pages do not raise the revision, because both
+     * pages may lack a change that happens between them.
      */
     void addPage(Reply.Listed page) {
-      if (!begun) {
-        begun = true;
+      if (!hasFirstPage) {
+        hasFirstPage = true;
         revision = page.revision();
       }
     }
   }
 
-  ReplicaFeed(Settings settings, EffectSink sink, ReplicaCurrency currency, Target target) {
+  ReplicaFeed(Settings settings, EffectSink sink, ReplicaFreshness freshness, Target target) {
     this.settings = settings;
     this.sink = sink;
-    this.currency = currency;
+    this.freshness = freshness;
     this.target = target;
   }
 
@@ -90,20 +101,19 @@
     now = nowMicros;
   }
 
-  /** Keeps the watch open and reads what is missing. */
+  /** Keeps the watch open and loads all keys when required. */
   void tick() {
-    // A watch may hang or its answer be lost while others tell of changes: they are asked for anew,
-    // not waited for.
+    // A watch may hang, or its answer may be lost, while other answers show newer revisions. A new
+    // watch then requests the changes.
     if (isWatchSilent()) {
       sink.info(
-          "watch after revision "
-              + currency.revision()
-              + " is silent though there is revision "
-              + currency.newestRevision()
-              + ": opening another");
-      watch();
+          "watch received no answer; opening a new one revision="
+              + freshness.revision()
+              + " newestRevision="
+              + freshness.newestRevision());
+      openWatch();
     }
-    watchIfDue();
+    openWatchIfDue();
     if (state == State.IDLE && now >= nextLoadMicros) {
       transitionTo(State.LOADING);
     }
@@ -112,27 +122,27 @@
   private boolean isWatchSilent() {
     return state == State.FOLLOWING
         && !watchEnded
-        && currency.isBehind()
-        && now >= Math.max(watchSentMicros, currency.behindSinceMicros()) + SILENT_MICROS;
+        && freshness.isBehind()
+        && now >= Math.max(watchSentMicros, freshness.behindSinceMicros()) + SILENCE_TIMEOUT_MICROS;
   }
 
   private void transitionTo(State next) {
     state = next;
     switch (next) {
-      case IDLE -> nextLoadMicros = now + RETRY_MICROS;
+      case IDLE -> nextLoadMicros = now + RETRY_DELAY_MICROS;
       case LOADING -> {
         load = new Load(now);
         loadPage(null);
       }
-      case FOLLOWING -> watch();
+      case FOLLOWING -> openWatch();
     }
   }
 
   private void loadPage(String afterKey) {
-    sink.call(new Request.StoreList(StateKeys.ROOT, afterKey, PAGE_SIZE), this::pageLoaded);
+    sink.call(new Request.StoreList(StateKeys.ROOT, afterKey, PAGE_SIZE), this::handlePageReply);
   }
 
-  private void pageLoaded(Reply reply) {
+  private void handlePageReply(Reply reply) {
     if (!(reply instanceof Reply.Listed page)) {
       transitionTo(State.IDLE);
       return;
@@ -151,52 +161,55 @@
     Load done = load;
     load = null;
     target.loaded(done.keys, done.revision);
-    currency.reach(done.revision);
-    currency.recordAnswer(done.sentMicros, done.revision);
+    freshness.advanceTo(done.revision);
+    freshness.recordAnswer(done.sentMicros, done.revision);
     target.caughtUp();
     transitionTo(State.FOLLOWING);
   }
 
-  private void watch() {
+  private void openWatch() {
     long number = ++watchNumber;
     long sentMicros = now;
     watchSentMicros = now;
     sink.call(
-        new Request.StoreWatch(StateKeys.ROOT, currency.revision(), WATCH_HOLD_MICROS),
+        new Request.StoreWatch(StateKeys.ROOT, freshness.revision(), WATCH_HOLD_MICROS),
         reply -> {
           if (number == watchNumber) {
-            watchAnswered(sentMicros, reply);
+            handleWatchReply(sentMicros, reply);
           }
         });
   }
 
-  private void watchAnswered(long sentMicros, Reply reply) {
+  private void handleWatchReply(long sentMicros, Reply reply) {
     if (reply instanceof Reply.Changed changed) {
       changed.changes().forEach(target::apply);
-      currency.reach(changed.revision());
-      currency.recordAnswer(sentMicros, changed.revision());
-      // Changes that come close together cost one request, not one each.
-      watchAgainAfter(changed.changes().isEmpty() ? 0 : settings.gatherMicros());
-      watchIfDue();
+      freshness.advanceTo(changed.revision());
+      freshness.recordAnswer(sentMicros, changed.revision());
+      // The delay lets one request deliver several changes that are close together.
+      scheduleWatchAfter(changed.changes().isEmpty() ? 0 : settings.gatherMicros());
+      openWatchIfDue();
     } else if (reply instanceof Reply.Refused refused && refused.isCompacted()) {
-      sink.info("watch fell behind revision " + currency.revision() + ": reading all keys again");
+      sink.info(
+          "watched revision was compacted; reading all keys again revision="
+              + freshness.revision());
       transitionTo(State.IDLE);
       nextLoadMicros = now;
     } else {
-      // Refused or lost: the same revision may be watched again, only not at once.
-      watchAgainAfter(RETRY_MICROS);
+      // The watch was refused or its answer was lost: the next one starts at the same revision,
+      // after a delay.
+      scheduleWatchAfter(RETRY_DELAY_MICROS);
     }
   }
 
-  private void watchAgainAfter(long micros) {
+  private void scheduleWatchAfter(long micros) {
     watchEnded = true;
     nextWatchMicros = now + micros;
   }
 
-  private void watchIfDue() {
+  private void openWatchIfDue() {
     if (watchEnded && now >= nextWatchMicros) {
       watchEnded = false;
-      watch();
+      openWatch();
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
+++ b/src/main/java/org/eiderstair/core/state/StateServiceHealth.java
@@ -9,36 +9,40 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * Whether the state service serves this node. A single node cannot tell an outage from a refusal
- * that only it gets: its peers can. A node that alone is refused is not ready, and resigns as
- * leader; in an outage all stay as they are, since none could do better.
+ * Tracks whether the state service serves this node. A single node cannot distinguish an outage
+ * from a refusal that affects only itself, so it asks its peers. A node that is refused while a
+ * peer is served is not ready, and resigns as leader. In an outage every node keeps its role,
+ * because no other node could do better.
  */
 public final class StateServiceHealth {
-
-  /**
-   * SUSPECT had no answer for a while and asks its peers; ISOLATED knows from one of them that the
-   * state service serves it.
-   */
   private enum State {
+    /** The state service answers this node, or has not been silent for long. */
     REACHABLE,
+
+    /** The state service has not served this node for a while, and this node asks its peers. */
     SUSPECT,
+
+    /** A peer has answered that the state service serves it. */
     ISOLATED
   }
 
-  /** The leader that a peer follows. */
+  /** The leader that a peer follows; the node is null when the peer knows no leader. */
   public record PeerLeader(String node, long term) {}
 
   private static final PeerLeader NO_LEADER = new PeerLeader(null, 0);
-  private static final long PROBE_AFTER_MICROS = 1_000_000;
+  private static final long PROBE_INTERVAL_MICROS = 1_000_000;
 
-  /** An older answer may be from before the outage in which a peer asks. */
+  /**
+   * This node reports itself as served only if its last answer is at most this old. An older answer
+   * may predate the outage in which a peer asks.
+   */
   private static final long SERVED_WITHIN_MICROS = 1_300_000;
 
   private static final long SUSPECT_AFTER_MICROS = 2_500_000;
-  private static final long ASK_EVERY_MICROS = 1_000_000;
+  private static final long PEER_QUERY_INTERVAL_MICROS = 1_000_000;
 
-  /** How long a peer's word counts. */
-  private static final long ISOLATED_MICROS = 3_500_000;
+  /** How long an answer from a served peer keeps this node isolated. */
+  private static final long PEER_STATUS_TTL_MICROS = 3_500_000;
 
   private final Settings settings;
   private final EffectSink sink;
@@ -49,9 +53,9 @@
   private long lastServedMicros;
   private long lastPeerServedMicros;
   private long nextProbeMicros;
-  private long nextAskMicros;
+  private long nextPeerQueryMicros;
 
-  /** Of the highest term that a peer has named. */
+  /** The leader with the highest term that a served peer has named. */
   private PeerLeader peerLeader = NO_LEADER;
 
   public StateServiceHealth(Settings settings, EffectSink sink, Replica replica) {
@@ -60,30 +64,33 @@
     this.replica = replica;
   }
 
-  /** Whether the state service refuses this node but serves a peer. */
+  /** Returns whether the state service does not serve this node but serves a peer. */
   public boolean isIsolated() {
     return state == State.ISOLATED;
   }
 
-  /** The leader that a served peer follows, while this node is isolated and knows an older one. */
+  /**
+   * Returns the leader that a served peer follows, if this node is isolated and the leader's term
+   * is higher than {@code knownTerm}; empty otherwise.
+   */
   public Optional<PeerLeader> newerLeader(long knownTerm) {
     return isIsolated() && peerLeader.node() != null && peerLeader.term() > knownTerm
         ? Optional.of(peerLeader)
         : Optional.empty();
   }
 
-  /** What this node answers a peer that asks. */
+  /** Returns the answer to a peer that asks for this node's state service status. */
   public Answer.StateServiceStatus status() {
     Replica.Leader leader = replica.leader();
-    // Seen at the start of an outage: a peer that had not noticed yet made the others believe they
-    // were isolated.
+    // At the start of an outage, a peer that has not detected the outage would make the other nodes
+    // conclude that they are isolated.
     boolean served = now < lastServedMicros + SERVED_WITHIN_MICROS && replica.isLoaded();
     return leader == null
         ? new Answer.StateServiceStatus(served, null, 0)
         : new Answer.StateServiceStatus(served, leader.node(), leader.term());
   }
 
-  /** A request of this node was answered, or was not. */
+  /** Records the reply to a request of this node; ignores requests to other services. */
   public void replyReceived(Request request, Reply reply) {
     if (isForStateService(request) && isServed(reply)) {
       lastServedMicros = now;
@@ -105,44 +112,46 @@
     return !unavailable && !(reply instanceof Reply.NoResponse);
   }
 
-  /** Probes the state service, and asks peers when it does not answer. */
+  /**
+   * Probes the state service after a second without an answer, and asks the peers if none comes.
+   */
   public void tick(long nowMicros) {
     if (!started) {
       started = true;
       lastServedMicros = nowMicros;
     }
     now = nowMicros;
-    if (now < lastServedMicros + PROBE_AFTER_MICROS) {
+    if (now < lastServedMicros + PROBE_INTERVAL_MICROS) {
       return;
     }
     if (now >= nextProbeMicros) {
-      nextProbeMicros = now + PROBE_AFTER_MICROS;
+      nextProbeMicros = now + PROBE_INTERVAL_MICROS;
       sink.call(new Request.StoreGet(StateKeys.LEADER), reply -> {});
     }
     if (now < lastServedMicros + SUSPECT_AFTER_MICROS) {
       return;
     }
     if (state == State.REACHABLE
-        || (isIsolated() && now > lastPeerServedMicros + ISOLATED_MICROS)) {
+        || (isIsolated() && now > lastPeerServedMicros + PEER_STATUS_TTL_MICROS)) {
       transitionTo(State.SUSPECT);
     }
-    if (now >= nextAskMicros) {
-      nextAskMicros = now + ASK_EVERY_MICROS;
-      settings.peers().forEach(this::ask);
+    if (now >= nextPeerQueryMicros) {
+      nextPeerQueryMicros = now + PEER_QUERY_INTERVAL_MICROS;
+      settings.peers().forEach(this::queryPeer);
     }
   }
 
-  private void ask(String peer) {
+  private void queryPeer(String peer) {
     sink.call(
         new Request.PeerStateServiceStatus(peer),
         reply -> {
           if (reply instanceof Reply.PeerStateServiceStatus status && status.served()) {
-            peerServed(status);
+            recordServedPeer(status);
           }
         });
   }
 
-  private void peerServed(Reply.PeerStateServiceStatus status) {
+  private void recordServedPeer(Reply.PeerStateServiceStatus status) {
     if (state == State.REACHABLE) {
       return;
     }
@@ -153,10 +162,10 @@
     transitionTo(State.ISOLATED);
   }
 
-  /** The one function for every change of state. */
+  /** Sets the state; all state changes go through this method. */
   private void transitionTo(State next) {
     if (next != state) {
-      sink.info("state service " + state + " -> " + next);
+      sink.info("state service health " + state + " -> " + next);
       state = next;
     }
   }
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -13,47 +13,55 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * The leader's durable writes: finished jobs, progress, registered workers, rentals and releases.
- * One transaction at a time; each demands the leader key of this term, the known version of every
- * key that it changes, and that of the barrier. What is still to be written is worked out anew each
- * time, so a lost answer needs only fresh versions.
+ * Performs the durable writes of a leader: finished jobs, progress, registered workers, rentals and
+ * releases. One transaction is in flight at a time. Each transaction requires the leader key of
+ * this term, the known version of every key that it changes, and the known version of the barrier.
+ * Each transaction is built from the writes still pending, so a lost answer requires only fresh
+ * versions.
  *
- * <p>A transaction without an answer may be carried out at any later time. Versions alone do not
- * stop it: one that creates a key holds again once that key was created and removed by later ones,
- * and would bring back a machine that was terminated long ago. So the barrier is written anew
- * first; from then on all earlier transactions of this term fail, and what is read is the truth.
+ * <p>A transaction without an answer may be executed at any later time. The versions of its keys do
+ * not prevent this. If a transaction creates a key, its condition holds again after later
+ * transactions have created and removed the key. Such a transaction would restore the registration
+ * of a machine that was terminated long ago. The writer therefore first writes the barrier again.
+ * All earlier transactions of this term then fail, and reads return the final outcome.
  */
 public final class StateWriter {
-  /** Changes that come close together go in one transaction: single ones would spend requests. */
-  private static final long GATHER_MICROS = 60_000;
-
-  private static final long RETRY_MICROS = 500_000;
-
   /**
-   * Of the rate of writes that the state service allows: this node also writes outside this class.
+   * Changes close together share a transaction; one transaction per change would use up requests.
    */
-  private static final double SHARE_OF_WRITES = 0.7;
+  private static final long MIN_BATCH_INTERVAL_MICROS = 60_000;
 
-  /** Of a transaction, for the records of rentals and releases. */
-  private static final int DUTIES_PART = 4;
+  private static final long RETRY_DELAY_MICROS = 500_000;
 
   /**
-   * IDLE may write; WRITING waits for an answer; RENEWING_BARRIER writes the barrier after none
-   * came; READING fetches versions after a conflict or the barrier.
+   * This writer's share of the write rate that the state service allows. This node also writes
+   * outside this class.
    */
+  private static final double WRITE_RATE_SHARE = 0.7;
+
+  /** Records of rentals and releases take at most one part in this many of a transaction. */
+  private static final int PROVISIONING_BATCH_DIVISOR = 4;
+
   private enum State {
+    /** No request is in flight; the next transaction may be sent. */
     IDLE,
+
+    /** Waits for the answer to a transaction. */
     WRITING,
+
+    /** Writes the barrier after a transaction got no answer. */
     RENEWING_BARRIER,
+
+    /** Reads versions after a conflict or after a write of the barrier. */
     READING
   }
 
-  /** Is called when a write is durable. */
+  /** Receives notifications of durable writes. */
   public interface Listener {
-    /** The job's final state is durable. */
+    /** Called when the final state of the job is durable. */
     void jobFinished(Job job);
 
-    /** The worker's registration is durable. */
+    /** Called when the registration of the worker is durable. */
     void workerRegistered(String machine);
   }
 
@@ -61,13 +69,16 @@
   private final EffectSink sink;
   private final Replica replica;
   private final long term;
-  private final RateBudget writes;
-  private final PendingDuties duties;
+  private final RateBudget writeBudget;
+  private final PendingProvisioningRecords provisioningRecords;
   private final PendingJobs jobs;
   private final PendingRegistrations registrations;
   private State state = State.IDLE;
 
-  /** Keys of a transaction whose fate is unknown: nothing is written before the barrier is. */
+  /**
+   * Keys of a transaction with unknown outcome. While there are any, the barrier is the only key
+   * that is written.
+   */
   private List<String> uncertainKeys = List.of();
 
   private boolean closed;
@@ -82,55 +93,63 @@
     this.sink = sink;
     this.replica = replica;
     this.term = term;
-    this.writes = new RateBudget(settings.stateLimits().writesPerSecond() * SHARE_OF_WRITES);
-    this.duties =
-        new PendingDuties(
-            replica, Math.max(1, settings.stateLimits().transactionOps() / DUTIES_PART));
+    this.writeBudget = new RateBudget(settings.stateLimits().writesPerSecond() * WRITE_RATE_SHARE);
+    this.provisioningRecords =
+        new PendingProvisioningRecords(
+            replica,
+            Math.max(1, settings.stateLimits().transactionOps() / PROVISIONING_BATCH_DIVISOR));
     this.jobs = new PendingJobs(job -> listener.jobFinished(job));
     this.registrations =
         new PendingRegistrations(replica, machine -> listener.workerRegistered(machine));
   }
 
-  /** Nothing is written any more in this term. */
+  /** Stops all further writes of this term. */
   public void close() {
     closed = true;
   }
 
-  /** All tasks of the job are done: writes its final state. */
+  /** Schedules the write of the final state of a job whose tasks are all done. */
   public void writeFinished(Job job) {
-    jobs.finished(job);
+    jobs.addFinished(job);
   }
 
-  /** The job has progress that is to be written. */
+  /** Schedules the write of the progress of a job. */
   public void writeProgress(Job job) {
-    jobs.progressed(job);
+    jobs.addProgressed(job);
   }
 
-  /** Writes a worker's registration, before anything is launched on it. */
+  /** Schedules the registration of a worker, before tasks are launched on its machine. */
   public void register(Machine machine) {
     registrations.register(machine);
   }
 
-  /** Removes a worker's registration: the machine is terminated. */
+  /** Schedules the removal of the registration of a worker whose machine is terminated. */
   public void unregister(String machine) {
     registrations.unregister(machine);
   }
 
   /**
-   * Writes the record of a rental or release; the latest value counts.
+   * Schedules the write of the record of a rental or release. A later value for the same key
+   * replaces one that is still pending.
    *
    * @param onDurable runs once this value or a later one is durable
    */
-  public void putDuty(String key, StoredValue value, Runnable onDurable) {
-    duties.put(key, value, onDurable);
+  public void putProvisioningRecord(String key, StoredValue value, Runnable onDurable) {
+    provisioningRecords.put(key, value, onDurable);
   }
 
-  /** Removes the record of a rental or release. */
-  public void removeDuty(String key, Runnable onDurable) {
-    duties.put(key, null, onDurable);
+  /**
+   * Schedules the removal of the record of a rental or release.
+   *
+   * @param onDurable runs once this removal or a later value is durable
+   */
+  public void removeProvisioningRecord(String key, Runnable onDurable) {
+    provisioningRecords.put(key, null, onDurable);
   }
 
-  /** Writes what is due, within the budget. */
+  /**
+   * Renews the barrier when required; otherwise sends the next transaction within the write budget.
+   */
   public void tick(long nowMicros) {
     now = nowMicros;
     if (closed || state != State.IDLE || now < notBeforeMicros) {
@@ -140,37 +159,38 @@
       renewBarrier();
       return;
     }
-    notBeforeMicros = now + GATHER_MICROS;
+    notBeforeMicros = now + MIN_BATCH_INTERVAL_MICROS;
     WriteBatch batch = nextBatch();
     if (!batch.hasWrites()) {
       return;
     }
-    writes.take(batch.writes().size());
+    writeBudget.take(batch.writes().size());
     transitionTo(State.WRITING);
-    send(batch, reply -> answered(batch, reply));
+    send(batch, reply -> handleTransactionReply(batch, reply));
   }
 
-  /** What is most urgent goes first, as far as there is room. */
+  /** Returns a batch of pending writes within the limits, the most urgent ones first. */
   private WriteBatch nextBatch() {
     WriteBatch batch =
-        emptyBatch((int) Math.min(settings.stateLimits().transactionOps(), writes.available(now)));
-    duties.addTo(batch);
+        emptyBatch(
+            (int) Math.min(settings.stateLimits().transactionOps(), writeBudget.available(now)));
+    provisioningRecords.addTo(batch);
     jobs.addFinishedTo(batch);
     registrations.addTo(batch);
     jobs.addProgressTo(batch, now);
     return batch;
   }
 
-  private WriteBatch emptyBatch(int room) {
-    WriteBatch batch = new WriteBatch(room);
+  private WriteBatch emptyBatch(int maxWrites) {
+    WriteBatch batch = new WriteBatch(maxWrites);
     batch.require(StateKeys.LEADER, term);
-    Reply.Item barrier = replica.dutyRecord(StateKeys.BARRIER);
+    Reply.Item barrier = replica.coordinationRecord(StateKeys.BARRIER);
     batch.require(
         StateKeys.BARRIER, barrier == null ? Request.Condition.ABSENT : barrier.version());
     return batch;
   }
 
-  /** The one function for every change of state. */
+  /** Sets the state; all state changes go through this method. */
   private void transitionTo(State next) {
     state = next;
   }
@@ -187,7 +207,7 @@
         });
   }
 
-  private void answered(WriteBatch batch, Reply reply) {
+  private void handleTransactionReply(WriteBatch batch, Reply reply) {
     transitionTo(State.IDLE);
     if (closed) {
       return;
@@ -201,7 +221,7 @@
     } else if (reply instanceof Reply.NoResponse) {
       uncertainKeys = batch.conditions().stream().map(Request.Condition::key).toList();
     } else {
-      notBeforeMicros = now + RETRY_MICROS;
+      notBeforeMicros = now + RETRY_DELAY_MICROS;
     }
   }
 
@@ -212,17 +232,17 @@
   }
 
   /**
-   * A barrier without an answer is written again under the version that it was to replace: only one
-   * of the two can hold.
+   * Writes the barrier. If an earlier write of the barrier got no answer, both writes require the
+   * same version, so only one of them can succeed.
    */
   private void renewBarrier() {
     transitionTo(State.RENEWING_BARRIER);
     WriteBatch batch = emptyBatch(1);
     batch.put(StateKeys.BARRIER, new BarrierRecord(term));
-    send(batch, reply -> barrierAnswered(batch, reply));
+    send(batch, reply -> handleBarrierReply(batch, reply));
   }
 
-  private void barrierAnswered(WriteBatch batch, Reply reply) {
+  private void handleBarrierReply(WriteBatch batch, Reply reply) {
     if (closed) {
       return;
     }
@@ -233,11 +253,11 @@
       readVersions(keys);
       return;
     }
-    notBeforeMicros = now + RETRY_MICROS;
+    notBeforeMicros = now + RETRY_DELAY_MICROS;
     readVersions(reply instanceof Reply.Refused ? List.of() : List.of(StateKeys.BARRIER));
   }
 
-  /** Reads what may have changed before anything is written again. */
+  /** Reads the keys that may have changed, before the next transaction. */
   private void readVersions(List<String> keys) {
     if (keys.isEmpty()) {
       transitionTo(State.IDLE);
@@ -247,11 +267,11 @@
     pendingReads = keys.size();
     readFailed = false;
     for (String key : keys) {
-      sink.call(new Request.StoreGet(key), reply -> versionRead(key, reply));
+      sink.call(new Request.StoreGet(key), reply -> handleVersionReply(key, reply));
     }
   }
 
-  private void versionRead(String key, Reply reply) {
+  private void handleVersionReply(String key, Reply reply) {
     if (closed) {
       return;
     }
@@ -266,7 +286,7 @@
     if (pendingReads == 0) {
       transitionTo(State.IDLE);
       if (readFailed) {
-        notBeforeMicros = now + RETRY_MICROS;
+        notBeforeMicros = now + RETRY_DELAY_MICROS;
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/state/WriteBatch.java
+++ b/src/main/java/org/eiderstair/core/state/WriteBatch.java
@@ -6,55 +6,61 @@
 import org.eiderstair.core.record.StoredValue;
 
 /**
- * One transaction while it is put together: every write demands the version of its key that is
- * known, and somebody may wait for it.
+ * A builder of one transaction. Every write requires the known version of its key and may have a
+ * callback that runs once the write is durable.
  */
 final class WriteBatch {
   private final List<Request.Condition> conditions = new ArrayList<>();
   private final List<Request.Write> writes = new ArrayList<>();
   private final List<Runnable> onDurable = new ArrayList<>();
-  private int room;
+  private int remainingWrites;
 
   /**
-   * @param room how many writes it may hold
+   * @param remainingWrites how many writes the batch may hold
    */
-  WriteBatch(int room) {
-    this.room = room;
+  WriteBatch(int remainingWrites) {
+    this.remainingWrites = remainingWrites;
   }
 
-  int room() {
-    return room;
+  /** Returns how many more writes the batch may hold. */
+  int remainingWrites() {
+    return remainingWrites;
   }
 
   /**
-   * Takes room for writes that must go together. Once some do not fit, the batch is full for what
-   * comes later too, which may be smaller: else that would go first again and again.
+   * Reserves room for writes that must be in the same transaction. If they do not fit, the batch
+   * counts as full, so that later, smaller writes cannot repeatedly go first.
+   *
+   * @return whether the writes fit
    */
   boolean reserve(int count) {
-    if (room < count) {
-      room = 0;
+    if (remainingWrites < count) {
+      remainingWrites = 0;
       return false;
     }
-    room -= count;
+    remainingWrites -= count;
     return true;
   }
 
-  /** Demands a version of a key; {@link Request.Condition#ABSENT} that it does not exist. */
+  /** Requires a version of a key, or its absence with {@link Request.Condition#ABSENT}. */
   void require(String key, long version) {
     conditions.add(new Request.Condition(key, version));
   }
 
-  /** Puts a value. */
+  /** Adds a write of a value. */
   void put(String key, StoredValue value) {
     writes.add(Request.Write.put(key, value));
   }
 
-  /** Removes a key. */
+  /** Adds the removal of a key. */
   void remove(String key) {
     writes.add(Request.Write.delete(key));
   }
 
-  /** Runs once all of the batch is durable, in the order of these calls. */
+  /**
+   * Adds a callback that runs once the batch is durable, in the order in which callbacks were
+   * added.
+   */
   void whenDurable(Runnable callback) {
     onDurable.add(callback);
   }
@@ -71,7 +77,7 @@
     return writes;
   }
 
-  /** All of it is durable. */
+  /** Runs the callbacks; called once the whole batch is durable. */
   void complete() {
     onDurable.forEach(Runnable::run);
   }
--- a/src/main/java/org/eiderstair/core/state/package-info.java
+++ b/src/main/java/org/eiderstair/core/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Durable state: the replica of the state service that every node keeps, the writes of a leader,
- * and whether the state service can be reached.
+ * Durable state: the replica of the state service on every node, the writes of a leader, and the
+ * health of the state service as this node sees it.
  */
 package org.eiderstair.core.state;
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -246,7 +246,7 @@
         new Replica.RegisteredWorker("i-2", "10.0.0.1:80", "t", null, false, 11),
         bench.replica.registeredWorker("i-2"));
     read("transaction-2", 12).forEach(bench.replica::apply);
-    assertEquals(12, bench.replica.dutyRecord("e/duty/barrier").version());
+    assertEquals(12, bench.replica.coordinationRecord("e/duty/barrier").version());
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/record/StateKeysTest.java
+++ b/src/test/java/org/eiderstair/core/record/StateKeysTest.java
@@ -8,16 +8,16 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Keys as they have been stored since version 0.1.0, and what they say. */
+/** Tests the kinds and ids of keys, and that keys are those stored since version 0.1.0. */
 class StateKeysTest {
   private static void assertKey(StateKeys.Kind kind, String id, String key) {
     assertEquals(kind, StateKeys.kindOf(key));
     assertEquals(id, kind.idOf(key));
-    assertTrue(key.startsWith(StateKeys.ROOT), "the watch covers it: " + key);
+    assertTrue(key.startsWith(StateKeys.ROOT), "the watch does not cover key " + key);
   }
 
   @Property(tries = 300, seed = "17")
-  void aKeySaysItsKindAndItsId(@ForAll String id) {
+  void aKeyHasTheKindAndIdItWasBuiltFrom(@ForAll String id) {
     assertKey(StateKeys.Kind.JOB, id, StateKeys.job(id));
     assertKey(StateKeys.Kind.PROGRESS, id, StateKeys.progress(id));
     assertKey(StateKeys.Kind.WORKER, id, StateKeys.worker(id));
@@ -26,17 +26,17 @@
   }
 
   @Example
-  void singleKeysHaveTheirKind() {
+  void keysWithoutAnIdHaveTheirKind() {
     assertEquals(StateKeys.Kind.LEADER, StateKeys.kindOf(StateKeys.LEADER));
     assertEquals(StateKeys.Kind.CATALOG, StateKeys.kindOf(StateKeys.CATALOG));
     assertEquals(StateKeys.Kind.BARRIER, StateKeys.kindOf(StateKeys.BARRIER));
     assertEquals(StateKeys.Kind.STANDBY, StateKeys.kindOf(StateKeys.STANDBY));
-    assertEquals(StateKeys.Kind.OTHER_DUTY, StateKeys.kindOf("e/duty/later"));
-    assertEquals(StateKeys.Kind.FOREIGN, StateKeys.kindOf("e/leader/2"));
+    assertEquals(StateKeys.Kind.OTHER_COORDINATION, StateKeys.kindOf("e/duty/later"));
+    assertEquals(StateKeys.Kind.UNKNOWN, StateKeys.kindOf("e/leader/2"));
   }
 
   @Example
-  void keysAreThoseOfEarlierVersions() {
+  void keysMatchThoseStoredByEarlierVersions() {
     assertEquals(
         List.of(
             "e/leader",
--- a/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
+++ b/src/test/java/org/eiderstair/core/record/StoredValueCodecTest.java
@@ -21,17 +21,17 @@
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
 
-/** Whatever the state service holds is read, or named as unreadable with its field. */
+/** Tests that every stored value is decoded, or reported as unreadable with the name of a field. */
 class StoredValueCodecTest {
   private static final String JOB = StateKeys.job("job-1");
   private static final String RENTAL = StateKeys.rental("r-1-1");
   private static final String RELEASE = StateKeys.release("1-1");
 
-  /** One sample for each kind of value, with every optional field. */
+  /** One sample of each kind of value by key, with every optional field. */
   private static final Map<String, StoredValue> SAMPLES = samples();
 
-  /** By key, the fields without which, or with something else in which, a value is unreadable. */
-  private static final Map<String, Set<String>> DEMANDED =
+  /** Fields by key: a value is unreadable if one of these is missing or has another type. */
+  private static final Map<String, Set<String>> REQUIRED =
       Map.of(
           JOB,
           Set.of("s", "shape", "prio"),
@@ -42,7 +42,7 @@
           RELEASE,
           Set.of("epoch", "ids"));
 
-  /** By key, the fields that may be missing, but hold nothing else when they are there. */
+  /** Fields by key: a value is unreadable if one of these has another type; they may be missing. */
   private static final Map<String, Set<String>> TYPED =
       Map.of(
           JOB,
@@ -101,7 +101,7 @@
   }
 
   @Provide
-  Arbitrary<Object> anything() {
+  Arbitrary<Object> anyValue() {
     Arbitrary<Object> plain =
         Arbitraries.oneOf(
             Arbitraries.longs().map(value -> (Object) value),
@@ -124,7 +124,7 @@
         Arbitraries.of(
             "s", "class", "team", "shape", "prio", "n", "cpus", "types", "zone", "done", "run",
             "node", "lease", "addr", "type", "spot", "term", "epoch", "ids", "at", "claimed", "x");
-    return Arbitraries.maps(names, anything()).ofMaxSize(22);
+    return Arbitraries.maps(names, anyValue()).ofMaxSize(22);
   }
 
   private static void assertKind(String key, StoredValue value) {
@@ -140,13 +140,13 @@
     Set<StateKeys.Kind> kinds =
         Set.copyOf(SAMPLES.keySet().stream().map(StateKeys::kindOf).toList());
     for (StateKeys.Kind kind : StateKeys.Kind.values()) {
-      boolean known = kind != StateKeys.Kind.OTHER_DUTY && kind != StateKeys.Kind.FOREIGN;
+      boolean known = kind != StateKeys.Kind.OTHER_COORDINATION && kind != StateKeys.Kind.UNKNOWN;
       assertEquals(known, kinds.contains(kind), kind.name());
     }
   }
 
   @Property(seed = "11")
-  void jobsReadBackAsWritten(
+  void decodedJobsEqualEncodedOnes(
       @ForAll Job.State state,
       @ForAll JobSpec.Priority priority,
       @ForAll boolean restricted,
@@ -160,43 +160,42 @@
           case DONE -> JobRecord.done(done);
           case CANCELLED -> JobRecord.cancelled(spec, done, day);
         };
-    assertEquals(record, throughBytes(JOB, record));
+    assertEquals(record, encodeAndDecode(JOB, record));
   }
 
-  private static StoredValue throughBytes(String key, StoredValue value)
+  private static StoredValue encodeAndDecode(String key, StoredValue value)
       throws MalformedMessageException {
     byte[] bytes = MessagePackCodec.write(StoredValueCodec.encode(value));
     return StoredValueCodec.decode(key, MessagePackCodec.readMap(bytes));
   }
 
   @Example
-  void everyKindOfValueReadsBackAsWritten() throws MalformedMessageException {
+  void decodedValuesEqualEncodedOnes() throws MalformedMessageException {
     for (Map.Entry<String, StoredValue> sample : SAMPLES.entrySet()) {
-      assertEquals(sample.getValue(), throughBytes(sample.getKey(), sample.getValue()));
+      assertEquals(sample.getValue(), encodeAndDecode(sample.getKey(), sample.getValue()));
     }
     RentalIntentRecord open = new RentalIntentRecord("t", "a", false, 1, 1, 0, null);
-    assertEquals(open, throughBytes(RENTAL, open));
+    assertEquals(open, encodeAndDecode(RENTAL, open));
     StandbyRecord none = new StandbyRecord(70, "", "");
-    assertEquals(none, throughBytes(StateKeys.STANDBY, none));
+    assertEquals(none, encodeAndDecode(StateKeys.STANDBY, none));
   }
 
   @Property(tries = 3000, seed = "12")
-  void anyFieldsAreReadOrNamedAsUnreadable(
+  void arbitraryFieldsAreDecodedOrReportedAsUnreadable(
       @ForAll("knownKeys") String key, @ForAll("anyFields") Map<String, Object> fields) {
     assertKind(key, StoredValueCodec.decode(key, fields));
   }
 
   @Property(tries = 500, seed = "13")
-  void keysOfOthersMayHoldAnything(@ForAll("anyFields") Map<String, Object> fields) {
+  void unknownKeysMayHaveAnyFields(@ForAll("anyFields") Map<String, Object> fields) {
     for (String key : List.of("e/", "e/other", "e/leaders", "e/duty/", "e/duty/later", "x")) {
-      assertEquals(new ForeignValue(), StoredValueCodec.decode(key, fields), key);
+      assertEquals(new UnknownKeyValue(), StoredValueCodec.decode(key, fields), key);
     }
   }
 
-  /** Of the standby's record they are kept, since it is changed and written again. */
+  /** The standby record keeps unknown fields, because it is changed and written again. */
   @Property(tries = 500, seed = "14")
-  void unknownFieldsArePassedOver(
-      @ForAll("knownKeys") String key, @ForAll("anything") Object value) {
+  void unknownFieldsAreIgnored(@ForAll("knownKeys") String key, @ForAll("anyValue") Object value) {
     Map<String, Object> fields = new LinkedHashMap<>(StoredValueCodec.encode(SAMPLES.get(key)));
     fields.put("later", value);
     StoredValue read = StoredValueCodec.decode(key, fields);
@@ -220,12 +219,12 @@
   }
 
   @Property(tries = 300, seed = "15")
-  void aMissingFieldIsUnreadableOnlyWhereItIsDemanded(@ForAll("knownKeys") String key) {
+  void aMissingFieldIsUnreadableOnlyWhereItIsRequired(@ForAll("knownKeys") String key) {
     for (String field : StoredValueCodec.encode(SAMPLES.get(key)).keySet()) {
       Map<String, Object> fields = new LinkedHashMap<>(StoredValueCodec.encode(SAMPLES.get(key)));
       fields.remove(field);
       assertUnreadable(
-          fieldsOf(DEMANDED, key).contains(field),
+          fieldsOf(REQUIRED, key).contains(field),
           key,
           field,
           StoredValueCodec.decode(key, fields));
@@ -240,20 +239,20 @@
     }
   }
 
-  /** A map is of no type that any field has. */
+  /** No field has the type of the value that replaces it here, a map. */
   @Property(tries = 300, seed = "16")
-  void anIllTypedFieldIsUnreadableOnlyWhereItsTypeIsDemanded(@ForAll("knownKeys") String key) {
+  void aFieldOfAnotherTypeIsUnreadableOnlyWhereItsTypeIsRequired(@ForAll("knownKeys") String key) {
     for (String field : StoredValueCodec.encode(SAMPLES.get(key)).keySet()) {
       Map<String, Object> fields = new LinkedHashMap<>(StoredValueCodec.encode(SAMPLES.get(key)));
       fields.put(field, Map.of("x", 1L));
-      boolean demanded =
-          fieldsOf(DEMANDED, key).contains(field) || fieldsOf(TYPED, key).contains(field);
-      assertUnreadable(demanded, key, field, StoredValueCodec.decode(key, fields));
+      boolean required =
+          fieldsOf(REQUIRED, key).contains(field) || fieldsOf(TYPED, key).contains(field);
+      assertUnreadable(required, key, field, StoredValueCodec.decode(key, fields));
     }
   }
 
   @Example
-  void numbersAndFlagsThatAreMissingCountAsZeroAndFalse() {
+  void missingOrIllTypedNumbersAndFlagsHaveDefaults() {
     Map<String, Object> fields =
         Map.of("s", "open", "shape", "ARRAY", "prio", "LOW", "n", "12", "spot", 1L, "due", true);
     JobRecord job = (JobRecord) StoredValueCodec.decode(JOB, fields);
@@ -261,17 +260,17 @@
     assertEquals(0.0, job.spec().cpus());
     assertEquals(false, job.spec().spotAllowed());
     assertEquals(JobSpec.NO_DEADLINE, job.spec().deadlineMicros());
-    assertEquals(0, job.createdDayMicros());
+    assertEquals(0, job.createdWallClockMicros());
   }
 
   @Example
-  void aFinishedJobNeedsNoDescription() {
+  void aFinishedJobIsDecodedWithoutASpec() {
     StoredValue read = StoredValueCodec.decode(JOB, Map.of("s", "done", "n", 3L, "shape", 7L));
     assertEquals(JobRecord.done(3), read);
   }
 
   @Example
-  void whatHoldsNoMapReadsAsOneWithoutFields() {
+  void aValueWithoutFieldsHasDefaultsOrIsUnreadable() {
     assertEquals(
         new StandbyRecord(0, null, null), StoredValueCodec.decode(StateKeys.STANDBY, Map.of()));
     assertEquals(new BarrierRecord(0), StoredValueCodec.decode(StateKeys.BARRIER, Map.of()));
@@ -279,15 +278,16 @@
         new LeaderRecord(null, 0, null), StoredValueCodec.decode(StateKeys.LEADER, Map.of()));
     assertEquals(
         new CatalogRecord(List.of()), StoredValueCodec.decode(StateKeys.CATALOG, Map.of()));
-    assertEquals(new UnreadableValue("s: not a text"), StoredValueCodec.decode(JOB, Map.of()));
+    assertEquals(
+        new UnreadableValue("s: expected a string"), StoredValueCodec.decode(JOB, Map.of()));
   }
 
   @Example
-  void listsThatWereReadCannotBeChanged() throws MalformedMessageException {
+  void decodedListsAreUnmodifiable() throws MalformedMessageException {
     CatalogRecord catalog =
-        (CatalogRecord) throughBytes(StateKeys.CATALOG, SAMPLES.get(StateKeys.CATALOG));
-    ReleaseRecord release = (ReleaseRecord) throughBytes(RELEASE, SAMPLES.get(RELEASE));
-    JobRecord job = (JobRecord) throughBytes(JOB, SAMPLES.get(JOB));
+        (CatalogRecord) encodeAndDecode(StateKeys.CATALOG, SAMPLES.get(StateKeys.CATALOG));
+    ReleaseRecord release = (ReleaseRecord) encodeAndDecode(RELEASE, SAMPLES.get(RELEASE));
+    JobRecord job = (JobRecord) encodeAndDecode(JOB, SAMPLES.get(JOB));
     for (List<?> list :
         List.of(
             catalog.types(),
@@ -299,17 +299,20 @@
   }
 
   @Example
-  void aRentalOfNoMachineIsUnreadable() {
+  void aRentalOfZeroMachinesIsUnreadable() {
     Map<String, Object> fields = new LinkedHashMap<>(StoredValueCodec.encode(SAMPLES.get(RENTAL)));
     fields.put("n", 0L);
-    assertEquals(new UnreadableValue("n: 0"), StoredValueCodec.decode(RENTAL, fields));
+    assertEquals(
+        new UnreadableValue("n: expected at least 1, got 0"),
+        StoredValueCodec.decode(RENTAL, fields));
   }
 
   @Example
-  void whatWasNotUnderstoodIsNotWritten() {
+  void unreadableAndUnknownValuesCannotBeEncoded() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> StoredValueCodec.encode(new UnreadableValue("n: not a number")));
-    assertThrows(IllegalArgumentException.class, () -> StoredValueCodec.encode(new ForeignValue()));
+        () -> StoredValueCodec.encode(new UnreadableValue("n: expected a number")));
+    assertThrows(
+        IllegalArgumentException.class, () -> StoredValueCodec.encode(new UnknownKeyValue()));
   }
 }
--- a/src/test/java/org/eiderstair/core/state/IgnoringReplicaListener.java
+++ b/src/test/java/org/eiderstair/core/state/IgnoringReplicaListener.java
@@ -2,9 +2,9 @@
 
 import org.eiderstair.core.model.Job;
 
-/** A listener for tests that look at the replica itself. */
+/** A listener that ignores all changes, for tests that query the replica directly. */
 public final class IgnoringReplicaListener implements Replica.Listener {
-  /** Has nothing to keep. */
+  /** Creates a listener without state. */
   public IgnoringReplicaListener() {}
 
   @Override
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -24,7 +24,7 @@
 import org.eiderstair.core.record.StoredValueCodec;
 import org.eiderstair.core.record.WorkerRecord;
 
-/** What makes this node's copy newer, what shows that it is current, and what does neither. */
+/** Tests which values the replica applies, and which answers show that the replica is fresh. */
 class ReplicaTest {
   private static final long SECOND = 1_000_000;
   private final LeaderBench bench = new LeaderBench();
@@ -46,7 +46,7 @@
     replica.tick(now);
   }
 
-  private Effect.Call watching(long revision) {
+  private Effect.Call openWatch(long revision) {
     at(now);
     bench.sink.replied(call().callId(), new Reply.Listed(List.of(), false, revision));
     Effect.Call watch = call();
@@ -60,13 +60,14 @@
   }
 
   /**
-   * A machine is registered after a read that found nothing, and the watch brings it before the
-   * read's answer is here. A node that forgot it would not ask that machine after a failover, and
-   * start its tasks elsewhere too.
+   * Guards against duplicate tasks after a failover. A machine is registered after a read that
+   * found no registration, and the watch delivers the registration before the answer to the read
+   * arrives. A node that dropped the registration would not query that machine after a failover,
+   * and would start its tasks on other machines too.
    */
   @Example
-  void whatIsMissingIsMissingAsOfARevision() {
-    Effect.Call watch = watching(10);
+  void anAbsentKeyIsRemovedOnlyUpToTheRevisionOfTheRead() {
+    Effect.Call watch = openWatch(10);
     bench.sink.replied(
         watch.callId(),
         new Reply.Changed(
@@ -83,16 +84,16 @@
       replica.applyAbsence(key, 11);
     }
     assertTrue(replica.isRegistered("i-1"));
-    assertNotNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
+    assertNotNull(replica.coordinationRecord(StateKeys.rental("r-1-1")));
     assertEquals(12, replica.leader().term());
     for (String key :
         List.of(StateKeys.worker("i-1"), StateKeys.rental("r-1-1"), StateKeys.LEADER)) {
       replica.applyAbsence(key, 13);
     }
     assertFalse(replica.isRegistered("i-1"));
-    assertNull(replica.dutyRecord(StateKeys.rental("r-1-1")));
+    assertNull(replica.coordinationRecord(StateKeys.rental("r-1-1")));
     assertNull(replica.leader());
-    // A late list of the time before brings nothing back; a new leader is learnt again.
+    // A late list with older versions restores nothing; a new leader is applied.
     replica.apply(registration("i-1", 12));
     assertFalse(replica.isRegistered("i-1"));
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n2", 4, "run"), 15));
@@ -100,53 +101,55 @@
   }
 
   @Example
-  void onlyAnAnswerWhoseRevisionIsReachedShowsThatItIsCurrent() {
-    Effect.Call watch = watching(10);
-    assertEquals(100 * SECOND, replica.currentMicros());
-    // A compare sent at 105 s shows a change that the watch has yet to bring.
+  void onlyAnAnswerWhoseRevisionIsReachedShowsThatTheReplicaIsFresh() {
+    Effect.Call watch = openWatch(10);
+    assertEquals(100 * SECOND, replica.freshAsOfMicros());
+    // The answer to a transaction sent at 105 s shows a change that the watch has not delivered
+    // yet.
     at(106 * SECOND);
     replica.recordAnswer(105 * SECOND, 11);
-    assertEquals(100 * SECOND, replica.currentMicros());
+    assertEquals(100 * SECOND, replica.freshAsOfMicros());
     bench.sink.replied(watch.callId(), new Reply.Changed(List.of(registration("i-1", 11)), 11));
-    assertEquals(105 * SECOND, replica.currentMicros());
-    // The watch itself is as new as its sending, not its answer.
+    assertEquals(105 * SECOND, replica.freshAsOfMicros());
+    // The answer to a watch shows freshness as of the send time of the watch.
     at(107 * SECOND);
     Effect.Call next = call();
     at(110 * SECOND);
     bench.sink.replied(next.callId(), new Reply.Changed(List.of(), 11));
-    assertEquals(107 * SECOND, replica.currentMicros());
-    // One without an answer shows nothing.
+    assertEquals(107 * SECOND, replica.freshAsOfMicros());
+    // A request without an answer shows nothing.
     at(111 * SECOND);
     bench.sink.replied(call().callId(), new Reply.NoResponse("timeout"));
     at(113 * SECOND);
-    assertEquals(107 * SECOND, replica.currentMicros());
+    assertEquals(107 * SECOND, replica.freshAsOfMicros());
   }
 
   @Example
-  void aSilentWatchIsOpenedAnewOnceThereIsSomethingItShouldHaveTold() {
-    Effect.Call silent = watching(10);
+  void aWatchWithoutAnAnswerIsReplacedOnceAnotherAnswerShowsANewerRevision() {
+    Effect.Call silent = openWatch(10);
     at(103 * SECOND);
-    assertNull(call(), "nothing tells of changes");
+    assertNull(call(), "no answer shows a newer revision");
     replica.recordAnswer(now, 12);
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
     bench.sink.replied(second.callId(), new Reply.Changed(List.of(registration("i-2", 12)), 12));
-    assertEquals(105 * SECOND, replica.currentMicros());
-    // The one given up changes nothing when it answers at last, and opens no third.
+    assertEquals(105 * SECOND, replica.freshAsOfMicros());
+    // A late answer to the abandoned watch changes nothing and opens no third watch.
     bench.sink.replied(silent.callId(), new Reply.Changed(List.of(), 10));
-    assertEquals(105 * SECOND, replica.currentMicros());
+    assertEquals(105 * SECOND, replica.freshAsOfMicros());
     at(106 * SECOND);
     assertTrue(call().request() instanceof Request.StoreWatch);
     assertNull(call());
   }
 
   /**
-   * A team's limit counts them for so long; whoever asks for less must not make them be forgotten.
+   * A team's limit counts cancelled jobs until the bound. Guards against a caller with a shorter
+   * bound that makes the replica drop the jobs earlier.
    */
   @Example
-  void cancelledJobsAreRememberedForAsLongAsAnybodyCountsThem() {
-    watching(10);
+  void cancelledJobsAreKeptAsLongAsAnyCallerCountsThem() {
+    openWatch(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version() + 5, 0));
     long bound = bench.settings.workerTimings().cancelMicros() + 5 * SECOND;
@@ -154,10 +157,10 @@
     assertFalse(replica.recentlyCancelled(now + bound + 1).contains(job));
   }
 
-  /** Taken at once; what is older than what is known here changes nothing. */
+  /** A cancellation that is not newer than the known job, or of an unknown job, changes nothing. */
   @Example
-  void aPeersWordOfACancellationIsANewerVersion() {
-    watching(10);
+  void aCancellationFromAPeerAppliesIfItIsNewer() {
+    openWatch(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version(), 1));
     assertTrue(job.open());
@@ -168,25 +171,25 @@
     assertNull(replica.job("job-unknown"));
   }
 
-  private static Reply.Item read(String key, Map<String, Object> fields, long version) {
+  private static Reply.Item decoded(String key, Map<String, Object> fields, long version) {
     return new Reply.Item(key, StoredValueCodec.decode(key, fields), version);
   }
 
-  /** Its version counts, so that the same change is not looked at again; what was known stays. */
+  /** The version of the value is recorded, so that the replica does not decode the change again. */
   @Example
-  void aValueOfUnknownFormLeavesWhatIsKnownAndIsLogged() {
-    watching(10);
+  void anUnreadableValueIsLoggedAndKeepsTheKnownValue() {
+    openWatch(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n1", 3, "run"), 12));
     replica.apply(registration("i-1", 12));
     String progress = StateKeys.progress(job.id());
     bench.effects.clear();
-    replica.apply(read(progress, Map.of("done", "x:1", "run", 2L), 20));
-    replica.apply(read(progress, Map.of("run", 2L), 21));
-    replica.apply(read(StateKeys.LEADER, Map.of("node", 1L), 22));
-    replica.apply(read(StateKeys.worker("i-1"), Map.of("addr", 1L), 23));
-    replica.apply(read(StateKeys.job(job.id()), Map.of("s", "later"), 24));
-    replica.apply(read(StateKeys.CATALOG, Map.of("types", 1L), 25));
+    replica.apply(decoded(progress, Map.of("done", "x:1", "run", 2L), 20));
+    replica.apply(decoded(progress, Map.of("run", 2L), 21));
+    replica.apply(decoded(StateKeys.LEADER, Map.of("node", 1L), 22));
+    replica.apply(decoded(StateKeys.worker("i-1"), Map.of("addr", 1L), 23));
+    replica.apply(decoded(StateKeys.job(job.id()), Map.of("s", "later"), 24));
+    replica.apply(decoded(StateKeys.CATALOG, Map.of("types", 1L), 25));
     List<String> logged =
         bench.effects.stream().map(effect -> ((Effect.Log) effect).text()).toList();
     assertEquals(6, logged.size());
--- a/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateServiceHealthTest.java
@@ -15,7 +15,7 @@
 import org.eiderstair.core.settings.Settings;
 import org.eiderstair.core.settings.SettingsBuilder;
 
-/** A refusal that only this node gets against an outage for all. */
+/** Tests that a refusal of this node alone is distinguished from an outage for all nodes. */
 class StateServiceHealthTest {
   private static final long SECOND = 1_000_000;
   private final Settings settings = SettingsBuilder.settings().peers("n1", "n2").build();
@@ -31,7 +31,7 @@
   private final StateServiceHealth health =
       new StateServiceHealth(settings, sink, new Replica(settings, sink, null, 0));
 
-  private void pass(long seconds, Reply ofState, Reply ofPeers) {
+  private void advance(long seconds, Reply stateServiceReply, Reply peerReply) {
     sink.observeReplies(health::replyReceived);
     for (long end = now + seconds * SECOND; now < end; ) {
       now += SECOND;
@@ -42,31 +42,35 @@
           c ->
               sink.replied(
                   c.callId(),
-                  c.request() instanceof Request.PeerStateServiceStatus ? ofPeers : ofState));
+                  c.request() instanceof Request.PeerStateServiceStatus
+                      ? peerReply
+                      : stateServiceReply));
     }
   }
 
-  /** Guards against a node that answers every user 503 for a minute and says that it is ready. */
+  /**
+   * Guards against a node that answers every user with 503 for a minute and reports itself ready.
+   */
   @Example
-  void aNodeThatAloneIsRefusedLearnsItFromItsPeers() {
-    pass(6, new Reply.Refused(503), new Reply.PeerStateServiceStatus(true, "n2", 9));
+  void aNodeThatAloneIsRefusedIsIsolatedOnceAServedPeerAnswers() {
+    advance(6, new Reply.Refused(503), new Reply.PeerStateServiceStatus(true, "n2", 9));
     assertTrue(health.isIsolated());
     assertEquals(Optional.of(new StateServiceHealth.PeerLeader("n2", 9)), health.newerLeader(8));
     assertEquals(Optional.empty(), health.newerLeader(9));
-    pass(1, new Reply.Absent(9), null);
+    advance(1, new Reply.Absent(9), null);
     assertFalse(health.isIsolated());
   }
 
-  /** In an outage nobody is better off elsewhere, so nobody steps back. */
+  /** In an outage no other node could do better, so every node keeps its role. */
   @Example
-  void inAnOutageNobodyIsIsolated() {
-    pass(30, new Reply.Refused(503), new Reply.PeerStateServiceStatus(false, null, 0));
+  void noNodeIsIsolatedInAnOutage() {
+    advance(30, new Reply.Refused(503), new Reply.PeerStateServiceStatus(false, null, 0));
     assertFalse(health.isIsolated());
   }
 
   @Example
-  void peersThatDoNotAnswerProveNothing() {
-    pass(30, new Reply.NoResponse("timeout"), new Reply.NoResponse("refused"));
+  void peersWithoutAnAnswerDoNotIsolateANode() {
+    advance(30, new Reply.NoResponse("timeout"), new Reply.NoResponse("refused"));
     assertFalse(health.isIsolated());
   }
 }
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -19,7 +19,7 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.record.StoredValue;
 
-/** In which order the leader's writes go, and what becomes of those that are written twice. */
+/** Tests the order of a leader's writes, repeated writes, and transactions without an answer. */
 class StateWriterTest {
   private final LeaderBench bench = new LeaderBench();
   private final List<String> finished = new ArrayList<>();
@@ -40,12 +40,12 @@
           });
   private long now = 1_000_000;
 
-  private static StoredValue release(long epoch) {
-    return new ReleaseRecord(epoch, List.of("i-1"));
+  private static StoredValue release(long term) {
+    return new ReleaseRecord(term, List.of("i-1"));
   }
 
-  /** The next transaction, carried out. */
-  private List<Request.Write> next() {
+  /** Lets the next transaction succeed and returns its writes. */
+  private List<Request.Write> applyNextTransaction() {
     bench.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
@@ -58,25 +58,26 @@
   }
 
   @Example
-  void hundredsOfRecordsHoldUpNoCompletionAndWaitForNone() {
+  void hundredsOfProvisioningRecordsNeitherDelayCompletionsNorWaitForThem() {
     int[] durable = new int[1];
     for (int i = 0; i < 300; i++) {
-      stateWriter.putDuty(StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
+      stateWriter.putProvisioningRecord(
+          StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
       stateWriter.writeFinished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
     }
-    List<Request.Write> first = next();
+    List<Request.Write> first = applyNextTransaction();
     assertEquals(3, finished.size());
     assertEquals(bench.settings.stateLimits().transactionOps() / 4, durable[0]);
     assertTrue(first.size() <= bench.settings.stateLimits().transactionOps());
   }
 
   /**
-   * The next request of any kind; what is asked of the store is answered by {@code reply}, if at
-   * all.
+   * Answers the next request of any kind with the result of {@code reply}, and returns the request.
+   * Runs a tick first when no request is pending.
    */
-  private Request answered(Function<Request, Reply> reply) {
+  private Request answerNext(Function<Request, Reply> reply) {
     if (bench.effects.isEmpty()) {
       now += 1_000_000;
       stateWriter.tick(now);
@@ -87,15 +88,16 @@
   }
 
   /**
-   * A transaction that registers a worker gets no answer, is carried out long after the worker was
-   * registered again and unregistered, and would bring back a machine that is terminated.
+   * Guards against a restored registration of a terminated machine. A transaction that registers a
+   * worker gets no answer, and is executed long after the worker was registered again and
+   * unregistered. The transaction must fail once the barrier has been written again.
    */
   @Example
-  void aCreationWithoutAnAnswerIsDeadOnceTheBarrierIsWritten() {
+  void aCreationWithoutAnAnswerFailsOnceTheBarrierIsRenewed() {
     Machine machine = new Machine("i-1", LeaderBench.TERM, Machine.Phase.CONFIRMED, now);
     stateWriter.register(machine);
     Request.StoreTransaction lost =
-        (Request.StoreTransaction) answered(r -> new Reply.NoResponse("timeout"));
+        (Request.StoreTransaction) answerNext(r -> new Reply.NoResponse("timeout"));
     assertTrue(lost.conditions().contains(new Request.Condition(StateKeys.worker("i-1"), 0)));
     long before =
         lost.conditions().stream()
@@ -104,15 +106,15 @@
             .orElseThrow()
             .version();
     Request.StoreTransaction barrier =
-        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
+        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++bench.versions));
     assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
     assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
         barrier.conditions().contains(new Request.Condition(StateKeys.LEADER, LeaderBench.TERM)));
-    // Read only now, when nothing of before can change it any more.
+    // The keys are read only after the barrier, when no earlier transaction can change them.
     while (!bench.effects.isEmpty()) {
       Request read =
-          answered(
+          answerNext(
               r ->
                   ((Request.StoreGet) r).key().equals(StateKeys.LEADER)
                       ? new Reply.Found(
@@ -122,30 +124,30 @@
       assertTrue(read instanceof Request.StoreGet);
     }
     Request.StoreTransaction again =
-        (Request.StoreTransaction) answered(r -> new Reply.Applied(++bench.versions));
+        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++bench.versions));
     assertTrue(
         again.conditions().stream()
             .anyMatch(c -> c.key().equals(StateKeys.BARRIER) && c.version() > before));
   }
 
   @Example
-  void theLatestValueCountsAndEveryCallbackRuns() {
+  void onlyTheLatestPendingValueIsWrittenAndEveryCallbackRuns() {
     List<String> durable = new ArrayList<>();
     String key = StateKeys.release("1-1");
-    stateWriter.putDuty(key, release(1), () -> durable.add("first"));
-    stateWriter.putDuty(key, release(2), () -> durable.add("second"));
-    assertEquals(release(2), next().get(0).value());
+    stateWriter.putProvisioningRecord(key, release(1), () -> durable.add("first"));
+    stateWriter.putProvisioningRecord(key, release(2), () -> durable.add("second"));
+    assertEquals(release(2), applyNextTransaction().get(0).value());
     assertEquals(List.of("first", "second"), durable);
-    // One that comes while another value is on its way waits for its own.
-    stateWriter.putDuty(key, release(3), () -> durable.add("third"));
+    // The callback of a value added while another value is in flight waits for its own value.
+    stateWriter.putProvisioningRecord(key, release(3), () -> durable.add("third"));
     bench.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
-    stateWriter.removeDuty(key, () -> durable.add("removed"));
+    stateWriter.removeProvisioningRecord(key, () -> durable.add("removed"));
     bench.sink.replied(
         ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.versions));
     assertEquals(List.of("first", "second", "third"), durable);
-    assertEquals(null, next().get(0).value());
+    assertEquals(null, applyNextTransaction().get(0).value());
     assertEquals(List.of("first", "second", "third", "removed"), durable);
   }
 }
