--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -56,12 +56,12 @@
 
   @Override
   public void put(String key, StoredValue value, Runnable onDurable) {
-    stateWriter.putDuty(key, value, onDurable);
+    stateWriter.putProvisioningRecord(key, value, onDurable);
   }
 
   @Override
   public void remove(String key) {
-    stateWriter.removeDuty(key, NO_OP);
+    stateWriter.removeProvisioningRecord(key, NO_OP);
   }
 
   @Override
