--- a/src/main/java/org/eiderstair/core/Core.java
+++ b/src/main/java/org/eiderstair/core/Core.java
@@ -198,7 +198,7 @@
 
     @Override
     public void overloaded(Event.Overloaded event) {
-      overload.noteOverload(event, now);
+      overload.recordOverload(event, now);
     }
 
     @Override
--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -135,7 +135,7 @@
     if (!job.open()) {
       workers.jobEnded(job);
     }
-    workers.noteChange();
+    workers.requestPlacement();
   }
 
   /** Does what is due by now. */
@@ -153,7 +153,7 @@
     }
     logSummaryIfDue();
     standby.tick(now);
-    if (!overload.putsOffWork(now) || now >= nextOverloadedCapacityMicros) {
+    if (!overload.defersWork(now) || now >= nextOverloadedCapacityMicros) {
       nextOverloadedCapacityMicros = now + OVERLOADED_CAPACITY_INTERVAL_MICROS;
       capacity.tick(now);
     }
@@ -200,7 +200,7 @@
    * that waits for as long as machines may be dead.
    */
   private boolean resignIfMachinesReachPeersOnly() {
-    boolean unreached = workers.reachability().isReachedByFew();
+    boolean unreached = workers.reachability().hasFewDirectHeartbeats();
     membership.tick(unreached || capacity.hasMissingMachines(), now);
     int reachingPeers = unreached ? workers.reachability().countReachableByPeers(membership) : 0;
     if (reachingPeers < MIN_MACHINES_REACHING_PEERS) {
@@ -266,20 +266,21 @@
    * alone changes.
    */
   long passDueMicros() {
-    if (!workers.hasChanged() && !workers.hasPendingAnswers()) {
+    if (!workers.isPlacementRequested() && !workers.hasPendingAnswers()) {
       return lastPassMicros + QUIET_PASS_MICROS;
     }
     return lastPassMicros
-        + (overload.putsOffWork(now) ? OVERLOADED_PASS_GAP_MICROS : PASS_GAP_MICROS);
+        + (overload.defersWork(now) ? OVERLOADED_PASS_GAP_MICROS : PASS_GAP_MICROS);
   }
 
   /** Places what can be placed for all events at hand, and answers the machines. */
   private void runPass() {
-    boolean placementDue = workers.hasChanged() || now >= lastPassMicros + QUIET_PASS_MICROS;
+    boolean placementDue =
+        workers.isPlacementRequested() || now >= lastPassMicros + QUIET_PASS_MICROS;
     lastPassMicros = now;
     if (placementDue && leadership.mayLaunch(now)) {
-      workers.clearChange();
-      placement.place(now, !overload.putsOffWork(now));
+      workers.clearPlacementRequest();
+      placement.place(now, !overload.defersWork(now));
     }
     workers.flush(now);
     standby.tick(now);
@@ -287,12 +288,12 @@
 
   @Override
   public void jobFinished(Job job) {
-    workers.noteChange();
+    workers.requestPlacement();
   }
 
   @Override
   public void workerRegistered(String machine) {
-    workers.registered(machine);
+    workers.markRegistered(machine);
     capacity.machineRegistered(machine);
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -102,7 +102,7 @@
    */
   public void takeOver(long nowMicros) {
     clock.advanceTo(nowMicros);
-    workers.setReleasing(provisioning::isReleasing);
+    workers.setReleasingPredicate(provisioning::isReleasing);
     provisioning.resume(replica.dutyRecords(), nowMicros);
     for (Machine machine : workers.machines().values()) {
       if (provisioning.isReleasing(machine.id())) {
--- a/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
@@ -142,6 +142,7 @@
   }
 
   private Machine expect(Reply.CloudMachine entry) {
-    return workers.expect(entry.id(), entry.address(), entry.type(), entry.zone(), entry.spot());
+    return workers.addBooting(
+        entry.id(), entry.address(), entry.type(), entry.zone(), entry.spot());
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -112,7 +112,7 @@
     pendingMachines.forget(rental);
     for (String id : machines) {
       if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
-        Machine machine = workers.expect(id, null, option.type(), option.zone(), option.spot());
+        Machine machine = workers.addBooting(id, null, option.type(), option.zone(), option.spot());
         machine.setSince(clock.nowMicros() - ageMicros);
       }
     }
@@ -134,12 +134,12 @@
           new RentalOption(machine.typeName(), machine.zone(), machine.isSpot()));
       clock.decideWithin(LOSS_DECISION_DELAY_MICROS);
     }
-    workers.terminated(id);
+    workers.markTerminated(id);
   }
 
   @Override
   public void releaseCancelled(String machine) {
-    workers.keep(machine);
+    workers.cancelTermination(machine);
   }
 
   @Override
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -69,7 +69,7 @@
     ReachabilityClassifier classifier =
         membership.classify(
             workers.machines().values(),
-            workers.reachability().isReachedByFew(),
+            workers.reachability().hasFewDirectHeartbeats(),
             settings.tuning().unreachableDeleteMicros(),
             settings.tuning().partitionedDeleteMicros(),
             clock.nowMicros());
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -57,7 +57,7 @@
         // Nothing later in the queue overtakes: room may be accumulating for this one.
         break;
       } else if (admission.admitsOneMore(attempt.job())) {
-        workers.occupy(attempt);
+        workers.reserveResources(attempt);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -61,7 +61,7 @@
     preemption = new GuaranteePreemption(sink, workers, quotas, order, term);
     diagnostics =
         new PlacementDiagnostics(replica, workers, availableMachines, quotas, starvationGuard);
-    workers.onJobStarted(starvationGuard::noteStarted);
+    workers.setJobStartedListener(starvationGuard::noteStarted);
   }
 
   /** Machines, jobs and attempts looked at so far, for tests of how the cost of a pass grows. */
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -12,12 +12,12 @@
 import org.eiderstair.core.quota.TeamQuotas;
 
 /**
- * Places attempts on machines and frees them. Each happens in one method, so that free resources,
- * the teams' use, queues and the standby's replica are kept by increments.
+ * Adds attempts to machines and removes them. Each operation has a single method, which updates
+ * free resources, team usage, queues and the standby's replica incrementally.
  */
 final class AttemptTracker {
-  /** The term stands above the counter in an attempt's number, so that none is used twice. */
-  private static final int NUMBER_BITS = 31;
+  /** An attempt number holds the term above this many counter bits, so that it is never reused. */
+  private static final int ATTEMPT_COUNTER_BITS = 31;
 
   private final TermContext context;
   private final AvailableMachines availableMachines;
@@ -27,7 +27,7 @@
   private final Set<Machine> queuesToServeView = Collections.unmodifiableSet(queuesToServe);
   private long attemptCount;
   private Consumer<Job> jobStartedListener = job -> {};
-  private boolean changed = true;
+  private boolean placementRequested = true;
 
   AttemptTracker(
       TermContext context,
@@ -40,57 +40,60 @@
     this.commandQueue = commandQueue;
   }
 
-  /** Machines with a queue that may have got free resources since the last pass. */
+  /**
+   * Returns a read-only view of the machines with queued attempts whose free resources may have
+   * grown since {@link #clearQueuesToServe}.
+   */
   Set<Machine> queuesToServe() {
     return queuesToServeView;
   }
 
-  /** All queues have been served. */
+  /** Clears the set of queues to serve, after all of them have been served. */
   void clearQueuesToServe() {
     queuesToServe.clear();
   }
 
-  /** From now on only what changes later counts. */
-  void clearChange() {
-    changed = false;
+  /** Clears the request for a placement pass. */
+  void clearPlacementRequest() {
+    placementRequested = false;
   }
 
-  /** Whether something changed that may let a task be placed. */
-  boolean hasChanged() {
-    return changed;
+  /** Returns whether a change since the last clear may allow a task to be placed. */
+  boolean isPlacementRequested() {
+    return placementRequested;
   }
 
-  /** Something changed that may let a task be placed. */
-  void noteChange() {
-    changed = true;
+  /** Requests a placement pass, because a change may allow a task to be placed. */
+  void requestPlacement() {
+    placementRequested = true;
   }
 
-  /** Sets who is called when the first task of a job is placed. */
-  void onJobStarted(Consumer<Job> listener) {
+  /** Sets the listener that is called when the first task of a job is placed. */
+  void setJobStartedListener(Consumer<Job> listener) {
     jobStartedListener = listener;
   }
 
-  /** A new attempt number; never used before, in any term. */
+  /** Returns a new attempt number, which is unique across all terms. */
   long nextAttempt() {
-    long base = Math.multiplyExact(context.term(), 1L << NUMBER_BITS);
+    long base = Math.multiplyExact(context.term(), 1L << ATTEMPT_COUNTER_BITS);
     return Math.addExact(base, ++attemptCount);
   }
 
-  /** Places an attempt on its machine. One that only waits at the leader uses no resources yet. */
+  /** Adds an attempt to its machine and job. Reserves its resources unless it is queued. */
   void attach(Attempt attempt) {
     attempt.machine().addAttempt(attempt);
     attempt.job().addAttempt(attempt);
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       attempt.machine().enqueue(attempt);
     } else {
-      occupy(attempt);
+      reserveResources(attempt);
     }
   }
 
-  /** Reserves the resources of an attempt; one that waited for them is planned. */
-  void occupy(Attempt attempt) {
+  /** Reserves the resources of an attempt. A queued attempt leaves its queue and is planned. */
+  void reserveResources(Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.QUEUED) {
-      leaveQueue(attempt);
+      dequeue(attempt);
       attempt.plan();
     }
     quotas.acquire(attempt.spec());
@@ -108,18 +111,21 @@
     }
   }
 
-  private void leaveQueue(Attempt attempt) {
+  private void dequeue(Attempt attempt) {
     attempt.machine().dequeue(attempt);
     attempt.job().dequeue(attempt);
   }
 
-  /** Removes an attempt from its machine: the opposite of {@link #attach}. */
+  /**
+   * Removes an attempt from its machine and job, as the inverse of {@link #attach}. Does nothing if
+   * the attempt is not on its machine.
+   */
   void remove(Attempt attempt) {
     if (!attempt.machine().removeAttempt(attempt)) {
       return;
     }
     if (attempt.phase() == Attempt.Phase.QUEUED) {
-      leaveQueue(attempt);
+      dequeue(attempt);
     } else {
       quotas.release(attempt.spec());
       attempt.machine().release(attempt.spec());
@@ -132,10 +138,15 @@
     }
     attempt.job().removeAttempt(attempt);
     attempt.machine().markInUse(context.nowMicros());
-    changed = true;
+    placementRequested = true;
   }
 
-  /** Removes an attempt that is proven not to be on its machine; its task is placed again. */
+  /**
+   * Removes an attempt that is proven not to be on its machine, so that its task can be placed
+   * again.
+   *
+   * @param reason the proof, for the log
+   */
   void free(Attempt attempt, String reason) {
     context.debug(
         "task="
@@ -149,7 +160,7 @@
     remove(attempt);
   }
 
-  /** Frees everything on a machine that is proven to hold nothing. */
+  /** Frees all attempts on a machine that is proven to run no task. */
   void freeAll(Machine machine, String reason) {
     for (Attempt attempt : new ArrayList<>(machine.attempts())) {
       free(attempt, reason);
@@ -158,17 +169,20 @@
     machine.forgetImages();
   }
 
-  /** Frees what has not been sent to a machine that gets no more work. */
-  void unplan(Machine machine) {
+  /** Frees the attempts that were not sent yet to a machine that accepts no new work. */
+  void freeUnsentAttempts(Machine machine) {
     availableMachines.remove(machine);
     for (Attempt attempt : new ArrayList<>(machine.attempts())) {
       if (!attempt.mayBeOnMachine()) {
-        free(attempt, "machine not usable");
+        free(attempt, "machine accepts no new work");
       }
     }
   }
 
-  /** A machine may have got free resources: it is offered for placement, and so is its queue. */
+  /**
+   * Offers a machine and its queue for placement, if the machine is usable and has free resources.
+   * Called when its free resources may have grown.
+   */
   void freeResourcesChanged(Machine machine) {
     if (machine.plan() == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
       availableMachines.offer(machine);
@@ -179,16 +193,16 @@
   }
 
   /**
-   * Tells the standby of an attempt.
+   * Replicates an attempt to the standby.
    *
-   * @param present whether it may be on its machine from now on, or is not any more
+   * @param present true if the attempt may now be on its machine, false if it no longer is
    */
   void replicate(Attempt attempt, boolean present) {
-    context.standby().replicate(change(attempt, present));
+    context.standby().replicate(toChange(attempt, present));
   }
 
-  /** What the standby is told of an attempt. */
-  static ReplicationBatch.Change change(Attempt attempt, boolean present) {
+  /** Returns the change that replicates an attempt to the standby. */
+  static ReplicationBatch.Change toChange(Attempt attempt, boolean present) {
     return new ReplicationBatch.Change(
         present,
         attempt.machine().id(),
--- a/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
+++ b/src/main/java/org/eiderstair/core/workers/AvailableMachines.java
@@ -4,39 +4,39 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * The bounded list of machines that reported free resources: the dispatcher's memory of the paper's
- * section 3.1, whose entries the paper calls tokens. A machine is listed at most once, and not when
- * the list is full; a later heartbeat tries again.
+ * The bounded list of machines that reported free resources. It is the dispatcher's memory in
+ * section 3.1 of the paper, which calls the entries tokens. A machine is listed at most once. A
+ * full list accepts no machine; a later heartbeat offers the machine again.
  */
 public final class AvailableMachines {
   private final int capacity;
   private final IndexedMachineList machines = new IndexedMachineList();
 
   /**
-   * @param capacity the most machines that are listed, the setting {@code token_list_size}
+   * @param capacity the maximum number of listed machines, from the setting {@code token_list_size}
    */
   public AvailableMachines(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Adds a machine that has free resources, unless it is listed already or the list is full. */
+  /** Adds a machine with free resources, unless it is already listed or the list is full. */
   public void offer(Machine machine) {
     if (!machines.contains(machine) && size() < capacity) {
       machines.add(machine);
     }
   }
 
-  /** Removes a machine in constant time: the last one takes its place. */
+  /** Removes a machine in constant time. The last machine of the list takes its position. */
   void remove(Machine machine) {
     machines.remove(machine);
   }
 
-  /** How many machines are listed. */
+  /** Returns the number of listed machines. */
   public int size() {
     return machines.all().size();
   }
 
-  /** The listed machines, for reading. */
+  /** Returns a read-only view of the listed machines. */
   public List<Machine> all() {
     return machines.all();
   }
--- a/src/main/java/org/eiderstair/core/workers/CommandQueue.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandQueue.java
@@ -6,27 +6,27 @@
 import java.util.Set;
 import org.eiderstair.core.model.Machine;
 
-/** Machines that have launches or kills to be sent with the next pass, in the order of requests. */
+/** The machines with launches or kills to send in the next pass, in the order of the requests. */
 final class CommandQueue {
   private final Set<Machine> machines = new LinkedHashSet<>();
 
-  /** A machine has launches to be sent. */
+  /** Adds a machine that has launches to send. */
   void scheduleLaunches(Machine machine) {
     machines.add(machine);
   }
 
-  /** A machine has tasks to be killed. */
+  /** Adds a machine that has tasks to kill. */
   void scheduleKills(Machine machine) {
     machine.commands().requestKills();
     machines.add(machine);
   }
 
-  /** Nothing is to be sent to a machine any more. */
+  /** Removes a machine that has nothing left to send. */
   void remove(Machine machine) {
     machines.remove(machine);
   }
 
-  /** The machines as of now: sending to one may add others. */
+  /** Returns a copy of the queued machines, because sending to one machine may add others. */
   List<Machine> snapshot() {
     return new ArrayList<>(machines);
   }
--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -7,10 +7,10 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 
-/** Sends launches and kills by command to machines that no answer to a heartbeat reaches now. */
+/** Sends the launches and kills that no answer to a heartbeat has carried in this pass. */
 final class CommandSender {
-  /** A machine counts as reached through a peer for so many intervals of heartbeats. */
-  private static final int RELAYED_INTERVALS = 2;
+  /** For how many heartbeat intervals a relayed heartbeat marks a machine as reached by a peer. */
+  private static final int RELAYED_HEARTBEAT_INTERVALS = 2;
 
   private final TermContext context;
   private final CommandQueue commandQueue;
@@ -28,7 +28,12 @@
     this.client = client;
   }
 
-  /** Sends what is due, as far as the leadership allows. */
+  /**
+   * Sends all commands that are due.
+   *
+   * @param mayLaunch whether the leadership and the standby allow launches now
+   * @param mayKill whether the leadership allows kills now
+   */
   void sendDue(boolean mayLaunch, boolean mayKill) {
     for (Machine machine : commandQueue.snapshot()) {
       if (machine.plannedLaunches().isEmpty() && !machine.commands().areKillsPending()) {
@@ -51,8 +56,8 @@
   }
 
   /**
-   * Kills wait for nothing else that is on its way to the machine: not for a launch or a probe
-   * without a reply, which may take its whole time limit, nor for the hold after one.
+   * Returns whether kills may be sent to a machine now. Kills do not wait for a launch or a probe
+   * in flight, which may take its whole time limit, nor for the hold after a missing reply.
    */
   private boolean canKillNow(Machine machine) {
     boolean incarnationKnown = machine.phase() == Machine.Phase.FENCING || machine.known();
@@ -62,18 +67,21 @@
   }
 
   /**
-   * This node may not reach a machine whose heartbeats a peer relays: each command would run into
-   * its time limit, and the fence raised for it would keep the machine from work. The answer to its
-   * next heartbeat, which is soon here, carries the orders instead.
+   * Returns whether a peer relayed the machine's latest heartbeat and the last contact is recent.
+   * This node may be unable to reach such a machine. Each command would time out, and the fence
+   * raised for it would keep the machine from getting work. The answer to the machine's next
+   * heartbeat carries the orders instead.
    */
   private boolean isReachedThroughPeer(Machine machine) {
-    long relayedMicros = context.settings().workerTimings().heartbeatMicros() * RELAYED_INTERVALS;
+    long relayedMicros =
+        context.settings().workerTimings().heartbeatMicros() * RELAYED_HEARTBEAT_INTERVALS;
     return machine.isRelayed() && context.nowMicros() < machine.lastContactMicros() + relayedMicros;
   }
 
   private void sendLaunches(Machine machine) {
     List<Order.Acknowledge> acknowledgements = List.copyOf(machine.acknowledgements());
-    List<Attempt> launches = launchReplication.take(machine, Attempt.SENT_BY_COMMAND);
+    List<Attempt> launches =
+        launchReplication.takePlannedLaunches(machine, Attempt.SENT_BY_COMMAND);
     FencingToken fencingToken = machine.fencingToken();
     long incarnation = machine.incarnation();
     machine.commands().begin();
--- a/src/main/java/org/eiderstair/core/workers/EventTime.java
+++ b/src/main/java/org/eiderstair/core/workers/EventTime.java
@@ -1,6 +1,6 @@
 package org.eiderstair.core.workers;
 
-/** The time of the event that is being handled, which all parts of a term's state share. */
+/** The time of the current event, which the classes of this package share. */
 final class EventTime {
   private long nowMicros;
 
@@ -8,7 +8,7 @@
     return nowMicros;
   }
 
-  /** Another event is handled from now on. */
+  /** Sets the time of the next event to handle. */
   void advanceTo(long micros) {
     nowMicros = micros;
   }
--- a/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
+++ b/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
@@ -5,9 +5,9 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.TaskId;
 
-/** Tells a machine on which everything fails from a job that fails everywhere. */
+/** Distinguishes faulty machines from faulty jobs, by the tasks that failed on each machine. */
 final class FailureAccounting {
-  /** A machine that refused a task gets none for so long. */
+  /** How long a machine that refused a task gets no further task. */
   private static final long REFUSAL_HOLD_MICROS = 1_000_000;
 
   private final TermContext context;
@@ -20,12 +20,12 @@
     this.drain = drain;
   }
 
-  /** Records how a task of an open job ended without being done. */
+  /** Records the exit of a task of an open job that ended without being completed. */
   void recordExit(Machine machine, Job job, TaskId task, Heartbeat.Exit exit) {
     switch (exit) {
       case ERROR -> recordFailure(machine, job, task);
       case NO_ROOM, BUSY, UNKNOWN_JOB -> {
-        context.debug("task=" + task + " refused by machine=" + machine.id() + ": " + exit);
+        context.debug("task=" + task + " refused by machine=" + machine.id() + " exit=" + exit);
         machine.holdUntil(context.nowMicros() + REFUSAL_HOLD_MICROS);
         availableMachines.remove(machine);
       }
@@ -36,16 +36,15 @@
   private void recordFailure(Machine machine, Job job, TaskId task) {
     context.info("task=" + task + " failed on machine=" + machine.id());
     job.recordFailure(machine.id(), context.nowMicros());
-    boolean onlyHere = job.failedMachines() == 1;
-    boolean worksElsewhere = job.hasCompletedTasks() || onlyHere;
+    boolean failedOnlyHere = job.failedMachines() == 1;
+    boolean worksElsewhere = job.hasCompletedTasks() || failedOnlyHere;
     machine.failures().record(job.id(), worksElsewhere);
-    if (machine.failures().isFaulty(onlyHere) && machine.plan() == Machine.Plan.ACTIVE) {
+    if (machine.failures().isFaulty(failedOnlyHere) && machine.plan() == Machine.Plan.ACTIVE) {
       context.info(
-          "machine="
+          "draining faulty machine="
               + machine.id()
-              + " fails the tasks of "
-              + machine.failures().failedJobCount()
-              + " jobs: draining");
+              + " failed_jobs="
+              + machine.failures().failedJobCount());
       drain.drain(machine);
     }
   }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -10,13 +10,14 @@
 import org.eiderstair.core.state.StateWriter;
 
 /**
- * Takes heartbeats: drops late copies, follows incarnations and what the fencing token confirms,
- * and has the rest reconciled. The same goes for the heartbeats in replies to commands.
+ * Processes heartbeats. Drops outdated ones, tracks worker incarnations, confirms machines by
+ * fencing token and passes the reported tasks to the {@link TaskReconciler}. Heartbeats in replies
+ * to commands are processed in the same way.
  */
 final class HeartbeatHandler {
-  // Sent to workers: stays as it is.
-  private static final String TERMINATED = "machine was deleted";
-  private static final int UNAVAILABLE = 503;
+  // Part of the protocol with workers: must not change.
+  private static final String MACHINE_DELETED_REASON = "machine was deleted";
+  private static final int SERVICE_UNAVAILABLE_STATUS = 503;
 
   private final TermContext context;
   private final EffectSink sink;
@@ -52,12 +53,12 @@
   }
 
   /**
-   * Takes a heartbeat. Its answer, decided in the next pass, renews the lease and carries what the
-   * machine must kill, forget and launch; so a machine whose task ended gets its next one without
-   * another message.
+   * Processes a heartbeat and queues it for an answer in the next pass. The answer renews the lease
+   * and carries the machine's kills, acknowledgements and launches. A machine whose task ended thus
+   * gets its next task without another message.
    *
-   * @param exchange where its answer goes
-   * @param relayed whether it came through a peer
+   * @param exchange the exchange that the heartbeat is answered on
+   * @param relayed whether a peer relayed the heartbeat
    */
   void receive(long exchange, Heartbeat heartbeat, boolean relayed) {
     if (heartbeat.fencingToken().term() > context.term()) {
@@ -67,12 +68,13 @@
           .deposed(
               "machine="
                   + heartbeat.machine()
-                  + " has seen fencing token "
+                  + " reported a later term: fencing_token="
                   + heartbeat.fencingToken());
       return;
     }
     if (registry.isTerminated(heartbeat.machine())) {
-      sink.respond(exchange, new Answer.Failure(UNAVAILABLE, TERMINATED, 0));
+      sink.respond(
+          exchange, new Answer.Failure(SERVICE_UNAVAILABLE_STATUS, MACHINE_DELETED_REASON, 0));
       return;
     }
     Machine machine = findOrAdd(heartbeat);
@@ -81,25 +83,29 @@
             .pendingHeartbeat()
             .freshness(heartbeat.incarnation(), heartbeat.sequence(), machine.incarnation());
     if (freshness != PendingHeartbeat.Freshness.CURRENT) {
-      // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
-      // nothing.
+      // A duplicate or delayed heartbeat that the worker no longer waits for. It proves nothing,
+      // renews no lease and launches no task.
       responder.refuse(exchange, freshness.refusal());
       return;
     }
     if (!relayed) {
-      reachability.noteDirectHeartbeat();
+      reachability.recordDirectHeartbeat();
     }
     register(machine, heartbeat);
     machine.setRelayed(relayed);
     process(machine, heartbeat, true, !machine.commands().isInFlight());
     if (machine.phase() == Machine.Phase.UNCONFIRMED) {
-      // The answer shows it our token, and its next heartbeat follows at once.
+      // The answer carries the current fencing token, and the next heartbeat follows immediately.
       prober.postpone(machine);
     }
     responder.enqueue(machine, heartbeat.sequence(), exchange);
   }
 
-  /** Takes the heartbeat in a machine's reply to a command. */
+  /**
+   * Processes the heartbeat in a machine's reply to a command.
+   *
+   * @param noCommandInFlight whether no launch by command can still arrive at the machine
+   */
   void receiveReply(Machine machine, Heartbeat heartbeat, boolean noCommandInFlight) {
     process(machine, heartbeat, false, noCommandInFlight);
   }
@@ -109,8 +115,8 @@
     if (known != null) {
       return known;
     }
-    context.info("first heartbeat of machine=" + heartbeat.machine());
-    return registry.expect(
+    context.info("first heartbeat received machine=" + heartbeat.machine());
+    return registry.addBooting(
         heartbeat.machine(),
         heartbeat.address(),
         heartbeat.type(),
@@ -129,13 +135,13 @@
   }
 
   /**
-   * Processes a heartbeat, unless a newer one of its machine came before.
+   * Processes a heartbeat, unless a newer heartbeat of the machine was already processed.
    *
-   * @param answered whether it is answered itself; one in a reply to a command is not. Only an
-   *     answered one settles launches in the answer to an earlier one, since a reply may be written
-   *     while that answer is still on its way
-   * @param noCommandInFlight false while a command is on its way, since the heartbeat may have been
-   *     written before that command arrived
+   * @param answered whether the heartbeat itself gets an answer, unlike one in a reply to a
+   *     command. Only such a heartbeat settles launches that an earlier answer carried. A reply to
+   *     a command may be written while that answer is still in flight.
+   * @param noCommandInFlight false while a command is in flight, because the worker may have
+   *     written the heartbeat before that command arrived
    */
   private void process(
       Machine machine, Heartbeat heartbeat, boolean answered, boolean noCommandInFlight) {
@@ -143,38 +149,35 @@
       return;
     }
     machine.recordContact(context.nowMicros());
-    followIncarnation(machine, heartbeat);
+    updateIncarnation(machine, heartbeat);
     if (heartbeat.noticeMicros() != Heartbeat.NO_NOTICE && machine.plan() == Machine.Plan.ACTIVE) {
-      context.info("machine=" + machine.id() + " got notice of its preemption");
-      drain.drainForNotice(machine, heartbeat.noticeMicros());
+      context.info("machine=" + machine.id() + " received a preemption notice");
+      drain.drainForPreemption(machine, heartbeat.noticeMicros());
     }
-    boolean showsOurToken = heartbeat.fencingToken().isAtLeast(machine.fencingToken());
-    if (showsOurToken) {
+    boolean showsCurrentToken = heartbeat.fencingToken().isAtLeast(machine.fencingToken());
+    if (showsCurrentToken) {
       confirm(machine);
     } else if (mayHoldEarlierWork(machine)) {
-      // Older commands may still arrive there; what it shows proves nothing yet.
+      // Earlier commands may still arrive at the machine, so its task list proves nothing yet.
       return;
     }
     reconciler.reconcile(
-        machine, heartbeat, answered && showsOurToken, noCommandInFlight && showsOurToken);
-    if (!showsOurToken
+        machine, heartbeat, answered && showsCurrentToken, noCommandInFlight && showsCurrentToken);
+    if (!showsCurrentToken
         && machine.phase() == Machine.Phase.BOOTING
         && heartbeat.fencingToken().compareTo(FencingToken.NONE) > 0) {
       expectLeaseExpiry(machine);
     }
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 
-  private void followIncarnation(Machine machine, Heartbeat heartbeat) {
+  private void updateIncarnation(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.incarnation() > machine.incarnation() && machine.incarnation() > 0) {
       context.info(
-          "machine="
-              + machine.id()
-              + " lost its lease and began incarnation "
-              + heartbeat.incarnation());
+          "machine=" + machine.id() + " started a new incarnation=" + heartbeat.incarnation());
       tracker.freeAll(machine, "new incarnation");
       responder.dropEarlierIncarnation(machine);
-      // A new incarnation has its full lease from its own beginning, whenever the one before was
+      // A new incarnation starts with a full lease, regardless of when the previous incarnation was
       // last answered.
       registry.renewLease(machine);
     }
@@ -207,16 +210,16 @@
   }
 
   /**
-   * A machine that is neither registered nor rented in this term shows a token of an earlier term:
-   * its heartbeat was held on its way, and the machine was deleted meanwhile. No such machine can
-   * hold anything, since each is registered from before its first launch until it is terminated.
-   * What the heartbeat shows counts all the same, but only until the machine's lease would expire,
-   * or until it answers a probe; otherwise it would hold its tasks back until it counted as never
-   * booted.
+   * Starts a lease for a machine that is neither registered nor rented in this term and reports a
+   * fencing token of an earlier term. The heartbeat was delayed, and the machine was deleted in the
+   * meantime. Such a machine runs no task, because a machine is registered from before its first
+   * launch until its termination. The reported tasks still count until the machine's lease would
+   * expire or the machine answers a probe. Without that limit the tasks would not be placed again
+   * until the machine's boot timed out.
    */
   private void expectLeaseExpiry(Machine machine) {
     context.info(
-        "machine=" + machine.id() + " is unknown and shows an earlier term's fencing token");
+        "machine=" + machine.id() + " is unknown and reported an earlier term's fencing token");
     registry.changePhase(machine, Machine.Phase.FENCING);
     registry.renewLease(machine);
     machine.markInUse(context.nowMicros());
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -9,35 +9,38 @@
 import org.eiderstair.core.model.Heartbeat;
 
 /**
- * What a follower does with heartbeats. It redirects workers to the leader; one that returns early
- * could not reach the leader, so for a while its heartbeats are relayed, and so are the leader's
- * answers. A follower never makes an answer of its own: only the leader may renew a lease.
+ * Handles heartbeats on a follower. The follower redirects workers to the leader. A worker that
+ * returns early could not reach the leader, so its heartbeats and the leader's answers are relayed
+ * for a while. A follower never creates an answer itself, since only the leader may renew a lease.
  */
 public final class HeartbeatRelay {
-  /** A worker that is here again within this time after its redirect did not reach the leader. */
+  /** A worker that returns within this time after its redirect did not reach the leader. */
   private static final long EARLY_RETURN_MICROS = 12_000_000;
 
+  /** How long heartbeats are relayed after an early return. */
   private static final long RELAY_MICROS = 20_000_000;
+
   private static final long FAILED_RELAY_PAUSE_MICROS = 2_000_000;
-  private static final long FORGET_MICROS = 120_000_000;
+  private static final long ROUTE_RETENTION_MICROS = 120_000_000;
 
-  /** So many early returns from one leader are no coincidence. */
+  /** The number of early returns from one leader after which it counts as unreachable. */
   private static final int UNREACHABLE_EARLY_RETURNS = 3;
 
-  private static final long COUNTING_MICROS = 10_000_000;
+  private static final long EARLY_RETURN_WINDOW_MICROS = 10_000_000;
 
-  /** Where a worker's heartbeats go. RELAYED holds until its time is over. */
+  /** The way in which a worker's heartbeats are handled. */
   private enum RouteKind {
+    /** The worker is told to send its heartbeats to the leader. */
     REDIRECTED,
+    /** This node relays the heartbeats to the leader, for {@link #RELAY_MICROS}. */
     RELAYED
   }
 
-  /**
-   * Whether workers reach the leader, as far as those tell that come to this node; UNREACHABLE is
-   * assumed for a while.
-   */
+  /** The reachability of the leader, judged by the workers that contact this node. */
   private enum LeaderState {
+    /** Workers are redirected to the leader. */
     REACHABLE,
+    /** Several workers did not reach the leader, so all heartbeats are relayed for a while. */
     UNREACHABLE
   }
 
@@ -50,7 +53,7 @@
   private LeaderState leaderState = LeaderState.REACHABLE;
   private String observedLeader = "";
   private int earlyReturns;
-  private long countingSinceMicros;
+  private long earlyReturnWindowStartMicros;
   private long unreachableUntilMicros;
 
   public HeartbeatRelay(EffectSink sink) {
@@ -60,16 +63,16 @@
   /**
    * Redirects a worker to the leader, or relays its heartbeat.
    *
-   * @param exchange where the answer goes
-   * @param leader the leader's node; null if none is known
+   * @param exchange the exchange that the heartbeat is answered on
+   * @param leader the name of the leader's node, or null if no leader is known
    */
   public void receive(long exchange, Heartbeat heartbeat, String leader, long nowMicros) {
     if (leader == null) {
       sink.respond(exchange, new Answer.Redirect(null));
       return;
     }
-    Route route = nextRoute(heartbeat.machine(), leader, nowMicros);
-    remember(heartbeat.machine(), route, nowMicros);
+    Route route = chooseRoute(heartbeat.machine(), leader, nowMicros);
+    storeRoute(heartbeat.machine(), route, nowMicros);
     if (route.kind() == RouteKind.REDIRECTED) {
       sink.respond(exchange, new Answer.Redirect(leader));
     } else if (nowMicros < relayFailedUntilMicros) {
@@ -79,12 +82,12 @@
     }
   }
 
-  private void remember(String machine, Route route, long nowMicros) {
+  private void storeRoute(String machine, Route route, long nowMicros) {
     routes.put(machine, route);
-    // Goes through thousands of routes where there are as many machines: not at each heartbeat.
+    // Iterates over all routes, one per machine and thus up to thousands: not on each heartbeat.
     if (nowMicros >= nextCleanupMicros) {
-      nextCleanupMicros = nowMicros + FORGET_MICROS;
-      routes.values().removeIf(known -> nowMicros > known.sinceMicros() + FORGET_MICROS);
+      nextCleanupMicros = nowMicros + ROUTE_RETENTION_MICROS;
+      routes.values().removeIf(known -> nowMicros > known.sinceMicros() + ROUTE_RETENTION_MICROS);
     }
   }
 
@@ -96,14 +99,14 @@
             sink.respond(exchange, relayed.answer());
             return;
           }
-          // When the leader has crashed, every worker comes here: one attempt tells, the others
-          // would only cost time.
+          // After a leader crash every worker returns to the followers. One failed relay suffices;
+          // further attempts would only delay the redirects.
           relayFailedUntilMicros = nowMicros + FAILED_RELAY_PAUSE_MICROS;
           sink.respond(exchange, new Answer.Redirect(null));
         });
   }
 
-  private Route nextRoute(String machine, String leader, long nowMicros) {
+  private Route chooseRoute(String machine, String leader, long nowMicros) {
     Route last = routes.get(machine);
     if (last != null && last.leader().equals(leader)) {
       long ageMicros = nowMicros - last.sinceMicros();
@@ -112,7 +115,12 @@
       }
       if (last.kind() == RouteKind.REDIRECTED && ageMicros < EARLY_RETURN_MICROS) {
         recordEarlyReturn(leader, nowMicros);
-        sink.debug("machine=" + machine + " is back early from leader=" + leader + ": relaying");
+        sink.debug(
+            "machine="
+                + machine
+                + " returned early from leader="
+                + leader
+                + "; relaying its heartbeats");
         return new Route(RouteKind.RELAYED, leader, nowMicros);
       }
     }
@@ -121,14 +129,16 @@
   }
 
   /**
-   * Counts a worker that did not reach the leader. When several have not, the others need not try
-   * it first: each attempt costs a worker its time limit, and its machine the work of that time.
+   * Counts a worker that did not reach the leader. After several early returns, other workers are
+   * relayed without a redirect. Each failed attempt costs a worker its request timeout, and its
+   * machine the work of that time.
    */
   private void recordEarlyReturn(String leader, long nowMicros) {
-    if (!leader.equals(observedLeader) || nowMicros > countingSinceMicros + COUNTING_MICROS) {
+    if (!leader.equals(observedLeader)
+        || nowMicros > earlyReturnWindowStartMicros + EARLY_RETURN_WINDOW_MICROS) {
       observedLeader = leader;
       earlyReturns = 0;
-      countingSinceMicros = nowMicros;
+      earlyReturnWindowStartMicros = nowMicros;
     }
     earlyReturns++;
     if (earlyReturns >= UNREACHABLE_EARLY_RETURNS) {
@@ -145,11 +155,11 @@
     return leaderState == LeaderState.UNREACHABLE;
   }
 
-  /** The one function for every change of what is assumed of the leader. */
+  /** Changes the assumed state of the leader. All state changes go through this method. */
   private void changeLeaderState(LeaderState next) {
     if (next != leaderState) {
       leaderState = next;
-      sink.info("leader=" + observedLeader + " is " + next + " for workers that come here");
+      sink.info("leader=" + observedLeader + " is " + next + " for workers that contact this node");
     }
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatResponder.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatResponder.java
@@ -12,14 +12,14 @@
 import org.eiderstair.core.model.PendingHeartbeat;
 
 /**
- * Answers heartbeats. An answer renews the worker's lease and carries what it must kill, forget and
- * launch.
+ * Answers heartbeats. An answer renews the worker's lease and carries its kills, acknowledgements
+ * and launches.
  */
 final class HeartbeatResponder {
-  // Reasons are sent to workers: they stay as they are.
-  private static final String NEWER_HEARTBEAT = "a newer report is here";
-  private static final String EARLIER_INCARNATION = "report of an earlier session";
-  private static final int UNAVAILABLE = 503;
+  // Part of the protocol with workers: these reasons must not change.
+  private static final String NEWER_HEARTBEAT_REASON = "a newer report is here";
+  private static final String EARLIER_INCARNATION_REASON = "report of an earlier session";
+  private static final int SERVICE_UNAVAILABLE_STATUS = 503;
 
   private final TermContext context;
   private final EffectSink sink;
@@ -36,33 +36,41 @@
     this.launchReplication = launchReplication;
   }
 
-  /** A heartbeat is to be answered in the next pass; the one that waited before is given up. */
+  /**
+   * Queues a heartbeat to be answered in the next pass. Refuses the machine's previous heartbeat if
+   * it is still pending.
+   */
   void enqueue(Machine machine, long sequence, long exchange) {
-    refuse(machine.pendingHeartbeat().replace(sequence, exchange), NEWER_HEARTBEAT);
+    refuse(machine.pendingHeartbeat().replace(sequence, exchange), NEWER_HEARTBEAT_REASON);
     pending.add(machine);
   }
 
   /**
-   * A machine has begun a new incarnation: nobody reads an answer to a heartbeat of the one before.
+   * Refuses the pending heartbeat of a machine that started a new incarnation, since the worker no
+   * longer waits for its answer.
    */
   void dropEarlierIncarnation(Machine machine) {
-    refuse(machine.pendingHeartbeat().beginIncarnation(), EARLIER_INCARNATION);
+    refuse(machine.pendingHeartbeat().beginIncarnation(), EARLIER_INCARNATION_REASON);
     pending.remove(machine);
   }
 
-  /** Refuses a heartbeat, unless there is none (exchange 0). */
+  /**
+   * Refuses a heartbeat with status 503.
+   *
+   * @param exchange the heartbeat's exchange; nothing is sent for {@link PendingHeartbeat#NONE}
+   */
   void refuse(long exchange, String reason) {
     if (exchange != PendingHeartbeat.NONE) {
-      sink.respond(exchange, new Answer.Failure(UNAVAILABLE, reason, 0));
+      sink.respond(exchange, new Answer.Failure(SERVICE_UNAVAILABLE_STATUS, reason, 0));
     }
   }
 
-  /** Whether heartbeats wait for their answers. */
+  /** Returns whether any heartbeat waits for its answer. */
   boolean hasPending() {
     return !pending.isEmpty();
   }
 
-  /** Answers all heartbeats that wait. */
+  /** Answers all pending heartbeats. */
   void answerPending(boolean mayLaunch) {
     for (Machine machine : pending) {
       answer(machine, mayLaunch);
@@ -71,8 +79,8 @@
   }
 
   /**
-   * Redirects heartbeats that still wait, since this node may not renew leases any more; from now
-   * on no lease is renewed.
+   * Ends the term: redirects all pending heartbeats, since this node may no longer renew leases. No
+   * lease is renewed after this call.
    */
   void close() {
     closed = true;
@@ -87,7 +95,7 @@
     orders.addAll(machine.acknowledgements());
     List<Attempt> launches =
         mayLaunch && machine.phase() == Machine.Phase.CONFIRMED
-            ? launchReplication.take(machine, machine.pendingHeartbeat().sequence())
+            ? launchReplication.takePlannedLaunches(machine, machine.pendingHeartbeat().sequence())
             : List.of();
     registry.renewLease(machine);
     machine.commands().clearKills();
--- a/src/main/java/org/eiderstair/core/workers/IndexedMachineList.java
+++ b/src/main/java/org/eiderstair/core/workers/IndexedMachineList.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.eiderstair.core.model.Machine;
 
-/** A list of different machines that adds, finds and removes one in constant time. */
+/** A list of distinct machines with constant-time insertion, lookup and removal. */
 final class IndexedMachineList {
   private final List<Machine> machines = new ArrayList<>();
   private final List<Machine> view = Collections.unmodifiableList(machines);
@@ -17,13 +17,13 @@
     return indexes.containsKey(machine);
   }
 
-  /** Adds a machine that is not in the list, at its end. */
+  /** Appends a machine, which must not be in the list. */
   void add(Machine machine) {
     indexes.put(machine, machines.size());
     machines.add(machine);
   }
 
-  /** Removes a machine, if it is in the list: the last one takes its place. */
+  /** Removes a machine if present. The last machine of the list takes its position. */
   void remove(Machine machine) {
     Integer index = indexes.remove(machine);
     if (index == null) {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The machines, for reading. */
+  /** Returns a read-only view of the machines. */
   List<Machine> all() {
     return view;
   }
--- a/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
+++ b/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
@@ -6,14 +6,14 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Lets launches leave only when the standby knows of them, so that a successor counts every task
- * that may be on a machine.
+ * Sends launches only after the standby has acknowledged them, so that the next leader knows every
+ * task that may be on a machine.
  */
 final class LaunchReplication {
   private final TermContext context;
   private final AttemptTracker tracker;
   private final CommandQueue commandQueue;
-  private FailoverTimeline failover;
+  private FailoverTimeline failoverTimeline;
 
   LaunchReplication(TermContext context, AttemptTracker tracker, CommandQueue commandQueue) {
     this.context = context;
@@ -21,18 +21,19 @@
     this.commandQueue = commandQueue;
   }
 
-  /** Records in the failover's timeline when the first launch leaves. */
-  void recordIn(FailoverTimeline timeline) {
-    failover = timeline;
+  /** Sets the timeline that records the time of the first launch. */
+  void setFailoverTimeline(FailoverTimeline timeline) {
+    failoverTimeline = timeline;
   }
 
   /**
-   * Takes the planned launches of a machine and tells the standby of them.
+   * Removes the planned launches of a machine, marks them as sent and replicates them.
    *
-   * @param sequence the sequence of the heartbeat whose answer carries them, or {@link
+   * @param sequence the sequence of the heartbeat whose answer carries the launches, or {@link
    *     Attempt#SENT_BY_COMMAND}
+   * @return the launches; empty if none is planned
    */
-  List<Attempt> take(Machine machine, long sequence) {
+  List<Attempt> takePlannedLaunches(Machine machine, long sequence) {
     List<Attempt> launches = machine.takeLaunches();
     for (Attempt attempt : launches) {
       attempt.send(sequence);
@@ -42,25 +43,26 @@
   }
 
   /**
-   * Sends launches once the standby has acknowledged them.
+   * Sends launches once the standby has acknowledged them, or plans them again if they may not be
+   * sent.
    *
-   * @param send sends them
-   * @param withheld what follows when they may not leave; they are planned as before by then
+   * @param send sends the launches
+   * @param onWithheld runs after the launches were planned again
    */
-  void send(List<Attempt> launches, Runnable send, Runnable withheld) {
-    context.standby().launch(() -> release(send), () -> withhold(launches, withheld));
+  void send(List<Attempt> launches, Runnable send, Runnable onWithheld) {
+    context.standby().launch(() -> sendNow(send), () -> withhold(launches, onWithheld));
   }
 
-  private void release(Runnable send) {
-    if (failover != null) {
-      failover.taskLaunched(context.nowMicros());
+  private void sendNow(Runnable send) {
+    if (failoverTimeline != null) {
+      failoverTimeline.taskLaunched(context.nowMicros());
     }
     send.run();
   }
 
-  private void withhold(List<Attempt> launches, Runnable withheld) {
+  private void withhold(List<Attempt> launches, Runnable onWithheld) {
     planAgain(launches);
-    withheld.run();
+    onWithheld.run();
   }
 
   private void planAgain(List<Attempt> launches) {
--- a/src/main/java/org/eiderstair/core/workers/LeaseMonitor.java
+++ b/src/main/java/org/eiderstair/core/workers/LeaseMonitor.java
@@ -4,15 +4,15 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Frees the tasks of machines whose lease has certainly expired: a worker that has had no answer
- * for so long has killed them.
+ * Frees the tasks of machines whose lease has certainly expired. A worker whose heartbeats got no
+ * answer for that long has killed its tasks.
  */
 final class LeaseMonitor {
-  /** Covers a worker's timer and the way of the last answer. */
-  private static final long MARGIN_MICROS = 1_500_000;
+  /** Covers the worker's timer and the transmission of the last answer. */
+  private static final long LEASE_MARGIN_MICROS = 1_500_000;
 
-  /** Covers clocks that run at different speeds: one part in so many. */
-  private static final long DRIFT_DIVISOR = 1000;
+  /** Covers clocks that run at different speeds: the lease divided by this is added to it. */
+  private static final long CLOCK_DRIFT_DIVISOR = 1000;
 
   private final TermContext context;
   private final WorkerRegistry registry;
@@ -30,14 +30,14 @@
     this.availableMachines = availableMachines;
   }
 
-  /** Expires leases. */
+  /** Expires the leases that are due and frees the tasks of their machines. */
   void expireDue() {
     long leaseMicros = context.settings().workerTimings().leaseMicros();
-    long boundMicros = leaseMicros + leaseMicros / DRIFT_DIVISOR + MARGIN_MICROS;
+    long expiryDelayMicros = leaseMicros + leaseMicros / CLOCK_DRIFT_DIVISOR + LEASE_MARGIN_MICROS;
     Set<Machine> leased = registry.leased();
     while (!leased.isEmpty()) {
       Machine longestUnanswered = leased.iterator().next();
-      if (context.nowMicros() <= longestUnanswered.answeredMicros() + boundMicros) {
+      if (context.nowMicros() <= longestUnanswered.answeredMicros() + expiryDelayMicros) {
         return;
       }
       expire(longestUnanswered);
--- a/src/main/java/org/eiderstair/core/workers/MachineDrain.java
+++ b/src/main/java/org/eiderstair/core/workers/MachineDrain.java
@@ -3,9 +3,11 @@
 import org.eiderstair.core.model.Attempt;
 import org.eiderstair.core.model.Machine;
 
-/** Takes machines out of service without stopping what runs there. */
+/** Drains machines: they get no new work, while their running tasks continue. */
 final class MachineDrain {
-  /** Between the notice and the checkpoint: messages, and the machine's next heartbeat. */
+  /**
+   * Time from the preemption notice to the checkpoint: messages and the machine's next heartbeat.
+   */
   private static final long CHECKPOINT_MARGIN_MICROS = 1_500_000;
 
   private final WorkerRegistry registry;
@@ -18,26 +20,26 @@
     this.commandQueue = commandQueue;
   }
 
-  /** A machine gets no new work; what waits for it at the leader goes back to the common queue. */
+  /** Drains a machine. Attempts that were not sent to it yet are freed, to be placed again. */
   void drain(Machine machine) {
     machine.drain();
-    tracker.unplan(machine);
+    tracker.freeUnsentAttempts(machine);
     registry.updateQueueable(machine);
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 
   /**
-   * Drains a spot machine that the platform will take away. Tasks that can save a checkpoint in
-   * time are stopped; the others may yet complete.
+   * Drains a spot machine that the platform will preempt. Requests the stop of tasks that can save
+   * a checkpoint in time. The other tasks go on, since they may still complete.
    *
-   * @param noticeMicros the time until it is taken away
+   * @param noticeMicros the time until the preemption
    */
-  void drainForNotice(Machine machine, long noticeMicros) {
+  void drainForPreemption(Machine machine, long noticeMicros) {
     drain(machine);
     for (Attempt attempt : machine.attempts()) {
-      boolean saves = attempt.spec().checkpointEveryMicros() > 0;
+      boolean savesCheckpoints = attempt.spec().checkpointEveryMicros() > 0;
       long neededMicros = attempt.spec().saveMicros() + CHECKPOINT_MARGIN_MICROS;
-      if (saves && neededMicros <= noticeMicros) {
+      if (savesCheckpoints && neededMicros <= noticeMicros) {
         attempt.requestStop();
         commandQueue.scheduleKills(machine);
       }
--- a/src/main/java/org/eiderstair/core/workers/OverloadMonitor.java
+++ b/src/main/java/org/eiderstair/core/workers/OverloadMonitor.java
@@ -5,53 +5,53 @@
 import org.eiderstair.core.settings.Settings;
 
 /**
- * Remembers when this node was overloaded last. While it is, and until the workers that it turned
- * away can have come back, heartbeats that do not arrive say nothing about machines or the network.
+ * Tracks the overload of this node. Missing heartbeats prove nothing about machines or the network
+ * during an overload, and until the refused workers have had time to return.
  */
 public final class OverloadMonitor {
-  /** Three attempts of a worker at other nodes, a second each, after its time limit of 4 s. */
-  private static final long RETURN_MICROS = 7_000_000;
+  /** A worker's timeout of 4 s, followed by three attempts at other nodes of 1 s each. */
+  private static final long WORKER_RETURN_MICROS = 7_000_000;
 
-  /** Long enough for the queue to become short. */
-  private static final long BEHIND_MICROS = 10_000_000;
+  /** How long less urgent work is deferred: enough time for the event queue to drain. */
+  private static final long DEFERRAL_MICROS = 10_000_000;
 
   private final EffectSink sink;
   private final long recoveryMicros;
   private long overloadedUntilMicros = Long.MIN_VALUE;
-  private long behindUntilMicros = Long.MIN_VALUE;
+  private long deferringUntilMicros = Long.MIN_VALUE;
   private boolean overloaded;
 
   public OverloadMonitor(Settings settings, EffectSink sink) {
     this.sink = sink;
-    this.recoveryMicros = settings.workerTimings().heartbeatMicros() * 3 / 2 + RETURN_MICROS;
+    this.recoveryMicros = settings.workerTimings().heartbeatMicros() * 3 / 2 + WORKER_RETURN_MICROS;
   }
 
-  /** Notes that this node is overloaded at this moment. */
-  public void noteOverload(Event.Overloaded event, long nowMicros) {
+  /** Records that this node is overloaded at the given time. */
+  public void recordOverload(Event.Overloaded event, long nowMicros) {
     overloadedUntilMicros = nowMicros + recoveryMicros;
     if (event.waitingEvents() > 0) {
-      behindUntilMicros = nowMicros + BEHIND_MICROS;
+      deferringUntilMicros = nowMicros + DEFERRAL_MICROS;
     }
     if (!overloaded) {
       overloaded = true;
       sink.info(
-          "overloaded: refused_connections="
+          "node is overloaded refused_connections="
               + event.refusedConnections()
               + " waiting_events="
               + event.waitingEvents());
     }
   }
 
-  /** Whether events wait for so long that what is not urgent is put off. */
-  public boolean putsOffWork(long nowMicros) {
-    return nowMicros < behindUntilMicros;
+  /** Returns whether events recently waited too long, so that less urgent work is deferred. */
+  public boolean defersWork(long nowMicros) {
+    return nowMicros < deferringUntilMicros;
   }
 
-  /** Whether missing heartbeats may be due to this node's own overload. */
-  boolean explainsSilence(long nowMicros) {
+  /** Returns whether this node's own overload may be the cause of missing heartbeats. */
+  boolean mayCauseMissingHeartbeats(long nowMicros) {
     if (overloaded && nowMicros >= overloadedUntilMicros) {
       overloaded = false;
-      sink.info("overload is over");
+      sink.info("node is no longer overloaded");
     }
     return overloaded;
   }
--- a/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
+++ b/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
@@ -13,8 +13,8 @@
 import org.eiderstair.core.state.StateWriter;
 
 /**
- * Reconciles the tasks in a heartbeat with the attempts that are known on its machine. An attempt
- * is freed only on proof: a newer heartbeat without it once its launch is settled, or its end.
+ * Reconciles the tasks in a heartbeat with the known attempts on the machine. An attempt is freed
+ * only if the heartbeat reports its end, or omits it after its launch is settled.
  */
 final class TaskReconciler {
   private final TermContext context;
@@ -37,11 +37,11 @@
   }
 
   /**
-   * Reconciles.
+   * Reconciles the tasks in a heartbeat with the attempts on its machine.
    *
-   * @param settlesAnswers whether the heartbeat shows what became of launches in the answers to
-   *     earlier heartbeats
-   * @param settlesCommands whether it shows what became of launches by command
+   * @param settlesAnswers whether the heartbeat shows the outcome of launches in answers to earlier
+   *     heartbeats
+   * @param settlesCommands whether the heartbeat shows the outcome of launches sent by command
    */
   void reconcile(
       Machine machine, Heartbeat heartbeat, boolean settlesAnswers, boolean settlesCommands) {
@@ -58,7 +58,7 @@
     for (Attempt attempt : new ArrayList<>(machine.attempts())) {
       boolean settled = isSettled(attempt, heartbeat.sequence(), settlesAnswers, settlesCommands);
       if (settled && !reported.contains(attempt.task())) {
-        tracker.free(attempt, "not in a heartbeat");
+        tracker.free(attempt, "absent from a heartbeat");
       }
     }
     if (!machine.attempts().isEmpty()) {
@@ -80,7 +80,10 @@
     };
   }
 
-  /** A task that has not ended: it confirms its attempt, or is found, or is to be killed. */
+  /**
+   * Reconciles a task that has not ended: confirms its attempt, adopts the task, or records it as
+   * untracked so that the worker is told to kill it.
+   */
   private void reconcileRunning(Machine machine, Heartbeat.Entry entry) {
     Attempt known = machine.attempt(entry.task());
     if (known != null && known.number() == entry.attempt()) {
@@ -91,9 +94,9 @@
     if (known == null && isUnplacedTask(job, entry.task().index())) {
       context.debug("task=" + entry.task() + " found on machine=" + machine.id());
       adopt(machine, job, entry);
-      noteRunning(job);
+      writeFirstProgress(job);
     } else if (known == null && job != null && !job.open() && job.spec() != null) {
-      // A task of an ended job counts until the machine shows that it is not there.
+      // A task of an ended job uses resources until a heartbeat shows that it is gone.
       adopt(machine, job, entry);
     } else {
       machine.addUntrackedTask(new Order.Kill(entry.task(), entry.attempt(), 0));
@@ -116,7 +119,7 @@
     attempt.recordState(state, context.nowMicros());
     machine.useImage(attempt.spec());
     if (state == Heartbeat.TaskState.RUNNING) {
-      noteRunning(attempt.job());
+      writeFirstProgress(attempt.job());
     }
   }
 
@@ -129,13 +132,13 @@
     tracker.replicate(attempt, true);
   }
 
-  private void noteRunning(Job job) {
+  private void writeFirstProgress(Job job) {
     if (job.open() && job.durablyRunning() == 0) {
       stateWriter.writeProgress(job);
     }
   }
 
-  /** A task that has ended: its attempt is freed, and its outcome is recorded. */
+  /** Reconciles an ended task: removes its attempt and records its outcome. */
   private void reconcileEnded(Machine machine, Heartbeat.Entry entry) {
     TaskId task = entry.task();
     Order.Acknowledge acknowledge = new Order.Acknowledge(task, entry.attempt());
@@ -150,7 +153,8 @@
       if (job.markCompleted(task.index())) {
         recordCompletion(machine, job);
       }
-      // Forgotten only once durable: until then the machine's own record is the only proof.
+      // Acknowledged only after the completion is durable: until then the machine's own record is
+      // the only proof.
       if (job.isDurablyCompleted(task.index())) {
         machine.acknowledge(acknowledge);
       }
--- a/src/main/java/org/eiderstair/core/workers/TermContext.java
+++ b/src/main/java/org/eiderstair/core/workers/TermContext.java
@@ -6,9 +6,9 @@
 import org.eiderstair.core.standby.Standby;
 
 /**
- * What the parts of a leader's worker management share for one term.
+ * The dependencies that the classes of this package share during one leader term.
  *
- * @param time the time of the event that is being handled
+ * @param time the time of the current event
  * @param term the leader's term, which is part of every fencing token and log line
  */
 record TermContext(
@@ -19,17 +19,17 @@
     Standby standby,
     long term) {
 
-  /** The time of the event that is being handled. */
+  /** Returns the time of the current event. */
   long nowMicros() {
     return time.nowMicros();
   }
 
-  /** Logs a decision, with the term. */
+  /** Logs a decision at level info, with the term. */
   void info(String text) {
     sink.info(text + ", term=" + term);
   }
 
-  /** Logs a detail, with the term. */
+  /** Logs a detail at level debug, with the term. */
   void debug(String text) {
     sink.debug(text + ", term=" + term);
   }
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -11,27 +11,27 @@
 import org.eiderstair.core.model.Order;
 
 /**
- * Sends commands to workers and reads their replies, which are heartbeats. A command without a
- * reply may still arrive, minutes later.
+ * Sends commands to workers and processes their replies, which are heartbeats. A command that got
+ * no reply may still arrive minutes later.
  */
 final class WorkerCommandClient {
-  /** Takes the heartbeat in a worker's reply to a command. */
+  /** Handles the heartbeats in workers' replies to commands. */
   interface ReplyHandler {
     /**
      * Handles the reply to one command.
      *
-     * @param noCommandInFlight whether no launch by command can still be on its way, so that the
-     *     heartbeat shows what became of every command
+     * @param noCommandInFlight whether no launch by command can still be in flight, so that the
+     *     heartbeat shows the outcome of every command
      */
     void handle(Machine machine, Heartbeat heartbeat, boolean noCommandInFlight);
   }
 
-  /** A machine that did not answer a launch gets none for so long. */
-  private static final long UNREACHED_HOLD_MICROS = 6_000_000;
+  /** How long a machine that did not reply to a launch gets no further launch. */
+  private static final long NO_REPLY_HOLD_MICROS = 6_000_000;
 
-  private static final long KILL_RETRY_MICROS = 300_000;
-  private static final long PROBE_AFTER_LAUNCH_MICROS = 500_000;
-  private static final long PROBE_AFTER_SILENCE_MICROS = 300_000;
+  private static final long KILL_RETRY_DELAY_MICROS = 300_000;
+  private static final long PROBE_AFTER_LAUNCH_DELAY_MICROS = 500_000;
+  private static final long PROBE_RETRY_DELAY_MICROS = 300_000;
 
   private final TermContext context;
   private final EffectSink sink;
@@ -53,91 +53,99 @@
     this.commandQueue = commandQueue;
   }
 
-  /** Sets who takes the heartbeats in replies. */
-  void onReply(ReplyHandler handler) {
+  /** Sets the handler of the heartbeats in replies. */
+  void setReplyHandler(ReplyHandler handler) {
     replyHandler = handler;
   }
 
-  /** The term is over: replies count for nothing. */
+  /** Ends the term: later replies are ignored. */
   void close() {
     closed = true;
   }
 
   /**
-   * Shows the fencing token with no orders.
+   * Sends a probe: a command that shows the fencing token and carries no orders.
    *
-   * @param ended runs when the probe is answered, or is given up
+   * @param onEnd runs when the probe gets a reply or is given up
    */
-  void probe(Machine machine, Runnable ended) {
+  void probe(Machine machine, Runnable onEnd) {
     machine.commands().begin();
-    // Most machines are in their first incarnation; one that is not says so in its refusal.
+    // If the incarnation is unknown, the first one is assumed; a worker in a later incarnation
+    // reports its own in the refusal.
     long incarnation = Math.max(1, machine.incarnation());
     call(
         machine,
         new Request.WorkerCommands(
             machine.address(), machine.fencingToken(), incarnation, List.of()),
         List.of(),
-        ended);
+        onEnd);
   }
 
-  /** Sends a command that launches; {@code begin} of the machine's commands came before. */
+  /**
+   * Sends a command with launches. The caller must have called {@code begin()} on the machine's
+   * commands.
+   */
   void launch(Machine machine, Request.WorkerCommands request, List<Attempt> launches) {
     call(machine, request, launches, () -> {});
   }
 
-  /** Sends a command that only kills. It may be repeated, and may come before or after anything. */
+  /** Sends a command with kills only. It may be repeated and may arrive in any order. */
   void kill(Machine machine, List<Order> kills) {
     machine.commands().beginKill();
     sink.call(
         new Request.WorkerCommands(
             machine.address(), machine.fencingToken(), machine.incarnation(), kills),
         context.leadership().bounds().answerEndMicros(),
-        reply -> killReplied(machine, reply));
+        reply -> handleKillReply(machine, reply));
   }
 
-  private void killReplied(Machine machine, Reply reply) {
+  private void handleKillReply(Machine machine, Reply reply) {
     machine.commands().endKill();
-    if (isOver(machine)) {
+    if (ignoresReplies(machine)) {
       return;
     }
-    // The reply may have been written before a command that is still on its way arrives.
-    if (!takeReply(machine, reply, !machine.commands().isInFlight())) {
-      machine.commands().delayKillsUntil(context.nowMicros() + KILL_RETRY_MICROS);
+    // The worker may have written the reply before a command that is still in flight arrives.
+    if (!processReply(machine, reply, !machine.commands().isInFlight())) {
+      machine.commands().delayKillsUntil(context.nowMicros() + KILL_RETRY_DELAY_MICROS);
       commandQueue.scheduleKills(machine);
     }
   }
 
-  private void call(Machine machine, Request request, List<Attempt> launches, Runnable ended) {
+  private void call(Machine machine, Request request, List<Attempt> launches, Runnable onEnd) {
     LeadershipBounds bounds = context.leadership().bounds();
     sink.call(
         request,
         launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
           machine.commands().end();
-          ended.run();
-          replied(machine, launches, reply);
+          onEnd.run();
+          handleReply(machine, launches, reply);
         });
   }
 
-  private void replied(Machine machine, List<Attempt> launches, Reply reply) {
-    if (isOver(machine)) {
+  private void handleReply(Machine machine, List<Attempt> launches, Reply reply) {
+    if (ignoresReplies(machine)) {
       return;
     }
     if (launches.stream().anyMatch(attempt -> !attempt.job().open())) {
-      // A kill that was sent meanwhile may have come before the launch.
+      // A kill that was sent in the meantime may have arrived before the launch.
       commandQueue.scheduleKills(machine);
     }
-    if (!takeReply(machine, reply, true)) {
-      unanswered(machine, !launches.isEmpty(), reply);
+    if (!processReply(machine, reply, true)) {
+      handleNoReply(machine, !launches.isEmpty(), reply);
     }
   }
 
-  private boolean isOver(Machine machine) {
+  private boolean ignoresReplies(Machine machine) {
     return closed || machine.phase() == Machine.Phase.TERMINATED;
   }
 
-  /** Takes the heartbeat that is the reply to a command; false when there is none. */
-  private boolean takeReply(Machine machine, Reply reply, boolean noCommandInFlight) {
+  /**
+   * Processes the heartbeat in a reply to a command.
+   *
+   * @return false if the reply contains no heartbeat of this machine
+   */
+  private boolean processReply(Machine machine, Reply reply, boolean noCommandInFlight) {
     if (!(reply instanceof Reply.WorkerStatus answer)
         || !answer.heartbeat().machine().equals(machine.id())) {
       return false;
@@ -147,7 +155,10 @@
       context
           .leadership()
           .deposed(
-              "machine=" + machine.id() + " has seen fencing token " + heartbeat.fencingToken());
+              "machine="
+                  + machine.id()
+                  + " reported a later term: fencing_token="
+                  + heartbeat.fencingToken());
       return true;
     }
     replyHandler.handle(machine, heartbeat, noCommandInFlight);
@@ -158,29 +169,29 @@
   }
 
   /**
-   * The command may still arrive, minutes later: it is fenced off by a higher token before anything
-   * is concluded.
+   * Handles a command that got no reply. The command may still arrive minutes later, so the leader
+   * raises the fence after a launch and concludes nothing until the machine reports the new token.
    */
-  private void unanswered(Machine machine, boolean launched, Reply reply) {
+  private void handleNoReply(Machine machine, boolean launched, Reply reply) {
     if (launched) {
-      fenceOff(machine, reply);
+      raiseFence(machine, reply);
     }
-    long delayMicros = launched ? PROBE_AFTER_LAUNCH_MICROS : PROBE_AFTER_SILENCE_MICROS;
+    long delayMicros = launched ? PROBE_AFTER_LAUNCH_DELAY_MICROS : PROBE_RETRY_DELAY_MICROS;
     long dueMicros = context.nowMicros() + delayMicros;
     machine.commands().scheduleProbe(Math.max(machine.commands().nextProbeMicros(), dueMicros));
   }
 
-  private void fenceOff(Machine machine, Reply reply) {
+  private void raiseFence(Machine machine, Reply reply) {
     boolean confirmed = machine.phase() == Machine.Phase.CONFIRMED;
     if (confirmed || machine.phase() == Machine.Phase.RECOVERED) {
       machine.raiseFence();
       availableMachines.remove(machine);
-      // It may be out of this node's reach while its heartbeats still come, relayed.
-      machine.holdUntil(context.nowMicros() + UNREACHED_HOLD_MICROS);
+      // This node may be unable to reach the machine while peers still relay its heartbeats.
+      machine.holdUntil(context.nowMicros() + NO_REPLY_HOLD_MICROS);
     }
     if (confirmed) {
       context.info(
-          "no answer to a command from machine=" + machine.id() + ": raising its fence: " + reply);
+          "machine=" + machine.id() + " did not reply to a command; raising its fence: " + reply);
       registry.changePhase(machine, Machine.Phase.FENCING);
     }
   }
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -23,16 +23,16 @@
 import org.eiderstair.core.state.StateWriter;
 
 /**
- * The machines of one term and what may be on them: the one type through which other packages use
- * this one.
+ * Manages the machines of one leader term and the attempts on them. Other packages use this package
+ * mainly through this type.
  *
  * <ul>
- *   <li>{@link WorkerRegistry}: the machines; {@link AttemptTracker}: what may be on them
- *   <li>{@link HeartbeatHandler}, {@link TaskReconciler}, {@link FailureAccounting}, {@link
- *       LeaseMonitor}: what heartbeats, or their absence, prove
- *   <li>{@link HeartbeatResponder}, {@link CommandSender}, {@link WorkerProber}: what machines are
- *       sent
- *   <li>{@link WorkerRecovery}: what a failover hands on
+ *   <li>{@link WorkerRegistry} holds the machines, and {@link AttemptTracker} their attempts.
+ *   <li>{@link HeartbeatHandler}, {@link TaskReconciler}, {@link FailureAccounting} and {@link
+ *       LeaseMonitor} evaluate heartbeats and their absence.
+ *   <li>{@link HeartbeatResponder}, {@link CommandSender} and {@link WorkerProber} send answers and
+ *       commands to the machines.
+ *   <li>{@link WorkerRecovery} transfers the state at a failover.
  * </ul>
  */
 public final class WorkerManager {
@@ -94,72 +94,79 @@
             reachability,
             new TaskReconciler(context, replica, stateWriter, tracker, failures),
             drain);
-    commandClient.onReply(heartbeatHandler::receiveReply);
+    commandClient.setReplyHandler(heartbeatHandler::receiveReply);
   }
 
-  /** Whether the machines reach this leader. */
+  /** Returns the monitor that judges whether the machines can reach this leader. */
   public WorkerReachability reachability() {
     return reachability;
   }
 
-  /** The machines by name, for reading. */
+  /** Returns a read-only view of the machines by name. */
   public Map<String, Machine> machines() {
     return registry.machines();
   }
 
-  /** Machines that may hold work of earlier terms, until a heartbeat confirms what they hold. */
+  /**
+   * Returns a read-only view of the machines that may run tasks of earlier terms. A heartbeat with
+   * the current fencing token confirms their tasks.
+   */
   public Set<Machine> unconfirmed() {
     return registry.unconfirmed();
   }
 
-  /** Machines that may be given waiting attempts. */
+  /** Returns a read-only view of the machines that attempts may be queued for. */
   public List<Machine> queueable() {
     return registry.queueable();
   }
 
-  /** Machines with a queue that may have got free resources since the last pass. */
+  /**
+   * Returns a read-only view of the machines with queued attempts whose free resources may have
+   * grown since {@link #clearQueuesToServe}.
+   */
   public Set<Machine> queuesToServe() {
     return tracker.queuesToServe();
   }
 
-  /** All queues have been served. */
+  /** Clears the set of queues to serve, after all of them have been served. */
   public void clearQueuesToServe() {
     tracker.clearQueuesToServe();
   }
 
   /**
-   * Whether a machine was deleted in this term: a late heartbeat or list must not bring it back.
+   * Returns whether a machine was terminated in this term. A delayed heartbeat or list must not add
+   * it again.
    */
   public boolean isTerminated(String id) {
     return registry.isTerminated(id);
   }
 
-  /** Whether something changed that may let a task be placed. */
-  public boolean hasChanged() {
-    return tracker.hasChanged();
+  /** Returns whether a change since the last clear may allow a task to be placed. */
+  public boolean isPlacementRequested() {
+    return tracker.isPlacementRequested();
   }
 
-  /** Something changed that may let a task be placed. */
-  public void noteChange() {
-    tracker.noteChange();
+  /** Requests a placement pass, because a change may allow a task to be placed. */
+  public void requestPlacement() {
+    tracker.requestPlacement();
   }
 
-  /** From now on only what changes later counts. */
-  public void clearChange() {
-    tracker.clearChange();
+  /** Clears the request for a placement pass. */
+  public void clearPlacementRequest() {
+    tracker.clearPlacementRequest();
   }
 
-  /** Sets who is called when the first task of a job is placed. */
-  public void onJobStarted(Consumer<Job> listener) {
-    tracker.onJobStarted(listener);
+  /** Sets the listener that is called when the first task of a job is placed. */
+  public void setJobStartedListener(Consumer<Job> listener) {
+    tracker.setJobStartedListener(listener);
   }
 
   /**
-   * Sets what tells whether a machine is being released, also by an earlier term: nothing is placed
-   * on such a machine.
+   * Sets the predicate that tells whether this or an earlier term is releasing a machine. No task
+   * is placed on such a machine.
    */
-  public void setReleasing(Predicate<String> predicate) {
-    registry.setReleasing(predicate);
+  public void setReleasingPredicate(Predicate<String> predicate) {
+    registry.setReleasingPredicate(predicate);
   }
 
   /** Adds a machine. */
@@ -167,64 +174,64 @@
     registry.add(machine);
   }
 
-  /** Adds a machine that is rented or was found; it holds nothing yet. */
-  public Machine expect(String id, String address, String type, String zone, boolean spot) {
-    return registry.expect(id, address, type, zone, spot);
+  /** Adds a booting machine that was rented or discovered and has no attempts yet. */
+  public Machine addBooting(String id, String address, String type, String zone, boolean spot) {
+    return registry.addBooting(id, address, type, zone, spot);
   }
 
-  /** A new attempt number; never used before, in any term. */
+  /** Returns a new attempt number, which is unique across all terms. */
   public long nextAttempt() {
     return tracker.nextAttempt();
   }
 
-  /** Places an attempt on its machine. */
+  /** Adds an attempt to its machine and job. */
   public void attach(Attempt attempt) {
     tracker.attach(attempt);
   }
 
-  /** Reserves the resources of an attempt that waited for them. */
-  public void occupy(Attempt attempt) {
-    tracker.occupy(attempt);
+  /** Reserves the resources of a queued attempt and plans its launch. */
+  public void reserveResources(Attempt attempt) {
+    tracker.reserveResources(attempt);
   }
 
-  /** Removes an attempt from its machine. */
+  /** Removes an attempt from its machine and job. */
   public void remove(Attempt attempt) {
     tracker.remove(attempt);
   }
 
-  /** Gives the machine no new work. */
+  /** Drains a machine: it gets no new work, while its running tasks continue. */
   public void drain(Machine machine) {
     drain.drain(machine);
   }
 
-  /** Sends the machine's kills with the next flush. */
+  /** Schedules the machine's kills for the next flush. */
   public void scheduleKills(Machine machine) {
     commandQueue.scheduleKills(machine);
   }
 
-  /** Whether heartbeats wait for their answers. */
+  /** Returns whether any heartbeat waits for its answer. */
   public boolean hasPendingAnswers() {
     return responder.hasPending();
   }
 
-  /** The term is over: nothing is answered or sent any more. */
+  /** Ends the term: redirects pending heartbeats and ignores later replies to commands. */
   public void close() {
     commandClient.close();
     responder.close();
   }
 
   /**
-   * Takes a worker's heartbeat; its answer is decided in the next pass.
+   * Processes a worker's heartbeat and queues it for an answer in the next pass.
    *
-   * @param exchange where its answer goes
-   * @param relayed whether it came through a peer
+   * @param exchange the exchange that the heartbeat is answered on
+   * @param relayed whether a peer relayed the heartbeat
    */
   public void receive(long exchange, Heartbeat heartbeat, boolean relayed, long nowMicros) {
     time.advanceTo(nowMicros);
     heartbeatHandler.receive(exchange, heartbeat, relayed);
   }
 
-  /** Sends the machines what was decided: in the answers to their heartbeats, else by command. */
+  /** Sends the decided orders to the machines, in the answers to heartbeats or else by command. */
   public void flush(long nowMicros) {
     time.advanceTo(nowMicros);
     boolean mayLaunch =
@@ -235,44 +242,45 @@
   }
 
   /**
-   * Failover: the registered machines become known, each with what may be on it.
+   * Starts the term after an election: adds the registered machines with the attempts that may be
+   * on them.
    *
-   * @param electedMicros when this node was elected
-   * @param replicated what was replicated to this node as the standby of the term before; empty if
-   *     that is not known to be complete
+   * @param electedMicros the time of this node's election
+   * @param replicated the machines replicated to this node as the standby of the previous term, by
+   *     name; empty unless the replica is known to be complete
    */
   public void takeOver(
       long electedMicros, Optional<Map<String, RecoveredMachine>> replicated, long nowMicros) {
     time.advanceTo(nowMicros);
     tookOverMicros = nowMicros;
-    reachability.begin();
+    reachability.recordTakeover();
     recovery.recover(replicated);
     FailoverTimeline failover = new FailoverTimeline(context.sink(), context.term(), electedMicros);
-    registry.recordIn(failover);
-    launchReplication.recordIn(failover);
+    registry.setFailoverTimeline(failover);
+    launchReplication.setFailoverTimeline(failover);
     failover.replicaCaughtUp(registry.unconfirmedCount(), replicated.isPresent(), nowMicros);
   }
 
-  /** Gives out all that a standby must know of the machines. */
+  /** Passes the state of all machines that a standby must hold to the consumer. */
   public void snapshot(Consumer<ReplicationBatch.Change> consumer) {
     recovery.snapshot(consumer);
   }
 
-  /** The catalogue has changed. */
+  /** Updates types and free resources of all machines after a change of the catalog. */
   public void catalogChanged() {
     for (Machine machine : registry.machines().values()) {
       registry.resolveType(machine);
       machine.recomputeFreeResources();
       registry.updateQueueable(machine);
     }
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 
   /**
-   * A machine that was to be deleted is kept: its mark is removed, and no request to delete it can
-   * arrive any more.
+   * Cancels the planned termination of a machine. The caller has removed the machine from the
+   * stored release, and no deletion request for it can arrive any more.
    */
-  public void keep(String id) {
+  public void cancelTermination(String id) {
     Machine machine = registry.machines().get(id);
     if (machine == null || machine.plan() != Machine.Plan.TERMINATE) {
       return;
@@ -284,11 +292,11 @@
     registry.updateQueueable(machine);
     machine.recomputeFreeResources();
     tracker.freeResourcesChanged(machine);
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 
-  /** The platform confirmed that the machine is terminated, with everything on it. */
-  public void terminated(String id) {
+  /** Removes a machine, and frees its attempts, after the platform confirmed its termination. */
+  public void markTerminated(String id) {
     Machine machine = registry.remove(id);
     stateWriter.unregister(id);
     if (machine != null) {
@@ -297,24 +305,24 @@
       commandQueue.remove(machine);
       context.standby().replicate(new ReplicationBatch.Change(false, id, 0, "", 0, 0));
     }
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 
-  /** The worker's registration is durable. */
-  public void registered(String id) {
+  /** Marks a machine's registration as durable. */
+  public void markRegistered(String id) {
     Machine machine = registry.machines().get(id);
     if (machine != null) {
       machine.markRegistered();
       registry.updateQueueable(machine);
-      tracker.noteChange();
+      tracker.requestPlacement();
     }
   }
 
   /**
    * Expires leases and probes machines that are not confirmed.
    *
-   * @param busy whether heartbeats wait: just after a failover each tells as much as the reply to a
-   *     probe, and costs no more
+   * @param busy whether the pass is late, so that heartbeats wait. Shortly after a failover this
+   *     suppresses probes, since a heartbeat tells as much as a reply to a probe at no higher cost.
    */
   public void tick(long nowMicros, boolean busy) {
     time.advanceTo(nowMicros);
@@ -326,7 +334,10 @@
     }
   }
 
-  /** A job has ended: what was not sent is freed at once, what may be on machines is killed. */
+  /**
+   * Handles the end of a job: removes its unsent attempts at once and schedules kills for those
+   * that may be on machines.
+   */
   public void jobEnded(Job job) {
     for (Attempt attempt : new ArrayList<>(job.attempts())) {
       if (attempt.mayBeOnMachine()) {
@@ -335,6 +346,6 @@
         tracker.remove(attempt);
       }
     }
-    tracker.noteChange();
+    tracker.requestPlacement();
   }
 }
--- a/src/main/java/org/eiderstair/core/workers/WorkerOrders.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerOrders.java
@@ -6,16 +6,16 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.Order;
 
-/** Builds the orders that a machine is sent. */
+/** Builds the orders that are sent to a machine. */
 final class WorkerOrders {
   private WorkerOrders() {}
 
-  /** What the machine is to kill: tasks of ended jobs, preempted tasks, and untracked ones. */
+  /** Returns the kills for a machine: tasks of ended jobs, stopped tasks and untracked tasks. */
   static List<Order> kills(Machine machine) {
     List<Order> kills = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
       if (attempt.mayBeOnMachine() && (!attempt.job().open() || attempt.isStopRequested())) {
-        // What an ended job would save is of no use.
+        // A checkpoint of an ended job is useless, so its tasks get no grace period.
         long graceMicros = attempt.job().open() ? attempt.spec().saveMicros() : 0;
         kills.add(new Order.Kill(attempt.task(), attempt.number(), graceMicros));
       }
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Other orders and those launches that are still wanted. A launch may wait for the standby: what
-   * was cancelled or given up meanwhile is not started any more. The attempt of a cancelled job
-   * counts until the machine shows that it is not there, like any other.
+   * Returns the given orders, followed by the launches that are still wanted. A launch may wait for
+   * the standby, and its job or attempt may end in the meantime. Such a launch is left out. The
+   * attempt of a cancelled job still counts until the machine shows that it is gone.
    */
   static List<Order> withLaunches(List<? extends Order> orders, List<Attempt> launches) {
     List<Order> all = new ArrayList<>(orders);
@@ -39,7 +39,7 @@
     return all;
   }
 
-  /** Whether nothing has become known of an attempt since its launch was to be sent. */
+  /** Returns whether nothing is known yet about an attempt since its launch was sent. */
   static boolean isStillSent(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.SENT
         && attempt.machine().attempt(attempt.task()) == attempt;
--- a/src/main/java/org/eiderstair/core/workers/WorkerProber.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerProber.java
@@ -5,22 +5,23 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Probes machines whose state is not known: a command without orders shows the fencing token, which
- * fences off older commands, and its reply is a heartbeat.
+ * Probes machines whose state is not known. A probe is a command without orders. It shows the
+ * fencing token, which invalidates earlier commands, and its reply is a heartbeat.
  */
 final class WorkerProber {
   private static final long PROBE_INTERVAL_MICROS = 1_500_000;
   private static final long ROUND_INTERVAL_MICROS = 20_000;
 
-  /** More at once would hold up the leader's lease renewal and the users. */
+  /** More recent probes at once would delay the renewal of the leader's lease and user requests. */
   private static final int MAX_RECENT_PROBES = 8;
 
-  /** A probe that has waited for so long waits for its time limit, and costs nothing meanwhile. */
+  /** A probe older than this only waits for its timeout and causes no load in the meantime. */
   private static final long SLOW_PROBE_MICROS = 200_000;
 
   /**
-   * Slow probes have a limit of their own: in a zone's partition, 260 machines that nobody reached
-   * kept the others from being probed, and half of all were confirmed 4.8 s after the election
+   * The limit on all probes in flight, including slow ones. Slow probes do not count against the
+   * limit on recent probes. When they did, 260 unreachable machines in a zone partition blocked the
+   * probes of the others. Half of all machines were then confirmed only 4.8 s after the election
    * instead of 1 s.
    */
   private static final int MAX_PROBES = 128;
@@ -29,7 +30,7 @@
   private final WorkerRegistry registry;
   private final WorkerCommandClient client;
 
-  /** Probes in flight with the time when each left, the earliest first. */
+  /** The probes in flight by machine with the time each was sent, the earliest first. */
   private final Map<Machine, Long> inFlight = new LinkedHashMap<>();
 
   private int recentProbes;
@@ -41,12 +42,12 @@
     this.client = client;
   }
 
-  /** The answer to the machine's heartbeat will show it our token: no probe is needed for now. */
+  /** Postpones the next probe, because an answer or a probe is about to show the fencing token. */
   void postpone(Machine machine) {
     machine.commands().scheduleProbe(context.nowMicros() + PROBE_INTERVAL_MICROS);
   }
 
-  /** Probes machines that are not confirmed, or whose fence was raised, as far as limits allow. */
+  /** Probes the unconfirmed, recovered and fenced machines that are due, within the limits. */
   void probeDue() {
     long now = context.nowMicros();
     if (now < nextRoundMicros || registry.areAllConfirmed()) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerReachability.java
@@ -4,20 +4,23 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.settings.Settings;
 
-/** Whether the machines still reach this leader, as far as their heartbeats tell. */
+/** Judges by the heartbeats whether the machines can still reach this leader. */
 public final class WorkerReachability {
-  /** Beside one and a half intervals of heartbeats: a worker's time limit, and its next attempt. */
+  /**
+   * Added to one and a half heartbeat intervals: covers a worker's request timeout and its next
+   * attempt.
+   */
   private static final long SILENCE_MARGIN_MICROS = 2_500_000;
 
-  /** Fewer machines may well be silent by themselves. */
+  /** The minimum number of machines for a verdict. Fewer machines may all fail independently. */
   private static final int MIN_MACHINES = 3;
 
   private static final long MIN_WINDOW_MICROS = 1_500_000;
 
-  /** A window is expected to contain so many heartbeats; one of them suffices. */
-  private static final int HEARTBEATS_PER_WINDOW = 10;
+  /** The number of heartbeats expected in a window. One direct heartbeat of these suffices. */
+  private static final int EXPECTED_HEARTBEATS_PER_WINDOW = 10;
 
-  /** So many times as many silent machines as others are not silent by themselves. */
+  /** Silent machines must outnumber the others by more than this factor to indicate a partition. */
   private static final int ISOLATION_FACTOR = 3;
 
   private final Settings settings;
@@ -27,7 +30,7 @@
   private int directHeartbeats;
   private long windowStartMicros;
   private long tookOverMicros;
-  private boolean fewReachDirectly;
+  private boolean fewDirectHeartbeats;
 
   WorkerReachability(
       Settings settings, EventTime time, WorkerRegistry registry, OverloadMonitor overload) {
@@ -37,48 +40,51 @@
     this.overload = overload;
   }
 
-  /** The term's machines are known from now on. */
-  void begin() {
+  /** Records the time of the takeover, from which on the machines of the term are known. */
+  void recordTakeover() {
     tookOverMicros = time.nowMicros();
   }
 
-  /** A heartbeat came from its machine itself, not through a peer. */
-  void noteDirectHeartbeat() {
+  /** Counts a heartbeat that came directly from its machine, not through a peer. */
+  void recordDirectHeartbeat() {
     directHeartbeats++;
   }
 
   /**
-   * Whether heartbeats may be missing because this node is overloaded: then their absence is no
-   * reason to hand over or to release machines. Another leader would be overloaded as well.
+   * Returns whether heartbeats may be missing because this node is overloaded. Missing heartbeats
+   * are then no reason to resign or to release machines, since another leader would be overloaded
+   * as well.
    */
   public boolean isOverloaded() {
-    return overload.explainsSilence(time.nowMicros());
+    return overload.mayCauseMissingHeartbeats(time.nowMicros());
   }
 
   /**
-   * Whether hardly any machine reaches this leader by itself, though it is not overloaded: less
-   * than a tenth of the expected heartbeats came directly in the last window. That alone may be the
-   * machines' fault as well as its own: peers tell.
+   * Returns whether less than a tenth of the expected heartbeats came directly in the last window,
+   * although this node is not overloaded. The cause may be the machines or this node; only the
+   * peers can tell which.
    */
-  public boolean isReachedByFew() {
+  public boolean hasFewDirectHeartbeats() {
     long now = time.nowMicros();
     long intervalMicros = settings.workerTimings().heartbeatMicros();
     int machines = registry.leased().size();
     long windowMicros =
-        Math.max(MIN_WINDOW_MICROS, HEARTBEATS_PER_WINDOW * intervalMicros / Math.max(1, machines));
+        Math.max(
+            MIN_WINDOW_MICROS,
+            EXPECTED_HEARTBEATS_PER_WINDOW * intervalMicros / Math.max(1, machines));
     if (now >= windowStartMicros + windowMicros) {
       double expected = (double) (now - windowStartMicros) * machines / intervalMicros;
-      fewReachDirectly =
+      fewDirectHeartbeats =
           windowStartMicros > tookOverMicros
               && machines >= MIN_MACHINES
-              && directHeartbeats * HEARTBEATS_PER_WINDOW < expected;
+              && directHeartbeats * EXPECTED_HEARTBEATS_PER_WINDOW < expected;
       windowStartMicros = now;
       directHeartbeats = 0;
     }
-    return fewReachDirectly && !isOverloaded();
+    return fewDirectHeartbeats && !isOverloaded();
   }
 
-  /** How many machines that this leader knows send heartbeats to a peer. */
+  /** Returns the number of known machines past booting that send heartbeats to a peer. */
   public int countReachableByPeers(Membership membership) {
     return membership.countReachableByPeers(
         id -> {
@@ -88,21 +94,21 @@
   }
 
   /**
-   * Whether this leader seems partitioned from its machines: many of those that had sent heartbeats
-   * are silent, and hardly any is not. Dead machines alone do not look like that, and relayed
-   * heartbeats count; nor does an overloaded leader.
+   * Returns whether this leader seems partitioned from its machines. Most machines that had sent
+   * heartbeats are then silent, which dead machines alone do not explain. Relayed heartbeats count.
+   * An overloaded leader does not count as isolated.
    */
   public boolean isIsolated() {
     if (isOverloaded()) {
       return false;
     }
     long intervalMicros = settings.workerTimings().heartbeatMicros();
-    long patienceMicros = intervalMicros * 3 / 2 + SILENCE_MARGIN_MICROS;
+    long silenceLimitMicros = intervalMicros * 3 / 2 + SILENCE_MARGIN_MICROS;
     int silent = 0;
     int reachable = 0;
     for (Machine machine : registry.machines().values()) {
       if (machine.phase() == Machine.Phase.CONFIRMED || machine.phase() == Machine.Phase.FENCING) {
-        if (time.nowMicros() > machine.lastContactMicros() + patienceMicros) {
+        if (time.nowMicros() > machine.lastContactMicros() + silenceLimitMicros) {
           silent++;
         } else {
           reachable++;
--- a/src/main/java/org/eiderstair/core/workers/WorkerRecovery.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRecovery.java
@@ -10,7 +10,10 @@
 import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.state.Replica;
 
-/** What a leader hands on to its standby, and what a new leader starts from. */
+/**
+ * Recovers the machines and attempts of earlier terms for a new leader, and takes the snapshot that
+ * a leader replicates to its standby.
+ */
 final class WorkerRecovery {
   private final TermContext context;
   private final Replica replica;
@@ -26,8 +29,11 @@
   }
 
   /**
-   * Adds the registered machines. Each may hold work of earlier terms until it is confirmed; with
-   * what was replicated, no more than that, and one that was not replicated holds nothing.
+   * Adds the registered machines. Without a replica, each machine may run tasks of earlier terms
+   * until it is confirmed. With a replica, a machine runs no more than the replicated attempts, and
+   * a machine that was not replicated runs none.
+   *
+   * @param replicated the replicated machines by name; empty without a complete replica
    */
   void recover(Optional<Map<String, RecoveredMachine>> replicated) {
     Machine.Phase phase =
@@ -37,16 +43,17 @@
       registry.describe(machine, worker.address(), worker.type(), worker.zone(), worker.spot());
       machine.markRegistered();
       registry.add(machine);
-      RecoveredMachine held = replicated.map(machines -> machines.get(machine.id())).orElse(null);
-      if (held != null) {
-        recoverAttempts(machine, held);
+      RecoveredMachine recovered =
+          replicated.map(machines -> machines.get(machine.id())).orElse(null);
+      if (recovered != null) {
+        recoverAttempts(machine, recovered);
       }
     }
   }
 
-  private void recoverAttempts(Machine machine, RecoveredMachine held) {
-    machine.recoverIncarnation(held.incarnation());
-    for (Map.Entry<String, Map<Integer, Long>> jobEntry : held.attempts().entrySet()) {
+  private void recoverAttempts(Machine machine, RecoveredMachine recovered) {
+    machine.recoverIncarnation(recovered.incarnation());
+    for (Map.Entry<String, Map<Integer, Long>> jobEntry : recovered.attempts().entrySet()) {
       Job job = replica.job(jobEntry.getKey());
       jobEntry
           .getValue()
@@ -62,7 +69,10 @@
     tracker.freeResourcesChanged(machine);
   }
 
-  /** A task that is done, or whose job has no description, can only be killed, once reported. */
+  /**
+   * Returns whether an attempt of a task can be recovered. A task that is completed, or whose job
+   * has no specification, can only be killed once a heartbeat reports it.
+   */
   private static boolean isRecoverable(Job job, int index) {
     return job != null
         && job.spec() != null
@@ -71,7 +81,7 @@
         && !job.isAttempted(index);
   }
 
-  /** Gives out all that a standby must know of the machines. */
+  /** Passes the state of all machines that a standby must hold to the consumer. */
   void snapshot(Consumer<ReplicationBatch.Change> consumer) {
     for (Machine machine : registry.machines().values()) {
       if (machine.incarnation() > 0) {
@@ -80,7 +90,7 @@
       }
       for (Attempt attempt : machine.attempts()) {
         if (attempt.mayBeOnMachine()) {
-          consumer.accept(AttemptTracker.change(attempt, true));
+          consumer.accept(AttemptTracker.toChange(attempt, true));
         }
       }
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -12,12 +12,12 @@
 import org.eiderstair.core.state.Replica;
 
 /**
- * The machines that the leader of one term knows, by name and by phase. The sets follow each change
- * of phase, so that one heartbeat costs one machine and not a walk over all.
+ * The machines known to the leader of one term, indexed by name and by phase. The sets are updated
+ * on each phase change, so that a heartbeat does not require an iteration over all machines.
  */
 final class WorkerRegistry {
-  /** Far more than can still be on their way in late heartbeats or lists. */
-  private static final int MAX_TERMINATED = 10_000;
+  /** Exceeds the number of machines that delayed heartbeats or lists can still contain. */
+  private static final int MAX_TERMINATED_MACHINES = 10_000;
 
   private final Replica replica;
   private final TermContext context;
@@ -33,81 +33,90 @@
   private final Set<Machine> recoveredView = Collections.unmodifiableSet(recovered);
   private final Set<Machine> fencingView = Collections.unmodifiableSet(fencing);
   private final Set<Machine> leasedView = Collections.unmodifiableSet(leased);
-  private Predicate<String> isReleasing = id -> false;
-  private FailoverTimeline failover;
+  private Predicate<String> releasing = id -> false;
+  private FailoverTimeline failoverTimeline;
 
   WorkerRegistry(Replica replica, TermContext context) {
     this.replica = replica;
     this.context = context;
   }
 
-  /** Records in the failover's timeline how many machines are not confirmed yet. */
-  void recordIn(FailoverTimeline timeline) {
-    failover = timeline;
+  /** Sets the timeline that records the number of machines that are not confirmed yet. */
+  void setFailoverTimeline(FailoverTimeline timeline) {
+    failoverTimeline = timeline;
   }
 
-  /** Sets what tells whether a machine is being released, also by an earlier term. */
-  void setReleasing(Predicate<String> predicate) {
-    isReleasing = predicate;
+  /** Sets the predicate that tells whether this or an earlier term is releasing a machine. */
+  void setReleasingPredicate(Predicate<String> predicate) {
+    releasing = predicate;
   }
 
-  /** All machines, by name; for reading, like the sets below. */
+  /** Returns a read-only view of all machines by name. */
   Map<String, Machine> machines() {
     return machinesView;
   }
 
-  /** Machines that may hold work of earlier terms, until a heartbeat confirms what they hold. */
+  /**
+   * Returns a read-only view of the machines that may run tasks of earlier terms. A heartbeat with
+   * the current fencing token confirms their tasks.
+   */
   Set<Machine> unconfirmed() {
     return unconfirmedView;
   }
 
-  /** Machines that sent no heartbeat in this term, but are known from the standby's replica. */
+  /**
+   * Returns a read-only view of the machines that are known from the standby's replica and are not
+   * confirmed yet in this term.
+   */
   Set<Machine> recovered() {
     return recoveredView;
   }
 
-  /** Machines whose fence was raised, until they show it. */
+  /** Returns a read-only view of the machines that have not reported their raised fence yet. */
   Set<Machine> fencing() {
     return fencingView;
   }
 
   /**
-   * Machines that have shown our token, the one answered longest ago first: their leases expire in
-   * this order.
+   * Returns a read-only view of the confirmed and fencing machines, in the order of their last
+   * answer or phase change, the earliest first. Leases are checked for expiry in this order.
    */
   Set<Machine> leased() {
     return leasedView;
   }
 
-  /** Machines that may be given waiting attempts; for reading. */
+  /** Returns a read-only view of the machines that attempts may be queued for. */
   List<Machine> queueable() {
     return queueable.all();
   }
 
   /**
-   * Whether a machine was deleted in this term: a late heartbeat or list must not bring it back.
+   * Returns whether a machine was terminated in this term. A delayed heartbeat or list must not add
+   * it again.
    */
   boolean isTerminated(String id) {
     return terminated.contains(id);
   }
 
-  /** How many machines hold something that only they, or the standby's replica, can tell. */
+  /** Returns the number of machines that are registered but not confirmed in this term. */
   int unconfirmedCount() {
     return unconfirmed.size() + recovered.size();
   }
 
-  /** Whether no machine needs a probe. */
+  /** Returns whether no machine needs a probe. */
   boolean areAllConfirmed() {
     return unconfirmed.isEmpty() && recovered.isEmpty() && fencing.isEmpty();
   }
 
-  /** Adds a machine. */
+  /** Adds a machine, also to the set of its phase. */
   void add(Machine machine) {
     machines.put(machine.id(), machine);
     addToSets(machine);
   }
 
-  /** Changes the phase of a machine, in the one place where that happens: the sets follow it. */
+  /**
+   * Changes the phase of a machine and updates the sets. All phase changes go through this method.
+   */
   void changePhase(Machine machine, Machine.Phase next) {
     unconfirmed.remove(machine);
     recovered.remove(machine);
@@ -115,8 +124,8 @@
     leased.remove(machine);
     machine.enterPhase(next);
     addToSets(machine);
-    if (failover != null) {
-      failover.unconfirmedMachines(unconfirmedCount(), context.nowMicros());
+    if (failoverTimeline != null) {
+      failoverTimeline.unconfirmedMachines(unconfirmedCount(), context.nowMicros());
     }
   }
 
@@ -134,7 +143,10 @@
     updateQueueable(machine);
   }
 
-  /** A machine's lease runs from now on: its heartbeat is answered, or it may have begun anew. */
+  /**
+   * Restarts a machine's lease from now. Called when a heartbeat is answered, and when the worker
+   * may have started a new lease.
+   */
   void renewLease(Machine machine) {
     machine.recordAnswer(context.nowMicros());
     if (leased.remove(machine)) {
@@ -142,7 +154,7 @@
     }
   }
 
-  /** Adds or removes a machine among those that may be given waiting attempts. */
+  /** Adds the machine to {@link #queueable()} or removes it, according to its current state. */
   void updateQueueable(Machine machine) {
     boolean mayQueue =
         machine.known()
@@ -159,33 +171,37 @@
     }
   }
 
-  /** Adds a machine that is rented or was found; it holds nothing yet. */
-  Machine expect(String id, String address, String type, String zone, boolean spot) {
+  /** Adds a booting machine that was rented or discovered and has no attempts yet. */
+  Machine addBooting(String id, String address, String type, String zone, boolean spot) {
     Machine machine = new Machine(id, context.term(), Machine.Phase.BOOTING, context.nowMicros());
     describe(machine, address, type, zone, spot);
-    if (isReleasing.test(id)) {
+    if (releasing.test(id)) {
       machine.terminate();
     }
     add(machine);
     return machine;
   }
 
-  /** Records what is known of a machine, and looks up its type. */
+  /** Records the description of a machine and looks up its type. */
   void describe(Machine machine, String address, String typeName, String zone, boolean spot) {
     machine.describe(address, typeName, zone, spot);
     resolveType(machine);
   }
 
-  /** Looks up the type of a machine in the catalogue. */
+  /** Looks up the type of a machine in the catalog. */
   void resolveType(Machine machine) {
     machine.resolveType(replica.catalog());
   }
 
-  /** Removes a terminated machine; null if it is not known. */
+  /**
+   * Removes a terminated machine and remembers its name.
+   *
+   * @return the machine, or null if it is unknown
+   */
   Machine remove(String id) {
     Machine machine = machines.remove(id);
     terminated.add(id);
-    if (terminated.size() > MAX_TERMINATED) {
+    if (terminated.size() > MAX_TERMINATED_MACHINES) {
       terminated.remove(terminated.iterator().next());
     }
     if (machine != null) {
--- a/src/main/java/org/eiderstair/core/workers/package-info.java
+++ b/src/main/java/org/eiderstair/core/workers/package-info.java
@@ -1,10 +1,9 @@
 /**
- * The machines of one term: heartbeats, commands, attempts and leases. {@link
- * org.eiderstair.core.workers.WorkerManager} is the type to enter by.
+ * Manages the machines of one leader term: heartbeats, commands, attempts and leases. {@link
+ * org.eiderstair.core.workers.WorkerManager} is the entry point.
  *
- * <p>Two bounds keep a task from running twice. A launch is fenced by the {@link
- * org.eiderstair.core.model.FencingToken} of its command; and an attempt is freed only when a
- * heartbeat, the end of its machine's lease or the machine's termination proves that it is not
- * there.
+ * <p>Two rules keep a task from running twice. The {@link org.eiderstair.core.model.FencingToken}
+ * of its command fences a launch. An attempt is freed only when a heartbeat, the expiry of its
+ * machine's lease or the machine's termination proves that it is gone.
  */
 package org.eiderstair.core.workers;
--- a/src/test/java/org/eiderstair/core/GrowthTest.java
+++ b/src/test/java/org/eiderstair/core/GrowthTest.java
@@ -138,7 +138,7 @@
         }
         case 3 -> {
           if (machine != null && random.nextInt(8) == 0) {
-            bench.workers.terminated(machine.id());
+            bench.workers.markTerminated(machine.id());
           }
         }
         default -> {
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -90,7 +90,7 @@
   private void runWithoutHeartbeats(boolean overloaded) {
     for (long end = bench.now + RUN_MICROS; bench.now < end; bench.now += TICK_MICROS) {
       if (overloaded) {
-        bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
+        bench.overload.recordOverload(new Event.Overloaded(505, 0), bench.now);
       }
       if (!hasResigned()) {
         leaderTerm.tick(bench.now);
@@ -123,7 +123,7 @@
   @Example
   void silenceCountsAgainOnceTheOverloadIsOver() {
     bench.machines(MACHINES);
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
+    bench.overload.recordOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
     bench.workers.tick(bench.now, false);
     assertFalse(bench.workers.reachability().isIsolated());
     bench.workers.tick(bench.now += 12_000_000, false);
@@ -135,11 +135,11 @@
    */
   @Example
   void workIsPutOffOnlyWhileEventsWait() {
-    bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
-    assertFalse(bench.overload.putsOffWork(bench.now));
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now);
-    assertTrue(bench.overload.putsOffWork(bench.now + 500_000));
-    assertFalse(bench.overload.putsOffWork(bench.now + 11_000_000));
+    bench.overload.recordOverload(new Event.Overloaded(505, 0), bench.now);
+    assertFalse(bench.overload.defersWork(bench.now));
+    bench.overload.recordOverload(new Event.Overloaded(0, 3_000), bench.now);
+    assertTrue(bench.overload.defersWork(bench.now + 500_000));
+    assertFalse(bench.overload.defersWork(bench.now + 11_000_000));
     bench.workers.tick(bench.now + 2_000_000, false);
     assertTrue(bench.workers.reachability().isOverloaded());
   }
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -74,7 +74,7 @@
     bench.machines(4_000);
     bench.now += 60_000_000;
     begin();
-    bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
+    bench.overload.recordOverload(new Event.Overloaded(505, 0), bench.now);
     bench.workers.tick(bench.now, false);
     capacity.tick(bench.now += 1_000_000);
     assertEquals(0, releasesOfSilentMachines());
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -13,84 +13,98 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Every order of a small case, to a stated depth: one machine, two leaders one after the other, one
- * or two tasks of a job that may be cancelled; commands, replies, heartbeats and answers that are
- * delivered, lost, given up and executed late. States that look the same are visited once. Further:
- * {@code mvn -B test -Dtest=CommandSearchTest -Dsearch.states=200000}.
+ * Searches the message orders of a small case up to a maximum depth and number of states. The case
+ * has one machine, two successive leaders and one or two tasks of a job that may be cancelled.
+ * Commands, replies, heartbeats and answers are delivered, lost, given up or executed late.
+ * Equivalent states are visited once. A larger search: {@code mvn -B test -Dtest=CommandSearchTest
+ * -Dsearch.states=200000}.
  *
- * <p>What must hold in every state, for the newest leader: a task that it may place elsewhere is
- * not alive on the machine and no launch of it can still be executed there ({@code ran_twice}); it
- * counts at least what the team runs ({@code quota}); no launch leaves for a job that it knows to
- * be cancelled; and once all messages have come or are lost, a few heartbeats later nothing of a
- * cancelled job is left ({@code ran_cancelled}), and all of an open one is done or runs.
+ * <p>These rules must hold in every state, for the newest leader:
+ *
+ * <ul>
+ *   <li>{@code ran_twice}: a task that the leader may place elsewhere is not active on the machine,
+ *       and no launch of the task can still be executed there.
+ *   <li>{@code quota}: the leader counts at least the resources that the team uses.
+ *   <li>No launch is sent for a job that the leader knows to be cancelled.
+ *   <li>{@code ran_cancelled}: a few heartbeats after all messages were delivered or lost, no task
+ *       of a cancelled job is active. By then each task of an open job is active or completed.
+ * </ul>
  */
 class CommandSearchTest {
-  private static final int STATES = Integer.getInteger("search.states", 15_000);
-  private static final int DEPTH = Integer.getInteger("search.depth", 11);
-  private static final int MAX_IN_FLIGHT = 2;
+  private static final int MAX_STATES = Integer.getInteger("search.states", 15_000);
+  private static final int MAX_DEPTH = Integer.getInteger("search.depth", 11);
+  private static final int MAX_COMMANDS_IN_FLIGHT = 2;
 
-  /** What the service is made to do wrong, to see that the search finds it. */
-  private enum Mistake {
+  /** A fault injected into the leader or the worker to verify that the search detects it. */
+  private enum Fault {
+    /** No fault. */
     NONE,
+    /** The leader removes sent attempts when no command is in flight. */
     FORGETS_LAUNCHES,
+    /** The leader removes the attempts of cancelled jobs. */
     FORGETS_CANCELLED,
+    /** The worker receives no kills. */
     NEVER_KILLS
   }
 
-  private static CommandWorld replay(
-      int taskCount, boolean withReplica, Mistake mistake, List<String> path) {
-    CommandWorld world = new CommandWorld(taskCount, withReplica);
+  private static CommandSimulation replay(
+      int taskCount, boolean withReplica, Fault fault, List<String> path) {
+    CommandSimulation simulation = new CommandSimulation(taskCount, withReplica);
     for (String step : path) {
-      Runnable action = world.actions().get(step);
-      world.act(action);
-      make(mistake, world);
+      Runnable action = simulation.actions().get(step);
+      simulation.perform(action);
+      injectFault(fault, simulation);
     }
-    return world;
+    return simulation;
   }
 
-  /** The state after each step, as a service with that mistake would have it. */
-  private static void make(Mistake mistake, CommandWorld world) {
-    Machine machine = world.newestLeader().workers.machines().get(CommandWorld.MACHINE);
-    switch (mistake) {
+  /** Applies the fault to the state after a step. */
+  private static void injectFault(Fault fault, CommandSimulation simulation) {
+    Machine machine = simulation.newestLeader().workers.machines().get(CommandSimulation.MACHINE);
+    switch (fault) {
       case NONE -> {}
       case FORGETS_LAUNCHES -> {
         if (!machine.commands().isInFlight()) {
           new ArrayList<>(machine.attempts())
               .stream()
                   .filter(attempt -> attempt.phase() == Attempt.Phase.SENT)
-                  .forEach(world.newestLeader().workers::remove);
+                  .forEach(simulation.newestLeader().workers::remove);
         }
       }
       case FORGETS_CANCELLED -> {
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
           if (!attempt.job().open()) {
-            world.newestLeader().workers.remove(attempt);
+            simulation.newestLeader().workers.remove(attempt);
           }
         }
       }
-      case NEVER_KILLS -> world.losesKills = true;
+      case NEVER_KILLS -> simulation.dropsKills = true;
     }
   }
 
-  /** Searches breadth first; the first state that breaks something, with its path. */
-  private String search(int taskCount, boolean withReplica, Mistake mistake) {
+  /**
+   * Searches breadth first.
+   *
+   * @return the first violation with its path, or an empty string if there is none
+   */
+  private String search(int taskCount, boolean withReplica, Fault fault) {
     ArrayDeque<List<String>> open = new ArrayDeque<>();
     Set<String> known = new HashSet<>();
     open.add(List.of());
-    while (!open.isEmpty() && known.size() < STATES) {
+    while (!open.isEmpty() && known.size() < MAX_STATES) {
       List<String> path = open.poll();
-      for (String step : replay(taskCount, withReplica, mistake, path).actions().keySet()) {
+      for (String step : replay(taskCount, withReplica, fault, path).actions().keySet()) {
         List<String> next = new ArrayList<>(path);
         next.add(step);
-        CommandWorld world = replay(taskCount, withReplica, mistake, next);
-        if (world.broken.isEmpty() && known.add(StateKey.of(world))) {
-          if (next.size() < DEPTH && world.commands.size() <= MAX_IN_FLIGHT) {
+        CommandSimulation simulation = replay(taskCount, withReplica, fault, next);
+        if (simulation.violations.isEmpty() && known.add(StateKey.of(simulation))) {
+          if (next.size() < MAX_DEPTH && simulation.commands.size() <= MAX_COMMANDS_IN_FLIGHT) {
             open.add(next);
           }
-          world.settle();
+          simulation.settle();
         }
-        if (!world.broken.isEmpty()) {
-          return world.broken.get(0) + " after " + next;
+        if (!simulation.violations.isEmpty()) {
+          return simulation.violations.get(0) + " after " + next;
         }
       }
     }
@@ -98,21 +112,21 @@
   }
 
   @Example
-  void noOrderOfMessagesBreaksARule() {
+  void noMessageOrderViolatesARule() {
     for (boolean withReplica : new boolean[] {false, true}) {
       for (int taskCount = 1; taskCount <= 2; taskCount++) {
         assertEquals(
             "",
-            search(taskCount, withReplica, Mistake.NONE),
+            search(taskCount, withReplica, Fault.NONE),
             "tasks " + taskCount + ", replica " + withReplica);
       }
     }
   }
 
   @Example
-  void theSearchFindsPlantedMistakes() {
-    assertTrue(search(1, false, Mistake.FORGETS_LAUNCHES).startsWith("ran_twice"));
-    assertTrue(search(1, false, Mistake.FORGETS_CANCELLED).startsWith("ran_twice"));
-    assertTrue(search(1, true, Mistake.NEVER_KILLS).startsWith("ran_cancelled"));
+  void searchDetectsInjectedFaults() {
+    assertTrue(search(1, false, Fault.FORGETS_LAUNCHES).startsWith("ran_twice"));
+    assertTrue(search(1, false, Fault.FORGETS_CANCELLED).startsWith("ran_twice"));
+    assertTrue(search(1, true, Fault.NEVER_KILLS).startsWith("ran_cancelled"));
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/CommandWorld.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSimulation.java
@@ -29,30 +29,30 @@
 import org.eiderstair.core.standby.RecoveredMachine;
 
 /**
- * One machine, a leader and perhaps the next one, and all messages between them. What breaks a rule
- * is in {@link #broken}.
+ * Simulates one machine, a leader and optionally its successor, with all messages in flight between
+ * them. Broken rules are collected in {@link #violations}.
  */
-final class CommandWorld {
+final class CommandSimulation {
   static final String JOB = "job-1";
   static final String MACHINE = "m-0";
-  private static final long SECOND = 1_000_000;
-  private static final long SECOND_TERM = 1_000;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long TAKEOVER_TERM = 1_000;
   private static final int MAX_INCARNATIONS = 2;
 
   final List<LeaderBench> leaders = new ArrayList<>();
   final int taskCount;
   final boolean withReplica;
-  final SearchWorker worker = new SearchWorker();
+  final ProtocolWorker worker = new ProtocolWorker();
   final List<InFlightCommand> commands = new ArrayList<>();
-  InFlightHeartbeat report;
-  Heartbeat earlier;
-  int copies;
+  InFlightHeartbeat heartbeat;
+  Heartbeat earlierHeartbeat;
+  int deliveredCopies;
   boolean cancelled;
-  boolean losesKills;
-  long now = SECOND;
-  final List<String> broken = new ArrayList<>();
+  boolean dropsKills;
+  long now = SECOND_MICROS;
+  final List<String> violations = new ArrayList<>();
 
-  CommandWorld(int taskCount, boolean withReplica) {
+  CommandSimulation(int taskCount, boolean withReplica) {
     this.taskCount = taskCount;
     this.withReplica = withReplica;
     LeaderBench first = new LeaderBench();
@@ -62,17 +62,17 @@
     Machine machine = first.workers.machines().get(MACHINE);
     machine.recordAnswer(now);
     worker.fencingToken = machine.fencingToken();
-    worker.answeredSentMicros = now;
+    worker.leaseStartMicros = now;
     addJob(first);
     leaders.add(first);
   }
 
-  int newest() {
+  int newestIndex() {
     return leaders.size() - 1;
   }
 
   LeaderBench newestLeader() {
-    return leaders.get(newest());
+    return leaders.get(newestIndex());
   }
 
   private void addJob(LeaderBench leader) {
@@ -81,26 +81,26 @@
     leader.replica.job(JOB).setDurableProgress(new BitSet(), 1);
   }
 
-  /** What may happen next. */
+  /** Returns the actions that are possible in the current state, by name. */
   Map<String, Runnable> actions() {
     Map<String, Runnable> all = new LinkedHashMap<>();
-    all.put("pass", () -> pass(newest()));
-    if (newest() == 1) {
-      all.put("pass of the old leader", () -> pass(0));
+    all.put("pass", () -> pass(newestIndex()));
+    if (newestIndex() == 1) {
+      all.put("pass of the earlier leader", () -> pass(0));
     } else {
       all.put("take over", this::takeOver);
     }
     if (!cancelled) {
       all.put("cancel", this::cancel);
     }
-    reportActions(all);
+    addHeartbeatActions(all);
     for (int i = 0; i < commands.size(); i++) {
-      commandActions(all, commands.get(i), i);
+      addCommandActions(all, commands.get(i), i);
     }
     for (Entry entry : worker.tasks.values()) {
       if (entry.state() == TaskState.RUNNING) {
         all.put(
-            "ends " + entry.task(),
+            "task ends " + entry.task(),
             () ->
                 worker.tasks.put(
                     entry.task(),
@@ -109,46 +109,47 @@
     }
     if (worker.incarnation <= MAX_INCARNATIONS) {
       all.put(
-          "a lease passes",
-          () -> now += newestLeader().settings.workerTimings().leaseMicros() + SECOND);
+          "the lease expires",
+          () -> now += newestLeader().settings.workerTimings().leaseMicros() + SECOND_MICROS);
     }
     return all;
   }
 
-  private void reportActions(Map<String, Runnable> all) {
-    if (report == null) {
+  private void addHeartbeatActions(Map<String, Runnable> all) {
+    if (heartbeat == null) {
       for (int i = 0; i < leaders.size(); i++) {
         int to = i;
         all.put(
-            "report to " + to, () -> report = new InFlightHeartbeat(worker.view(), to, now, false));
+            "heartbeat to leader " + to,
+            () -> heartbeat = new InFlightHeartbeat(worker.nextHeartbeat(), to, now, false));
       }
     } else {
-      if (report.exchange == 0) {
-        all.put("report arrives", () -> deliver(report));
+      if (heartbeat.exchange == 0) {
+        all.put("heartbeat arrives", () -> deliver(heartbeat));
       }
-      if (report.answer != null) {
-        all.put("answer arrives", this::answered);
+      if (heartbeat.answer != null) {
+        all.put("answer arrives", this::deliverAnswer);
       }
       all.put(
-          "report is given up",
+          "heartbeat is given up",
           () -> {
-            earlier = report.content;
-            report = null;
+            earlierHeartbeat = heartbeat.content;
+            heartbeat = null;
           });
     }
-    if (earlier != null && copies < 1) {
+    if (earlierHeartbeat != null && deliveredCopies < 1) {
       all.put(
-          "copy of an earlier report",
+          "copy of an earlier heartbeat arrives",
           () -> {
-            copies++;
-            deliver(new InFlightHeartbeat(earlier, newest(), now, true));
+            deliveredCopies++;
+            deliver(new InFlightHeartbeat(earlierHeartbeat, newestIndex(), now, true));
           });
     }
   }
 
-  private void commandActions(Map<String, Runnable> all, InFlightCommand command, int number) {
+  private void addCommandActions(Map<String, Runnable> all, InFlightCommand command, int number) {
     if (command.reply == null) {
-      all.put("command " + number + " arrives", () -> arrives(command));
+      all.put("command " + number + " arrives", () -> deliverCommand(command));
     } else if (!command.givenUp) {
       all.put(
           "reply " + number + " arrives",
@@ -172,10 +173,10 @@
     }
   }
 
-  void act(Runnable action) {
+  void perform(Runnable action) {
     now += 1_000;
-    if (now > worker.answeredSentMicros + newestLeader().settings.workerTimings().leaseMicros()) {
-      newIncarnation();
+    if (now > worker.leaseStartMicros + newestLeader().settings.workerTimings().leaseMicros()) {
+      startIncarnation();
     }
     for (LeaderBench leader : leaders) {
       leader.now = now;
@@ -183,26 +184,26 @@
       leader.leadership.setTime(now);
     }
     action.run();
-    if (now > worker.answeredSentMicros + newestLeader().settings.workerTimings().leaseMicros()) {
-      newIncarnation();
+    if (now > worker.leaseStartMicros + newestLeader().settings.workerTimings().leaseMicros()) {
+      startIncarnation();
     }
-    leaders.forEach(this::collect);
-    check();
+    leaders.forEach(this::collectEffects);
+    checkRules();
   }
 
-  private void newIncarnation() {
+  private void startIncarnation() {
     worker.incarnation++;
     worker.sequence = 0;
     worker.tasks.clear();
-    worker.answeredSentMicros = now;
-    report = null;
+    worker.leaseStartMicros = now;
+    heartbeat = null;
   }
 
   private void pass(int leaderIndex) {
     LeaderBench leader = leaders.get(leaderIndex);
-    now += 2 * SECOND;
+    now += 2 * SECOND_MICROS;
     leader.now = now;
-    if (leaderIndex == newest()) {
+    if (leaderIndex == newestIndex()) {
       leader.renew();
     }
     leader.workers.tick(now, false);
@@ -214,11 +215,11 @@
 
   private void takeOver() {
     LeaderBench first = leaders.get(0);
-    Map<String, RecoveredMachine> recovered = withReplica ? recovered(first) : null;
+    Map<String, RecoveredMachine> recovered = withReplica ? recoveredMachines(first) : null;
     if (!withReplica) {
       now += first.settings.tuning().leaderTtlMicros();
     }
-    LeaderBench second = new LeaderBench(SECOND_TERM);
+    LeaderBench second = new LeaderBench(TAKEOVER_TERM);
     second.now = now;
     second.lead();
     addJob(second);
@@ -233,25 +234,27 @@
     machine.recomputeFreeResources();
     leaders.add(second);
     if (withReplica) {
-      // Its standby has taken over the term: it never launches again.
+      // The standby has taken over the term, so the first leader never launches again.
       first.workers.close();
       first.leadership.deposed("claimed");
     }
   }
 
-  private Map<String, RecoveredMachine> recovered(LeaderBench first) {
-    Map<Integer, Long> held = new HashMap<>();
+  private Map<String, RecoveredMachine> recoveredMachines(LeaderBench first) {
+    Map<Integer, Long> recoveredAttempts = new HashMap<>();
     long[] incarnation = new long[1];
     first.workers.snapshot(
         change -> {
           incarnation[0] = change.incarnation();
           if (!change.job().isEmpty()) {
-            held.put(change.index(), change.attempt());
+            recoveredAttempts.put(change.index(), change.attempt());
           }
         });
     return Map.of(
         MACHINE,
-        new RecoveredMachine(incarnation[0], held.isEmpty() ? Map.of() : Map.of(JOB, held)));
+        new RecoveredMachine(
+            incarnation[0],
+            recoveredAttempts.isEmpty() ? Map.of() : Map.of(JOB, recoveredAttempts)));
   }
 
   private void cancel() {
@@ -261,34 +264,34 @@
     leader.workers.jobEnded(leader.replica.job(JOB));
   }
 
-  private void deliver(InFlightHeartbeat heartbeat) {
-    LeaderBench leader = leaders.get(heartbeat.leader);
+  private void deliver(InFlightHeartbeat delivered) {
+    LeaderBench leader = leaders.get(delivered.leader);
     if (!leader.leadership.isLeader()) {
-      heartbeat.answer = new Answer.Redirect(null);
-      heartbeat.exchange = -1;
+      delivered.answer = new Answer.Redirect(null);
+      delivered.exchange = -1;
       return;
     }
-    heartbeat.exchange = leader.nextExchange();
-    leader.workers.receive(heartbeat.exchange, heartbeat.content, false, now);
+    delivered.exchange = leader.nextExchange();
+    leader.workers.receive(delivered.exchange, delivered.content, false, now);
   }
 
-  private void answered() {
-    if (report.answer instanceof Answer.Command command
+  private void deliverAnswer() {
+    if (heartbeat.answer instanceof Answer.Command command
         && command.fencingToken().isAtLeast(worker.fencingToken)
-        && report.content.incarnation() == worker.incarnation) {
+        && heartbeat.content.incarnation() == worker.incarnation) {
       worker.fencingToken = command.fencingToken();
-      worker.answeredSentMicros = report.sentMicros;
+      worker.leaseStartMicros = heartbeat.sentMicros;
       execute(command.orders());
     }
-    earlier = report.content;
-    report = null;
+    earlierHeartbeat = heartbeat.content;
+    heartbeat = null;
   }
 
   private void execute(List<Order> orders) {
-    orders.stream().filter(o -> !losesKills || !(o instanceof Order.Kill)).forEach(worker::execute);
+    orders.stream().filter(o -> !dropsKills || !(o instanceof Order.Kill)).forEach(worker::execute);
   }
 
-  private void arrives(InFlightCommand command) {
+  private void deliverCommand(InFlightCommand command) {
     boolean valid =
         command.request.fencingToken().isAtLeast(worker.fencingToken)
             && command.request.incarnation() == worker.incarnation;
@@ -296,65 +299,69 @@
       worker.fencingToken = command.request.fencingToken();
       execute(command.request.orders());
     }
-    command.reply = new Reply.WorkerStatus(worker.view(), valid);
+    command.reply = new Reply.WorkerStatus(worker.nextHeartbeat(), valid);
     if (command.givenUp) {
       commands.remove(command);
     }
   }
 
-  /** Takes what a leader has sent. */
-  private void collect(LeaderBench leader) {
+  /** Collects the answers and commands that a leader has sent. */
+  private void collectEffects(LeaderBench leader) {
     int leaderIndex = leaders.indexOf(leader);
     for (Effect effect : leader.effects) {
       if (effect instanceof Effect.Respond respond
-          && report != null
-          && report.leader == leaderIndex
-          && report.exchange == respond.exchange()) {
-        report.answer = respond.answer();
-        noteLaunches(
+          && heartbeat != null
+          && heartbeat.leader == leaderIndex
+          && heartbeat.exchange == respond.exchange()) {
+        heartbeat.answer = respond.answer();
+        checkLaunches(
             leaderIndex,
             respond.answer() instanceof Answer.Command command ? command.orders() : List.of());
       } else if (effect instanceof Effect.Call call
           && call.request() instanceof Request.WorkerCommands command) {
         commands.add(new InFlightCommand(leaderIndex, call.callId(), command));
-        noteLaunches(leaderIndex, command.orders());
+        checkLaunches(leaderIndex, command.orders());
       }
     }
     leader.effects.clear();
   }
 
-  private void noteLaunches(int leaderIndex, List<Order> orders) {
+  private void checkLaunches(int leaderIndex, List<Order> orders) {
     if (cancelled
-        && leaderIndex == newest()
+        && leaderIndex == newestIndex()
         && orders.stream().anyMatch(o -> o instanceof Order.Launch)) {
-      broken.add("launched what is cancelled");
+      violations.add("launched a task of a cancelled job");
     }
   }
 
-  private void check() {
+  private void checkRules() {
     LeaderBench leader = newestLeader();
     if (!leader.leadership.isLeader()) {
       return;
     }
     Job job = leader.replica.job(JOB);
-    boolean whole = leader.workers.unconfirmed().isEmpty();
-    double used = 0;
+    boolean allConfirmed = leader.workers.unconfirmed().isEmpty();
+    double usedCpus = 0;
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
-      used += worker.alive(task) ? 1 : 0;
-      boolean free = whole && !job.isAttempted(i) && !job.isCompleted(i);
-      if (free && worker.alive(task)) {
-        broken.add("ran_twice: " + task + " is free for the leader and alive on the machine");
+      usedCpus += worker.isActive(task) ? 1 : 0;
+      boolean placeable = allConfirmed && !job.isAttempted(i) && !job.isCompleted(i);
+      if (placeable && worker.isActive(task)) {
+        violations.add(
+            "ran_twice: "
+                + task
+                + " may be placed again by the leader but is active on the machine");
       }
-      if (free && !cancelled && launchMayArrive(task)) {
-        broken.add(
+      if (placeable && !cancelled && launchMayArrive(task)) {
+        violations.add(
             "ran_twice: "
                 + task
-                + " is free for the leader, and a launch of it may yet be executed");
+                + " may be placed again by the leader but a launch of it may still be executed");
       }
     }
-    if (whole && !cancelled && used > leader.quotas.cpusInUse("red") + 1e-6) {
-      broken.add("quota: uses " + used + ", counted " + leader.quotas.cpusInUse("red"));
+    if (allConfirmed && !cancelled && usedCpus > leader.quotas.cpusInUse("red") + 1e-6) {
+      violations.add(
+          "quota: cpus used=" + usedCpus + ", counted=" + leader.quotas.cpusInUse("red"));
     }
   }
 
@@ -366,20 +373,23 @@
                     command.reply == null
                         && command.request.fencingToken().isAtLeast(worker.fencingToken)
                         && command.request.incarnation() == worker.incarnation
-                        && launches(command.request.orders(), task));
+                        && containsLaunch(command.request.orders(), task));
     boolean byAnswer =
-        report != null
-            && report.answer instanceof Answer.Command command
+        heartbeat != null
+            && heartbeat.answer instanceof Answer.Command command
             && command.fencingToken().isAtLeast(worker.fencingToken)
-            && launches(command.orders(), task);
+            && containsLaunch(command.orders(), task);
     return byCommand || byAnswer;
   }
 
-  private static boolean launches(List<Order> orders, TaskId task) {
+  private static boolean containsLaunch(List<Order> orders, TaskId task) {
     return orders.stream().anyMatch(o -> o instanceof Order.Launch && o.task().equals(task));
   }
 
-  /** All messages are lost or over, and nothing fails any more. */
+  /**
+   * Drops all messages, runs rounds without failures and checks the final state: no task of a
+   * cancelled job is active, and each task of an open job is active or completed.
+   */
   void settle() {
     for (InFlightCommand command : new ArrayList<>(commands)) {
       if (!command.givenUp) {
@@ -387,31 +397,31 @@
       }
     }
     commands.clear();
-    report = null;
+    heartbeat = null;
     for (int round = 0; round < 9; round++) {
-      act(
+      perform(
           () -> {
-            report = new InFlightHeartbeat(worker.view(), newest(), now, false);
-            deliver(report);
+            heartbeat = new InFlightHeartbeat(worker.nextHeartbeat(), newestIndex(), now, false);
+            deliver(heartbeat);
           });
-      act(() -> pass(newest()));
-      if (report != null && report.answer != null) {
-        act(this::answered);
+      perform(() -> pass(newestIndex()));
+      if (heartbeat != null && heartbeat.answer != null) {
+        perform(this::deliverAnswer);
       }
-      report = null;
+      heartbeat = null;
       for (InFlightCommand command : new ArrayList<>(commands)) {
-        act(() -> arrives(command));
+        perform(() -> deliverCommand(command));
         commands.remove(command);
-        act(() -> leaders.get(command.leader).sink.replied(command.call, command.reply));
+        perform(() -> leaders.get(command.leader).sink.replied(command.call, command.reply));
       }
     }
     Job job = newestLeader().replica.job(JOB);
     for (int i = 0; i < taskCount; i++) {
       TaskId task = new TaskId(JOB, i);
-      if (cancelled && worker.alive(task)) {
-        broken.add("ran_cancelled: " + task + " goes on");
-      } else if (!cancelled && !worker.alive(task) && !job.isCompleted(i)) {
-        broken.add("not placed: " + task);
+      if (cancelled && worker.isActive(task)) {
+        violations.add("ran_cancelled: " + task + " is still active after its cancellation");
+      } else if (!cancelled && !worker.isActive(task) && !job.isCompleted(i)) {
+        violations.add("not placed: " + task);
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -24,21 +24,21 @@
 import org.eiderstair.core.model.TaskId;
 
 /**
- * Commands that wait at the leader or on their way: what must not wait with them, and what they may
- * not prove.
+ * Tests commands that are delayed at the leader or in flight: what must not be delayed with them,
+ * and what their replies do not prove.
  */
 class DelayedCommandsTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private final LeaderBench bench = new LeaderBench();
 
-  private Machine leadsOneMachine() {
+  private Machine leadOneMachine() {
     bench.keepStandby();
     bench.lead();
     bench.machines(1);
     return bench.workers.machines().get("m-0");
   }
 
-  private void pass() {
+  private void runPass() {
     bench.placement.place(bench.now);
     bench.workers.flush(bench.now);
     bench.standby.tick(bench.now);
@@ -64,21 +64,21 @@
     return ((Request.WorkerCommands) call.request()).orders();
   }
 
-  private static List<String> launched(List<Order> orders) {
+  private static List<String> launchedJobs(List<Order> orders) {
     return orders.stream().filter(o -> o instanceof Order.Launch).map(o -> o.task().job()).toList();
   }
 
-  private static List<String> killed(List<Order> orders) {
+  private static List<String> killedJobs(List<Order> orders) {
     return orders.stream().filter(o -> o instanceof Order.Kill).map(o -> o.task().job()).toList();
   }
 
-  /** One task runs on the machine. */
-  private Job running(Machine machine) {
+  /** Starts a job with one task on the machine and clears the recorded effects. */
+  private Job startTask(Machine machine) {
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
-    pass();
+    runPass();
     bench.report(machine, 0);
-    pass();
+    runPass();
     assertEquals(1, job.attemptCount());
     bench.effects.clear();
     return job;
@@ -94,61 +94,61 @@
   }
 
   /**
-   * An answer that carries a launch used to wait as a whole, for as long as the record could not be
-   * written: the machine's lease ran out, and it was not ordered to stop what had been cancelled.
+   * An answer with a launch must not wait as a whole while the standby's record cannot be written.
+   * When it did, the machine's lease expired, and the machine got no kill for a cancelled job.
    */
   @Example
-  void killsAndRenewalsDoNotWaitForAStandbyThatDoesNotAnswer() {
-    Machine machine = leadsOneMachine();
-    Job cancelled = running(machine);
+  void killsAndLeaseRenewalsDoNotWaitForUnresponsiveStandby() {
+    Machine machine = leadOneMachine();
+    Job cancelled = startTask(machine);
     bench.deferAcknowledgements();
     bench.deferRecords();
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
     cancel(cancelled);
-    pass();
-    assertEquals(List.of(), answers(), "waits for the acknowledgement");
-    bench.now += SECOND / 2;
+    runPass();
+    assertEquals(List.of(), answers(), "the answer waits for the acknowledgement");
+    bench.now += SECOND_MICROS / 2;
     bench.standby.tick(bench.now);
-    assertEquals(1, answers().size(), "left without what it had to wait for");
-    assertEquals(List.of(cancelled.id()), killed(answers().get(0).orders()));
-    assertEquals(List.of(), launched(answers().get(0).orders()));
-    assertEquals(1, kept.attemptCount(), "planned as before");
+    assertEquals(1, answers().size(), "the answer is sent without the launch");
+    assertEquals(List.of(cancelled.id()), killedJobs(answers().get(0).orders()));
+    assertEquals(List.of(), launchedJobs(answers().get(0).orders()));
+    assertEquals(1, kept.attemptCount(), "the launch is planned again");
 
     bench.effects.clear();
     bench.report(machine, 0);
-    pass();
-    assertEquals(1, answers().size(), "nothing waits for the record");
-    assertEquals(List.of(), commands(), "and nothing is launched before it");
+    runPass();
+    assertEquals(1, answers().size(), "the answer does not wait for the record");
+    assertEquals(List.of(), commands(), "nothing is launched before the record is written");
     bench.completeRecords();
-    pass();
+    runPass();
     assertEquals(
         List.of(kept.id()),
-        commands().stream().flatMap(c -> launched(orders(c)).stream()).toList());
+        commands().stream().flatMap(c -> launchedJobs(orders(c)).stream()).toList());
   }
 
   @Example
-  void whatIsCancelledWhileItsLaunchWaitsForTheStandbyIsNotStarted() {
-    Machine machine = leadsOneMachine();
+  void jobCancelledDuringReplicationIsNotLaunched() {
+    Machine machine = leadOneMachine();
     bench.deferAcknowledgements();
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
-    pass();
-    assertEquals(List.of(), answers(), "waits for the acknowledgement");
+    runPass();
+    assertEquals(List.of(), answers(), "the answer waits for the acknowledgement");
     cancel(cancelled);
     bench.deliverAcknowledgements();
-    assertEquals(List.of(kept.id()), launched(answers().get(0).orders()));
+    assertEquals(List.of(kept.id()), launchedJobs(answers().get(0).orders()));
     assertEquals(
-        1, cancelled.attemptCount(), "counts until the machine shows that it is not there");
+        1, cancelled.attemptCount(), "the attempt counts until a heartbeat shows that it is gone");
   }
 
   /**
-   * The same while the record of the term before still names its standby, which can take as long as
-   * an outage.
+   * A job may be cancelled while the stored record still names the standby of the previous term.
+   * That can last as long as an outage of the state service.
    */
   @Example
-  void whatIsCancelledBeforeTheRecordIsClearedIsNotStarted() {
+  void jobCancelledBeforeStandbyRecordIsClearedIsNotLaunched() {
     bench.lead();
     bench.deferRecords();
     bench.standbyOfTheTermBefore();
@@ -157,30 +157,32 @@
     Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
-    pass();
-    assertEquals(1, answers().size(), "its lease is renewed");
+    runPass();
+    assertEquals(1, answers().size(), "the answer renews the lease");
     assertEquals(
-        List.of(), answers().get(0).orders(), "nothing is launched before the record names nobody");
+        List.of(),
+        answers().get(0).orders(),
+        "nothing is launched before the record names no standby");
     assertEquals(List.of(), commands());
     cancel(cancelled);
     bench.completeRecords();
-    pass();
+    runPass();
     assertEquals(
         List.of(kept.id()),
-        commands().stream().flatMap(c -> launched(orders(c)).stream()).toList());
+        commands().stream().flatMap(c -> launchedJobs(orders(c)).stream()).toList());
   }
 
   /**
-   * Whoever waits for an answer is sent elsewhere when the term is over: its lease does not wait
-   * for a time limit.
+   * A worker that waits for an answer at the end of the term is redirected. It must not lose lease
+   * time by waiting for its request timeout.
    */
   @Example
-  void anAnswerThatWaitsForTheStandbyIsRedirectedWhenTheTermEnds() {
-    Machine machine = leadsOneMachine();
+  void answerWaitingForStandbyIsRedirectedAtEndOfTerm() {
+    Machine machine = leadOneMachine();
     bench.deferAcknowledgements();
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.report(machine, 0);
-    pass();
+    runPass();
     bench.effects.clear();
     bench.workers.close();
     bench.standby.endTerm();
@@ -193,99 +195,100 @@
   }
 
   /**
-   * A launch without an answer takes its whole time limit; what was cancelled must not wait for it.
+   * A launch without a reply takes its whole timeout; the kill of a cancelled job must not wait.
    */
   @Example
-  void aKillLeavesBesideALaunchThatIsNotAnswered() {
-    Machine machine = leadsOneMachine();
-    Job cancelled = running(machine);
+  void killIsSentWhileLaunchHasNoReply() {
+    Machine machine = leadOneMachine();
+    Job cancelled = startTask(machine);
     Job other = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    pass();
-    assertEquals(1, commands().size(), "the launch is on its way");
+    runPass();
+    assertEquals(1, commands().size(), "the launch is in flight");
     cancel(cancelled);
-    pass();
+    runPass();
     assertEquals(2, commands().size());
-    assertEquals(List.of(cancelled.id()), killed(orders(commands().get(1))));
-    // The reply to the kill was written before the launch arrived, which is late: it does not prove
-    // that the launch is dead.
+    assertEquals(List.of(cancelled.id()), killedJobs(orders(commands().get(1))));
+    // The reply to the kill was written before the delayed launch arrived, so it does not prove
+    // that
+    // the launch is lost.
     bench.sink.replied(commands().get(1).callId(), reply(machine, true));
-    assertEquals(1, other.attemptCount(), "still on its way");
+    assertEquals(1, other.attemptCount(), "the launch is still in flight");
     assertEquals(0, cancelled.attemptCount());
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
     bench.sink.replied(commands().get(1).callId(), reply(machine, true));
     assertEquals(Machine.Phase.FENCING, machine.phase());
-    assertEquals(1, other.attemptCount(), "may still arrive");
+    assertEquals(1, other.attemptCount(), "the launch may still arrive");
   }
 
   /**
-   * Nor for the pause after it, nor for the question that asks whether the machine has seen the
-   * raised fence.
+   * A kill must not wait for the hold after a missing reply, nor for the probe that checks whether
+   * the machine has seen the raised fence.
    */
   @Example
-  void aKillLeavesWhileAMachineIsBeingFenced() {
-    Machine machine = leadsOneMachine();
-    Job cancelled = running(machine);
+  void killIsSentWhileMachineIsFencing() {
+    Machine machine = leadOneMachine();
+    Job cancelled = startTask(machine);
     bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    pass();
+    runPass();
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
     assertEquals(Machine.Phase.FENCING, machine.phase());
     bench.effects.clear();
     cancel(cancelled);
-    pass();
-    assertEquals(List.of(cancelled.id()), killed(orders(commands().get(0))));
+    runPass();
+    assertEquals(List.of(cancelled.id()), killedJobs(orders(commands().get(0))));
     assertEquals(
         machine.fencingToken(),
         ((Request.WorkerCommands) commands().get(0).request()).fencingToken(),
-        "and shows the raised fence");
+        "the kill carries the raised fence");
   }
 
   /**
-   * A kill may overtake the launch: when the launch is answered and the job is over, the machine is
-   * ordered again.
+   * A kill may overtake its launch. It is sent again when the launch gets its reply after the end
+   * of the job.
    */
   @Example
-  void aKillThatMayHaveComeBeforeItsLaunchIsRepeated() {
-    Machine machine = leadsOneMachine();
+  void killThatMayHaveOvertakenItsLaunchIsRepeated() {
+    Machine machine = leadOneMachine();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     bench.placement.place(bench.now);
     Attempt attempt = job.attempt(0);
     bench.workers.flush(bench.now);
     bench.standby.tick(bench.now);
     cancel(job);
-    pass();
-    assertEquals(List.of(job.id()), killed(orders(commands().get(1))));
+    runPass();
+    assertEquals(List.of(job.id()), killedJobs(orders(commands().get(1))));
     bench.sink.replied(commands().get(1).callId(), reply(machine, true));
     Entry running =
         new Entry(attempt.task(), attempt.number(), TaskState.RUNNING, Exit.NONE, false);
     bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
-    pass();
+    runPass();
     assertEquals(3, commands().size());
-    assertEquals(List.of(job.id()), killed(orders(commands().get(2))));
+    assertEquals(List.of(job.id()), killedJobs(orders(commands().get(2))));
   }
 
-  /** A machine that cannot be reached is ordered again, but not at every pass. */
+  /** A kill to an unreachable machine is sent again, but not at every pass. */
   @Example
-  void aKillWithoutAnAnswerIsRepeatedAfterAPause() {
-    Machine machine = leadsOneMachine();
-    Job job = running(machine);
+  void killWithoutReplyIsRepeatedAfterDelay() {
+    Machine machine = leadOneMachine();
+    Job job = startTask(machine);
     cancel(job);
-    pass();
+    runPass();
     bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("refused"));
-    pass();
+    runPass();
     assertEquals(1, commands().size());
-    bench.now += SECOND;
-    pass();
+    bench.now += SECOND_MICROS;
+    runPass();
     assertEquals(2, commands().size());
     assertTrue(machine.commands().isKillInFlight());
   }
 
   /**
-   * A heartbeat of a machine that an earlier term deleted arrives late: the new leader knows
-   * nothing of the machine. What it shows may hold its tasks back for no longer than a lease can
-   * last, also while the cloud does not answer.
+   * A late heartbeat arrives from a machine that was deleted in an earlier term and is unknown to
+   * the new leader. Its tasks may be held back for no longer than a lease, even while the cloud
+   * does not answer.
    */
   @Example
-  void aLateReportOfADeletedMachineHoldsNothingBackForLong() {
+  void lateHeartbeatOfDeletedMachineBlocksTaskForOneLeaseOnly() {
     bench.lead();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id(), 0), 5, TaskState.RUNNING, Exit.NONE, false);
@@ -305,18 +308,19 @@
             List.of(running)),
         false,
         bench.now);
-    assertEquals(1, job.attemptCount(), "counts at first: nothing has shown that it is not there");
-    pass();
+    assertEquals(
+        1, job.attemptCount(), "the attempt counts at first, since nothing proves that it is gone");
+    runPass();
     bench.workers.tick(bench.now + bench.settings.workerTimings().leaseMicros(), false);
     assertEquals(1, job.attemptCount());
     bench.workers.tick(
-        bench.now + bench.settings.workerTimings().leaseMicros() + 2 * SECOND, false);
-    assertEquals(0, job.attemptCount(), "its lease is over");
+        bench.now + bench.settings.workerTimings().leaseMicros() + 2 * SECOND_MICROS, false);
+    assertEquals(0, job.attemptCount(), "the lease has expired");
   }
 
-  /** If it is alive after all, its own word decides. */
+  /** If the unknown machine still runs, its reply to a probe confirms its tasks. */
   @Example
-  void anUnknownMachineThatAnswersIsKnown() {
+  void unknownMachineIsConfirmedByProbeReply() {
     bench.lead();
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id(), 0), 5, TaskState.RUNNING, Exit.NONE, false);
@@ -337,9 +341,9 @@
         bench.now);
     Machine machine = bench.workers.machines().get("m-0");
     assertEquals(Machine.Phase.FENCING, machine.phase());
-    assertEquals(bench.now, machine.idleSinceMicros(), "idle from now, not since it was expected");
+    assertEquals(bench.now, machine.idleSinceMicros(), "idle since its first heartbeat");
     bench.workers.tick(bench.now, false);
-    assertEquals(1, commands().size(), "is asked, with this term's token");
+    assertEquals(1, commands().size(), "the machine is probed with this term's token");
     bench.continueSequenceFrom("m-0", 9L);
     bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
     assertEquals(Machine.Phase.CONFIRMED, machine.phase());
@@ -347,11 +351,11 @@
   }
 
   /**
-   * A machine that has just booted has seen no fencing token and holds nothing: its first heartbeat
-   * costs no question.
+   * A newly booted machine has seen no fencing token and runs no task, so its first heartbeat
+   * causes no probe.
    */
   @Example
-  void aMachineThatHasJustBootedIsNotAsked() {
+  void newlyBootedMachineIsNotProbed() {
     bench.lead();
     bench.workers.receive(
         1,
@@ -359,7 +363,7 @@
             "m-new", "x", "t", "a", true, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of()),
         false,
         bench.now);
-    pass();
+    runPass();
     bench.workers.tick(bench.now, false);
     assertEquals(List.of(), commands());
     assertEquals(Machine.Phase.BOOTING, bench.workers.machines().get("m-new").phase());
--- a/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
+++ b/src/test/java/org/eiderstair/core/workers/HeartbeatRelayTest.java
@@ -10,15 +10,15 @@
 import org.eiderstair.core.model.FencingToken;
 import org.eiderstair.core.model.Heartbeat;
 
-/** When a follower relays a worker's heartbeat, and when it sends the worker to the leader. */
+/** Tests when a follower relays a heartbeat and when it redirects the worker to the leader. */
 class HeartbeatRelayTest {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private final List<Effect> effects = new ArrayList<>();
   private final HeartbeatRelay relay = new HeartbeatRelay(new EffectSink(effects::add));
   private long exchange;
 
-  /** What becomes of a heartbeat: the name of the effect. */
-  private String report(String machine, String leader, long nowMicros) {
+  /** Passes a heartbeat to the follower and returns "relayed" or "redirected". */
+  private String receive(String machine, String leader, long nowMicros) {
     effects.clear();
     relay.receive(
         ++exchange,
@@ -30,20 +30,21 @@
   }
 
   /**
-   * One that is back may have met a busy leader; three have not, and the others need not try it
-   * first.
+   * A single early return may have a busy leader as its cause. Three early returns mean that the
+   * leader is unreachable, so other workers are relayed at once.
    */
   @Example
-  void whenSeveralAreBackFromTheLeaderTheOthersArePassedOnAtOnce() {
+  void severalEarlyReturnsRelayOtherWorkersWithoutRedirect() {
     for (int i = 0; i < 3; i++) {
-      assertEquals("redirected", report("m" + i, "n1", SECOND));
+      assertEquals("redirected", receive("m" + i, "n1", SECOND_MICROS));
     }
-    assertEquals("relayed", report("m0", "n1", 6 * SECOND));
-    assertEquals("redirected", report("m7", "n1", 6 * SECOND));
-    assertEquals("relayed", report("m1", "n1", 6 * SECOND));
-    assertEquals("relayed", report("m2", "n1", 7 * SECOND));
-    assertEquals("relayed", report("m8", "n1", 7 * SECOND));
-    assertEquals("redirected", report("m9", "n2", 7 * SECOND), "another leader");
-    assertEquals("redirected", report("m9", "n1", 60 * SECOND), "believed for a while");
+    assertEquals("relayed", receive("m0", "n1", 6 * SECOND_MICROS));
+    assertEquals("redirected", receive("m7", "n1", 6 * SECOND_MICROS));
+    assertEquals("relayed", receive("m1", "n1", 6 * SECOND_MICROS));
+    assertEquals("relayed", receive("m2", "n1", 7 * SECOND_MICROS));
+    assertEquals("relayed", receive("m8", "n1", 7 * SECOND_MICROS));
+    assertEquals("redirected", receive("m9", "n2", 7 * SECOND_MICROS), "another leader");
+    assertEquals(
+        "redirected", receive("m9", "n1", 60 * SECOND_MICROS), "unreachable state has expired");
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/InFlightCommand.java
+++ b/src/test/java/org/eiderstair/core/workers/InFlightCommand.java
@@ -3,7 +3,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 
-/** A direct command on its way; the leader may have given it up. */
+/** A command in flight from a leader to the worker; the leader may have given it up. */
 final class InFlightCommand {
   final int leader;
   final long call;
--- a/src/test/java/org/eiderstair/core/workers/InFlightHeartbeat.java
+++ b/src/test/java/org/eiderstair/core/workers/InFlightHeartbeat.java
@@ -3,7 +3,7 @@
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.model.Heartbeat;
 
-/** The heartbeat that the worker waits to be answered, or a late copy that nobody waits for. */
+/** A heartbeat whose answer the worker waits for, or a late copy whose answer nobody waits for. */
 final class InFlightHeartbeat {
   final Heartbeat content;
   final int leader;
--- a/src/test/java/org/eiderstair/core/workers/IndexedMachineListTest.java
+++ b/src/test/java/org/eiderstair/core/workers/IndexedMachineListTest.java
@@ -13,9 +13,9 @@
 class IndexedMachineListTest {
   private static final int MACHINES = 8;
 
-  /** Each step adds a machine that is not listed, or removes one that is. */
+  /** Each step adds a machine that is not listed, or removes a machine that is listed. */
   @Property(tries = 200, seed = "21")
-  void theLastMachineTakesThePlaceOfOneThatIsRemoved(
+  void lastMachineTakesPositionOfRemovedMachine(
       @ForAll @Size(max = 60) List<@IntRange(max = MACHINES - 1) Integer> steps) {
     List<Machine> machines = new ArrayList<>();
     for (int i = 0; i < MACHINES; i++) {
--- a/src/test/java/org/eiderstair/core/workers/SearchWorker.java
+++ b/src/test/java/org/eiderstair/core/workers/ProtocolWorker.java
@@ -11,17 +11,18 @@
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
 
-/** The machine, to the letter of the protocol as far as it matters here. */
-final class SearchWorker {
+/** A worker that follows the protocol as far as {@link CommandSimulation} needs it. */
+final class ProtocolWorker {
   FencingToken fencingToken = FencingToken.NONE;
   long incarnation = 1;
   long sequence;
-  long answeredSentMicros;
+  long leaseStartMicros;
   final Map<TaskId, Entry> tasks = new TreeMap<>((a, b) -> Integer.compare(a.index(), b.index()));
 
-  Heartbeat view() {
+  /** Returns the next heartbeat, with the current tasks. */
+  Heartbeat nextHeartbeat() {
     return new Heartbeat(
-        CommandWorld.MACHINE,
+        CommandSimulation.MACHINE,
         "x",
         "t",
         "a",
@@ -33,25 +34,29 @@
         List.copyOf(tasks.values()));
   }
 
+  /** Executes an order; the fencing token and the incarnation were checked before. */
   void execute(Order order) {
     Entry known = tasks.get(order.task());
-    boolean same = known != null && known.attempt() == order.attempt();
+    boolean sameAttempt = known != null && known.attempt() == order.attempt();
     if (order instanceof Order.Launch) {
-      if (known == null || (!same && known.state() == TaskState.ENDED)) {
+      if (known == null || (!sameAttempt && known.state() == TaskState.ENDED)) {
         tasks.put(
             order.task(),
             new Entry(order.task(), order.attempt(), TaskState.RUNNING, Exit.NONE, false));
       }
-    } else if (same && order instanceof Order.Kill && known.state() != TaskState.ENDED) {
+    } else if (sameAttempt && order instanceof Order.Kill && known.state() != TaskState.ENDED) {
       tasks.put(
           order.task(),
           new Entry(order.task(), order.attempt(), TaskState.ENDED, Exit.STOPPED, false));
-    } else if (same && order instanceof Order.Acknowledge && known.state() == TaskState.ENDED) {
+    } else if (sameAttempt
+        && order instanceof Order.Acknowledge
+        && known.state() == TaskState.ENDED) {
       tasks.remove(order.task());
     }
   }
 
-  boolean alive(TaskId task) {
+  /** Returns whether the machine holds the task and the task has not ended. */
+  boolean isActive(TaskId task) {
     Entry entry = tasks.get(task);
     return entry != null && entry.state() != TaskState.ENDED;
   }
--- a/src/test/java/org/eiderstair/core/workers/StateKey.java
+++ b/src/test/java/org/eiderstair/core/workers/StateKey.java
@@ -14,71 +14,73 @@
 import org.eiderstair.core.model.Order;
 
 /**
- * What distinguishes two states of a {@link CommandWorld} apart. Of sequence numbers only their
- * order counts, of attempts only which are the same, of times only about how long ago.
+ * Builds a key that is equal for equivalent states of a {@link CommandSimulation}. The key contains
+ * only the order of sequence numbers, the identity of attempts and the approximate age of times.
  */
 final class StateKey {
-  private static final long ALIKE_MICROS = 10_000_000;
+  private static final long AGE_BUCKET_MICROS = 10_000_000;
 
-  private final CommandWorld world;
+  private final CommandSimulation simulation;
   private final StringBuilder key = new StringBuilder();
   private final Ranks ranks = new Ranks();
   private final Aliases attempts = new Aliases();
 
-  private StateKey(CommandWorld world) {
-    this.world = world;
+  private StateKey(CommandSimulation simulation) {
+    this.simulation = simulation;
   }
 
-  static String of(CommandWorld world) {
-    StateKey state = new StateKey(world);
-    state.worker();
-    world.commands.forEach(state::command);
-    state.reports();
-    world.leaders.forEach(state::leader);
+  static String of(CommandSimulation simulation) {
+    StateKey state = new StateKey(simulation);
+    state.appendWorker();
+    simulation.commands.forEach(state::appendCommand);
+    state.appendHeartbeats();
+    simulation.leaders.forEach(state::appendLeader);
     return state.key.append(state.ranks).toString();
   }
 
-  private void worker() {
-    SearchWorker worker = world.worker;
+  private void appendWorker() {
+    ProtocolWorker worker = simulation.worker;
     ranks.add(worker.incarnation, worker.sequence);
-    key.append(world.cancelled)
-        .append(world.copies)
+    key.append(simulation.cancelled)
+        .append(simulation.deliveredCopies)
         .append(worker.fencingToken)
         .append('/')
         .append(worker.incarnation);
-    key.append((world.now - worker.answeredSentMicros) / ALIKE_MICROS);
-    entries(List.copyOf(worker.tasks.values()));
+    key.append((simulation.now - worker.leaseStartMicros) / AGE_BUCKET_MICROS);
+    appendEntries(List.copyOf(worker.tasks.values()));
   }
 
-  private void command(InFlightCommand command) {
+  private void appendCommand(InFlightCommand command) {
     key.append("|c").append(command.leader).append(command.givenUp);
     key.append(command.request.fencingToken()).append('/').append(command.request.incarnation());
-    orders(command.request.orders());
+    appendOrders(command.request.orders());
     if (command.reply != null) {
-      content(command.reply.heartbeat());
+      appendHeartbeat(command.reply.heartbeat());
     }
   }
 
-  private void reports() {
-    if (world.report != null) {
-      key.append("|r").append(world.report.leader).append(world.report.exchange > 0);
-      content(world.report.content);
-      if (world.report.answer instanceof Answer.Command command) {
+  private void appendHeartbeats() {
+    if (simulation.heartbeat != null) {
+      key.append("|r")
+          .append(simulation.heartbeat.leader)
+          .append(simulation.heartbeat.exchange > 0);
+      appendHeartbeat(simulation.heartbeat.content);
+      if (simulation.heartbeat.answer instanceof Answer.Command command) {
         key.append(command.fencingToken());
-        orders(command.orders());
+        appendOrders(command.orders());
       } else {
-        key.append(world.report.answer);
+        key.append(simulation.heartbeat.answer);
       }
     }
-    if (world.earlier != null) {
+    if (simulation.earlierHeartbeat != null) {
       key.append("|e");
-      content(world.earlier);
+      appendHeartbeat(simulation.earlierHeartbeat);
     }
   }
 
-  private void leader(LeaderBench leader) {
-    Machine machine = leader.workers.machines().get(CommandWorld.MACHINE);
-    Job job = leader.replica.job(CommandWorld.JOB);
+  private void appendLeader(LeaderBench leader) {
+    Machine machine = leader.workers.machines().get(CommandSimulation.MACHINE);
+    Job job = leader.replica.job(CommandSimulation.JOB);
     ranks.add(machine.incarnation(), machine.sequence());
     key.append('#')
         .append(leader.leadership.isLeader())
@@ -91,15 +93,15 @@
         .append(machine.commands().areKillsPending());
     key.append(machine.acknowledgements().size())
         .append(machine.untrackedTasks().size())
-        .append(world.now >= machine.holdUntilMicros());
-    key.append((world.now - machine.answeredMicros()) / ALIKE_MICROS);
+        .append(simulation.now >= machine.holdUntilMicros());
+    key.append((simulation.now - machine.answeredMicros()) / AGE_BUCKET_MICROS);
     for (Attempt attempt : machine.attempts()) {
       key.append(attempt.index()).append(attempt.phase()).append(attempts.of(attempt.number()));
       ranks.add(machine.incarnation(), attempt.sentSequence());
     }
   }
 
-  private void orders(List<Order> orders) {
+  private void appendOrders(List<Order> orders) {
     for (Order order : orders) {
       key.append(order.getClass().getSimpleName())
           .append(order.task().index())
@@ -107,7 +109,7 @@
     }
   }
 
-  private void entries(List<Entry> entries) {
+  private void appendEntries(List<Entry> entries) {
     for (Entry entry : entries) {
       key.append(entry.task().index())
           .append(attempts.of(entry.attempt()))
@@ -116,13 +118,13 @@
     }
   }
 
-  private void content(Heartbeat heartbeat) {
+  private void appendHeartbeat(Heartbeat heartbeat) {
     ranks.add(heartbeat.incarnation(), heartbeat.sequence());
     key.append(heartbeat.fencingToken());
-    entries(heartbeat.tasks());
+    appendEntries(heartbeat.tasks());
   }
 
-  /** Replaces numbers by the order in which they are met. */
+  /** Replaces each attempt number by a letter, in the order of first use. */
   private static final class Aliases {
     private final Map<Long, Integer> known = new HashMap<>();
 
@@ -131,7 +133,7 @@
     }
   }
 
-  /** Replaces positions by their order among all that are given. */
+  /** Replaces each pair of incarnation and sequence by its rank among all added pairs. */
   private static final class Ranks {
     private final List<long[]> positions = new ArrayList<>();
 
@@ -143,8 +145,10 @@
     public String toString() {
       List<long[]> sorted = new ArrayList<>(positions);
       sorted.sort(
-          (attempt, b) ->
-              attempt[0] != b[0] ? Long.compare(attempt[0], b[0]) : Long.compare(attempt[1], b[1]));
+          (first, second) ->
+              first[0] != second[0]
+                  ? Long.compare(first[0], second[0])
+                  : Long.compare(first[1], second[1]));
       StringBuilder ranks = new StringBuilder();
       for (long[] position : positions) {
         int rank = 0;
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -37,7 +37,7 @@
 import org.eiderstair.core.state.IgnoringReplicaListener;
 import org.eiderstair.core.state.Replica;
 
-/** What a heartbeat may and may not prove. */
+/** Tests which facts a heartbeat proves to the leader, and which heartbeats are answered. */
 class WorkerManagerTest {
   private static final MachineType TYPE =
       new MachineType("t", 8, 2, 32, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
@@ -62,7 +62,7 @@
   private long exchange;
   private Attempt attempt;
 
-  private void launched(Attempt.Phase phase) {
+  private void startAttempt(Attempt.Phase phase) {
     JobSpec spec =
         JobSpecBuilder.job("job-1")
             .tasks(2)
@@ -85,11 +85,11 @@
     return new Leadership(settings, sink, replica, "run", n -> 0, null);
   }
 
-  private void reported(Heartbeat report, long nowMicros) {
-    workers.receive(++exchange, report, false, nowMicros);
+  private void receive(Heartbeat heartbeat, long nowMicros) {
+    workers.receive(++exchange, heartbeat, false, nowMicros);
   }
 
-  private Heartbeat report(
+  private Heartbeat heartbeat(
       long incarnation, long sequence, FencingToken fencingToken, long notice, Entry... entries) {
     return new Heartbeat(
         "m", "x", "t", "a", true, incarnation, sequence, fencingToken, notice, List.of(entries));
@@ -110,64 +110,64 @@
   }
 
   @Example
-  void aReportWhileACommandIsOnItsWayDoesNotFreeItsTask() {
-    launched(Attempt.Phase.SENT);
+  void heartbeatDuringCommandDoesNotFreeAttempt() {
+    startAttempt(Attempt.Phase.SENT);
     machine.commands().begin();
-    reported(report(1, 1, machine.fencingToken(), -1), 1_000_000);
+    receive(heartbeat(1, 1, machine.fencingToken(), -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
     machine.commands().end();
-    reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
+    receive(heartbeat(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertEquals(0, job.attemptCount());
   }
 
   /**
-   * A command without an answer may arrive minutes later, until the machine has seen a higher
-   * fence.
+   * A command that got no reply may still arrive minutes later, until the machine has seen a higher
+   * fence. Its launch must not be taken for lost before.
    */
   @Example
-  void afterALostCommandOnlyTheRaisedFenceProves() {
-    launched(Attempt.Phase.SENT);
+  void lostCommandIsSettledOnlyByRaisedFence() {
+    startAttempt(Attempt.Phase.SENT);
     FencingToken before = machine.fencingToken();
     machine.raiseFence();
     machine.enterPhase(Machine.Phase.FENCING);
-    reported(report(1, 1, before, -1), 1_000_000);
+    receive(heartbeat(1, 1, before, -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
-    reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
+    receive(heartbeat(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertEquals(0, job.attemptCount());
     assertEquals(Machine.Phase.CONFIRMED, machine.phase());
   }
 
   @Example
-  void anOlderReportThatComesLateChangesNothing() {
-    launched(Attempt.Phase.REPORTED);
-    reported(
-        report(
+  void outdatedHeartbeatChangesNothing() {
+    startAttempt(Attempt.Phase.REPORTED);
+    receive(
+        heartbeat(
             1,
             9,
             machine.fencingToken(),
             -1,
             new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false)),
         1);
-    reported(report(1, 8, machine.fencingToken(), -1), 2);
+    receive(heartbeat(1, 8, machine.fencingToken(), -1), 2);
     assertEquals(attempt, job.attempt(0));
   }
 
   @Example
-  void aNoticeTellsTasksWithCheckpointsToSaveInTime() {
-    launched(Attempt.Phase.REPORTED);
+  void preemptionNoticeStopsTasksWithCheckpoints() {
+    startAttempt(Attempt.Phase.REPORTED);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
-    reported(report(1, 1, machine.fencingToken(), 12_000_000, running), 1_000_000);
+    receive(heartbeat(1, 1, machine.fencingToken(), 12_000_000, running), 1_000_000);
     workers.flush(1_000_000);
     assertEquals(List.of(new Order.Kill(task, 77, 4_000_000)), answers.get(0).orders());
     assertEquals(Machine.Plan.DRAIN, machine.plan());
   }
 
   /**
-   * Seconds may lie between a decision and its effect: what the lease allowed must not leave after
-   * its end.
+   * Seconds may pass between a decision and its effect. Answers and commands must not be sent after
+   * the end of the lease that allowed them.
    */
   @Example
-  void whatALeaseAllowedIsNotSentAfterItsEnd() {
+  void answersAndCommandsAreNotSentAfterTheirDeadline() {
     Effect.Respond respond =
         new Effect.Respond(
             1,
@@ -182,14 +182,14 @@
     assertFalse(call.isExpired(5_000_000));
     assertTrue(call.isExpired(5_000_001));
     assertTrue(Effect.Call.EXPIRED instanceof Reply.NoResponse);
-    // And every answer and command of the leader bears such a time.
+    // The leader's answer to a heartbeat has such a deadline.
     List<Effect> sent = new ArrayList<>();
     EffectSink sending = new EffectSink(sent::add);
-    WorkerManager other = workersOn(sending);
-    launched(Attempt.Phase.REPORTED);
-    other.add(machine);
-    other.receive(9, report(1, 1, machine.fencingToken(), -1), false, 1_000_000);
-    other.flush(1_000_000);
+    WorkerManager otherManager = workersOn(sending);
+    startAttempt(Attempt.Phase.REPORTED);
+    otherManager.add(machine);
+    otherManager.receive(9, heartbeat(1, 1, machine.fencingToken(), -1), false, 1_000_000);
+    otherManager.flush(1_000_000);
     assertTrue(
         sent.stream()
             .anyMatch(
@@ -204,30 +204,30 @@
   }
 
   /**
-   * What is launched in the answer to a heartbeat of an ended incarnation reaches nobody, and was
-   * settled minutes later.
+   * A launch in the answer to a heartbeat of an ended incarnation reaches no worker. Such launches
+   * were settled only minutes later.
    */
   @Example
-  void aReportOfAnEarlierSessionIsNotAnsweredOnceTheNextIsHere() {
-    launched(Attempt.Phase.REPORTED);
-    reported(report(1, 500, machine.fencingToken(), -1), 1_000_000);
-    reported(report(2, 1, machine.fencingToken(), -1), 1_001_000);
+  void pendingHeartbeatOfEarlierIncarnationIsRefused() {
+    startAttempt(Attempt.Phase.REPORTED);
+    receive(heartbeat(1, 500, machine.fencingToken(), -1), 1_000_000);
+    receive(heartbeat(2, 1, machine.fencingToken(), -1), 1_001_000);
     workers.flush(1_002_000);
     assertEquals(List.of(2L), answeredExchanges());
     assertEquals(2, responds.size());
   }
 
   /**
-   * A copy of a heartbeat of the incarnation before is answered to nobody, and the one that waits
-   * goes on waiting.
+   * A late copy of a heartbeat of the previous incarnation is refused, and the pending heartbeat of
+   * the current incarnation stays pending.
    */
   @Example
-  void aLateCopyOfAnEarlierSessionIsNotAnswered() {
-    launched(Attempt.Phase.REPORTED);
-    reported(report(1, 500, machine.fencingToken(), -1), 1_000_000);
+  void lateCopyOfEarlierIncarnationIsRefused() {
+    startAttempt(Attempt.Phase.REPORTED);
+    receive(heartbeat(1, 500, machine.fencingToken(), -1), 1_000_000);
     workers.flush(1_001_000);
-    reported(report(2, 1, machine.fencingToken(), -1), 2_000_000);
-    reported(report(1, 499, machine.fencingToken(), -1), 2_001_000);
+    receive(heartbeat(2, 1, machine.fencingToken(), -1), 2_000_000);
+    receive(heartbeat(1, 499, machine.fencingToken(), -1), 2_001_000);
     workers.flush(2_002_000);
     assertEquals(List.of(1L, 2L), answeredExchanges());
     assertEquals(2, machine.incarnation());
@@ -235,37 +235,38 @@
   }
 
   /**
-   * Until its end is durable, the machine's own record of a task that is done is the only one that
-   * a next leader would find.
+   * Until the completion of a task is durable, the machine holds the only record that a later
+   * leader would find.
    */
   @Example
-  void whatIsDoneIsReapedOnlyOnceThatIsDurable() {
+  void completedTaskIsAcknowledgedOnlyOnceDurable() {
     LeaderBench bench = new LeaderBench();
     bench.lead();
     bench.machines(1);
-    Machine m = bench.workers.machines().get("m-0");
-    Job one = bench.job("red", JobSpec.Priority.NORMAL, 2, 1);
-    bench.report(m, 0);
+    Machine target = bench.workers.machines().get("m-0");
+    Job twoTaskJob = bench.job("red", JobSpec.Priority.NORMAL, 2, 1);
+    bench.report(target, 0);
     bench.placement.place(bench.now);
     bench.workers.flush(bench.now);
-    List<Entry> shown = new ArrayList<>();
-    one.attempts()
+    List<Entry> entries = new ArrayList<>();
+    twoTaskJob
+        .attempts()
         .forEach(
-            a -> shown.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
-    assertEquals(List.of(), reapsAfter(bench, m, shown.get(0)));
-    assertTrue(one.isCompleted(shown.get(0).task().index()));
+            a -> entries.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
+    assertEquals(List.of(), acknowledgementsAfter(bench, target, entries.get(0)));
+    assertTrue(twoTaskJob.isCompleted(entries.get(0).task().index()));
     BitSet durable = new BitSet();
-    durable.set(shown.get(0).task().index());
-    one.setDurableProgress(durable, 1);
+    durable.set(entries.get(0).task().index());
+    twoTaskJob.setDurableProgress(durable, 1);
     assertEquals(
-        List.of(new Order.Acknowledge(shown.get(0).task(), shown.get(0).attempt())),
-        reapsAfter(bench, m, shown.get(0)));
+        List.of(new Order.Acknowledge(entries.get(0).task(), entries.get(0).attempt())),
+        acknowledgementsAfter(bench, target, entries.get(0)));
   }
 
-  private static List<Order> reapsAfter(LeaderBench bench, Machine m, Entry entry) {
+  private static List<Order> acknowledgementsAfter(LeaderBench bench, Machine target, Entry entry) {
     bench.effects.clear();
-    Heartbeat report = bench.heartbeat(m, List.of(entry));
-    bench.workers.receive(bench.nextExchange(), report, false, bench.now);
+    Heartbeat heartbeat = bench.heartbeat(target, List.of(entry));
+    bench.workers.receive(bench.nextExchange(), heartbeat, false, bench.now);
     bench.workers.flush(bench.now);
     return bench.effects.stream()
         .filter(e -> e instanceof Effect.Respond)
@@ -274,30 +275,30 @@
         .toList();
   }
 
-  /** A copy renews nothing, moves no clock and takes no launch with it. */
+  /** A late copy renews no lease, records no contact and carries no launch. */
   @Example
-  void aLateCopyOfAReportIsNotAnswered() {
-    launched(Attempt.Phase.REPORTED);
+  void lateCopyOfHeartbeatIsRefused() {
+    startAttempt(Attempt.Phase.REPORTED);
     Entry running = new Entry(task, 77, TaskState.RUNNING, Exit.NONE, false);
-    reported(report(1, 8, machine.fencingToken(), -1, running), 1_000_000);
+    receive(heartbeat(1, 8, machine.fencingToken(), -1, running), 1_000_000);
     workers.flush(1_001_000);
-    reported(report(1, 9, machine.fencingToken(), -1, running), 4_000_000);
+    receive(heartbeat(1, 9, machine.fencingToken(), -1, running), 4_000_000);
     workers.flush(4_001_000);
-    long heard = machine.lastContactMicros();
-    long answered = machine.answeredMicros();
-    reported(report(1, 8, machine.fencingToken(), -1), 9_000_000);
-    reported(report(1, 9, machine.fencingToken(), -1, running), 9_500_000);
+    long lastContactMicros = machine.lastContactMicros();
+    long answeredMicros = machine.answeredMicros();
+    receive(heartbeat(1, 8, machine.fencingToken(), -1), 9_000_000);
+    receive(heartbeat(1, 9, machine.fencingToken(), -1, running), 9_500_000);
     workers.flush(9_600_000);
     assertEquals(List.of(1L, 2L), answeredExchanges());
-    assertEquals(heard, machine.lastContactMicros());
-    assertEquals(answered, machine.answeredMicros());
+    assertEquals(lastContactMicros, machine.lastContactMicros());
+    assertEquals(answeredMicros, machine.answeredMicros());
     assertEquals(attempt, job.attempt(0));
   }
 
   @Example
-  void aNewSessionFreesEverything() {
-    launched(Attempt.Phase.REPORTED);
-    reported(report(2, 1, machine.fencingToken(), -1), 30_000_000);
+  void newIncarnationFreesAllAttempts() {
+    startAttempt(Attempt.Phase.REPORTED);
+    receive(heartbeat(2, 1, machine.fencingToken(), -1), 30_000_000);
     assertEquals(0, job.attemptCount());
   }
 }
