--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -69,8 +69,8 @@
   /**
    * Returns whether a peer relayed the machine's latest heartbeat and the last contact is recent.
    * This node may be unable to reach such a machine. Each command would time out, and the fence
-   * raised for it would keep the machine from getting work. The answer to the machine's next
-   * heartbeat carries the orders instead.
+   * raised for it would keep the machine from getting work. The machine's next heartbeat arrives
+   * soon, and its answer carries the orders instead.
    */
   private boolean isReachedThroughPeer(Machine machine) {
     long relayedMicros =
--- a/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
+++ b/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
@@ -5,7 +5,7 @@
 import org.eiderstair.core.model.Machine;
 import org.eiderstair.core.model.TaskId;
 
-/** Distinguishes faulty machines from faulty jobs, by the tasks that failed on each machine. */
+/** Distinguishes a machine on which all tasks fail from a job that fails on all machines. */
 final class FailureAccounting {
   /** How long a machine that refused a task gets no further task. */
   private static final long REFUSAL_HOLD_MICROS = 1_000_000;
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -173,8 +173,7 @@
 
   private void updateIncarnation(Machine machine, Heartbeat heartbeat) {
     if (heartbeat.incarnation() > machine.incarnation() && machine.incarnation() > 0) {
-      context.info(
-          "machine=" + machine.id() + " started a new incarnation=" + heartbeat.incarnation());
+      context.info("machine=" + machine.id() + " started incarnation=" + heartbeat.incarnation());
       tracker.freeAll(machine, "new incarnation");
       responder.dropEarlierIncarnation(machine);
       // A new incarnation starts with a full lease, regardless of when the previous incarnation was
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatRelay.java
@@ -23,7 +23,10 @@
   private static final long FAILED_RELAY_PAUSE_MICROS = 2_000_000;
   private static final long ROUTE_RETENTION_MICROS = 120_000_000;
 
-  /** The number of early returns from one leader after which it counts as unreachable. */
+  /**
+   * The number of early returns from one leader after which it counts as unreachable. Fewer may be
+   * a coincidence.
+   */
   private static final int UNREACHABLE_EARLY_RETURNS = 3;
 
   private static final long EARLY_RETURN_WINDOW_MICROS = 10_000_000;
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -16,7 +16,7 @@
  * on each phase change, so that a heartbeat does not require an iteration over all machines.
  */
 final class WorkerRegistry {
-  /** Exceeds the number of machines that delayed heartbeats or lists can still contain. */
+  /** Far exceeds the number of machines that delayed heartbeats or lists can still contain. */
   private static final int MAX_TERMINATED_MACHINES = 10_000;
 
   private final Replica replica;
