--- a/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
+++ b/src/main/java/org/eiderstair/core/capacity/CapacityManager.java
@@ -103,7 +103,7 @@
    */
   public void takeOver(long nowMicros) {
     clock.advanceTo(nowMicros);
-    workers.setReleasing(provisioning::isReleasing);
+    workers.setReleasingPredicate(provisioning::isReleasing);
     provisioning.resume(replica.coordinationRecords(), nowMicros);
     for (Machine machine : workers.machines().values()) {
       if (provisioning.isReleasing(machine.id())) {
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -60,7 +60,7 @@
         // Later attempts must not overtake: free resources may be accumulating for this one.
         break;
       } else if (admission.admitsOneMore(attempt.job())) {
-        workers.occupy(attempt);
+        workers.reserveResources(attempt);
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/ScalabilityTest.java
+++ b/src/test/java/org/eiderstair/core/ScalabilityTest.java
@@ -145,7 +145,7 @@
         }
         case 3 -> {
           if (machine != null && random.nextInt(8) == 0) {
-            leader.workers.terminated(machine.id());
+            leader.workers.markTerminated(machine.id());
           }
         }
         default -> {
