--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -132,7 +132,7 @@
     if (!started) {
       return;
     }
-    if (!job.open()) {
+    if (!job.isOpen()) {
       workers.jobEnded(job);
     }
     workers.noteChange();
--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -41,7 +41,8 @@
   void membership(Event.MembershipRequested event, long nowMicros) {
     sink.respond(
         event.exchange(),
-        new Answer.ReachableWorkers(membership.digestAfter(event.run(), event.after(), nowMicros)));
+        new Answer.ReachableWorkers(
+            membership.digestAfter(event.runId(), event.afterSequence(), nowMicros)));
   }
 
   void replication(Event.ReplicationReceived event, long nowMicros) {
--- a/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
@@ -108,7 +108,7 @@
       if (machine.phase() == Machine.Phase.UNCONFIRMED
           && machine.plan() != Machine.Plan.TERMINATE
           && !listed.contains(machine.id())
-          && clock.nowMicros() > machine.sinceMicros() + UNLISTED_PATIENCE_MICROS) {
+          && clock.nowMicros() > machine.createdMicros() + UNLISTED_PATIENCE_MICROS) {
         scaleIn.release(machine, "no heartbeat and not in the cloud's list");
       }
     }
@@ -124,7 +124,7 @@
     } else if (known == null) {
       sink.info("machine=" + entry.id() + " found in the cloud's list, term=" + term);
       Machine found = expect(entry);
-      found.setSince(clock.nowMicros() - entry.ageMicros());
+      found.setCreatedMicros(clock.nowMicros() - entry.ageMicros());
     }
   }
 
--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -137,7 +137,7 @@
 
   private double cpuLimit(String name) {
     Settings.Team team = settings.teams().get(name);
-    return team == null || team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax();
+    return team == null || team.maxCpus() <= 0 ? Double.MAX_VALUE : team.maxCpus();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/capacity/IdleMachinePolicy.java
+++ b/src/main/java/org/eiderstair/core/capacity/IdleMachinePolicy.java
@@ -43,6 +43,6 @@
     return machine.phase() == Machine.Phase.CONFIRMED
         && machine.attempts().isEmpty()
         && now > machine.idleSinceMicros() + settings.tuning().idleReturnMicros()
-        && now > machine.sinceMicros() + MIN_LIFE_MICROS;
+        && now > machine.createdMicros() + MIN_LIFE_MICROS;
   }
 }
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -113,7 +113,7 @@
     for (String id : machines) {
       if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
         Machine machine = workers.expect(id, null, option.type(), option.zone(), option.spot());
-        machine.setSince(clock.nowMicros() - ageMicros);
+        machine.setCreatedMicros(clock.nowMicros() - ageMicros);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -128,7 +128,7 @@
   private boolean bootTimedOut(Machine machine) {
     long bootMicros =
         machine.type() == null ? UNKNOWN_TYPE_BOOT_MICROS : machine.type().bootMicros();
-    return clock.nowMicros() > machine.sinceMicros() + bootMicros * BOOT_TIME_FACTOR
+    return clock.nowMicros() > machine.createdMicros() + bootMicros * BOOT_TIME_FACTOR
         && !membership.isReachableByPeer(machine.id())
         && !workers.reachability().isOverloaded();
   }
--- a/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
+++ b/src/main/java/org/eiderstair/core/capacity/RentalOptionSelector.java
@@ -73,12 +73,13 @@
   private boolean isAvailable(JobSpec spec, MachineType type, String zone, boolean spot) {
     RentalOption option = new RentalOption(type.name(), zone, spot);
     return spec.allows(type.name(), zone, spot)
-        && (!spot || type.spotPrice() > 0)
+        && (!spot || type.spotPricePerHour() > 0)
         && clock.nowMicros() >= exhaustedUntil.getOrDefault(option, 0L);
   }
 
   private Candidate candidate(MachineType type, String zone, boolean spot) {
-    double price = (spot ? type.spotPrice() : type.price()) / Math.max(type.cpus(), MIN_CPUS);
+    double price =
+        (spot ? type.spotPricePerHour() : type.pricePerHour()) / Math.max(type.cpus(), MIN_CPUS);
     // A machine that boots in a partitioned zone is paid for but cannot be used yet, so such a zone
     // comes last.
     price += membership.isPartitioned(zone) ? PARTITIONED_ZONE_PRICE : 0;
--- a/src/main/java/org/eiderstair/core/jobs/JobAnswers.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobAnswers.java
@@ -51,14 +51,14 @@
     return switch (job.state()) {
       case DONE -> new Answer.JobView(status, job.id(), Answer.Phase.DONE, job.tasks(), 0);
       case CANCELLED ->
-          new Answer.JobView(status, job.id(), Answer.Phase.CANCELLED, job.finalDone(), 0);
+          new Answer.JobView(status, job.id(), Answer.Phase.CANCELLED, job.finalDoneCount(), 0);
       case OPEN ->
           new Answer.JobView(
               status,
               job.id(),
-              job.durablyRunning() > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
-              job.durablyCompleted(),
-              job.durablyRunning());
+              job.durablyRunningCount() > 0 ? Answer.Phase.RUNNING : Answer.Phase.PENDING,
+              job.durablyCompletedCount(),
+              job.durablyRunningCount());
     };
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobCancellation.java
@@ -49,7 +49,7 @@
     Job job = replica.job(id);
     if (job == null) {
       findAndCancel(exchange, id, retries);
-    } else if (!job.open()) {
+    } else if (!job.isOpen()) {
       answers.job(exchange, job);
     } else {
       commit(exchange, job, retries);
@@ -74,7 +74,7 @@
     String key = StateKeys.job(job.id());
     JobRecord record =
         JobRecord.cancelled(
-            job.spec(), job.durablyCompleted(), replica.dayMicros(nowMicros.getAsLong()));
+            job.spec(), job.durablyCompletedCount(), replica.dayMicros(nowMicros.getAsLong()));
     sink.call(
         new Request.StoreTransaction(
             List.of(new Request.Condition(key, job.version())),
--- a/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
@@ -77,7 +77,7 @@
     List<Pending> batch = new ArrayList<>();
     List<Request.Condition> compares = takeBatch(batch);
     underWay = true;
-    nextMicros = now + settings.gatherMicros();
+    nextMicros = now + settings.batchDelayMicros();
     sink.call(
         new Request.StoreTransaction(compares, List.of()),
         reply -> {
@@ -88,7 +88,7 @@
 
   /** Moves to the batch what one transaction can compare; each job is compared once. */
   private List<Request.Condition> takeBatch(List<Pending> batch) {
-    int maxCompares = settings.stateLimits().transactionOps() * COMPARES_PER_WRITE;
+    int maxCompares = settings.stateServiceLimits().maxWritesPerTransaction() * COMPARES_PER_WRITE;
     Map<String, Long> versions = new LinkedHashMap<>();
     List<Pending> later = new ArrayList<>();
     for (Pending pending : waiting) {
@@ -123,7 +123,7 @@
    * conditions need not be complete.
    */
   private void resolve(Pending pending, Reply.Conflict conflict) {
-    if (conflict.failed().contains(StateKeys.job(pending.id()))) {
+    if (conflict.failedKeys().contains(StateKeys.job(pending.id()))) {
       read(pending);
     } else {
       waiting.add(pending);
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -50,7 +50,7 @@
       return;
     }
     Job known = replica.job(id);
-    if (known != null && !known.open()) {
+    if (known != null && !known.isOpen()) {
       answers.job(exchange, known);
       return;
     }
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -54,7 +54,7 @@
   }
 
   private void answerRepeated(long exchange, Job known) {
-    if (!known.open()) {
+    if (!known.isOpen()) {
       answers.job(exchange, known);
       return;
     }
--- a/src/main/java/org/eiderstair/core/leadership/Leadership.java
+++ b/src/main/java/org/eiderstair/core/leadership/Leadership.java
@@ -93,7 +93,7 @@
     this.replica = replica;
     this.listener = listener;
     this.bounds = new LeadershipBounds(settings, replica);
-    this.backoff = new ElectionBackoff(settings.gatherMicros(), random);
+    this.backoff = new ElectionBackoff(settings.batchDelayMicros(), random);
     this.election = new LeaderElection(settings, sink, replica, runId, new ElectionOutcome());
     this.renewal =
         new LeaseRenewal(sink, settings.tuning().leaderRenewMicros(), new RenewalOutcome());
--- a/src/main/java/org/eiderstair/core/message/Effect.java
+++ b/src/main/java/org/eiderstair/core/message/Effect.java
@@ -1,31 +1,31 @@
 package org.eiderstair.core.message;
 
-/** What the core wants done by the code around it. */
+/** An action that the core requests from the surrounding code. */
 public sealed interface Effect {
 
-  /** The deadline of what may be done at any time. */
+  /** The deadline of an effect that may be executed at any time. */
   long NO_DEADLINE = Long.MAX_VALUE;
 
   /**
-   * Sends a request and reports its outcome once as {@link Event.ReplyReceived}, but not after a
-   * deadline: what permitted the request, such as a lease, may have expired while this process was
-   * paused between the decision and now.
+   * Sends a request and reports its outcome exactly once as {@link Event.ReplyReceived}. The
+   * request is not sent after the deadline. The condition that permitted the request, such as a
+   * lease, may have expired while the process was paused after the decision.
    */
   record Call(long callId, Request request, long deadlineMicros) implements Effect {
-    /** The outcome of a request whose deadline passed before it was sent. */
+    /** The reply to a request whose deadline passed before the request was sent. */
     public static final Reply EXPIRED = new Reply.NoResponse("not sent: its deadline had passed");
 
-    /** Whether it must not be sent any more. */
+    /** Returns whether the deadline has passed, so that the request must not be sent. */
     public boolean isExpired(long nowMicros) {
       return nowMicros > deadlineMicros;
     }
   }
 
-  /** Answers an exchange that an event opened; after a deadline, only with a refusal. */
+  /** Answers an exchange that an event opened. After the deadline, only a refusal is sent. */
   record Respond(long exchange, Answer answer, long deadlineMicros) implements Effect {
     private static final Answer EXPIRED = new Answer.Failure(503, "too late", 0);
 
-    /** The answer if it may still be sent at that time, else a refusal. */
+    /** Returns the answer if the deadline has not passed at the given time, else a refusal. */
     public Answer answerAt(long nowMicros) {
       return nowMicros > deadlineMicros ? EXPIRED : answer;
     }
@@ -34,10 +34,13 @@
   /** Writes a line to the log. */
   record Log(Level level, String text) implements Effect {}
 
-  /** The level of a line in the log. */
+  /** The level of a log line. */
   enum Level {
+    /** A fault that needs attention. */
     ERROR,
+    /** A notable event. */
     INFO,
+    /** A detail for diagnosis. */
     DEBUG
   }
 }
--- a/src/main/java/org/eiderstair/core/message/EffectSink.java
+++ b/src/main/java/org/eiderstair/core/message/EffectSink.java
@@ -5,15 +5,15 @@
 import java.util.function.Consumer;
 
 /**
- * Emits the core's effects and remembers the callback of each request until its reply comes.
- * Callbacks run in the core's one thread, so a reply is handled like any other event.
+ * Emits the core's effects and keeps the callback of each request until the reply is received.
+ * Callbacks run on the core's single thread, so replies are handled like any other event.
  */
 public final class EffectSink {
 
-  /** Sees every reply before its callback does. */
+  /** Observes every reply before the callback of the request runs. */
   @FunctionalInterface
   public interface ReplyObserver {
-    /** A reply to that request has come. */
+    /** Handles the reply to a request. */
     void replied(Request request, Reply reply);
   }
 
@@ -28,24 +28,24 @@
     this.output = output;
   }
 
-  /** Sets the one observer of all replies. */
+  /** Sets the observer of all replies, replacing the previous one. */
   public void observeReplies(ReplyObserver replyObserver) {
     observer = replyObserver;
   }
 
-  /** Sends a request at any time; {@code callback} gets its reply. */
+  /** Sends a request without a deadline; {@code callback} receives the reply. */
   public void call(Request request, Consumer<Reply> callback) {
     call(request, Effect.NO_DEADLINE, callback);
   }
 
-  /** Sends a request, but not after the deadline; {@code callback} gets its reply. */
+  /** Sends a request, but not after the deadline; {@code callback} receives the reply. */
   public void call(Request request, long deadlineMicros, Consumer<Reply> callback) {
     long callId = ++lastCallId;
     pendingCalls.put(callId, new PendingCall(request, callback));
     output.accept(new Effect.Call(callId, request, deadlineMicros));
   }
 
-  /** Runs the callback of an earlier request. A second reply to the same request is ignored. */
+  /** Runs the callback of an earlier request. Further replies to the same request are ignored. */
   public void replied(long callId, Reply reply) {
     PendingCall call = pendingCalls.remove(callId);
     if (call != null) {
@@ -54,27 +54,27 @@
     }
   }
 
-  /** Answers an exchange at any time. */
+  /** Answers an exchange without a deadline. */
   public void respond(long exchange, Answer answer) {
     respond(exchange, answer, Effect.NO_DEADLINE);
   }
 
-  /** Answers an exchange; after the deadline it is refused instead. */
+  /** Answers an exchange, but sends a refusal after the deadline. */
   public void respond(long exchange, Answer answer, long deadlineMicros) {
     output.accept(new Effect.Respond(exchange, answer, deadlineMicros));
   }
 
-  /** Logs at level info. */
+  /** Logs a line at level INFO. */
   public void info(String text) {
     output.accept(new Effect.Log(Effect.Level.INFO, text));
   }
 
-  /** Logs at level debug. */
+  /** Logs a line at level DEBUG. */
   public void debug(String text) {
     output.accept(new Effect.Log(Effect.Level.DEBUG, text));
   }
 
-  /** Logs at level error. */
+  /** Logs a line at level ERROR. */
   public void error(String text) {
     output.accept(new Effect.Log(Effect.Level.ERROR, text));
   }
--- a/src/main/java/org/eiderstair/core/message/Event.java
+++ b/src/main/java/org/eiderstair/core/message/Event.java
@@ -4,21 +4,24 @@
 import org.eiderstair.core.model.Cancellation;
 import org.eiderstair.core.model.Heartbeat;
 
-/** What happens to the core: a request of a user, a worker or a peer, a reply, or passing time. */
+/**
+ * An input to the core: a request from a user, a worker or a peer, a reply, or the passage of time.
+ * The {@code exchange} of an event identifies the request that {@link Effect.Respond} answers.
+ */
 public sealed interface Event {
 
-  /** Calls the handler's method for this type of event. */
+  /** Calls the handler method for this type of event. */
   void dispatchTo(Handler handler);
 
-  /** One method for each type of event: a new type does not compile until it is handled. */
+  /** Has one method for each event type, so a new type does not compile until it is handled. */
   interface Handler {
-    /** Time has passed. */
+    /** Handles the passage of time. */
     void tick();
 
-    /** Continues what waits for the reply. */
+    /** Continues the work that waits for the reply. */
     void replyReceived(ReplyReceived event);
 
-    /** Accepts or refuses a job. */
+    /** Accepts or refuses a submitted job. */
     void submit(Submit event);
 
     /** Answers with the state of a job. */
@@ -27,22 +30,22 @@
     /** Cancels a job. */
     void cancel(Cancel event);
 
-    /** Answers a peer whether the state service serves this node. */
+    /** Tells a peer whether the state service serves this node. */
     void stateServiceStatusRequested(StateServiceStatusRequested event);
 
-    /** Answers a peer which machines reach this node. */
+    /** Tells a peer which machines reach this node. */
     void membershipRequested(MembershipRequested event);
 
-    /** Takes a part of the leader's state as its standby. */
+    /** Applies a part of the leader's state, as the leader's standby. */
     void replicationReceived(ReplicationReceived event);
 
-    /** Takes cancellations that a peer has committed. */
+    /** Applies cancellations that a peer has committed. */
     void cancellationsReceived(CancellationsReceived event);
 
-    /** Answers whether this node takes requests. */
+    /** Answers whether this node accepts requests. */
     void readyProbe(ReadyProbe event);
 
-    /** Notes that heartbeats may be missing because this node is overloaded. */
+    /** Records that heartbeats may be missing because this node is overloaded. */
     void overloaded(Overloaded event);
 
     /** Answers, redirects or relays a worker's heartbeat. */
@@ -98,10 +101,12 @@
   }
 
   /**
-   * A peer asks which machines reach this node, as changes after a sequence number of one of this
-   * node's runs.
+   * A peer asks which machines reach this node.
+   *
+   * @param runId the run of this node to which the sequence number belongs
+   * @param afterSequence the sequence number after which the peer needs changes
    */
-  record MembershipRequested(long exchange, String run, long after) implements Event {
+  record MembershipRequested(long exchange, String runId, long afterSequence) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
       handler.membershipRequested(this);
@@ -124,7 +129,7 @@
     }
   }
 
-  /** The load balancer asks whether this node takes requests. */
+  /** The load balancer asks whether this node accepts requests. */
   record ReadyProbe(long exchange) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
@@ -133,8 +138,11 @@
   }
 
   /**
-   * This node has more to do than it can: it refused connections for want of a socket since it said
-   * so last, or so many events wait for longer than a moment.
+   * This node is overloaded: it refused connections, or events have waited too long.
+   *
+   * @param refusedConnections the connections refused for lack of a socket since the last such
+   *     event
+   * @param waitingEvents the number of waiting events; 0 if events did not wait too long
    */
   record Overloaded(int refusedConnections, int waitingEvents) implements Event {
     @Override
@@ -143,7 +151,7 @@
     }
   }
 
-  /** A worker sends a heartbeat; {@code relayed} when it came through another node. */
+  /** A worker sends a heartbeat; {@code relayed} if another node forwarded the heartbeat. */
   record HeartbeatReceived(long exchange, Heartbeat heartbeat, boolean relayed) implements Event {
     @Override
     public void dispatchTo(Handler handler) {
--- a/src/main/java/org/eiderstair/core/message/Reply.java
+++ b/src/main/java/org/eiderstair/core/message/Reply.java
@@ -6,33 +6,38 @@
 import org.eiderstair.core.record.StoredValue;
 
 /**
- * The outcome of a {@link Request}. Any request may also be {@link Refused}, or end with {@link
+ * The outcome of a {@link Request}. Any request may also end with {@link Refused} or {@link
  * NoResponse}.
  */
 public sealed interface Reply {
 
-  /** A key's value and version; a null value in a change means that the key was deleted. */
+  /** The value and version of a key. In a change, a null value means that the key was deleted. */
   record Item(String key, StoredValue value, long version) {}
 
-  /** Done; the revision after it, where the state service gave one. */
+  /** The request was executed; carries the revision afterwards, if the state service gave one. */
   record Applied(long revision) implements Reply {}
 
-  /** Conditions of a transaction did not hold; the list of them need not be complete. */
-  record Conflict(List<String> failed, long revision) implements Reply {}
+  /**
+   * Conditions of a transaction did not hold.
+   *
+   * @param failedKeys keys whose condition did not hold; the list may be incomplete
+   * @param revision the revision at which the conditions were checked
+   */
+  record Conflict(List<String> failedKeys, long revision) implements Reply {}
 
-  /** A key that exists. */
+  /** The requested key exists. */
   record Found(Item item) implements Reply {}
 
-  /** A key that does not exist as of that revision. */
+  /** The requested key does not exist at the revision. */
   record Absent(long revision) implements Reply {}
 
-  /** Some keys in their order, and whether there are more. */
+  /** A page of keys in order, and whether more keys follow. */
   record Listed(List<Item> items, boolean more, long revision) implements Reply {}
 
-  /** Changes after a revision, up to this one. */
+  /** Changes after the requested revision, up to and including {@code revision}. */
   record Changed(List<Item> changes, long revision) implements Reply {}
 
-  /** A new lease. */
+  /** A new lease was granted. */
   record LeaseGranted(long lease) implements Reply {}
 
   /** The types of machines that can be rented. */
@@ -41,7 +46,7 @@
   /** The names of the machines that were rented. */
   record Rented(List<String> machines) implements Reply {}
 
-  /** A machine as the cloud lists it. */
+  /** A machine in the cloud's list. */
   record CloudMachine(
       String id,
       String address,
@@ -51,46 +56,46 @@
       String state,
       long ageMicros) {}
 
-  /** Some machines as the cloud lists them, and whether there are more. */
+  /** A page of the cloud's list of machines, and whether more machines follow. */
   record CloudMachines(List<CloudMachine> machines, boolean more) implements Reply {}
 
-  /** A worker's status, and whether it executed the commands that it answers. */
+  /** A worker's status, and whether the worker executed the commands in the request. */
   record WorkerStatus(Heartbeat heartbeat, boolean executed) implements Reply {}
 
-  /** Whether the state service serves a peer, and which leader it follows (null: none known). */
+  /** Whether the state service serves a peer, and the peer's leader; null if none is known. */
   record PeerStateServiceStatus(boolean served, String leader, long term) implements Reply {}
 
-  /** Which machines reach a peer directly. */
+  /** The machines that send heartbeats to a peer directly. */
   record PeerMembership(HeartbeatDigest digest) implements Reply {}
 
-  /** How far a peer has the leader's state. */
+  /** The extent to which a peer holds the leader's state. */
   record ReplicationAck(ReplicationBatch.Ack ack) implements Reply {}
 
-  /** The leader's answer to a heartbeat that was relayed. */
+  /** The leader's answer to a relayed heartbeat. */
   record Relayed(Answer answer) implements Reply {}
 
-  /** Answered, and certainly not executed; the HTTP status says why. */
+  /** The request was certainly not executed; the HTTP status gives the reason. */
   record Refused(int status) implements Reply {
     private static final int NOT_FOUND = 404;
     private static final int COMPACTED = 410;
     private static final int UNAVAILABLE = 503;
 
-    /** What the request is about does not exist, or the peer does not know such requests. */
+    /** Returns whether the target does not exist or the peer does not support the request. */
     public boolean isNotFound() {
       return status == NOT_FOUND;
     }
 
-    /** The state service does not hold changes as old as the ones asked for any more. */
+    /** Returns whether the state service has dropped the requested changes as too old. */
     public boolean isCompacted() {
       return status == COMPACTED;
     }
 
-    /** The other side does not serve requests now. */
+    /** Returns whether the server does not accept requests now. */
     public boolean isUnavailable() {
       return status == UNAVAILABLE;
     }
   }
 
-  /** No usable answer: it may have been executed, or may still be. */
-  record NoResponse(String why) implements Reply {}
+  /** There was no usable answer. The request may have been executed or may still be executed. */
+  record NoResponse(String reason) implements Reply {}
 }
--- a/src/main/java/org/eiderstair/core/message/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -8,39 +8,39 @@
 import org.eiderstair.core.record.StoredValue;
 
 /**
- * What the core asks of the state service, the cloud, workers and peers. Each request gets exactly
- * one {@link Reply}.
+ * A request of the core to the state service, the cloud, a worker or a peer. Each request gets
+ * exactly one {@link Reply}.
  */
 public sealed interface Request {
 
-  /** A key and the version that it must have. */
+  /** A key and its required version. */
   record Condition(String key, long version) {
-    /** In place of a version: the key must not exist. */
+    /** The version that requires the key not to exist. */
     public static final long ABSENT = 0;
 
-    /** The key must not exist. */
+    /** Returns the condition that the key does not exist. */
     public static Condition absent(String key) {
       return new Condition(key, ABSENT);
     }
   }
 
-  /** Puts a value, or deletes the key when the value is null. Lease 0 means none. */
+  /** Puts a value, or deletes the key if the value is null. Lease 0 means no lease. */
   record Write(String key, StoredValue value, long lease) {
     private static final long NO_LEASE = 0;
 
-    /** Puts a value that stays until it is deleted. */
+    /** Returns a write of a value without a lease, which stays until deleted. */
     public static Write put(String key, StoredValue value) {
       return new Write(key, value, NO_LEASE);
     }
 
-    /** Deletes the key. */
+    /** Returns a write that deletes the key. */
     public static Write delete(String key) {
       return new Write(key, null, NO_LEASE);
     }
   }
 
   /**
-   * A compare-and-swap of several keys: all writes if all conditions hold, else none. Replies:
+   * Compares and swaps several keys: applies all writes if all conditions hold, else none. Replies:
    * {@link Reply.Applied}, {@link Reply.Conflict}.
    */
   record StoreTransaction(List<Condition> conditions, List<Write> writes) implements Request {}
@@ -48,43 +48,54 @@
   /** Reads one key. Replies: {@link Reply.Found}, {@link Reply.Absent}. */
   record StoreGet(String key) implements Request {}
 
-  /** Reads a page of the keys with a prefix, in their order. Reply: {@link Reply.Listed}. */
-  record StoreList(String prefix, String after, int limit) implements Request {}
+  /**
+   * Reads a page of the keys with a prefix, in order. Reply: {@link Reply.Listed}.
+   *
+   * @param afterKey the last key of the previous page; null for the first page
+   * @param limit the maximum number of keys
+   */
+  record StoreList(String prefix, String afterKey, int limit) implements Request {}
 
   /**
-   * Waits for changes of keys with a prefix after a revision, at most for a time. Reply: {@link
-   * Reply.Changed}.
+   * Waits for changes of keys with a prefix. Reply: {@link Reply.Changed}.
+   *
+   * @param afterRevision the revision after which changes are returned
+   * @param maxWaitMicros the maximum time to wait for a change
    */
-  record StoreWatch(String prefix, long after, long holdMicros) implements Request {}
+  record StoreWatch(String prefix, long afterRevision, long maxWaitMicros) implements Request {}
 
-  /** Asks for a lease. Reply: {@link Reply.LeaseGranted}. */
+  /** Requests a new lease. Reply: {@link Reply.LeaseGranted}. */
   record LeaseGrant(long ttlMicros) implements Request {}
 
   /** Renews a lease. Reply: {@link Reply.Applied}. */
   record LeaseRenew(long lease) implements Request {}
 
-  /** Ends a lease, and deletes the keys attached to it. Reply: {@link Reply.Applied}. */
+  /** Ends a lease and deletes the keys attached to the lease. Reply: {@link Reply.Applied}. */
   record LeaseRevoke(long lease) implements Request {}
 
-  /** Asks for the types of machines that can be rented. Reply: {@link Reply.Catalog}. */
+  /** Requests the machine types that can be rented. Reply: {@link Reply.Catalog}. */
   record CloudCatalog() implements Request {}
 
-  /** Rents machines; the request's name makes it idempotent. Reply: {@link Reply.Rented}. */
-  record CloudRent(String request, String type, String zone, boolean spot, int count)
+  /** Rents machines; {@code requestName} makes it idempotent. Reply: {@link Reply.Rented}. */
+  record CloudRent(String requestName, String type, String zone, boolean spot, int count)
       implements Request {}
 
   /** Deletes machines. Reply: {@link Reply.Applied}. */
   record CloudDelete(List<String> machines) implements Request {}
 
-  /** Lists a page of the machines after a name. Reply: {@link Reply.CloudMachines}. */
-  record CloudList(String after) implements Request {}
+  /**
+   * Lists a page of the machines. Reply: {@link Reply.CloudMachines}.
+   *
+   * @param afterMachine the last machine of the previous page; null for the first page
+   */
+  record CloudList(String afterMachine) implements Request {}
 
   /** Asks a worker for its status. Reply: {@link Reply.WorkerStatus}. */
   record WorkerStatus(String address) implements Request {}
 
   /**
-   * Commands for a worker, executed if the fencing token and the incarnation match. Reply: {@link
-   * Reply.WorkerStatus}.
+   * Sends commands to a worker, which executes them if the fencing token and the incarnation match.
+   * Reply: {@link Reply.WorkerStatus}.
    */
   record WorkerCommands(
       String address, FencingToken fencingToken, long incarnation, List<Order> orders)
@@ -96,10 +107,12 @@
   record PeerStateServiceStatus(String peer) implements Request {}
 
   /**
-   * Asks a peer which machines reach it, as changes after a sequence number of one of its runs.
-   * Reply: {@link Reply.PeerMembership}.
+   * Asks a peer which machines reach it. Reply: {@link Reply.PeerMembership}.
+   *
+   * @param runId the run of the peer to which the sequence number belongs
+   * @param afterSequence the sequence number after which changes are needed
    */
-  record PeerMembership(String peer, String run, long after) implements Request {}
+  record PeerMembership(String peer, String runId, long afterSequence) implements Request {}
 
   /** Replicates changes of the leader's state to a peer. Reply: {@link Reply.ReplicationAck}. */
   record PeerReplicate(String peer, ReplicationBatch batch) implements Request {}
--- a/src/main/java/org/eiderstair/core/message/Submission.java
+++ b/src/main/java/org/eiderstair/core/message/Submission.java
@@ -3,15 +3,15 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * A submission as it was read. Its id is known in either case, since a repeated submission of an
- * accepted job must be answered with that job, whatever else it holds.
+ * A decoded submission. The id is known even if the rest is malformed. A repeated submission of an
+ * accepted job must be answered with that job, whatever else the submission contains.
  */
 public sealed interface Submission {
 
-  /** The id that the user gave the job. */
+  /** Returns the id that the user gave the job. */
   String id();
 
-  /** All of it could be read; whether it can be accepted is not checked yet. */
+  /** A completely decoded submission, not yet validated. */
   record Parsed(JobSpec spec) implements Submission {
     @Override
     public String id() {
@@ -20,9 +20,10 @@
   }
 
   /**
-   * Only the id could be read.
+   * A submission of which only the id could be decoded.
    *
-   * @param fault the field that is wrong and why, for the user
+   * @param id the id of the job
+   * @param fault the malformed field and the reason, for the user
    */
   record Malformed(String id, String fault) implements Submission {}
 }
--- a/src/main/java/org/eiderstair/core/message/package-info.java
+++ b/src/main/java/org/eiderstair/core/message/package-info.java
@@ -1,5 +1,2 @@
-/**
- * What goes into the core and comes out of it: events and replies in, effects, requests and answers
- * out.
- */
+/** The inputs and outputs of the core: events and replies in; effects, requests and answers out. */
 package org.eiderstair.core.message;
--- a/src/main/java/org/eiderstair/core/model/Attempt.java
+++ b/src/main/java/org/eiderstair/core/model/Attempt.java
@@ -1,26 +1,29 @@
 package org.eiderstair.core.model;
 
 /**
- * One try at running a task on one machine. Its number is never used again, in any term.
+ * One attempt to run a task on one machine. Attempt numbers are never reused, in any term.
  *
- * <p>A {@link Machine} and a {@link Job} refer to it for as long as it may be on the machine or is
- * meant for it.
+ * <p>The {@link Machine} and the {@link Job} refer to an attempt for as long as the attempt may be
+ * on the machine or is assigned to the machine.
  */
 public final class Attempt {
 
-  /**
-   * QUEUED waits at the leader for free resources of its machine; PLANNED goes with the next
-   * command or answer to it; SENT may or may not be on the machine; REPORTED was in a heartbeat of
-   * the machine.
-   */
+  /** The progress of an attempt on its way to the machine. */
   public enum Phase {
+    /** The attempt waits at the leader for free resources of its machine. */
     QUEUED,
+    /** The launch is sent with the next command or heartbeat answer to the machine. */
     PLANNED,
+    /** The launch was sent; the attempt may or may not be on the machine. */
     SENT,
+    /**
+     * A heartbeat of the machine contained the attempt, or the leader recovered the attempt from
+     * the standby's replica.
+     */
     REPORTED
   }
 
-  /** The launch went by a command of its own, not with the answer to a heartbeat. */
+  /** The {@link #sentSequence} of a launch that was sent by command, not in a heartbeat answer. */
   public static final long SENT_BY_COMMAND = -1;
 
   private final Job job;
@@ -45,91 +48,97 @@
     this.phase = phase;
   }
 
-  /** The job of the task. */
+  /** Returns the job of the task. */
   public Job job() {
     return job;
   }
 
-  /** The number of the task in its job. */
+  /** Returns the index of the task in its job, from 0. */
   public int index() {
     return index;
   }
 
-  /** The number of the attempt, unique over all tasks and terms. */
+  /** Returns the number of the attempt, which is unique across all tasks and terms. */
   public long number() {
     return number;
   }
 
-  /** The machine that it is meant for. */
+  /** Returns the machine that the attempt is assigned to. */
   public Machine machine() {
     return machine;
   }
 
-  /** What the task needs: kept here since a job drops its description before its last task ends. */
+  /**
+   * Returns the specification of the job. The attempt keeps a reference because a job may drop its
+   * specification while the attempt is still in use.
+   */
   public JobSpec spec() {
     return spec;
   }
 
-  /** The task that is tried. */
+  /** Returns the id of the task. */
   public TaskId task() {
     return task;
   }
 
-  /** How far it has come on its way to the machine. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
-  /** The state of the task in the last heartbeat that contained it; null before. */
+  /** Returns the task state in the last heartbeat that contained the attempt; null before that. */
   public Heartbeat.TaskState reportedState() {
     return reportedState;
   }
 
   /**
-   * The sequence of the heartbeat whose answer carried the launch, or {@link #SENT_BY_COMMAND}. A
-   * worker drops an answer that comes late and has one heartbeat in flight, so a newer heartbeat of
-   * the incarnation shows what became of the launch.
+   * Returns the sequence number of the heartbeat whose answer carried the launch, or {@link
+   * #SENT_BY_COMMAND}. A worker has one heartbeat in flight and drops late answers. A newer
+   * heartbeat of the same incarnation therefore shows whether the launch was executed.
    */
   public long sentSequence() {
     return sentSequence;
   }
 
-  /** When a heartbeat first showed it running, or when it was found on its machine. */
+  /**
+   * Returns the time at which a heartbeat first showed the task as running, or at which the attempt
+   * was found on its machine.
+   */
   public long runningSinceMicros() {
     return runningSinceMicros;
   }
 
-  /** Whether it is to stop for other work, or before its machine is taken away. */
+  /** Returns whether the attempt must stop for other work or because its machine is reclaimed. */
   public boolean isStopRequested() {
     return stopRequested;
   }
 
-  /** Whether it may be on its machine: its launch has left, or a heartbeat contained it. */
+  /** Returns whether the attempt may be on its machine: it was sent or reported. */
   public boolean mayBeOnMachine() {
     return phase == Phase.SENT || phase == Phase.REPORTED;
   }
 
-  /** Its launch is to go with the next command or answer. */
+  /** Marks the launch to be sent with the next command or heartbeat answer. */
   public void plan() {
     phase = Phase.PLANNED;
   }
 
   /**
-   * Its launch leaves.
+   * Marks the launch as sent.
    *
-   * @param sequence the sequence of the heartbeat that is answered, or {@link #SENT_BY_COMMAND}
+   * @param sequence the sequence number of the answered heartbeat, or {@link #SENT_BY_COMMAND}
    */
   public void send(long sequence) {
     phase = Phase.SENT;
     sentSequence = sequence;
   }
 
-  /** A heartbeat of its machine contained it. */
+  /** Records that a heartbeat of the machine contained the attempt. */
   public void confirm() {
     phase = Phase.REPORTED;
   }
 
-  /** Records the state that a heartbeat gave for it. */
+  /** Records the task state that a heartbeat reported. */
   public void recordState(Heartbeat.TaskState state, long nowMicros) {
     reportedState = state;
     if (state == Heartbeat.TaskState.RUNNING) {
@@ -137,13 +146,13 @@
     }
   }
 
-  /** Records the state in which it was found on a machine that an earlier leader gave it to. */
+  /** Records the task state of an attempt that was found on its machine without being known. */
   public void recordFound(Heartbeat.TaskState state, long nowMicros) {
     reportedState = state;
     runningSinceMicros = nowMicros;
   }
 
-  /** Asks for it to be stopped, for other work or before its machine is taken away. */
+  /** Requests a stop, for other work or because the machine is reclaimed. */
   public void requestStop() {
     stopRequested = true;
   }
--- a/src/main/java/org/eiderstair/core/model/Cancellation.java
+++ b/src/main/java/org/eiderstair/core/model/Cancellation.java
@@ -1,9 +1,10 @@
 package org.eiderstair.core.model;
 
 /**
- * A cancellation that the state service has.
+ * A cancellation that is committed in the state service.
  *
- * @param version of the job's key since then
- * @param done how many of its tasks were durably done
+ * @param job the id of the cancelled job
+ * @param version the version of the job's key after the cancellation
+ * @param done the number of tasks that were durably completed
  */
 public record Cancellation(String job, long version, int done) {}
--- a/src/main/java/org/eiderstair/core/model/CommandState.java
+++ b/src/main/java/org/eiderstair/core/model/CommandState.java
@@ -1,8 +1,8 @@
 package org.eiderstair.core.model;
 
 /**
- * What is on its way to one machine, and what waits to be sent. At most one command that launches
- * or probes and one that only kills are in flight at a time.
+ * The commands to one machine that are in flight, and the kills that wait to be sent. At most one
+ * launch or probe command and one kill command are in flight at a time.
  */
 public final class CommandState {
   private boolean inFlight;
@@ -13,67 +13,67 @@
 
   CommandState() {}
 
-  /** Whether a command that launches or probes is in flight. */
+  /** Returns whether a launch or probe command is in flight. */
   public boolean isInFlight() {
     return inFlight;
   }
 
-  /** A command that launches or probes leaves. */
+  /** Records that a launch or probe command is sent. */
   public void begin() {
     inFlight = true;
   }
 
-  /** That command is answered, or given up. */
+  /** Records that the launch or probe command was answered or given up. */
   public void end() {
     inFlight = false;
   }
 
-  /** Whether a command that only kills is in flight, beside whatever else is. */
+  /** Returns whether a kill command is in flight, regardless of launches and probes. */
   public boolean isKillInFlight() {
     return killInFlight;
   }
 
-  /** A command that only kills leaves. */
+  /** Records that a kill command is sent. */
   public void beginKill() {
     killInFlight = true;
   }
 
-  /** That command is answered, or given up. */
+  /** Records that the kill command was answered or given up. */
   public void endKill() {
     killInFlight = false;
   }
 
-  /** Whether the machine has something to kill that it has not been sent. */
+  /** Returns whether kills for the machine wait to be sent. */
   public boolean areKillsPending() {
     return killsPending;
   }
 
-  /** The machine has something to kill. */
+  /** Records that kills for the machine must be sent. */
   public void requestKills() {
     killsPending = true;
   }
 
-  /** All that is to be killed is being sent. */
+  /** Records that all requested kills are being sent. */
   public void clearKills() {
     killsPending = false;
   }
 
-  /** The earliest time of the next command that only kills. */
+  /** Returns the earliest time at which the next kill command may be sent. */
   public long nextKillMicros() {
     return nextKillMicros;
   }
 
-  /** No command that only kills leaves before this time. */
+  /** Delays the next kill command until the given time. */
   public void delayKillsUntil(long micros) {
     nextKillMicros = micros;
   }
 
-  /** The earliest time of the next probe. */
+  /** Returns the earliest time at which the next probe may be sent. */
   public long nextProbeMicros() {
     return nextProbeMicros;
   }
 
-  /** The next probe is due at this time. */
+  /** Sets the earliest time of the next probe. */
   public void scheduleProbe(long micros) {
     nextProbeMicros = micros;
   }
--- a/src/main/java/org/eiderstair/core/model/DurableProgress.java
+++ b/src/main/java/org/eiderstair/core/model/DurableProgress.java
@@ -2,12 +2,12 @@
 
 import java.util.BitSet;
 
-/** The progress of a job as the state service holds it. */
+/** The progress of a job as stored in the state service. */
 final class DurableProgress {
   private BitSet completed = new BitSet();
   private int running;
 
-  /** The version of its key; 0 if there is no such key. */
+  /** The version of the progress key; 0 if the key does not exist. */
   private long version;
 
   long version() {
@@ -43,14 +43,14 @@
     running = runningTasks;
   }
 
-  /** A read showed that the key did not exist as of a revision; what was written later does. */
-  void missing(long atRevision) {
+  /** Records that the key did not exist at a revision. Progress with a later version is kept. */
+  void recordMissing(long atRevision) {
     if (version <= atRevision) {
       version = 0;
     }
   }
 
-  /** Drops what only an open job needs. */
+  /** Drops the data that only an open job needs. */
   void release() {
     completed = new BitSet();
     running = 0;
--- a/src/main/java/org/eiderstair/core/model/FailureBackoff.java
+++ b/src/main/java/org/eiderstair/core/model/FailureBackoff.java
@@ -5,23 +5,23 @@
 
 /**
  * Delays further attempts of a job whose tasks fail on one machine after another. The delay doubles
- * with each round of failures up to a maximum; a success ends it.
+ * with each round of failures up to a maximum. A success resets the doubling.
  */
 final class FailureBackoff {
   private static final long INITIAL_DELAY_MICROS = 1_000_000;
   private static final long MAX_DELAY_MICROS = 60_000_000;
   private static final int MAX_DOUBLINGS = 6;
 
-  /** Machines on which a task failed since the last success; null stands for none, to save room. */
+  /** Machines on which a task failed since the last success; null if none, to save memory. */
   private Set<String> failedMachines;
 
-  private int rounds;
+  private int delayRounds;
   private long retryAtMicros;
 
   /**
-   * Counts a failure. The first machine may be at fault itself, so a delay begins with a second
-   * failure there or a failure elsewhere; failures of attempts made before a delay do not prolong
-   * it.
+   * Counts a failure. The first machine may itself be faulty, so a delay begins only with a second
+   * failure on that machine or a failure on another one. Failures during a delay do not prolong the
+   * delay, since their attempts were started before.
    */
   void recordFailure(String machine, long nowMicros) {
     if (failedMachines == null) {
@@ -29,19 +29,19 @@
     }
     boolean repeated = !failedMachines.add(machine);
     if ((repeated || failedMachines.size() > 1) && mayRetry(nowMicros)) {
-      rounds++;
-      long delay = INITIAL_DELAY_MICROS << Math.min(rounds, MAX_DOUBLINGS);
+      delayRounds++;
+      long delay = INITIAL_DELAY_MICROS << Math.min(delayRounds, MAX_DOUBLINGS);
       retryAtMicros = nowMicros + Math.min(MAX_DELAY_MICROS, delay);
     }
   }
 
-  /** A task succeeded: earlier failures no longer count, but a delay under way ends in its time. */
+  /** Forgets earlier failures after a success. A current delay still runs to its end. */
   void recordSuccess() {
     failedMachines = null;
-    rounds = 0;
+    delayRounds = 0;
   }
 
-  /** Forgets all failures and any delay. */
+  /** Forgets all failures and ends any current delay. */
   void reset() {
     recordSuccess();
     retryAtMicros = 0;
@@ -55,7 +55,7 @@
     return failedMachines != null && failedMachines.contains(machine);
   }
 
-  int failedMachines() {
+  int failedMachineCount() {
     return failedMachines == null ? 0 : failedMachines.size();
   }
 }
--- a/src/main/java/org/eiderstair/core/model/FailureHistory.java
+++ b/src/main/java/org/eiderstair/core/model/FailureHistory.java
@@ -3,48 +3,48 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The tasks that failed on one machine since one last succeeded there. */
+/** The task failures on one machine since the last success on that machine. */
 public final class FailureHistory {
   private static final int MIN_JOBS = 2;
   private static final int MIN_FAILURES = 3;
-  private static final int MIN_FAILURES_ONLY_HERE = 6;
+  private static final int MIN_FAILURES_ONLY_THIS_MACHINE = 6;
 
   private final Set<String> failedJobs = new HashSet<>();
-  private int failuresInRow;
+  private int consecutiveFailures;
 
   FailureHistory() {}
 
-  /** A task succeeded. */
+  /** Forgets all failures after a task succeeded. */
   public void reset() {
-    failuresInRow = 0;
+    consecutiveFailures = 0;
     failedJobs.clear();
   }
 
   /**
-   * A task failed.
+   * Records a task failure.
    *
-   * @param countsJob whether the job works elsewhere as far as is known, so that its failure tells
-   *     something of the machine
+   * @param countsJob whether the job has completed a task or failed on no other machine, so that
+   *     its failure may point to the machine
    */
   public void record(String jobId, boolean countsJob) {
-    failuresInRow++;
+    consecutiveFailures++;
     if (countsJob) {
       failedJobs.add(jobId);
     }
   }
 
   /**
-   * Whether the machine is taken to be faulty. A job with a mistake fails wherever it goes: it
-   * alone may cost one machine, never one after another.
+   * Returns whether the machine is considered faulty. A defective job fails on every machine; such
+   * a job alone may take at most one machine out of service, not one after another.
    *
-   * @param onlyHere whether the job of the last failure has failed on no other machine
+   * @param onlyThisMachine whether the job of the last failure has failed on no other machine
    */
-  public boolean isFaulty(boolean onlyHere) {
-    return (failedJobs.size() >= MIN_JOBS && failuresInRow >= MIN_FAILURES)
-        || (onlyHere && failuresInRow >= MIN_FAILURES_ONLY_HERE);
+  public boolean isFaulty(boolean onlyThisMachine) {
+    return (failedJobs.size() >= MIN_JOBS && consecutiveFailures >= MIN_FAILURES)
+        || (onlyThisMachine && consecutiveFailures >= MIN_FAILURES_ONLY_THIS_MACHINE);
   }
 
-  /** How many jobs failed on the machine. */
+  /** Returns the number of distinct jobs counted as failed on the machine. */
   public int failedJobCount() {
     return failedJobs.size();
   }
--- a/src/main/java/org/eiderstair/core/model/FencingToken.java
+++ b/src/main/java/org/eiderstair/core/model/FencingToken.java
@@ -1,41 +1,41 @@
 package org.eiderstair.core.model;
 
 /**
- * Orders the commands to one worker: it refuses a command whose token is lower than the highest one
- * that it has seen.
+ * Orders the commands to one worker. A worker refuses a command whose token is lower than the
+ * highest token that the worker has seen.
  *
- * <p>The upper bits are the leader's term, so that every token of a new leader is above all of the
- * leaders before it. The lower bits are the fence, which the leader raises to invalidate its own
- * earlier commands to that worker. On the wire, and as text, a token is the plain number.
+ * <p>The upper bits are the leader's term, so every token of a new leader is higher than all tokens
+ * of earlier leaders. The lower bits are a counter. The leader increments the counter to invalidate
+ * its own earlier commands to the worker. On the wire and as text, a token is the plain number.
  *
- * @param value the term and the fence as one number
+ * @param value the term and the counter as one number
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
-  /** What a worker reports that has not seen any command yet. */
+  /** The token reported by a worker that has not seen any command yet. */
   public static final FencingToken NONE = new FencingToken(0);
 
-  private static final int FENCE_BITS = 20;
+  private static final int COUNTER_BITS = 20;
 
   /**
-   * The first token that the leader of a term uses for a worker.
+   * Returns the first token that the leader of a term uses for a worker.
    *
-   * @throws ArithmeticException if the term does not fit beside a fence
+   * @throws ArithmeticException if the term does not fit into the upper bits
    */
   public static FencingToken first(long term) {
-    return new FencingToken(Math.multiplyExact(term, 1L << FENCE_BITS) + 1);
+    return new FencingToken(Math.multiplyExact(term, 1L << COUNTER_BITS) + 1);
   }
 
-  /** The term of the leader that issued it. */
+  /** Returns the term of the leader that issued this token. */
   public long term() {
-    return value >> FENCE_BITS;
+    return value >> COUNTER_BITS;
   }
 
-  /** The next token of the same leader: it invalidates commands that carry this one. */
+  /** Returns the next token of the same leader, which invalidates commands with this token. */
   public FencingToken raise() {
     return new FencingToken(value + 1);
   }
 
-  /** Whether a worker that has seen the other token still accepts this one. */
+  /** Returns whether a worker that has seen the other token still accepts this token. */
   public boolean isAtLeast(FencingToken other) {
     return value >= other.value;
   }
@@ -45,8 +45,8 @@
     return Long.compare(value, other.value);
   }
 
-  // Written out: the ones a record makes are linked at run time, and tokens are printed into
-  // digests.
+  // Written by hand: the methods generated for a record are linked at run time. The test digests
+  // print tokens with toString.
   @Override
   public boolean equals(Object other) {
     return other instanceof FencingToken that && value == that.value;
--- a/src/main/java/org/eiderstair/core/model/FreeResources.java
+++ b/src/main/java/org/eiderstair/core/model/FreeResources.java
@@ -1,15 +1,18 @@
 package org.eiderstair.core.model;
 
-/** What is left of a machine's resources beside all that may be on it; kept by increments. */
+/**
+ * The resources of a machine that are not reserved for attempts. The amounts are updated
+ * incrementally.
+ */
 final class FreeResources {
-  /** Sums of fractions of a processor differ from whole numbers by less than this. */
-  private static final double ROUNDING = 1e-6;
+  /** Rounding errors in sums of fractional resource amounts are smaller than this. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   private double cpus;
   private double accelerators;
   private double memoryGb;
 
-  /** Nothing is used; with no known type there is nothing at all. */
+  /** Sets the free resources to those of an empty machine; zero if the type is null. */
   void reset(MachineType type) {
     cpus = type == null ? 0 : type.cpus();
     accelerators = type == null ? 0 : type.accelerators();
@@ -29,17 +32,17 @@
   }
 
   boolean fits(JobSpec spec) {
-    return spec.cpus() <= cpus + ROUNDING
-        && spec.accelerators() <= accelerators + ROUNDING
-        && spec.memoryGb() <= memoryGb + ROUNDING;
+    return spec.cpus() <= cpus + ROUNDING_TOLERANCE
+        && spec.accelerators() <= accelerators + ROUNDING_TOLERANCE
+        && spec.memoryGb() <= memoryGb + ROUNDING_TOLERANCE;
   }
 
-  /** Whether anything at all fits. */
-  boolean isAny() {
-    return cpus > ROUNDING && memoryGb > ROUNDING;
+  /** Returns whether processors and memory are both available. */
+  boolean hasAny() {
+    return cpus > ROUNDING_TOLERANCE && memoryGb > ROUNDING_TOLERANCE;
   }
 
-  /** Free processors; may be negative where a machine holds more than its type allows. */
+  /** Returns the free processors; negative if the machine holds more than its type allows. */
   double cpus() {
     return cpus;
   }
--- a/src/main/java/org/eiderstair/core/model/Heartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/Heartbeat.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * A worker's account of itself. {@code (incarnation, sequence)} orders the heartbeats of one
- * machine.
+ * A worker's report on its machine and tasks. The pair {@code (incarnation, sequence)} orders the
+ * heartbeats of one machine.
  *
  * @param machine the name that the platform gave the machine
- * @param address where its worker listens for commands
- * @param type the name of its machine type
- * @param zone the zone that it is in
- * @param spot whether it is a spot instance
- * @param incarnation numbers the worker's starts, and its restarts after a lease expired
- * @param sequence numbers the heartbeats of one incarnation
+ * @param address the address on which the worker listens for commands
+ * @param type the name of the machine type
+ * @param zone the zone of the machine
+ * @param spot whether the machine is a spot instance
+ * @param incarnation the number of the worker's start; a restart after lease expiry also counts
+ * @param sequence the number of the heartbeat within the incarnation
  * @param fencingToken the highest token that the worker had seen when it wrote this heartbeat
- * @param noticeMicros the time until the platform takes the machine away, or {@link #NO_NOTICE}
+ * @param noticeMicros the time until the platform reclaims the machine, or {@link #NO_NOTICE}
  * @param tasks the tasks on the machine
  */
 public record Heartbeat(
@@ -29,38 +29,52 @@
     long noticeMicros,
     List<Entry> tasks) {
 
-  /** The platform has not announced that it takes the machine away. */
+  /** The platform has not announced that it will reclaim the machine. */
   public static final long NO_NOTICE = -1;
 
   /**
-   * One task on the machine. Ended ones are included until an order acknowledges them.
+   * One task on the machine. Ended tasks are included until an order acknowledges them.
    *
-   * @param exit why it ended; NONE while it has not
-   * @param saved whether it saved a checkpoint when it was stopped
+   * @param task the task
+   * @param attempt the number of the attempt
+   * @param state the state of the task
+   * @param exit the reason why the task ended; NONE while the task has not ended
+   * @param saved whether the task saved a checkpoint when it was stopped
    */
   public record Entry(TaskId task, long attempt, TaskState state, Exit exit, boolean saved) {}
 
-  /** How far a task on a machine has come. */
+  /** The state of a task on a machine. */
   public enum TaskState {
+    /** The worker fetches the image. */
     FETCHING,
+    /** The task runs. */
     RUNNING,
+    /** The task saves a checkpoint. */
     SAVING,
+    /** The task has ended; {@link Exit} is the reason. */
     ENDED
   }
 
-  /** Why a task ended. */
+  /** The reason why a task ended. */
   public enum Exit {
+    /** The task has not ended. */
     NONE,
+    /** The task completed successfully. */
     DONE,
+    /** The task was stopped before it completed. */
     STOPPED,
+    /** The task failed. */
     ERROR,
+    /** The worker refused the task for lack of room. */
     NO_ROOM,
+    /** The worker refused the task as busy. */
     BUSY,
+    /** The worker refused the task as part of an unknown job. */
     UNKNOWN_JOB
   }
 
-  /** Whether this heartbeat was written after the other one of its machine. */
-  public boolean newerThan(long otherIncarnation, long otherSequence) {
+  /** Returns whether this heartbeat is newer than the identified one of the same machine. */
+  public boolean isNewerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequence > otherSequence);
   }
--- a/src/main/java/org/eiderstair/core/model/ImageCache.java
+++ b/src/main/java/org/eiderstair/core/model/ImageCache.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * The images that a machine is expected to have cached. It drops the one used longest ago when its
- * cache is full.
+ * The images that a machine is expected to have cached. The least recently used image is evicted
+ * when the cache is full.
  */
 final class ImageCache {
-  /** Sizes by image, the one used longest ago first. */
+  /** Sizes in gigabytes by image, the least recently used image first. */
   private final Map<String, Double> images = new LinkedHashMap<>();
 
   private double sizeGb;
@@ -17,7 +17,11 @@
     return images.containsKey(spec.image());
   }
 
-  /** A task that uses the image is on the machine, or comes there. */
+  /**
+   * Records that a task on the machine, or planned for the machine, uses the image.
+   *
+   * @param type the type of the machine; null if unknown, then nothing is evicted
+   */
   void use(JobSpec spec, MachineType type) {
     Double known = images.remove(spec.image());
     sizeGb += spec.imageGb() - (known == null ? 0 : known);
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -6,20 +6,23 @@
 import java.util.OptionalInt;
 
 /**
- * A job as this node knows it: its state and durable progress as the state service holds them, and,
- * at the leader, which tasks are completed and where the others are attempted. A task has at most
- * one attempt that may be alive; only when that attempt is proven to have ended does the task
- * become free again.
+ * A job as this node knows it. All nodes hold the state and the durable progress from the state
+ * service. The leader also holds the completed tasks and the attempts of the others. A task has at
+ * most one attempt that may be alive. The task becomes free again only when that attempt is proven
+ * to have ended.
  *
- * <p>Tasks are numbered from 0; times are microseconds of this node's clock.
+ * <p>Tasks are numbered from 0. Times are in microseconds of this node's clock.
  */
 public final class Job {
-  private static final int LIKELY_FAULTY_MACHINES = 3;
+  private static final int MIN_FAILED_MACHINES_OF_FAULTY_JOB = 3;
 
-  /** OPEN until its tasks are done or its user cancels it; the other two are final. */
+  /** The state of a job. */
   public enum State {
+    /** The job is neither done nor cancelled. */
     OPEN,
+    /** All tasks are done; a final state. */
     DONE,
+    /** The user cancelled the job; a final state. */
     CANCELLED
   }
 
@@ -28,19 +31,20 @@
   private State state = State.OPEN;
   private long version;
   private int tasks;
-  private int finalDone;
+  private int finalDoneCount;
   private long cancelledMicros;
   private long cancellationSeenMicros;
 
   /**
-   * Null once the job is done: the history must stay small. A cancelled job keeps it, since a later
-   * leader may still find its tasks on machines and must count what they use.
+   * Null once the job is done and has no attempts, to keep the history of jobs small. A cancelled
+   * job keeps its specification. A later leader may still find its tasks on machines and must count
+   * the resources that they use.
    */
   private JobSpec spec;
 
   private final DurableProgress durableProgress = new DurableProgress();
 
-  /** Tasks that workers showed to be completed, whether that is durable or not; at the leader. */
+  /** Tasks that workers reported as completed, durably or not; used only at the leader. */
   private BitSet completed = new BitSet();
 
   private final JobAttempts attempts = new JobAttempts();
@@ -50,79 +54,83 @@
   private long lastPreemptionMicros;
 
   /**
-   * @param submittedMicros when its user submitted it, as far as this node knows
+   * Creates an open job.
+   *
+   * @param submittedMicros the time of the submission, as far as this node knows
    */
   public Job(String id, long submittedMicros) {
     this.id = id;
     this.submittedMicros = submittedMicros;
   }
 
-  /** The id that its user gave it. */
+  /** Returns the id that the user gave the job. */
   public String id() {
     return id;
   }
 
-  /** When its user submitted it, as far as this node knows. */
+  /** Returns the time of the submission, as far as this node knows. */
   public long submittedMicros() {
     return submittedMicros;
   }
 
-  /** Whether it is open or final. */
+  /** Returns the state of the job. */
   public State state() {
     return state;
   }
 
-  /** The version of its key in the state service. */
+  /** Returns the version of the job's key in the state service. */
   public long version() {
     return version;
   }
 
-  /** How many tasks it has. */
+  /** Returns the total number of tasks. */
   public int tasks() {
     return tasks;
   }
 
-  /** Its description; null once it is done. */
+  /** Returns the specification; null once the job is done and has no attempts. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** Whether it is neither done nor cancelled. */
-  public boolean open() {
+  /** Returns whether the job is neither done nor cancelled. */
+  public boolean isOpen() {
     return state == State.OPEN;
   }
 
-  /** How many tasks were done when the job became final; kept for display. */
-  public int finalDone() {
-    return finalDone;
+  /** Returns the number of tasks that were done when the job became final; used for display. */
+  public int finalDoneCount() {
+    return finalDoneCount;
   }
 
   /**
-   * Applies what the state service holds: the one place where a job changes state. What is not
-   * newer is ignored, and a final state never changes, since users may have read it.
+   * Applies a state from the state service. All state changes of a job go through this method.
+   * Versions that are not newer are ignored. A final state never changes, since users may have read
+   * the state.
    *
-   * @param withSpec its description; null to keep the known one
-   * @param doneCount how many tasks were done when it was cancelled, as far as that is stored
+   * @param newVersion the version of the job's key
+   * @param newSpec the specification; null to keep the current one
+   * @param doneCount the stored number of tasks that were done at the cancellation; 0 if none
    */
   public void transitionTo(
-      State next, long atVersion, int taskCount, JobSpec withSpec, int doneCount) {
-    if (atVersion <= version || (state != State.OPEN && next != state)) {
+      State next, long newVersion, int taskCount, JobSpec newSpec, int doneCount) {
+    if (newVersion <= version || (state != State.OPEN && next != state)) {
       return;
     }
     state = next;
-    version = atVersion;
+    version = newVersion;
     tasks = taskCount;
-    if (withSpec != null) {
-      spec = withSpec;
+    if (newSpec != null) {
+      spec = newSpec;
     }
     if (next != State.OPEN) {
-      finalDone =
+      finalDoneCount =
           next == State.DONE ? taskCount : Math.max(doneCount, durableProgress.completedCount());
       durableProgress.release();
     }
   }
 
-  /** Drops what only an open job needs, once nothing of it is on a machine any more. */
+  /** Drops the specification and completed tasks if the job is done and has no attempts. */
   public void releaseIfDone() {
     if (state == State.DONE && attempts.count() == 0) {
       spec = null;
@@ -130,75 +138,79 @@
     }
   }
 
-  /** When it was cancelled, as far as that is known; never later than when this node saw it. */
+  /**
+   * Returns the time of the cancellation, as far as this node knows. The time is never later than
+   * {@link #cancellationSeenMicros}.
+   */
   public long cancelledMicros() {
     return cancelledMicros;
   }
 
-  /** Sets when it was cancelled, if it was. */
+  /** Sets the time of the cancellation, if the job is cancelled. */
   public void setCancelledMicros(long micros) {
     cancelledMicros = micros;
   }
 
-  /** When this node saw that it was cancelled. */
+  /** Returns the time at which this node learned of the cancellation. */
   public long cancellationSeenMicros() {
     return cancellationSeenMicros;
   }
 
-  /** This node has seen that it was cancelled. */
+  /** Records that this node learned of the cancellation. */
   public void markCancellationSeen(long nowMicros) {
     cancellationSeenMicros = nowMicros;
   }
 
   /**
-   * Progress of this version is stored. The version counts even if what is stored can't be read.
+   * Advances to a version of the stored progress. The version counts even if the stored value is
+   * unreadable.
    *
-   * @return whether it is newer than what is known, and of use since the job is open
+   * @return whether the version is newer than the known one and the job is open
    */
   public boolean advanceProgressTo(long progressVersion) {
-    if (!open() || progressVersion <= durableProgress.version()) {
+    if (!isOpen() || progressVersion <= durableProgress.version()) {
       return false;
     }
     durableProgress.advanceTo(progressVersion);
     return true;
   }
 
-  /** Sets what the state service holds as of the version last advanced to. */
+  /** Sets the stored progress at the version last passed to {@link #advanceProgressTo}. */
   public void setDurableProgress(BitSet completedTasks, int runningTasks) {
     durableProgress.set(completedTasks, runningTasks);
   }
 
-  /** A read showed that no progress was stored as of a revision. */
-  public void progressMissing(long atRevision) {
-    durableProgress.missing(atRevision);
+  /** Records that no progress was stored at a revision of the state service. */
+  public void recordProgressMissing(long atRevision) {
+    durableProgress.recordMissing(atRevision);
   }
 
-  /** The version of its progress in the state service; 0 if none is stored. */
+  /** Returns the version of the progress in the state service; 0 if none is stored. */
   public long progressVersion() {
     return durableProgress.version();
   }
 
-  /** Whether the state service holds that the task is completed. */
+  /** Returns whether the task is completed according to the state service. */
   public boolean isDurablyCompleted(int index) {
     return durableProgress.isCompleted(index);
   }
 
-  /** A copy of the set of tasks that the state service holds as completed. */
+  /** Returns a copy of the set of tasks that are completed according to the state service. */
   public BitSet durablyCompletedTasks() {
     return durableProgress.copyOfCompleted();
   }
 
-  /** How many tasks the state service holds as completed. */
-  public int durablyCompleted() {
+  /** Returns the number of tasks that are completed according to the state service. */
+  public int durablyCompletedCount() {
     return durableProgress.completedCount();
   }
 
-  /** How many tasks the state service holds as running. */
-  public int durablyRunning() {
+  /** Returns the number of tasks that are running according to the state service. */
+  public int durablyRunningCount() {
     return durableProgress.running();
   }
 
-  /** A new leader starts from what is durable, and knows of no attempts. */
+  /** Resets the job to its durable progress, without attempts, as a new leader needs. */
   public void resetToDurable() {
     attempts.clear();
     completed = durableProgress.copyOfCompleted();
@@ -206,25 +218,25 @@
     failures.reset();
   }
 
-  /** Whether a worker showed that the task is completed. */
+  /** Returns whether a worker reported the task as completed, or the task is durably completed. */
   public boolean isCompleted(int index) {
     return completed.get(index);
   }
 
-  /** Whether any task is completed. */
+  /** Returns whether any task is completed. */
   public boolean hasCompletedTasks() {
     return !completed.isEmpty();
   }
 
-  /** Whether an array has no more task to run; a service never ends by itself. */
+  /** Returns whether the job is an array job with all tasks completed; false for a service. */
   public boolean allTasksCompleted() {
     return spec.shape() == JobSpec.Shape.ARRAY && completed.cardinality() == tasks;
   }
 
   /**
-   * A worker showed that a task is completed; earlier failures no longer count.
+   * Records that a worker reported a task as completed. Earlier failures no longer count.
    *
-   * @return whether this was not known before
+   * @return whether the completion was not known before
    */
   public boolean markCompleted(int index) {
     if (completed.get(index)) {
@@ -235,120 +247,120 @@
     return true;
   }
 
-  /** A copy of the set of completed tasks. */
+  /** Returns a copy of the set of completed tasks. */
   public BitSet completedTasks() {
     return (BitSet) completed.clone();
   }
 
-  /** Whether exactly these tasks are completed. */
+  /** Returns whether exactly these tasks are completed. */
   public boolean hasCompletedExactly(BitSet tasksCompleted) {
     return completed.equals(tasksCompleted);
   }
 
-  /** How many tasks are not completed. */
+  /** Returns the number of tasks that are not completed. */
   public int unfinishedTasks() {
     return tasks - completed.cardinality();
   }
 
-  /** How many tasks are neither completed nor attempted. */
+  /** Returns the number of tasks that are neither completed nor attempted. */
   public int freeTasks() {
     return unfinishedTasks() - attempts.count();
   }
 
-  /** How many tasks wait for room on a machine, those queued for one included. */
+  /** Returns the number of tasks that wait for free resources, including queued attempts. */
   public int waitingTasks() {
     return freeTasks() + attempts.queuedCount();
   }
 
-  /** Whether any task waits for room on a machine. */
+  /** Returns whether any task waits for free resources, including queued attempts. */
   public boolean hasWaitingTasks() {
     return freeTasks() > 0 || hasQueuedAttempts();
   }
 
-  /** The lowest-numbered task from {@code from} on that is neither completed nor attempted. */
+  /** Returns the first task from {@code from} on that is neither completed nor attempted. */
   public OptionalInt nextFreeTask(int from) {
     return attempts.nextFree(from, completed, tasks);
   }
 
-  /** An attempt at one of its tasks begins; one in the phase QUEUED waits for a machine's room. */
+  /** Adds an attempt. An attempt in phase QUEUED waits for free resources of its machine. */
   public void addAttempt(Attempt attempt) {
     attempts.add(attempt);
   }
 
-  /** A queued attempt no longer waits for a machine's room. */
+  /** Records that a queued attempt no longer waits for free resources. */
   public void dequeue(Attempt attempt) {
     attempts.dequeue(attempt);
   }
 
-  /** An attempt is no longer possibly on a machine: its task is free, unless attempted again. */
+  /** Removes an attempt. Its task becomes free unless another attempt has replaced this one. */
   public void removeAttempt(Attempt attempt) {
     attempts.remove(attempt);
   }
 
-  /** The attempt at a task; null if there is none. */
+  /** Returns the attempt of a task; null if there is none. */
   public Attempt attempt(int index) {
     return attempts.get(index);
   }
 
-  /** Whether a task is queued for a machine, on its way to one, or may be on one. */
+  /** Returns whether the task has an attempt, in any phase. */
   public boolean isAttempted(int index) {
     return attempts.get(index) != null;
   }
 
-  /** The attempts at its tasks, for reading. */
+  /** Returns an unmodifiable view of the attempts. */
   public Collection<Attempt> attempts() {
     return attempts.all();
   }
 
-  /** How many tasks are attempted. */
+  /** Returns the number of attempts. */
   public int attemptCount() {
     return attempts.count();
   }
 
-  /** The attempts that wait for a machine's room, the one that waited longest in front; a copy. */
+  /** Returns a copy of the queued attempts, the longest waiting one first. */
   public List<Attempt> queuedAttempts() {
     return attempts.copyOfQueued();
   }
 
-  /** How many attempts wait for a machine's room. */
+  /** Returns the number of queued attempts. */
   public int queuedAttemptCount() {
     return attempts.queuedCount();
   }
 
-  /** Whether attempts wait for a machine's room. */
+  /** Returns whether there are queued attempts. */
   public boolean hasQueuedAttempts() {
     return attempts.queuedCount() > 0;
   }
 
-  /** How many tasks machines show as running. */
+  /** Returns the number of attempts last reported as running or saving a checkpoint. */
   public int runningCount() {
     return attempts.runningCount();
   }
 
-  /** Sets in which order the job is served; jobs of the smallest value are served first. */
+  /** Sets the effective priority. Jobs with the smallest value are served first. */
   public void setEffectivePriority(int priority) {
     effectivePriority = priority;
   }
 
-  /** The order of service as of the last pass: jobs of the smallest value are served first. */
+  /** Returns the effective priority as of the last pass; the smallest value is served first. */
   public int effectivePriority() {
     return effectivePriority;
   }
 
-  /** Whether the other job was to be served first as of the last pass. */
+  /** Returns whether the other job has precedence by the effective priorities of the last pass. */
   public boolean isLessUrgentThan(Job other) {
     return effectivePriority > other.effectivePriority;
   }
 
-  /** Whether any of its tasks has ever been placed, as far as this leader knows. */
+  /** Returns whether any task has ever been placed, as far as this leader knows. */
   public boolean hasStarted() {
     return started;
   }
 
   /**
-   * A task has been placed.
+   * Records that a task was placed.
    *
-   * @return whether it is the first one of the job
+   * @return whether the task is the first placed task of the job
    */
   public boolean markStarted() {
     boolean first = !started;
@@ -356,38 +368,38 @@
     return first;
   }
 
-  /** Tasks of other teams have been preempted for this job. */
+  /** Records that tasks of other teams were preempted for this job. */
   public void recordPreemption(long nowMicros) {
     lastPreemptionMicros = nowMicros;
   }
 
-  /** When tasks were last preempted for this job; 0 if never. */
+  /** Returns the time at which tasks were last preempted for this job; 0 if never. */
   public long lastPreemptionMicros() {
     return lastPreemptionMicros;
   }
 
-  /** One of its tasks has failed on a machine. */
+  /** Records that a task of the job failed on a machine. */
   public void recordFailure(String machineId, long nowMicros) {
     failures.recordFailure(machineId, nowMicros);
   }
 
-  /** Whether its tasks may be placed, or are delayed after failures. */
+  /** Returns whether tasks may be placed now; false during a delay after failures. */
   public boolean mayRetry(long nowMicros) {
     return failures.mayRetry(nowMicros);
   }
 
-  /** Whether a task has failed on the machine since the last success. */
+  /** Returns whether a task has failed on the machine since the last success. */
   public boolean hasFailedOn(String machineId) {
     return failures.hasFailedOn(machineId);
   }
 
-  /** On how many machines a task has failed since the last success. */
-  public int failedMachines() {
-    return failures.failedMachines();
+  /** Returns the number of machines on which a task has failed since the last success. */
+  public int failedMachineCount() {
+    return failures.failedMachineCount();
   }
 
-  /** Whether its tasks have failed on so many machines that the job itself is likely at fault. */
+  /** Returns whether tasks failed on so many machines that the job itself is likely faulty. */
   public boolean isLikelyFaulty() {
-    return failures.failedMachines() >= LIKELY_FAULTY_MACHINES;
+    return failures.failedMachineCount() >= MIN_FAILED_MACHINES_OF_FAULTY_JOB;
   }
 }
--- a/src/main/java/org/eiderstair/core/model/JobAttempts.java
+++ b/src/main/java/org/eiderstair/core/model/JobAttempts.java
@@ -11,14 +11,14 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** The attempts at the tasks of one job, at most one for each task. */
+/** The attempts of one job, at most one for each task. */
 final class JobAttempts {
   private final Map<Integer, Attempt> byTask = new HashMap<>();
 
-  /** Those that wait at the leader for room on a machine, the one that waited longest in front. */
+  /** Attempts that wait for free resources of their machine, the longest waiting one first. */
   private final Set<Attempt> queued = new LinkedHashSet<>();
 
-  /** No task below this number is free; a bound that spares looking at all of them. */
+  /** No task below this index is free. This bound avoids a scan over all tasks. */
   private int lowestFree;
 
   void add(Attempt attempt) {
@@ -32,7 +32,7 @@
     queued.remove(attempt);
   }
 
-  /** Removes the attempt unless another one has taken its place. */
+  /** Removes the attempt unless another attempt has replaced it. */
   void remove(Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       queued.remove(attempt);
@@ -49,7 +49,7 @@
     lowestFree = 0;
   }
 
-  /** The attempt at a task; null if there is none. */
+  /** Returns the attempt of a task; null if there is none. */
   Attempt get(int index) {
     return byTask.get(index);
   }
@@ -82,9 +82,9 @@
   }
 
   /**
-   * The lowest-numbered task from {@code from} on that is neither completed nor has an attempt.
+   * Returns the first task from {@code from} on that is neither completed nor attempted.
    *
-   * @param tasks how many tasks the job has
+   * @param tasks the total number of tasks of the job
    */
   OptionalInt nextFree(int from, BitSet completed, int tasks) {
     int index = completed.nextClearBit(Math.max(from, lowestFree));
--- a/src/main/java/org/eiderstair/core/model/JobSpec.java
+++ b/src/main/java/org/eiderstair/core/model/JobSpec.java
@@ -2,7 +2,30 @@
 
 import java.util.List;
 
-/** What a user asked for. Immutable; validated before it reaches the core. */
+/**
+ * The specification of a job as submitted by its user. Instances are immutable.
+ *
+ * @param id the id that the user gave the job
+ * @param jobClass the class of the job, to which service-level objectives refer
+ * @param team the team whose quota the job uses
+ * @param shape whether the tasks run to completion
+ * @param priority the priority that the user requested
+ * @param tasks the number of tasks
+ * @param cpus the processors of each task
+ * @param accelerators the accelerators of each task
+ * @param memoryGb the memory of each task
+ * @param image the image that the tasks run
+ * @param imageGb the size of the image
+ * @param machineTypes the machine types allowed for the tasks; null allows all
+ * @param zone the only zone allowed for the tasks; null allows all
+ * @param oneZone whether all tasks must be in the same zone
+ * @param spread whether the tasks must be spread over zones
+ * @param spotAllowed whether the tasks may run on spot machines
+ * @param estimateMicros the expected duration of a task
+ * @param checkpointIntervalMicros the time between two checkpoints; 0 if tasks save none
+ * @param checkpointDurationMicros the time that a task takes to save a checkpoint
+ * @param deadlineMicros the deadline relative to the submission, or {@link #NO_DEADLINE}
+ */
 public record JobSpec(
     String id,
     String jobClass,
@@ -21,29 +44,36 @@
     boolean spread,
     boolean spotAllowed,
     long estimateMicros,
-    long checkpointEveryMicros,
-    long saveMicros,
+    long checkpointIntervalMicros,
+    long checkpointDurationMicros,
     long deadlineMicros) {
 
-  /** Whether tasks run to completion or until the job is cancelled. */
+  /** The kind of job. */
   public enum Shape {
+    /** Each task runs to completion. */
     ARRAY,
+    /** The tasks run until the job is cancelled. */
     SERVICE
   }
 
-  /** Highest first: the natural order is the order of service. */
+  /** The priority of a job. The constants are declared from the highest to the lowest. */
   public enum Priority {
+    /** The highest priority. */
     PRODUCTION,
+    /** The priority between {@link #PRODUCTION} and {@link #NORMAL}. */
     HIGH,
+    /** The ordinary priority. */
     NORMAL,
+    /** The lowest priority. */
     LOW
   }
 
-  /** No deadline was given. */
+  /** The job has no deadline. */
   public static final long NO_DEADLINE = -1;
 
   /**
-   * Whether a machine of this kind may run the job's tasks, its zone rules for sibling tasks apart.
+   * Returns whether the job's constraints allow a machine of this kind. The rules {@code oneZone}
+   * and {@code spread}, which depend on other tasks of the job, are not checked.
    */
   public boolean allows(String type, String machineZone, boolean spot) {
     return (machineTypes == null || machineTypes.contains(type))
@@ -51,7 +81,7 @@
         && (spotAllowed || !spot);
   }
 
-  /** With {@code spread}, the most tasks that one zone may hold: half, rounded up. */
+  /** Returns the maximum number of tasks in one zone: half, rounded up, with {@code spread}. */
   public int maxPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -9,34 +9,45 @@
 import java.util.Map;
 
 /**
- * A machine as the leader of one term knows it: what may be on it, and how far that is confirmed.
+ * A machine as the leader of one term knows it: the attempts that may be on the machine, and how
+ * far that knowledge is confirmed.
  *
- * <p>It keeps its own state only. The packages that decide call its named methods; what must follow
- * a change elsewhere (the registry's sets, the list of available machines) is theirs.
+ * <p>This class holds only the state of the machine. The packages that make decisions call its
+ * methods. The callers also update the registry's sets and the list of available machines.
  */
 public final class Machine implements MonitoredMachine {
 
-  /**
-   * BOOTING was rented and has sent no heartbeat. UNCONFIRMED may hold work of earlier terms.
-   * RECOVERED has sent no heartbeat in this term, but holds no more than what was replicated to
-   * this node as the standby of the last. CONFIRMED has shown our fencing token. FENCING got a
-   * command whose fate is unknown. LEASE_EXPIRED has had no answer for so long that its lease has
-   * expired, so nothing is on it. TERMINATED is deleted.
-   */
+  /** The extent to which the leader knows the attempts on a machine. */
   public enum Phase {
+    /** The machine was rented and has sent no heartbeat. */
     BOOTING,
+    /** The machine may hold work of earlier terms. */
     UNCONFIRMED,
+    /**
+     * The machine has not shown this leader's fencing token. Of earlier terms, the machine holds at
+     * most the attempts that were replicated to this node as the previous leader's standby.
+     */
     RECOVERED,
+    /** The machine has shown the fencing token of this leader. */
     CONFIRMED,
+    /**
+     * Earlier commands with unknown outcome may still arrive. The machine has yet to show its
+     * current fencing token.
+     */
     FENCING,
+    /** The machine had no heartbeat answer until its lease expired, so no task is on it. */
     LEASE_EXPIRED,
+    /** The machine is deleted. */
     TERMINATED
   }
 
-  /** What the leader intends to do with it. */
+  /** The use that the leader intends for a machine. */
   public enum Plan {
+    /** The machine gets new work. */
     ACTIVE,
+    /** The machine gets no new work; its current tasks go on. */
     DRAIN,
+    /** The machine gets no new work and must be deleted. */
     TERMINATE
   }
 
@@ -59,7 +70,7 @@
   private boolean excess;
   private boolean reservedForOnDemand;
 
-  private long sinceMicros;
+  private long createdMicros;
   private long lastContactMicros;
   private long answeredMicros;
   private long holdUntilMicros;
@@ -90,12 +101,12 @@
     this.id = id;
     this.fencingToken = FencingToken.first(term);
     this.phase = phase;
-    this.sinceMicros = nowMicros;
+    this.createdMicros = nowMicros;
     this.idleSinceMicros = nowMicros;
     this.lastContactMicros = nowMicros;
   }
 
-  /** The name that the platform gave it. */
+  /** Returns the name that the platform gave the machine. */
   public String id() {
     return id;
   }
@@ -105,19 +116,19 @@
     return id;
   }
 
-  // What it is.
+  // Description.
 
-  /** Where its worker listens; null until that is known. */
+  /** Returns the address on which the worker listens; null until known. */
   public String address() {
     return address;
   }
 
-  /** Its type; null while the catalogue does not contain it. */
+  /** Returns the machine type; null until the type was found in the catalog. */
   public MachineType type() {
     return type;
   }
 
-  /** The name of its type; null until that is known. */
+  /** Returns the name of the machine type; null until known. */
   public String typeName() {
     return typeName;
   }
@@ -127,25 +138,25 @@
     return zone;
   }
 
-  /** Whether it is a spot instance. */
+  /** Returns whether the machine is a spot instance. */
   public boolean isSpot() {
     return spot;
   }
 
-  /** Records what a heartbeat, the platform or its registration says of it. */
-  public void describe(String itsAddress, String itsTypeName, String itsZone, boolean isSpot) {
-    address = itsAddress;
-    typeName = itsTypeName;
-    zone = itsZone;
+  /** Sets the description that a heartbeat, the platform or the registration gives. */
+  public void describe(String newAddress, String newTypeName, String newZone, boolean isSpot) {
+    address = newAddress;
+    typeName = newTypeName;
+    zone = newZone;
     spot = isSpot;
   }
 
-  /** Its type is in the catalogue. */
-  public void assignType(MachineType itsType) {
-    type = itsType;
+  /** Sets the machine type. */
+  public void assignType(MachineType newType) {
+    type = newType;
   }
 
-  /** Takes its type from the catalogue; a type that is not there any more stays as it was. */
+  /** Looks up the machine type by name; keeps the current type if the catalog lacks the name. */
   public void resolveType(Iterable<MachineType> catalog) {
     for (MachineType candidate : catalog) {
       if (candidate.name().equals(typeName)) {
@@ -154,24 +165,24 @@
     }
   }
 
-  /** Whether its registration is durable; before that nothing is launched on it. */
+  /** Returns whether the registration is durable; nothing is launched on the machine before. */
   public boolean isRegistered() {
     return registered;
   }
 
-  /** Its registration is durable. */
+  /** Records that the registration is durable. */
   public void markRegistered() {
     registered = true;
   }
 
-  // What is known of it, and what is to become of it.
+  // Phase and plan.
 
-  /** How far its state is known. */
+  /** Returns the current phase. */
   public Phase phase() {
     return phase;
   }
 
-  /** Its state is known so far from now on; the registry's sets follow by its own call of this. */
+  /** Sets the phase. Only the worker registry calls this method, since its sets must follow. */
   public void enterPhase(Phase next) {
     phase = next;
   }
@@ -181,133 +192,136 @@
     return phase == Phase.UNCONFIRMED;
   }
 
-  /** Whether all that may be on it and its incarnation are known, so that it can be given work. */
-  public boolean known() {
+  /** Returns whether the incarnation and all attempts are known, so that work can be assigned. */
+  public boolean isStateKnown() {
     return phase == Phase.CONFIRMED || (phase == Phase.RECOVERED && incarnation > 0);
   }
 
-  /** What the leader intends to do with it. */
+  /** Returns the use that the leader intends for the machine. */
   public Plan plan() {
     return plan;
   }
 
-  /** It gets no new work; what runs on it goes on. */
+  /** Sets the plan to {@link Plan#DRAIN}. */
   public void drain() {
     plan = Plan.DRAIN;
   }
 
-  /** It gets no new work and is to be deleted. */
+  /** Sets the plan to {@link Plan#TERMINATE}. */
   public void terminate() {
     plan = Plan.TERMINATE;
   }
 
-  /** It is not to be deleted after all. */
+  /** Sets the plan back to {@link Plan#ACTIVE}, after a deletion was cancelled. */
   public void reactivate() {
     plan = Plan.ACTIVE;
     presumedDead = false;
   }
 
-  /** Whether its release was decided only because it had been silent for too long. */
+  /** Returns whether the machine is released only because its heartbeats were missing. */
   public boolean isPresumedDead() {
     return presumedDead;
   }
 
-  /** Records whether its release is decided only because it has been silent for too long. */
+  /** Sets whether the machine is released only because its heartbeats were missing. */
   public void setPresumedDead(boolean dead) {
     presumedDead = dead;
   }
 
-  /** Whether it is silent, in a zone that is partitioned from all controllers. */
+  /** Returns whether the machine is silent in a zone partitioned from all controllers. */
   public boolean isPartitioned() {
     return partitioned;
   }
 
-  /** Records whether it is silent in a zone that is partitioned from all controllers. */
-  public void setPartitioned(boolean cutOff) {
-    partitioned = cutOff;
+  /** Sets whether the machine is silent in a zone partitioned from all controllers. */
+  public void setPartitioned(boolean isPartitioned) {
+    partitioned = isPartitioned;
   }
 
-  /** Whether it is beyond the demand: placed on last, so that it becomes idle and is scaled in. */
+  /**
+   * Returns whether the machine exceeds the demand. Placement prefers other machines, so that an
+   * excess machine becomes idle and is scaled in.
+   */
   public boolean isExcess() {
     return excess;
   }
 
-  /** Records whether it is beyond the demand. */
+  /** Sets whether the machine exceeds the demand. */
   public void setExcess(boolean beyondDemand) {
     excess = beyondDemand;
   }
 
   /**
-   * Whether it is an on-demand machine beyond the demand at hand: work that may run on spot
-   * machines is not placed on it, so that it can be scaled in.
+   * Returns whether the machine is an on-demand machine that exceeds the demand. Work that may run
+   * on spot machines is not placed on such a machine, so that it can be scaled in.
    */
   public boolean isReservedForOnDemand() {
     return reservedForOnDemand;
   }
 
-  /** Records whether only work that may not run on spot machines is placed on it. */
+  /** Sets whether the machine is reserved for work that may not run on spot machines. */
   public void setReservedForOnDemand(boolean reserved) {
     reservedForOnDemand = reserved;
   }
 
-  /** Whether it may be given work now. */
-  public boolean usable(long nowMicros) {
-    return known()
+  /** Returns whether work may be assigned to the machine now. */
+  public boolean isUsable(long nowMicros) {
+    return isStateKnown()
         && plan == Plan.ACTIVE
         && registered
         && type != null
         && nowMicros >= holdUntilMicros;
   }
 
-  /** When a pause in which it gets no work ends. */
+  /** Returns the time until which the machine gets no work; 0 if there was no such hold. */
   public long holdUntilMicros() {
     return holdUntilMicros;
   }
 
-  /** It gets no work until then. */
+  /** Assigns no work to the machine until the given time. */
   public void holdUntil(long micros) {
     holdUntilMicros = micros;
   }
 
-  /** When it was rented, or became known. */
-  public long sinceMicros() {
-    return sinceMicros;
+  /** Returns the time at which the machine was rented, or became known to this leader. */
+  public long createdMicros() {
+    return createdMicros;
   }
 
-  /** Records when the platform began to boot it. */
-  public void setSince(long micros) {
-    sinceMicros = micros;
+  /** Sets the time at which the platform began to boot the machine. */
+  public void setCreatedMicros(long micros) {
+    createdMicros = micros;
   }
 
-  /** Since when nothing has been on it. */
+  /** Returns the time since which the machine has held no attempts. */
   public long idleSinceMicros() {
     return idleSinceMicros;
   }
 
-  /** Something was on it until now, or it was not known until now. */
+  /** Restarts the idle time, since the machine was in use or its state was unknown until now. */
   public void markInUse(long nowMicros) {
     idleSinceMicros = nowMicros;
   }
 
-  // Its heartbeats, lease and commands.
+  // Heartbeats, lease and commands.
 
-  /** The worker's incarnation of its last heartbeat; 0 before the first. */
+  /** Returns the last known incarnation of the worker; 0 if none is known. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** The number of its last heartbeat in that incarnation. */
+  /** Returns the sequence number of the newest heartbeat in the current incarnation. */
   public long sequence() {
     return sequence;
   }
 
-  /** A heartbeat is the newest one from now on. */
+  /** Records the incarnation and the sequence number of the newest heartbeat. */
   public void advanceTo(long newIncarnation, long newSequence) {
     incarnation = newIncarnation;
     sequence = newSequence;
   }
 
-  /** Its incarnation is known from what was replicated; none of its heartbeats is. */
+  /** Sets the incarnation from the standby's replica, which does not contain heartbeats. */
   public void recoverIncarnation(long knownIncarnation) {
     incarnation = knownIncarnation;
   }
@@ -317,101 +331,105 @@
     return phase == Phase.BOOTING ? Long.MAX_VALUE : lastContactMicros;
   }
 
-  /** When the last heartbeat or reply of it came, or else when it became known. */
+  /** Returns the time of the last heartbeat or reply, or else of the machine's addition. */
   public long lastContactMicros() {
     return lastContactMicros;
   }
 
-  /** A heartbeat, or a reply to a command, has come. */
+  /** Records that a heartbeat, or a reply to a command, was received. */
   public void recordContact(long nowMicros) {
     lastContactMicros = nowMicros;
   }
 
-  /** Whether its last heartbeat came through a peer: this node may not reach it. */
+  /** Returns whether a peer relayed the last heartbeat; this node may not reach the machine. */
   public boolean isRelayed() {
     return relayed;
   }
 
-  /** Records which way its heartbeat came. */
-  public void setRelayed(boolean throughPeer) {
-    relayed = throughPeer;
+  /** Sets whether a peer relayed the last heartbeat. */
+  public void setRelayed(boolean isRelayed) {
+    relayed = isRelayed;
   }
 
-  /** When our last 200 to one of its heartbeats left; its lease may run from then. */
+  /**
+   * Returns the latest time from which the worker's lease may run: the last successful answer to a
+   * heartbeat, or a later start of a new lease.
+   */
   public long answeredMicros() {
     return answeredMicros;
   }
 
-  /** A 200 to one of its heartbeats leaves. */
+  /** Records that a successful answer to a heartbeat is sent, or that a new lease may start. */
   public void recordAnswer(long nowMicros) {
     answeredMicros = nowMicros;
   }
 
-  /** The heartbeat that waits for its answer. */
+  /** Returns the heartbeat that waits for its answer. */
   public PendingHeartbeat pendingHeartbeat() {
     return pendingHeartbeat;
   }
 
-  /** The fencing token of commands to this machine. */
+  /** Returns the fencing token for commands to the machine. */
   public FencingToken fencingToken() {
     return fencingToken;
   }
 
-  /** Invalidates older commands: the machine refuses them once it has seen the new token. */
-  public void raiseFence() {
+  /** Invalidates older commands. The machine refuses them once it has seen the new token. */
+  public void raiseFencingToken() {
     fencingToken = fencingToken.raise();
   }
 
-  /** What is on its way to it by command. */
+  /** Returns the state of commands to the machine. */
   public CommandState commands() {
     return commands;
   }
 
-  /** The tasks that failed on it. */
+  /** Returns the history of task failures on the machine. */
   public FailureHistory failures() {
     return failures;
   }
 
-  // What may be on it.
+  // Attempts and reported tasks.
 
-  /** Everything that may be on the machine, or is meant for it; for reading. */
+  /** Returns an unmodifiable view of the attempts that may be on or are assigned to the machine. */
   public Collection<Attempt> attempts() {
     return attemptsView;
   }
 
-  /**
-   * The attempt of a task that may be on the machine, or is meant for it; null if there is none.
-   */
+  /** Returns the attempt of a task that may be on or is assigned to the machine; null if none. */
   public Attempt attempt(TaskId task) {
     return attempts.get(task);
   }
 
-  /** An attempt may be on the machine, or is meant for it, from now on. */
+  /** Adds an attempt that may be on the machine or is assigned to the machine. */
   public void addAttempt(Attempt attempt) {
     attempts.put(attempt.task(), attempt);
   }
 
-  /** Removes an attempt; false if it is not here. */
+  /** Removes an attempt; returns false if the machine does not have the attempt. */
   public boolean removeAttempt(Attempt attempt) {
     return attempts.remove(attempt.task(), attempt);
   }
 
-  /** Attempts that go with the next command; resources are reserved for them. For reading. */
+  /**
+   * Returns an unmodifiable view of the attempts whose launches go with the next command or
+   * heartbeat answer. Their resources are reserved.
+   */
   public List<Attempt> plannedLaunches() {
     return plannedLaunchesView;
   }
 
-  /** An attempt goes with the next command. */
+  /** Adds an attempt to the planned launches. */
   public void planLaunch(Attempt attempt) {
     plannedLaunches.add(attempt);
   }
 
-  /** An attempt does not go with the next command after all. */
+  /** Removes an attempt from the planned launches. */
   public void cancelLaunch(Attempt attempt) {
     plannedLaunches.remove(attempt);
   }
 
-  /** Takes out all attempts that go with the next command, to be sent now. */
+  /** Removes and returns all planned launches, to be sent now. */
   public List<Attempt> takeLaunches() {
     if (plannedLaunches.isEmpty()) {
       return List.of();
@@ -422,14 +440,14 @@
   }
 
   /**
-   * Attempts that wait at the leader for free resources of this machine, the most urgent first; for
-   * reading.
+   * Returns an unmodifiable view of the attempts that wait at the leader for free resources of this
+   * machine, the most urgent first.
    */
   public List<Attempt> queue() {
     return queueView;
   }
 
-  /** An attempt waits at the leader for free resources, behind those that are as urgent. */
+  /** Adds an attempt to the queue, behind those of equal or higher urgency. */
   public void enqueue(Attempt attempt) {
     int position = queue.size();
     while (position > 0 && queue.get(position - 1).job().isLessUrgentThan(attempt.job())) {
@@ -438,43 +456,46 @@
     queue.add(position, attempt);
   }
 
-  /** An attempt does not wait any more. */
+  /** Removes an attempt from the queue. */
   public void dequeue(Attempt attempt) {
     queue.remove(attempt);
   }
 
-  /** Tasks that the last heartbeat contained and no attempt is known for, with what kills them. */
+  /**
+   * Returns an unmodifiable view of the kill orders for untracked tasks. An untracked task was in
+   * the last heartbeat, but the leader has no attempt for it.
+   */
   public Collection<Order.Kill> untrackedTasks() {
     return untrackedTasksView;
   }
 
-  /** The machine holds a task that no attempt is known for. */
+  /** Adds the kill order for an untracked task on the machine. */
   public void addUntrackedTask(Order.Kill kill) {
     untrackedTasks.put(kill.task(), kill);
   }
 
   /**
-   * Ended tasks of the last heartbeat that the machine may forget: their outcome is durable, or
-   * needs no record.
+   * Returns an unmodifiable view of the acknowledgements for ended tasks of the last heartbeat. The
+   * machine may forget these tasks: their outcome is durable or needs no record.
    */
   public Collection<Order.Acknowledge> acknowledgements() {
     return acknowledgementsView;
   }
 
-  /** The machine may forget an ended task. */
+  /** Adds an acknowledgement, so that the machine may forget an ended task. */
   public void acknowledge(Order.Acknowledge order) {
     acknowledgements.put(order.task(), order);
   }
 
-  /** Forgets the entries of the last heartbeat that no attempt is known for. */
+  /** Removes the untracked tasks and the acknowledgements of the last heartbeat. */
   public void clearReportedTasks() {
     untrackedTasks.clear();
     acknowledgements.clear();
   }
 
-  // Its resources.
+  // Resources.
 
-  /** Computes the free resources anew from everything that may be on the machine. */
+  /** Recomputes the free resources from all attempts that are not queued. */
   public void recomputeFreeResources() {
     freeResources.reset(type);
     for (Attempt attempt : attempts.values()) {
@@ -484,50 +505,50 @@
     }
   }
 
-  /** Reserves resources for a task. */
+  /** Reserves the resources of one task. */
   public void reserve(JobSpec spec) {
     freeResources.reserve(spec);
   }
 
-  /** Releases the resources of a task. */
+  /** Releases the resources of one task. */
   public void release(JobSpec spec) {
     freeResources.release(spec);
   }
 
   /**
-   * Whether a task fits beside what is there. None does while there are untracked tasks, since
-   * nobody knows what they use.
+   * Returns whether one more task fits into the free resources. No task fits while there are
+   * untracked tasks, since their resource use is unknown.
    */
   public boolean fits(JobSpec spec) {
     return untrackedTasks.isEmpty() && freeResources.fits(spec);
   }
 
-  /** Whether anything at all fits. */
+  /** Returns whether processors and memory are free and there are no untracked tasks. */
   public boolean hasFreeResources() {
-    return untrackedTasks.isEmpty() && freeResources.isAny();
+    return untrackedTasks.isEmpty() && freeResources.hasAny();
   }
 
-  /** Free processors; never negative. */
+  /** Returns the free processors; never negative. */
   public double freeCpus() {
     return Math.max(0, freeResources.cpus());
   }
 
-  /** Whether a job's constraints and size allow this machine. */
+  /** Returns whether the constraints and the task size of a job allow this machine. */
   public boolean allows(JobSpec spec) {
     return spec.allows(typeName, zone, spot) && type.fits(spec);
   }
 
-  /** Whether it is expected to have the image cached. */
+  /** Returns whether the machine is expected to have the job's image cached. */
   public boolean hasImage(JobSpec spec) {
     return images.contains(spec);
   }
 
-  /** A task that uses an image is here or comes here. */
+  /** Records that a task on the machine, or planned for the machine, uses the job's image. */
   public void useImage(JobSpec spec) {
     images.use(spec, type);
   }
 
-  /** Its images are not known any more. */
+  /** Forgets all images, since the content of the cache is unknown. */
   public void forgetImages() {
     images.clear();
   }
--- a/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
+++ b/src/main/java/org/eiderstair/core/model/MonitoredMachine.java
@@ -1,19 +1,19 @@
 package org.eiderstair.core.model;
 
-/** What the classification of a silent machine needs to know of it. */
+/** The properties of a machine that the classification of silent machines uses. */
 public interface MonitoredMachine {
-  /** The machine's name. */
+  /** Returns the name of the machine. */
   String machine();
 
-  /** The zone that it is in. */
+  /** Returns the zone of the machine. */
   String zone();
 
   /**
-   * When the leader last received a heartbeat of it, directly or through a peer; {@link
-   * Long#MAX_VALUE} for one that has yet to come up.
+   * Returns the time at which the leader last received a heartbeat of the machine, directly or
+   * through a peer; {@link Long#MAX_VALUE} for a machine that is still booting.
    */
   long lastHeartbeatMicros();
 
-  /** Whether it may hold work of earlier terms that no heartbeat has confirmed yet. */
+  /** Returns whether the machine may hold work of earlier terms, not yet confirmed. */
   boolean unconfirmed();
 }
--- a/src/main/java/org/eiderstair/core/model/Order.java
+++ b/src/main/java/org/eiderstair/core/model/Order.java
@@ -1,19 +1,25 @@
 package org.eiderstair.core.model;
 
-/** What a worker is told about one attempt, in an answer to its heartbeat or by command. */
+/** An order to a worker about one attempt, sent in a heartbeat answer or by command. */
 public sealed interface Order {
-  /** The task that it is about. */
+  /** Returns the id of the task. */
   TaskId task();
 
-  /** The attempt that it is about. */
+  /** Returns the number of the attempt. */
   long attempt();
 
-  /** Starts an attempt; without effect where the machine has it already. */
+  /** Starts an attempt; has no effect if the machine already has the attempt. */
   record Launch(TaskId task, long attempt) implements Order {}
 
-  /** Stops an attempt, which may first save a checkpoint if the grace period suffices. */
+  /**
+   * Stops an attempt. The task may first save a checkpoint if the grace period suffices.
+   *
+   * @param task the task
+   * @param attempt the number of the attempt
+   * @param graceMicros the grace period; 0 if a checkpoint is not needed
+   */
   record Kill(TaskId task, long attempt, long graceMicros) implements Order {}
 
-  /** The end of an attempt is known: the worker may forget it and leaves it out of heartbeats. */
+  /** Acknowledges an ended attempt. The worker forgets it and omits it from heartbeats. */
   record Acknowledge(TaskId task, long attempt) implements Order {}
 }
--- a/src/main/java/org/eiderstair/core/model/PendingHeartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/PendingHeartbeat.java
@@ -1,29 +1,35 @@
 package org.eiderstair.core.model;
 
 /**
- * The heartbeat of one machine that waits for its answer, and what tells it from heartbeats that no
- * worker waits for any more: a worker has one heartbeat in flight, gives it up for the next, and
- * drops the answers to those of an earlier incarnation.
+ * The heartbeat of one machine that waits for its answer. This class also detects heartbeats whose
+ * answer no worker reads. A worker has one heartbeat in flight and gives it up for the next one.
+ * Answers to heartbeats of an earlier incarnation are dropped by the worker.
  */
 public final class PendingHeartbeat {
-  /** No heartbeat waits: no exchange has this number. */
+  /** Stands for no exchange, when no heartbeat waits. */
   public static final long NONE = 0;
 
-  /** Whether a worker waits for the answer to a heartbeat. */
+  /** The relation of a heartbeat to those received before. */
   public enum Freshness {
+    /** The worker waits for the answer to the heartbeat. */
     CURRENT(""),
+    /** The heartbeat is from an earlier incarnation of the worker. */
     EARLIER_INCARNATION("OLD_SESSION"),
+    /** The heartbeat is a copy, or older than one already received. */
     SUPERSEDED("OLD_REPORT");
 
-    private final String refusal;
+    private final String refusalReason;
 
-    Freshness(String refusal) {
-      this.refusal = refusal;
+    Freshness(String refusalReason) {
+      this.refusalReason = refusalReason;
     }
 
-    /** The reason that the sender is given; its text is sent to workers and stays as it is. */
-    public String refusal() {
-      return refusal;
+    /**
+     * Returns the reason for a refusal of the heartbeat; empty for {@link #CURRENT}. Workers
+     * receive this text, so it must not change.
+     */
+    public String refusalReason() {
+      return refusalReason;
     }
   }
 
@@ -33,13 +39,14 @@
   /**
    * Compares a heartbeat with those received before it.
    *
-   * <p>Numbers are compared only within an incarnation. Compared without it, a heartbeat of a dead
-   * incarnation stayed the newest one: launches left with its answer, which nobody read, and waited
-   * minutes for a heartbeat with a larger number to settle them.
+   * <p>Sequence numbers are compared only within an incarnation. When they were compared across
+   * incarnations, a heartbeat of an ended incarnation remained the newest. Launches were sent in
+   * its answer, which no worker read. The launches then waited minutes for a heartbeat with a
+   * larger sequence number.
    *
-   * @param incarnation the heartbeat's
-   * @param sequence the heartbeat's
-   * @param machineIncarnation the latest one that is known of its machine
+   * @param incarnation the incarnation in the heartbeat
+   * @param sequence the sequence number of the heartbeat
+   * @param machineIncarnation the latest known incarnation of the machine
    */
   public Freshness freshness(long incarnation, long sequence, long machineIncarnation) {
     if (incarnation < machineIncarnation) {
@@ -51,29 +58,29 @@
   }
 
   /**
-   * A heartbeat waits from now on, or with exchange {@link #NONE} none does.
+   * Replaces the waiting heartbeat. With exchange {@link #NONE}, no heartbeat waits afterwards.
    *
    * @return the exchange that waited before, or {@link #NONE}
    */
   public long replace(long sequence, long nextExchange) {
-    long before = exchange;
+    long previousExchange = exchange;
     newestSequence = sequence;
     exchange = nextExchange;
-    return before;
+    return previousExchange;
   }
 
   /**
-   * It is answered now.
+   * Removes the waiting heartbeat, to be answered now.
    *
-   * @return its exchange, or {@link #NONE}
+   * @return the exchange of the heartbeat, or {@link #NONE}
    */
   public long take() {
     return replace(newestSequence, NONE);
   }
 
   /**
-   * The machine has begun another incarnation: nobody reads an answer to a heartbeat of the one
-   * before.
+   * Removes the waiting heartbeat because the machine has begun a new incarnation. No worker reads
+   * answers to heartbeats of the previous incarnation.
    *
    * @return the exchange that waited before, or {@link #NONE}
    */
@@ -81,7 +88,10 @@
     return replace(0, NONE);
   }
 
-  /** Its sequence; what its answer launches is settled by a later heartbeat only. */
+  /**
+   * Returns the sequence number of the newest heartbeat. Only a later heartbeat shows the outcome
+   * of launches in its answer.
+   */
   public long sequence() {
     return newestSequence;
   }
--- a/src/main/java/org/eiderstair/core/model/TaskId.java
+++ b/src/main/java/org/eiderstair/core/model/TaskId.java
@@ -1,14 +1,14 @@
 package org.eiderstair.core.model;
 
 /**
- * A task of a job.
+ * Identifies a task of a job.
  *
- * @param job the job's id
- * @param index its number in the job, from 0
+ * @param job the id of the job
+ * @param index the index of the task in the job, from 0
  */
 public record TaskId(String job, int index) {
-  // Written out: the ones a record makes are linked at run time, and this is the busiest key of
-  // all.
+  // Written by hand: the methods generated for a record are linked at run time. TaskId is the most
+  // frequently used map key.
   @Override
   public boolean equals(Object other) {
     return other instanceof TaskId that && index == that.index && job.equals(that.job);
@@ -24,7 +24,7 @@
     return job + "/" + index;
   }
 
-  /** Reads {@code job/index}; null when the text has another form. */
+  /** Parses {@code job/index}; returns null if the text has another form. */
   public static TaskId parse(String text) {
     int slash = text.lastIndexOf('/');
     if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > 7) {
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -123,7 +123,7 @@
    */
   private boolean mayBePreempted(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.REPORTED
-        && attempt.job().open()
+        && attempt.job().isOpen()
         && !order.isWithinGuarantee(attempt.job());
   }
 
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -49,10 +49,10 @@
   private void serve(Machine machine, int maxPriority, long nowMicros) {
     for (Attempt attempt : new ArrayList<>(machine.queue())) {
       steps.add(1);
-      if (!attempt.job().open()) {
+      if (!attempt.job().isOpen()) {
         workers.remove(attempt);
       } else if (attempt.job().effectivePriority() > maxPriority
-          || !machine.usable(nowMicros)
+          || !machine.isUsable(nowMicros)
           || !machine.fits(attempt.spec())) {
         // Nothing later in the queue overtakes: room may be accumulating for this one.
         break;
--- a/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
@@ -96,7 +96,7 @@
 
   /** An on-demand machine beyond the demand takes nothing that may run on a spot machine. */
   private boolean isOpen(Machine machine) {
-    return machine.usable(nowMicros)
+    return machine.isUsable(nowMicros)
         && machine.allows(spec)
         && !(machine.isReservedForOnDemand() && spec.spotAllowed());
   }
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -50,7 +50,7 @@
   private double freeCpus(long nowMicros) {
     double cpus = 0;
     for (Machine machine : availableMachines.all()) {
-      cpus += machine.usable(nowMicros) ? machine.freeCpus() : 0;
+      cpus += machine.isUsable(nowMicros) ? machine.freeCpus() : 0;
     }
     return cpus;
   }
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -57,7 +57,7 @@
       double cpus =
           cpusByTeam.merge(
               job.spec().team(), job.unfinishedTasks() * job.spec().cpus(), Double::sum);
-      if (team != null && team.cpus() > 0 && cpus <= team.cpus()) {
+      if (team != null && team.guaranteedCpus() > 0 && cpus <= team.guaranteedCpus()) {
         within.add(job);
       }
     }
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -175,7 +175,7 @@
     Set<Job> selected = new LinkedHashSet<>();
     double cpus = 0;
     for (Job job : boosted) {
-      if (job.open() && job.unfinishedTasks() > 0) {
+      if (job.isOpen() && job.unfinishedTasks() > 0) {
         selected.add(job);
         cpus += unfinishedCpus(job);
       }
--- a/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
+++ b/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
@@ -8,7 +8,7 @@
   private static final double TOLERANCE = 1e-6;
 
   static ResourceLimit of(Settings.Team team) {
-    return new ResourceLimit(team.cpusMax(), team.acceleratorsMax());
+    return new ResourceLimit(team.maxCpus(), team.maxAccelerators());
   }
 
   boolean allows(double usedCpus, double usedAccelerators) {
--- a/src/main/java/org/eiderstair/core/quota/TeamQuota.java
+++ b/src/main/java/org/eiderstair/core/quota/TeamQuota.java
@@ -29,7 +29,7 @@
    */
   TeamQuota(Settings.Team team) {
     limit = team == null ? null : ResourceLimit.of(team);
-    guaranteedCpus = team == null ? 0 : team.cpus();
+    guaranteedCpus = team == null ? 0 : team.guaranteedCpus();
   }
 
   ResourceUse unconfirmed() {
--- a/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
+++ b/src/main/java/org/eiderstair/core/record/StoredValueCodec.java
@@ -169,9 +169,9 @@
       fields.put("acc", type.accelerators());
       fields.put("mem", type.memoryGb());
       fields.put("cache", type.cacheGb());
-      fields.put("fetch", type.fetchGbPerS());
-      fields.put("price", type.price());
-      fields.put("spot", type.spotPrice());
+      fields.put("fetch", type.fetchGbPerSecond());
+      fields.put("price", type.pricePerHour());
+      fields.put("spot", type.spotPricePerHour());
       fields.put("boot", type.bootMicros());
       fields.put("zones", type.zones());
       return fields;
@@ -229,8 +229,8 @@
       fields.put("spread", spec.spread());
       fields.put("spot", spec.spotAllowed());
       fields.put("est", spec.estimateMicros());
-      fields.put("ckpt", spec.checkpointEveryMicros());
-      fields.put("save", spec.saveMicros());
+      fields.put("ckpt", spec.checkpointIntervalMicros());
+      fields.put("save", spec.checkpointDurationMicros());
       fields.put("due", spec.deadlineMicros());
     }
 
--- a/src/main/java/org/eiderstair/core/settings/Settings.java
+++ b/src/main/java/org/eiderstair/core/settings/Settings.java
@@ -4,20 +4,19 @@
 import java.util.Map;
 
 /**
- * What the core needs to know of its deployment, read from the platform's file and the operators'
- * own.
+ * The settings of the core, read from the platform's file and the operators' file.
  *
  * @param node the name of this node
  * @param peers the names of the other controllers
- * @param zones in which machines can be rented
- * @param teams by name
- * @param objectives the service-level objectives by class of jobs
- * @param workerTimings how often workers send heartbeats, and when their work ends
- * @param stateLimits what the state service accepts
- * @param cloudRequestsPerSecond what the cloud accepts
- * @param tuning the operators' own settings
- * @param nodeZones the zone of each controller, this one included, as far as it is known
- * @param cpuShare of one core that this node has; 0 when that is not known
+ * @param zones the zones in which machines can be rented
+ * @param teams the teams by name
+ * @param objectives the service-level objectives of job classes
+ * @param workerTimings the intervals and timeouts of workers
+ * @param stateServiceLimits the limits of the state service
+ * @param cloudRequestsPerSecond the rate of requests that the cloud accepts
+ * @param tuning the operators' settings
+ * @param nodeZones the zone of each controller, including this node, as far as known
+ * @param cpuShare the share of one CPU core that this node has; 0 if unknown
  */
 public record Settings(
     String node,
@@ -26,62 +25,70 @@
     Map<String, Team> teams,
     List<Objective> objectives,
     WorkerTimings workerTimings,
-    StateServiceLimits stateLimits,
+    StateServiceLimits stateServiceLimits,
     double cloudRequestsPerSecond,
     Tuning tuning,
     Map<String, String> nodeZones,
     double cpuShare) {
 
   /**
-   * Replication to a standby costs a leader and its standby about a fiftieth of a core each at the
-   * fleet size.
+   * At the full fleet size, replication costs the leader and its standby about 2% of a CPU core
+   * each.
    */
   private static final double MIN_CPU_SHARE_FOR_STANDBY = 0.2;
 
+  /** The value of {@code cpuShare} if the share is unknown. */
   static final double UNKNOWN_CPU_SHARE = 0;
 
-  /** Divided by the accepted requests per second, it is the gathering time of a single node. */
-  private static final double GATHER_MICROS_PER_REQUEST = 3e6;
+  /** The batch delay for each node if the state service accepts one request per second. */
+  private static final double BATCH_DELAY_MICROS_PER_NODE = 3e6;
 
   /**
-   * How long requests of one kind are gathered before one asks the state service for all of them.
-   * With the watches and confirmations of all nodes this makes about two thirds of the requests
-   * that it accepts, at most.
+   * Returns the time for which requests of one kind to the state service are collected into one.
+   * With this delay, the watches and confirmations of all nodes together use at most about two
+   * thirds of the accepted request rate.
    */
-  public long gatherMicros() {
+  public long batchDelayMicros() {
     int nodes = peers.size() + 1;
-    return (long) (GATHER_MICROS_PER_REQUEST * nodes / stateLimits.requestsPerSecond());
+    return (long) (BATCH_DELAY_MICROS_PER_NODE * nodes / stateServiceLimits.requestsPerSecond());
   }
 
   /**
-   * Whether a leader keeps a standby in sync: where its share of a core is large enough or not
-   * known, and operators did not turn it off.
+   * Returns whether the leader replicates its state to a standby. Replication requires a large
+   * enough or unknown CPU share, and operators must not have disabled standbys.
    */
   public boolean keepsStandby() {
     boolean affordable = cpuShare <= UNKNOWN_CPU_SHARE || cpuShare >= MIN_CPU_SHARE_FOR_STANDBY;
     return tuning.standbys() > 0 && affordable;
   }
 
-  /** A team's guarantee and limit; a limit of 0 means none. */
+  /** The guaranteed and maximum resources of a team; a maximum of 0 means no limit. */
   public record Team(
-      String name, double cpus, double cpusMax, double accelerators, double acceleratorsMax) {}
+      String name,
+      double guaranteedCpus,
+      double maxCpus,
+      double guaranteedAccelerators,
+      double maxAccelerators) {}
 
   /**
-   * A service-level objective of a class of jobs: what share of them is to keep a time.
+   * A service-level objective of a job class: the share of jobs that must meet a time limit.
    *
-   * @param withinMicros the time; 0 where the objective states none
+   * @param kind the event that the time limit refers to
+   * @param jobClass the job class
+   * @param withinMicros the time limit; 0 if the objective has none
+   * @param share the share of jobs that must meet the time limit
    */
   public record Objective(Kind kind, String jobClass, long withinMicros, double share) {
-    /** What the time is measured to. */
+    /** The event that the time limit refers to. */
     public enum Kind {
-      /** The end of a job, within the deadline that its user gave. */
+      /** The end of a job, within the deadline set by its user. */
       DEADLINE,
       /** The start of a job. */
       WAIT,
-      /** Any other: jobs are planned to end within the time, if there is one. */
+      /** Another event; jobs are planned to end within the time limit, if there is one. */
       OTHER;
 
-      /** The kind of an objective by its name in the platform's file. */
+      /** Returns the kind for a name in the platform's file; {@link #OTHER} if unknown. */
       public static Kind of(String name) {
         return switch (name) {
           case "deadline" -> DEADLINE;
@@ -93,24 +100,26 @@
   }
 
   /**
-   * The times that workers keep.
+   * The intervals and timeouts of workers.
    *
-   * @param heartbeatMicros from one heartbeat to the next
-   * @param leaseMicros after which a worker ends its tasks, counted from its last heartbeat that
-   *     was answered
-   * @param cancelMicros within which a cancelled job's tasks must have ended
+   * @param heartbeatMicros the interval between heartbeats
+   * @param leaseMicros the time after which a worker ends its tasks, counted from its last answered
+   *     heartbeat
+   * @param cancelMicros the time within which the tasks of a cancelled job must have ended
    */
   public record WorkerTimings(long heartbeatMicros, long leaseMicros, long cancelMicros) {}
 
   /**
-   * What the state service accepts from all controllers together.
+   * The limits of the state service for all controllers together.
    *
-   * @param transactionOps writes in one transaction
+   * @param requestsPerSecond the accepted rate of requests
+   * @param writesPerSecond the accepted rate of writes
+   * @param maxWritesPerTransaction the maximum number of writes in one transaction
    */
   public record StateServiceLimits(
-      double requestsPerSecond, double writesPerSecond, int transactionOps) {}
+      double requestsPerSecond, double writesPerSecond, int maxWritesPerTransaction) {}
 
-  /** The operators' own settings; docs/operating.md describes each. */
+  /** The operators' settings; docs/operating.md describes each of them. */
   public record Tuning(
       int tokenListSize,
       int machineQueue,
@@ -121,7 +130,7 @@
       long idleReturnMicros,
       int rentBatch,
       int standbys) {
-    /** What holds where operators set nothing. */
+    /** Returns the default settings, for values that the operators' file does not set. */
     public static Tuning defaults() {
       return new Tuning(
           256, 2, 4_500_000L, 1_200_000L, 10_000_000L, 10_000_000L, 20_000_000L, 50, 1);
--- a/src/main/java/org/eiderstair/core/settings/package-info.java
+++ b/src/main/java/org/eiderstair/core/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What the core needs to know of its deployment. */
+/** The settings of the core. */
 package org.eiderstair.core.settings;
--- a/src/main/java/org/eiderstair/core/state/JobTable.java
+++ b/src/main/java/org/eiderstair/core/state/JobTable.java
@@ -80,7 +80,7 @@
   }
 
   private void changed(Job job, boolean isNew) {
-    if (job.open()) {
+    if (job.isOpen()) {
       open.put(job.id(), job);
     } else {
       open.remove(job.id());
@@ -95,7 +95,7 @@
 
   void apply(Cancellation cancellation) {
     Job job = jobs.get(cancellation.job());
-    if (job != null && job.open() && cancellation.version() > job.version()) {
+    if (job != null && job.isOpen() && cancellation.version() > job.version()) {
       job.setCancelledMicros(now);
       job.transitionTo(
           Job.State.CANCELLED, cancellation.version(), job.tasks(), null, cancellation.done());
@@ -107,7 +107,7 @@
   void progressAbsent(String id, long atRevision) {
     Job job = jobs.get(id);
     if (job != null) {
-      job.progressMissing(atRevision);
+      job.recordProgressMissing(atRevision);
     }
   }
 
--- a/src/main/java/org/eiderstair/core/state/PendingJobs.java
+++ b/src/main/java/org/eiderstair/core/state/PendingJobs.java
@@ -48,7 +48,7 @@
 
   void addFinishedTo(WriteBatch batch) {
     for (Job job : new ArrayList<>(finished.values())) {
-      if (!job.open()) {
+      if (!job.isOpen()) {
         finished.remove(job.id());
         continue;
       }
@@ -78,7 +78,7 @@
     lastProgressMicros = nowMicros;
     int bytes = 0;
     for (Job job : new ArrayList<>(progressed.values())) {
-      if (!job.open()) {
+      if (!job.isOpen()) {
         progressed.remove(job.id());
         continue;
       }
--- a/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
+++ b/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
@@ -176,7 +176,7 @@
       currency.reach(changed.revision());
       currency.recordAnswer(sentMicros, changed.revision());
       // Changes that come close together cost one request, not one each.
-      watchAgainAfter(changed.changes().isEmpty() ? 0 : settings.gatherMicros());
+      watchAgainAfter(changed.changes().isEmpty() ? 0 : settings.batchDelayMicros());
       watchIfDue();
     } else if (reply instanceof Reply.Refused refused && refused.isCompacted()) {
       sink.info("watch fell behind revision " + currency.revision() + ": reading all keys again");
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -82,10 +82,11 @@
     this.sink = sink;
     this.replica = replica;
     this.term = term;
-    this.writes = new RateBudget(settings.stateLimits().writesPerSecond() * SHARE_OF_WRITES);
+    this.writes = new RateBudget(settings.stateServiceLimits().writesPerSecond() * SHARE_OF_WRITES);
     this.duties =
         new PendingDuties(
-            replica, Math.max(1, settings.stateLimits().transactionOps() / DUTIES_PART));
+            replica,
+            Math.max(1, settings.stateServiceLimits().maxWritesPerTransaction() / DUTIES_PART));
     this.jobs = new PendingJobs(job -> listener.jobFinished(job));
     this.registrations =
         new PendingRegistrations(replica, machine -> listener.workerRegistered(machine));
@@ -153,7 +154,11 @@
   /** What is most urgent goes first, as far as there is room. */
   private WriteBatch nextBatch() {
     WriteBatch batch =
-        emptyBatch((int) Math.min(settings.stateLimits().transactionOps(), writes.available(now)));
+        emptyBatch(
+            (int)
+                Math.min(
+                    settings.stateServiceLimits().maxWritesPerTransaction(),
+                    writes.available(now)));
     duties.addTo(batch);
     jobs.addFinishedTo(batch);
     registrations.addTo(batch);
@@ -196,8 +201,8 @@
       applyToReplica(batch, applied.revision());
       batch.complete();
     } else if (reply instanceof Reply.Conflict conflict) {
-      sink.debug("write conflict keys=" + conflict.failed() + ", term=" + term);
-      readVersions(conflict.failed());
+      sink.debug("write conflict keys=" + conflict.failedKeys() + ", term=" + term);
+      readVersions(conflict.failedKeys());
     } else if (reply instanceof Reply.NoResponse) {
       uncertainKeys = batch.conditions().stream().map(Request.Condition::key).toList();
     } else {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -170,7 +170,9 @@
 
   /** A machine may have got free resources: it is offered for placement, and so is its queue. */
   void freeResourcesChanged(Machine machine) {
-    if (machine.plan() == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
+    if (machine.plan() == Machine.Plan.ACTIVE
+        && machine.isStateKnown()
+        && machine.hasFreeResources()) {
       availableMachines.offer(machine);
       if (!machine.queue().isEmpty()) {
         queuesToServe.add(machine);
--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -46,7 +46,7 @@
 
   private boolean canLaunchNow(Machine machine) {
     return !machine.commands().isInFlight()
-        && machine.known()
+        && machine.isStateKnown()
         && context.nowMicros() >= machine.holdUntilMicros();
   }
 
@@ -55,7 +55,7 @@
    * without a reply, which may take its whole time limit, nor for the hold after one.
    */
   private boolean canKillNow(Machine machine) {
-    boolean incarnationKnown = machine.phase() == Machine.Phase.FENCING || machine.known();
+    boolean incarnationKnown = machine.phase() == Machine.Phase.FENCING || machine.isStateKnown();
     return incarnationKnown
         && !machine.commands().isKillInFlight()
         && context.nowMicros() >= machine.commands().nextKillMicros();
--- a/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
+++ b/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
@@ -36,7 +36,7 @@
   private void recordFailure(Machine machine, Job job, TaskId task) {
     context.info("task=" + task + " failed on machine=" + machine.id());
     job.recordFailure(machine.id(), context.nowMicros());
-    boolean onlyHere = job.failedMachines() == 1;
+    boolean onlyHere = job.failedMachineCount() == 1;
     boolean worksElsewhere = job.hasCompletedTasks() || onlyHere;
     machine.failures().record(job.id(), worksElsewhere);
     if (machine.failures().isFaulty(onlyHere) && machine.plan() == Machine.Plan.ACTIVE) {
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -83,7 +83,7 @@
     if (freshness != PendingHeartbeat.Freshness.CURRENT) {
       // A copy, or one held on its way: its worker has given it up. It proves, renews and launches
       // nothing.
-      responder.refuse(exchange, freshness.refusal());
+      responder.refuse(exchange, freshness.refusalReason());
       return;
     }
     if (!relayed) {
@@ -139,7 +139,7 @@
    */
   private void process(
       Machine machine, Heartbeat heartbeat, boolean answered, boolean noCommandInFlight) {
-    if (!heartbeat.newerThan(machine.incarnation(), machine.sequence())) {
+    if (!heartbeat.isNewerThan(machine.incarnation(), machine.sequence())) {
       return;
     }
     machine.recordContact(context.nowMicros());
--- a/src/main/java/org/eiderstair/core/workers/MachineDrain.java
+++ b/src/main/java/org/eiderstair/core/workers/MachineDrain.java
@@ -35,8 +35,8 @@
   void drainForNotice(Machine machine, long noticeMicros) {
     drain(machine);
     for (Attempt attempt : machine.attempts()) {
-      boolean saves = attempt.spec().checkpointEveryMicros() > 0;
-      long neededMicros = attempt.spec().saveMicros() + CHECKPOINT_MARGIN_MICROS;
+      boolean saves = attempt.spec().checkpointIntervalMicros() > 0;
+      long neededMicros = attempt.spec().checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS;
       if (saves && neededMicros <= noticeMicros) {
         attempt.requestStop();
         commandQueue.scheduleKills(machine);
--- a/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
+++ b/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
@@ -92,7 +92,7 @@
       context.debug("task=" + entry.task() + " found on machine=" + machine.id());
       adopt(machine, job, entry);
       noteRunning(job);
-    } else if (known == null && job != null && !job.open() && job.spec() != null) {
+    } else if (known == null && job != null && !job.isOpen() && job.spec() != null) {
       // A task of an ended job counts until the machine shows that it is not there.
       adopt(machine, job, entry);
     } else {
@@ -102,7 +102,7 @@
 
   private static boolean isUnplacedTask(Job job, int index) {
     return job != null
-        && job.open()
+        && job.isOpen()
         && index < job.tasks()
         && !job.isCompleted(index)
         && !job.isAttempted(index);
@@ -130,7 +130,7 @@
   }
 
   private void noteRunning(Job job) {
-    if (job.open() && job.durablyRunning() == 0) {
+    if (job.isOpen() && job.durablyRunningCount() == 0) {
       stateWriter.writeProgress(job);
     }
   }
@@ -145,7 +145,7 @@
       tracker.remove(known);
     }
     Job job = replica.job(task.job());
-    boolean jobOpen = job != null && job.open();
+    boolean jobOpen = job != null && job.isOpen();
     if (entry.exit() == Heartbeat.Exit.DONE && jobOpen && task.index() < job.tasks()) {
       if (job.markCompleted(task.index())) {
         recordCompletion(machine, job);
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -123,7 +123,7 @@
     if (isOver(machine)) {
       return;
     }
-    if (launches.stream().anyMatch(attempt -> !attempt.job().open())) {
+    if (launches.stream().anyMatch(attempt -> !attempt.job().isOpen())) {
       // A kill that was sent meanwhile may have come before the launch.
       commandQueue.scheduleKills(machine);
     }
@@ -173,7 +173,7 @@
   private void fenceOff(Machine machine, Reply reply) {
     boolean confirmed = machine.phase() == Machine.Phase.CONFIRMED;
     if (confirmed || machine.phase() == Machine.Phase.RECOVERED) {
-      machine.raiseFence();
+      machine.raiseFencingToken();
       availableMachines.remove(machine);
       // It may be out of this node's reach while its heartbeats still come, relayed.
       machine.holdUntil(context.nowMicros() + UNREACHED_HOLD_MICROS);
--- a/src/main/java/org/eiderstair/core/workers/WorkerOrders.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerOrders.java
@@ -14,9 +14,9 @@
   static List<Order> kills(Machine machine) {
     List<Order> kills = new ArrayList<>();
     for (Attempt attempt : machine.attempts()) {
-      if (attempt.mayBeOnMachine() && (!attempt.job().open() || attempt.isStopRequested())) {
+      if (attempt.mayBeOnMachine() && (!attempt.job().isOpen() || attempt.isStopRequested())) {
         // What an ended job would save is of no use.
-        long graceMicros = attempt.job().open() ? attempt.spec().saveMicros() : 0;
+        long graceMicros = attempt.job().isOpen() ? attempt.spec().checkpointDurationMicros() : 0;
         kills.add(new Order.Kill(attempt.task(), attempt.number(), graceMicros));
       }
     }
@@ -32,7 +32,7 @@
   static List<Order> withLaunches(List<? extends Order> orders, List<Attempt> launches) {
     List<Order> all = new ArrayList<>(orders);
     for (Attempt attempt : launches) {
-      if (attempt.job().open() && isStillSent(attempt)) {
+      if (attempt.job().isOpen() && isStillSent(attempt)) {
         all.add(new Order.Launch(attempt.task(), attempt.number()));
       }
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -145,7 +145,7 @@
   /** Adds or removes a machine among those that may be given waiting attempts. */
   void updateQueueable(Machine machine) {
     boolean mayQueue =
-        machine.known()
+        machine.isStateKnown()
             && machine.plan() == Machine.Plan.ACTIVE
             && machine.isRegistered()
             && machine.type() != null;
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -311,7 +311,7 @@
     } else if (answer instanceof Answer.Failure failure) {
       to.answer(
           failure.status(),
-          failure.retryAfterS(),
+          failure.retryAfterSeconds(),
           null,
           UserMessages.encodeError(failure.reason()),
           false);
--- a/src/main/java/org/eiderstair/http/PeerRoutes.java
+++ b/src/main/java/org/eiderstair/http/PeerRoutes.java
@@ -49,7 +49,8 @@
   }
 
   OutgoingRequest membership(Request.PeerMembership membership) throws UnknownPeerException {
-    byte[] body = PeerMessages.encodeMembershipRequest(membership.run(), membership.after());
+    byte[] body =
+        PeerMessages.encodeMembershipRequest(membership.runId(), membership.afterSequence());
     return post(membership.peer(), PeerMessages.MEMBERSHIP_PATH, body, MEMBERSHIP);
   }
 
--- a/src/main/java/org/eiderstair/http/StateServiceRoutes.java
+++ b/src/main/java/org/eiderstair/http/StateServiceRoutes.java
@@ -32,7 +32,7 @@
   }
 
   OutgoingRequest watch(Request.StoreWatch watch) {
-    long timeoutMicros = watch.holdMicros() + TIMEOUT_MICROS;
+    long timeoutMicros = watch.maxWaitMicros() + TIMEOUT_MICROS;
     return get(StoreMessages.watchPath(watch), timeoutMicros, WATCH);
   }
 
--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -29,13 +29,13 @@
 
   /** The path and query that list a page of machines. */
   public static String listPath(Request.CloudList list) {
-    return UrlQuery.withAfter(FIRST_PAGE, list.after());
+    return UrlQuery.withAfter(FIRST_PAGE, list.afterMachine());
   }
 
   /** Encodes a rental request. */
   public static byte[] encodeRent(Request.CloudRent rent) {
     Map<String, Object> message = new LinkedHashMap<>();
-    message.put(WireFields.RENTAL_REQUEST, rent.request());
+    message.put(WireFields.RENTAL_REQUEST, rent.requestName());
     message.put(WireFields.MACHINE_TYPE, rent.type());
     message.put(WireFields.ZONE, rent.zone());
     message.put(WireFields.SPOT, rent.spot());
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -35,7 +35,7 @@
             + UrlQuery.encode(list.prefix())
             + ("&" + WireFields.QUERY_PAGE_SIZE + "=")
             + list.limit();
-    return UrlQuery.withAfter(firstPage, list.after());
+    return UrlQuery.withAfter(firstPage, list.afterKey());
   }
 
   /** The path and query of a watch. */
@@ -44,9 +44,9 @@
         + ("?" + WireFields.QUERY_PREFIX + "=")
         + UrlQuery.encode(watch.prefix())
         + ("&" + WireFields.QUERY_AFTER + "=")
-        + watch.after()
+        + watch.afterRevision()
         + ("&" + WireFields.QUERY_HOLD_MS + "=")
-        + watch.holdMicros() / MICROS_PER_MILLI;
+        + watch.maxWaitMicros() / MICROS_PER_MILLI;
   }
 
   /** The path of one lease, to revoke it. */
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -212,7 +212,7 @@
       assertEquals(11, job.version());
       Job ended = replicaOf(open, cancelled).job(spec.id());
       assertEquals(Job.State.CANCELLED, ended.state());
-      assertEquals(2, ended.finalDone());
+      assertEquals(2, ended.finalDoneCount());
       assertEquals(spec.tasks(), ended.tasks());
     }
   }
--- a/src/test/java/org/eiderstair/core/model/FailureHistoryTest.java
+++ b/src/test/java/org/eiderstair/core/model/FailureHistoryTest.java
@@ -10,7 +10,7 @@
   private final FailureHistory failures = new FailureHistory();
 
   @Example
-  void aMachineOnWhichTwoJobsFailThreeTimesIsFaulty() {
+  void threeFailuresOfTwoJobsMakeMachineFaulty() {
     failures.record("job-1", true);
     failures.record("job-2", true);
     assertFalse(failures.isFaulty(false));
@@ -20,7 +20,7 @@
   }
 
   @Example
-  void oneJobThatFailsElsewhereTooCostsNoMachine() {
+  void jobThatAlsoFailsElsewhereDoesNotMakeMachineFaulty() {
     for (int i = 0; i < 100; i++) {
       failures.record("job-1", false);
     }
@@ -28,7 +28,7 @@
   }
 
   @Example
-  void oneJobThatFailsOnlyHereCostsOneMachineAfterSixFailures() {
+  void sixFailuresOfJobThatFailsOnlyHereMakeMachineFaulty() {
     for (int i = 0; i < 5; i++) {
       failures.record("job-1", true);
     }
@@ -38,7 +38,7 @@
   }
 
   @Example
-  void aSuccessClearsWhatFailedBefore() {
+  void successClearsEarlierFailures() {
     failures.record("job-1", true);
     failures.record("job-2", true);
     failures.reset();
--- a/src/test/java/org/eiderstair/core/model/FencingTokenTest.java
+++ b/src/test/java/org/eiderstair/core/model/FencingTokenTest.java
@@ -21,7 +21,7 @@
   }
 
   @Property(tries = 200, seed = "11")
-  void aRaisedTokenIsAboveTheOneBeforeAndKeepsItsTerm(
+  void raisedTokenIsHigherAndKeepsTerm(
       @ForAll @LongRange(min = 0, max = 1L << 40) long term,
       @ForAll @IntRange(max = 1000) int times) {
     FencingToken token = raised(term, times);
@@ -33,25 +33,25 @@
   }
 
   @Property(tries = 200, seed = "12")
-  void aLaterTermIsAboveEveryTokenOfTheTermBefore(
+  void firstTokenOfNextTermIsAboveAllTokensOfPreviousTerm(
       @ForAll @LongRange(min = 0, max = 1L << 40) long term,
       @ForAll @IntRange(max = 1000) int times) {
     assertFalse(raised(term, times).isAtLeast(FencingToken.first(term + 1)));
   }
 
   @Example
-  void theNumberIsTheTermAboveTwentyBitsOfFence() {
+  void valueIsTermAboveTwentyCounterBits() {
     assertEquals((3L << 20) + 1, FencingToken.first(3).value());
     assertEquals("3145730", FencingToken.first(3).raise().toString());
   }
 
   @Example
-  void nothingSeenIsBelowEveryToken() {
+  void noneIsBelowFirstToken() {
     assertFalse(FencingToken.NONE.isAtLeast(FencingToken.first(0)));
   }
 
   @Example
-  void aTermThatDoesNotFitIsRefused() {
+  void tooLargeTermIsRejected() {
     assertThrows(ArithmeticException.class, () -> FencingToken.first(1L << 44));
   }
 }
--- a/src/test/java/org/eiderstair/core/model/JobSpecBuilder.java
+++ b/src/test/java/org/eiderstair/core/model/JobSpecBuilder.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds the jobs of tests: each names what matters to it, the rest is that of a plain job. */
+/** Builds job specifications for tests. Values that a test does not set keep simple defaults. */
 public final class JobSpecBuilder {
   private final String id;
   private String jobClass = "c";
@@ -21,20 +21,20 @@
   private boolean spread;
   private boolean spotAllowed = true;
   private long estimateMicros = 20_000_000;
-  private long checkpointEveryMicros;
-  private long saveMicros;
+  private long checkpointIntervalMicros;
+  private long checkpointDurationMicros;
   private long deadlineMicros = JobSpec.NO_DEADLINE;
 
   private JobSpecBuilder(String id) {
     this.id = id;
   }
 
-  /** An array job of one task that uses one processor for about 20 s, on any machine. */
+  /** Returns a builder for an array job with one 20 s task on one processor of any machine. */
   public static JobSpecBuilder job(String id) {
     return new JobSpecBuilder(id);
   }
 
-  /** A job that differs from another only in what is set afterwards. */
+  /** Returns a builder with all values of another job. */
   public static JobSpecBuilder like(JobSpec spec) {
     return job(spec.id())
         .jobClass(spec.jobClass())
@@ -52,7 +52,7 @@
         .spread(spec.spread())
         .spotAllowed(spec.spotAllowed())
         .estimateMicros(spec.estimateMicros())
-        .checkpoints(spec.checkpointEveryMicros(), spec.saveMicros())
+        .checkpoints(spec.checkpointIntervalMicros(), spec.checkpointDurationMicros())
         .deadlineMicros(spec.deadlineMicros());
   }
 
@@ -62,13 +62,13 @@
     return this;
   }
 
-  /** Sets the team that the job counts for. */
+  /** Sets the team whose quota the job uses. */
   public JobSpecBuilder team(String value) {
     team = value;
     return this;
   }
 
-  /** Sets whether tasks end by themselves. */
+  /** Sets the shape. */
   public JobSpecBuilder shape(JobSpec.Shape value) {
     shape = value;
     return this;
@@ -111,13 +111,13 @@
     return this;
   }
 
-  /** Sets the machine types that tasks may run on. */
+  /** Sets the allowed machine types; null allows all. */
   public JobSpecBuilder machineTypes(List<String> value) {
     machineTypes = value;
     return this;
   }
 
-  /** Sets the only zone that tasks may run in, null for any. */
+  /** Sets the only allowed zone; null allows all. */
   public JobSpecBuilder zone(String value) {
     zone = value;
     return this;
@@ -129,7 +129,7 @@
     return this;
   }
 
-  /** Sets whether tasks are to be spread over zones. */
+  /** Sets whether tasks must be spread over zones. */
   public JobSpecBuilder spread(boolean value) {
     spread = value;
     return this;
@@ -141,26 +141,26 @@
     return this;
   }
 
-  /** Sets how long a task is expected to run. */
+  /** Sets the expected duration of a task. */
   public JobSpecBuilder estimateMicros(long value) {
     estimateMicros = value;
     return this;
   }
 
-  /** Sets how often a task saves its progress, and how long that takes. */
-  public JobSpecBuilder checkpoints(long everyMicros, long takesMicros) {
-    checkpointEveryMicros = everyMicros;
-    saveMicros = takesMicros;
+  /** Sets the interval between checkpoints and the time that one checkpoint takes. */
+  public JobSpecBuilder checkpoints(long intervalMicros, long durationMicros) {
+    checkpointIntervalMicros = intervalMicros;
+    checkpointDurationMicros = durationMicros;
     return this;
   }
 
-  /** Sets the deadline, counted from the submission. */
+  /** Sets the deadline, relative to the submission. */
   public JobSpecBuilder deadlineMicros(long value) {
     deadlineMicros = value;
     return this;
   }
 
-  /** The job as it was described. */
+  /** Returns the job specification. */
   public JobSpec build() {
     return new JobSpec(
         id,
@@ -180,8 +180,8 @@
         spread,
         spotAllowed,
         estimateMicros,
-        checkpointEveryMicros,
-        saveMicros,
+        checkpointIntervalMicros,
+        checkpointDurationMicros,
         deadlineMicros);
   }
 }
--- a/src/test/java/org/eiderstair/core/model/TaskSetTest.java
+++ b/src/test/java/org/eiderstair/core/model/TaskSetTest.java
@@ -13,7 +13,7 @@
 
 class TaskSetTest {
   @Property(tries = 300, seed = "1")
-  void anySetReadsBackAsWritten(
+  void everySetIsReadBackAsWritten(
       @ForAll @Size(max = 400) Set<@IntRange(max = 99_999) Integer> numbers) {
     BitSet set = new BitSet();
     numbers.forEach(set::set);
@@ -21,10 +21,11 @@
   }
 
   /**
-   * The largest job must fit into the smallest allowed value, however scattered its done tasks are.
+   * The completed tasks of the largest job must fit into the smallest allowed value, even if every
+   * second task is completed and no ranges form.
    */
   @Example
-  void worstCaseOfTheLargestJobStaysSmall() {
+  void encodedLengthIsBoundedForLargestJob() {
     BitSet set = new BitSet();
     for (int i = 0; i < 100_000; i += 2) {
       set.set(i);
--- a/src/test/java/org/eiderstair/core/settings/SettingsBuilder.java
+++ b/src/test/java/org/eiderstair/core/settings/SettingsBuilder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds the settings of tests: those of node n0, alone and in one zone, unless said otherwise. */
+/** Builds settings for tests. By default, node n0 is the only node and there is one zone. */
 public final class SettingsBuilder {
   private List<String> peers = List.of();
   private List<String> zones = List.of("a");
@@ -13,12 +13,15 @@
 
   private SettingsBuilder() {}
 
-  /** Heartbeats every 3 s, leases of 20 s, cancellations within 40 s, and no team. */
+  /**
+   * Returns a builder with heartbeats every 3 s, leases of 20 s, cancellations within 40 s and no
+   * teams.
+   */
   public static SettingsBuilder settings() {
     return new SettingsBuilder();
   }
 
-  /** Sets the other controllers. */
+  /** Sets the names of the other controllers. */
   public SettingsBuilder peers(String... names) {
     peers = List.of(names);
     return this;
@@ -30,19 +33,19 @@
     return this;
   }
 
-  /** Adds a team with its guarantee and its limit, 0 for none. */
+  /** Adds a team with its guaranteed and maximum processors; a maximum of 0 means no limit. */
   public SettingsBuilder team(String name, double guaranteedCpus, double maxCpus) {
     teams.put(name, new Settings.Team(name, guaranteedCpus, maxCpus, 0, 0));
     return this;
   }
 
-  /** Sets the objectives. */
+  /** Sets the service-level objectives. */
   public SettingsBuilder objectives(Settings.Objective... values) {
     objectives = List.of(values);
     return this;
   }
 
-  /** The settings as they were described. */
+  /** Returns the settings. */
   public Settings build() {
     return new Settings(
         "n0",
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -160,7 +160,7 @@
     watching(10);
     Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version(), 1));
-    assertTrue(job.open());
+    assertTrue(job.isOpen());
     replica.applyCancellation(new Cancellation(job.id(), job.version() + 5, 1));
     assertEquals(Job.State.CANCELLED, job.state());
     assertFalse(replica.openJobs().contains(job));
@@ -193,8 +193,8 @@
     for (String line : logged) {
       assertTrue(line.startsWith("unreadable value key=e/"), line);
     }
-    assertTrue(job.open());
-    assertEquals(0, job.durablyCompleted());
+    assertTrue(job.isOpen());
+    assertEquals(0, job.durablyCompletedCount());
     assertEquals(21, job.progressVersion());
     assertEquals("n1", replica.leader().node());
     assertEquals("x", replica.registeredWorker("i-1").address());
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -68,8 +68,8 @@
     }
     List<Request.Write> first = next();
     assertEquals(3, finished.size());
-    assertEquals(bench.settings.stateLimits().transactionOps() / 4, durable[0]);
-    assertTrue(first.size() <= bench.settings.stateLimits().transactionOps());
+    assertEquals(bench.settings.stateServiceLimits().maxWritesPerTransaction() / 4, durable[0]);
+    assertTrue(first.size() <= bench.settings.stateServiceLimits().maxWritesPerTransaction());
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -63,7 +63,7 @@
       }
       case FORGETS_CANCELLED -> {
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-          if (!attempt.job().open()) {
+          if (!attempt.job().isOpen()) {
             world.newestLeader().workers.remove(attempt);
           }
         }
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -128,7 +128,7 @@
   void afterALostCommandOnlyTheRaisedFenceProves() {
     launched(Attempt.Phase.SENT);
     FencingToken before = machine.fencingToken();
-    machine.raiseFence();
+    machine.raiseFencingToken();
     machine.enterPhase(Machine.Phase.FENCING);
     reported(report(1, 1, before, -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
--- a/src/test/java/org/eiderstair/sim/RequestTransport.java
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -25,7 +25,7 @@
   /** When the sender gives a request up. */
   static long timeoutMicros(Request request) {
     if (request instanceof Request.StoreWatch watch) {
-      return watch.holdMicros() + TIMEOUT_MICROS;
+      return watch.maxWaitMicros() + TIMEOUT_MICROS;
     }
     return request instanceof Request.CloudRent || request instanceof Request.CloudDelete
         ? CLOUD_CHANGE_TIMEOUT_MICROS
@@ -48,7 +48,9 @@
       toPeer(
           from,
           membership.peer(),
-          exchange -> new Event.MembershipRequested(exchange, membership.run(), membership.after()),
+          exchange ->
+              new Event.MembershipRequested(
+                  exchange, membership.runId(), membership.afterSequence()),
           answer -> new Reply.PeerMembership(((Answer.ReachableWorkers) answer).digest()),
           callback);
     } else if (request instanceof Request.PeerReplicate replicate) {
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -184,8 +184,8 @@
    */
   Map<String, Long> checkWrittenFirst(Request request) {
     if (request instanceof Request.CloudRent rent) {
-      if (!cluster.state.everWritten().containsKey(StateKeys.rental(rent.request()))) {
-        broken(Rule.UNWRITTEN, rent.request());
+      if (!cluster.state.everWritten().containsKey(StateKeys.rental(rent.requestName()))) {
+        broken(Rule.UNWRITTEN, rent.requestName());
       }
     } else if (request instanceof Request.CloudDelete delete) {
       Map<String, Long> returnTerms = returnTerms();
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -68,7 +68,8 @@
       callback.accept(new Reply.Catalog(List.of(TYPE)));
     } else if (request instanceof Request.CloudRent rent) {
       callback.accept(
-          new Reply.Rented(rentedByRequest.computeIfAbsent(rent.request(), name -> rent(rent))));
+          new Reply.Rented(
+              rentedByRequest.computeIfAbsent(rent.requestName(), name -> rent(rent))));
     } else if (request instanceof Request.CloudDelete delete) {
       delete.machines().forEach(id -> delete(id, returnTerms));
       callback.accept(new Reply.Applied(0));
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -172,8 +172,8 @@
 
   private Reply list(Request.StoreList list) {
     List<Reply.Item> page = new ArrayList<>();
-    boolean fromPrefix = list.after() == null;
-    String from = fromPrefix ? list.prefix() : list.after();
+    boolean fromPrefix = list.afterKey() == null;
+    String from = fromPrefix ? list.prefix() : list.afterKey();
     for (Reply.Item item : items.tailMap(from, fromPrefix).values()) {
       if (!item.key().startsWith(list.prefix())) {
         break;
@@ -247,8 +247,8 @@
 
   private void watch(String node, Request.StoreWatch watch, Consumer<Reply> callback) {
     if (!nodesWithHeldWatches.contains(node)) {
-      watches.add(new Watch(node, watch.prefix(), watch.after(), callback));
-      clock.after(watch.holdMicros(), () -> endWatch(node, callback));
+      watches.add(new Watch(node, watch.prefix(), watch.afterRevision(), callback));
+      clock.after(watch.maxWaitMicros(), () -> endWatch(node, callback));
       notifyWatches();
     }
   }
