--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -175,7 +175,7 @@
     // there for it.
     double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
     return Math.min(
-        job.unfinishedTasks(),
+        job.unfinishedTaskCount(),
         remainingMicros(job, nowMicros) / Math.max(windowMicros, estimateMicros(spec)));
   }
 
@@ -186,7 +186,7 @@
   /** The remaining running time of all tasks of a job, as its owner estimates it. */
   private static double remainingMicros(Job job, long nowMicros) {
     double estimate = estimateMicros(job.spec());
-    double remaining = job.freeTasks() * estimate;
+    double remaining = job.freeTaskCount() * estimate;
     for (Attempt attempt : job.attempts()) {
       boolean running = attempt.reportedState() == Heartbeat.TaskState.RUNNING;
       double left = running ? estimate - (nowMicros - attempt.runningSinceMicros()) : estimate;
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -55,7 +55,7 @@
         new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
         reply -> {
           if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
-            candidate.leaseGranted(granted.lease(), nowMicros);
+            candidate.leaseGranted(granted.leaseId(), nowMicros);
           } else {
             candidate.notElected("no lease: " + reply);
           }
--- a/src/main/java/org/eiderstair/core/message/Effect.java
+++ b/src/main/java/org/eiderstair/core/message/Effect.java
@@ -13,7 +13,7 @@
    */
   record Call(long callId, Request request, long deadlineMicros) implements Effect {
     /** The reply to a request whose deadline passed before the request was sent. */
-    public static final Reply EXPIRED = new Reply.NoResponse("not sent: its deadline had passed");
+    public static final Reply EXPIRED = new Reply.NoResponse("not sent: deadline passed");
 
     /** Returns whether the deadline has passed, so that the request must not be sent. */
     public boolean isExpired(long nowMicros) {
@@ -36,7 +36,7 @@
 
   /** The level of a log line. */
   enum Level {
-    /** A fault that needs attention. */
+    /** An unexpected failure. */
     ERROR,
     /** A notable event. */
     INFO,
--- a/src/main/java/org/eiderstair/core/message/Reply.java
+++ b/src/main/java/org/eiderstair/core/message/Reply.java
@@ -21,7 +21,7 @@
    * Conditions of a transaction did not hold.
    *
    * @param failedKeys keys whose condition did not hold; the list may be incomplete
-   * @param revision the revision at which the conditions were checked
+   * @param revision the revision that the state service reported; 0 if none
    */
   record Conflict(List<String> failedKeys, long revision) implements Reply {}
 
@@ -38,7 +38,7 @@
   record Changed(List<Item> changes, long revision) implements Reply {}
 
   /** A new lease was granted. */
-  record LeaseGranted(long lease) implements Reply {}
+  record LeaseGranted(long leaseId) implements Reply {}
 
   /** The types of machines that can be rented. */
   record Catalog(List<MachineType> types) implements Reply {}
--- a/src/main/java/org/eiderstair/core/message/Request.java
+++ b/src/main/java/org/eiderstair/core/message/Request.java
@@ -24,8 +24,8 @@
     }
   }
 
-  /** Puts a value, or deletes the key if the value is null. Lease 0 means no lease. */
-  record Write(String key, StoredValue value, long lease) {
+  /** Puts a value, or deletes the key if the value is null. Lease id 0 means no lease. */
+  record Write(String key, StoredValue value, long leaseId) {
     private static final long NO_LEASE = 0;
 
     /** Returns a write of a value without a lease, which stays until deleted. */
@@ -68,10 +68,10 @@
   record LeaseGrant(long ttlMicros) implements Request {}
 
   /** Renews a lease. Reply: {@link Reply.Applied}. */
-  record LeaseRenew(long lease) implements Request {}
+  record LeaseRenew(long leaseId) implements Request {}
 
   /** Ends a lease and deletes the keys attached to the lease. Reply: {@link Reply.Applied}. */
-  record LeaseRevoke(long lease) implements Request {}
+  record LeaseRevoke(long leaseId) implements Request {}
 
   /** Requests the machine types that can be rented. Reply: {@link Reply.Catalog}. */
   record CloudCatalog() implements Request {}
--- a/src/main/java/org/eiderstair/core/model/Attempt.java
+++ b/src/main/java/org/eiderstair/core/model/Attempt.java
@@ -119,7 +119,7 @@
   }
 
   /** Marks the launch to be sent with the next command or heartbeat answer. */
-  public void plan() {
+  public void markPlanned() {
     phase = Phase.PLANNED;
   }
 
@@ -128,13 +128,13 @@
    *
    * @param sequence the sequence number of the answered heartbeat, or {@link #SENT_BY_COMMAND}
    */
-  public void send(long sequence) {
+  public void markSent(long sequence) {
     phase = Phase.SENT;
     sentSequence = sequence;
   }
 
   /** Records that a heartbeat of the machine contained the attempt. */
-  public void confirm() {
+  public void markReported() {
     phase = Phase.REPORTED;
   }
 
--- a/src/main/java/org/eiderstair/core/model/FailureHistory.java
+++ b/src/main/java/org/eiderstair/core/model/FailureHistory.java
@@ -23,12 +23,12 @@
   /**
    * Records a task failure.
    *
-   * @param countsJob whether the job has completed a task or failed on no other machine, so that
-   *     its failure may point to the machine
+   * @param countJob whether the job has completed a task or failed on no other machine, so that its
+   *     failure may point to the machine
    */
-  public void record(String jobId, boolean countsJob) {
+  public void record(String jobId, boolean countJob) {
     consecutiveFailures++;
-    if (countsJob) {
+    if (countJob) {
       failedJobs.add(jobId);
     }
   }
--- a/src/main/java/org/eiderstair/core/model/FencingToken.java
+++ b/src/main/java/org/eiderstair/core/model/FencingToken.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns the next token of the same leader, which invalidates commands with this token. */
-  public FencingToken raise() {
+  public FencingToken next() {
     return new FencingToken(value + 1);
   }
 
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -258,23 +258,23 @@
   }
 
   /** Returns the number of tasks that are not completed. */
-  public int unfinishedTasks() {
+  public int unfinishedTaskCount() {
     return tasks - completed.cardinality();
   }
 
   /** Returns the number of tasks that are neither completed nor attempted. */
-  public int freeTasks() {
-    return unfinishedTasks() - attempts.count();
+  public int freeTaskCount() {
+    return unfinishedTaskCount() - attempts.count();
   }
 
   /** Returns the number of tasks that wait for free resources, including queued attempts. */
-  public int waitingTasks() {
-    return freeTasks() + attempts.queuedCount();
+  public int waitingTaskCount() {
+    return freeTaskCount() + attempts.queuedCount();
   }
 
   /** Returns whether any task waits for free resources, including queued attempts. */
   public boolean hasWaitingTasks() {
-    return freeTasks() > 0 || hasQueuedAttempts();
+    return freeTaskCount() > 0 || hasQueuedAttempts();
   }
 
   /** Returns the first task from {@code from} on that is neither completed nor attempted. */
--- a/src/main/java/org/eiderstair/core/model/Machine.java
+++ b/src/main/java/org/eiderstair/core/model/Machine.java
@@ -182,7 +182,7 @@
     return phase;
   }
 
-  /** Sets the phase. Only the worker registry calls this method, since its sets must follow. */
+  /** Sets the phase. The worker registry calls this method and updates its sets with the phase. */
   public void enterPhase(Phase next) {
     phase = next;
   }
@@ -273,7 +273,7 @@
         && nowMicros >= holdUntilMicros;
   }
 
-  /** Returns the time until which the machine gets no work; 0 if there was no such hold. */
+  /** Returns the time until which the machine gets no work; 0 if none was set. */
   public long holdUntilMicros() {
     return holdUntilMicros;
   }
@@ -376,7 +376,7 @@
 
   /** Invalidates older commands. The machine refuses them once it has seen the new token. */
   public void raiseFencingToken() {
-    fencingToken = fencingToken.raise();
+    fencingToken = fencingToken.next();
   }
 
   /** Returns the state of commands to the machine. */
@@ -463,7 +463,7 @@
 
   /**
    * Returns an unmodifiable view of the kill orders for untracked tasks. An untracked task was in
-   * the last heartbeat, but the leader has no attempt for it.
+   * the last heartbeat, but no attempt of the leader matches it.
    */
   public Collection<Order.Kill> untrackedTasks() {
     return untrackedTasksView;
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -75,7 +75,7 @@
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
     constraints.chooseZone();
-    double neededCpus = job.waitingTasks() * job.spec().cpus();
+    double neededCpus = job.waitingTaskCount() * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
     for (Attempt attempt : candidates()) {
       if (attempt.isStopRequested()) {
--- a/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementDiagnostics.java
@@ -62,7 +62,7 @@
   private Map<String, Integer> waitingTasks() {
     Map<String, Integer> waiting = new TreeMap<>();
     for (Job job : replica.openJobs()) {
-      int tasks = job.waitingTasks();
+      int tasks = job.waitingTaskCount();
       if (tasks > 0) {
         JobSpec spec = job.spec();
         String group = spec.jobClass() + " of " + spec.team() + quotaRestriction(spec);
--- a/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
+++ b/src/main/java/org/eiderstair/core/placement/QuotaAdmission.java
@@ -61,7 +61,7 @@
   private void countUnconfirmed(long nowMicros) {
     for (Job job : replica.openJobs()) {
       if (job.version() < term) {
-        quotas.addUnconfirmed(job.spec(), job.freeTasks());
+        quotas.addUnconfirmed(job.spec(), job.freeTaskCount());
       }
     }
     for (Job job : replica.recentlyCancelled(nowMicros)) {
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -57,7 +57,7 @@
       Settings.Team team = settings.teams().get(job.spec().team());
       double cpus =
           cpusByTeam.merge(
-              job.spec().team(), job.unfinishedTasks() * job.spec().cpus(), Double::sum);
+              job.spec().team(), job.unfinishedTaskCount() * job.spec().cpus(), Double::sum);
       if (team != null && team.guaranteedCpus() > 0 && cpus <= team.guaranteedCpus()) {
         within.add(job);
       }
--- a/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
+++ b/src/main/java/org/eiderstair/core/placement/StarvationGuard.java
@@ -190,7 +190,7 @@
     Set<Job> selected = new LinkedHashSet<>();
     double cpus = 0;
     for (Job job : boosted) {
-      if (job.isOpen() && job.unfinishedTasks() > 0) {
+      if (job.isOpen() && job.unfinishedTaskCount() > 0) {
         selected.add(job);
         cpus += unfinishedCpus(job);
       }
@@ -215,7 +215,7 @@
   }
 
   private static double unfinishedCpus(Job job) {
-    return job.unfinishedTasks() * job.spec().cpus();
+    return job.unfinishedTaskCount() * job.spec().cpus();
   }
 
   private static boolean isStartOverdue(Job job, long nowMicros) {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -91,7 +91,7 @@
   void occupy(Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       leaveQueue(attempt);
-      attempt.plan();
+      attempt.markPlanned();
     }
     quotas.acquire(attempt.spec());
     attempt.machine().reserve(attempt.spec());
--- a/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
+++ b/src/main/java/org/eiderstair/core/workers/LaunchReplication.java
@@ -35,7 +35,7 @@
   List<Attempt> take(Machine machine, long sequence) {
     List<Attempt> launches = machine.takeLaunches();
     for (Attempt attempt : launches) {
-      attempt.send(sequence);
+      attempt.markSent(sequence);
       tracker.replicate(attempt, true);
     }
     return launches;
@@ -66,7 +66,7 @@
   private void planAgain(List<Attempt> launches) {
     for (Attempt attempt : launches) {
       if (WorkerOrders.isStillSent(attempt)) {
-        attempt.plan();
+        attempt.markPlanned();
         attempt.machine().planLaunch(attempt);
         commandQueue.scheduleLaunches(attempt.machine());
       }
--- a/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
+++ b/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
@@ -109,7 +109,7 @@
   }
 
   private void confirm(Machine machine, Attempt attempt, Heartbeat.TaskState state) {
-    attempt.confirm();
+    attempt.markReported();
     if (attempt.reportedState() == state) {
       return;
     }
--- a/src/main/java/org/eiderstair/http/StateServiceRoutes.java
+++ b/src/main/java/org/eiderstair/http/StateServiceRoutes.java
@@ -50,14 +50,14 @@
   }
 
   OutgoingRequest renewLease(Request.LeaseRenew renew) {
-    return post(StoreMessages.renewPath(renew.lease()), EMPTY_BODY, LEASE_CHANGE);
+    return post(StoreMessages.renewPath(renew.leaseId()), EMPTY_BODY, LEASE_CHANGE);
   }
 
   OutgoingRequest revokeLease(Request.LeaseRevoke revoke) {
     return new OutgoingRequest(
         address,
         OutgoingRequest.DELETE,
-        StoreMessages.leasePath(revoke.lease()),
+        StoreMessages.leasePath(revoke.leaseId()),
         null,
         TIMEOUT_MICROS,
         LEASE_CHANGE);
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -90,8 +90,8 @@
     }
     fields.put(WireFields.PUT_KEY, write.key());
     fields.put(WireFields.VALUE, StoredValueCodec.encode(write.value()));
-    if (write.lease() != 0) {
-      fields.put(WireFields.LEASE, write.lease());
+    if (write.leaseId() != 0) {
+      fields.put(WireFields.LEASE, write.leaseId());
     }
     return fields;
   }
--- a/src/test/java/org/eiderstair/core/LeaderBench.java
+++ b/src/test/java/org/eiderstair/core/LeaderBench.java
@@ -371,7 +371,7 @@
     for (Machine machine : workers.machines().values()) {
       // An iterator of an empty list for each machine would show in AllocationTest's figures.
       if (!machine.plannedLaunches().isEmpty()) {
-        machine.takeLaunches().forEach(attempt -> attempt.send(Attempt.SENT_BY_COMMAND));
+        machine.takeLaunches().forEach(attempt -> attempt.markSent(Attempt.SENT_BY_COMMAND));
       }
     }
   }
--- a/src/test/java/org/eiderstair/core/model/FencingTokenTest.java
+++ b/src/test/java/org/eiderstair/core/model/FencingTokenTest.java
@@ -12,23 +12,23 @@
 import net.jqwik.api.constraints.LongRange;
 
 class FencingTokenTest {
-  private static FencingToken raised(long term, int times) {
+  private static FencingToken tokenAfter(long term, int times) {
     FencingToken token = FencingToken.first(term);
     for (int i = 0; i < times; i++) {
-      token = token.raise();
+      token = token.next();
     }
     return token;
   }
 
   @Property(tries = 200, seed = "11")
-  void raisedTokenIsHigherAndKeepsTerm(
+  void nextTokenIsHigherAndKeepsTerm(
       @ForAll @LongRange(min = 0, max = 1L << 40) long term,
       @ForAll @IntRange(max = 1000) int times) {
-    FencingToken token = raised(term, times);
+    FencingToken token = tokenAfter(term, times);
     assertEquals(term, token.term());
-    assertTrue(token.raise().compareTo(token) > 0);
-    assertTrue(token.raise().isAtLeast(token));
-    assertFalse(token.isAtLeast(token.raise()));
+    assertTrue(token.next().compareTo(token) > 0);
+    assertTrue(token.next().isAtLeast(token));
+    assertFalse(token.isAtLeast(token.next()));
     assertTrue(token.isAtLeast(token));
   }
 
@@ -36,13 +36,13 @@
   void firstTokenOfNextTermIsAboveAllTokensOfPreviousTerm(
       @ForAll @LongRange(min = 0, max = 1L << 40) long term,
       @ForAll @IntRange(max = 1000) int times) {
-    assertFalse(raised(term, times).isAtLeast(FencingToken.first(term + 1)));
+    assertFalse(tokenAfter(term, times).isAtLeast(FencingToken.first(term + 1)));
   }
 
   @Example
   void valueIsTermAboveTwentyCounterBits() {
     assertEquals((3L << 20) + 1, FencingToken.first(3).value());
-    assertEquals("3145730", FencingToken.first(3).raise().toString());
+    assertEquals("3145730", FencingToken.first(3).next().toString());
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/placement/PlacementTest.java
+++ b/src/test/java/org/eiderstair/core/placement/PlacementTest.java
@@ -100,7 +100,7 @@
         .filter(a -> a.phase() == Attempt.Phase.PLANNED)
         .forEach(
             a -> {
-              a.confirm();
+              a.markReported();
               a.machine().takeLaunches();
             });
   }
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -42,7 +42,7 @@
     }
     List<StoredWrite> writes =
         transaction.writes().stream()
-            .map(write -> new StoredWrite(write.key(), fields(write.value()), write.lease()))
+            .map(write -> new StoredWrite(write.key(), fields(write.value()), write.leaseId()))
             .toList();
     Transaction stored = new Transaction(transaction.conditions(), writes);
     return new TransactionCall(call.callId(), stored, call.deadlineMicros()).toString();
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -160,11 +160,11 @@
       callback.accept(new Reply.LeaseGranted(lastLease));
     } else if (request instanceof Request.LeaseRenew renew) {
       Lease renewed =
-          leases.computeIfPresent(renew.lease(), (id, lease) -> beginning(lease.ttlMicros()));
+          leases.computeIfPresent(renew.leaseId(), (id, lease) -> beginning(lease.ttlMicros()));
       callback.accept(renewed == null ? new Reply.Refused(404) : new Reply.Applied(0));
     } else if (request instanceof Request.LeaseRevoke revoke) {
-      if (leases.containsKey(revoke.lease())) {
-        endLease(revoke.lease());
+      if (leases.containsKey(revoke.leaseId())) {
+        endLease(revoke.leaseId());
       }
       callback.accept(new Reply.Applied(0));
     }
@@ -207,7 +207,7 @@
   private Reply commit(Request.StoreTransaction txn) {
     maxWrites = Math.max(maxWrites, txn.writes().size());
     if (txn.writes().stream()
-        .anyMatch(write -> write.lease() != 0 && !leases.containsKey(write.lease()))) {
+        .anyMatch(write -> write.leaseId() != 0 && !leases.containsKey(write.leaseId()))) {
       return new Reply.Refused(400);
     }
     List<String> failed = new ArrayList<>();
@@ -240,8 +240,8 @@
     everWritten.put(write.key(), item.value());
     log.add(item);
     leaseOfKey.remove(write.key());
-    if (write.lease() != 0) {
-      leaseOfKey.put(write.key(), write.lease());
+    if (write.leaseId() != 0) {
+      leaseOfKey.put(write.key(), write.leaseId());
     }
   }
 
