--- a/src/main/java/org/eiderstair/core/model/CommandState.java
+++ b/src/main/java/org/eiderstair/core/model/CommandState.java
@@ -19,12 +19,12 @@
   }
 
   /** Records that a launch or probe command is sent. */
-  public void begin() {
+  public void beginCommand() {
     inFlight = true;
   }
 
   /** Records that the launch or probe command was answered or given up. */
-  public void end() {
+  public void endCommand() {
     inFlight = false;
   }
 
--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -76,7 +76,7 @@
     List<Attempt> launches = launchReplication.take(machine, Attempt.SENT_BY_COMMAND);
     FencingToken fencingToken = machine.fencingToken();
     long incarnation = machine.incarnation();
-    machine.commands().begin();
+    machine.commands().beginCommand();
     launchReplication.send(
         launches,
         () -> {
@@ -86,7 +86,7 @@
               new Request.WorkerCommands(machine.address(), fencingToken, incarnation, orders),
               launches);
         },
-        () -> machine.commands().end());
+        () -> machine.commands().endCommand());
   }
 
   private void sendKills(Machine machine) {
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -69,7 +69,7 @@
    * @param ended runs when the probe is answered, or is given up
    */
   void probe(Machine machine, Runnable ended) {
-    machine.commands().begin();
+    machine.commands().beginCommand();
     // Most machines are in their first incarnation; one that is not says so in its refusal.
     long incarnation = Math.max(1, machine.incarnation());
     call(
@@ -80,7 +80,7 @@
         ended);
   }
 
-  /** Sends a command that launches; {@code begin} of the machine's commands came before. */
+  /** Sends a command that launches; {@code beginCommand} of the machine's commands came before. */
   void launch(Machine machine, Request.WorkerCommands request, List<Attempt> launches) {
     call(machine, request, launches, () -> {});
   }
@@ -113,7 +113,7 @@
         request,
         launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
-          machine.commands().end();
+          machine.commands().endCommand();
           ended.run();
           replied(machine, launches, reply);
         });
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -112,10 +112,10 @@
   @Example
   void aReportWhileACommandIsOnItsWayDoesNotFreeItsTask() {
     launched(Attempt.Phase.SENT);
-    machine.commands().begin();
+    machine.commands().beginCommand();
     reported(report(1, 1, machine.fencingToken(), -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
-    machine.commands().end();
+    machine.commands().endCommand();
     reported(report(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertEquals(0, job.attemptCount());
   }
