--- a/src/main/java/org/eiderstair/core/PeerRequestHandler.java
+++ b/src/main/java/org/eiderstair/core/PeerRequestHandler.java
@@ -43,7 +43,8 @@
   void membership(Event.MembershipRequested event, long nowMicros) {
     sink.respond(
         event.exchange(),
-        new Answer.ReachableWorkers(membership.digestAfter(event.run(), event.after(), nowMicros)));
+        new Answer.ReachableWorkers(
+            membership.digestAfter(event.runId(), event.afterSequence(), nowMicros)));
   }
 
   /** Passes a replication batch to the standby and answers with its acknowledgement. */
--- a/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
+++ b/src/main/java/org/eiderstair/core/capacity/LeaderProvisioningHost.java
@@ -116,7 +116,7 @@
     for (String id : machines) {
       if (!workers.machines().containsKey(id) && !workers.isTerminated(id)) {
         Machine machine = workers.addBooting(id, null, option.type(), option.zone(), option.spot());
-        machine.setSince(clock.nowMicros() - ageMicros);
+        machine.setCreatedMicros(clock.nowMicros() - ageMicros);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/state/PendingJobs.java
+++ b/src/main/java/org/eiderstair/core/state/PendingJobs.java
@@ -53,7 +53,7 @@
   /** Adds the pending final states, as far as the batch has room. */
   void addFinishedTo(WriteBatch batch) {
     for (Job job : new ArrayList<>(finished.values())) {
-      if (!job.open()) {
+      if (!job.isOpen()) {
         finished.remove(job.id());
         continue;
       }
@@ -86,7 +86,7 @@
     lastProgressMicros = nowMicros;
     int bytes = 0;
     for (Job job : new ArrayList<>(progressed.values())) {
-      if (!job.open()) {
+      if (!job.isOpen()) {
         progressed.remove(job.id());
         continue;
       }
--- a/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
+++ b/src/main/java/org/eiderstair/core/state/ReplicaFeed.java
@@ -186,7 +186,7 @@
       freshness.advanceTo(changed.revision());
       freshness.recordAnswer(sentMicros, changed.revision());
       // The delay lets one request deliver several changes that are close together.
-      scheduleWatchAfter(changed.changes().isEmpty() ? 0 : settings.gatherMicros());
+      scheduleWatchAfter(changed.changes().isEmpty() ? 0 : settings.batchDelayMicros());
       openWatchIfDue();
     } else if (reply instanceof Reply.Refused refused && refused.isCompacted()) {
       sink.info(
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -93,11 +93,15 @@
     this.sink = sink;
     this.replica = replica;
     this.term = term;
-    this.writeBudget = new RateBudget(settings.stateLimits().writesPerSecond() * WRITE_RATE_SHARE);
+    this.writeBudget =
+        new RateBudget(settings.stateServiceLimits().writesPerSecond() * WRITE_RATE_SHARE);
     this.provisioningRecords =
         new PendingProvisioningRecords(
             replica,
-            Math.max(1, settings.stateLimits().transactionOps() / PROVISIONING_BATCH_DIVISOR));
+            Math.max(
+                1,
+                settings.stateServiceLimits().maxWritesPerTransaction()
+                    / PROVISIONING_BATCH_DIVISOR));
     this.jobs = new PendingJobs(job -> listener.jobFinished(job));
     this.registrations =
         new PendingRegistrations(replica, machine -> listener.workerRegistered(machine));
@@ -173,7 +177,10 @@
   private WriteBatch nextBatch() {
     WriteBatch batch =
         emptyBatch(
-            (int) Math.min(settings.stateLimits().transactionOps(), writeBudget.available(now)));
+            (int)
+                Math.min(
+                    settings.stateServiceLimits().maxWritesPerTransaction(),
+                    writeBudget.available(now)));
     provisioningRecords.addTo(batch);
     jobs.addFinishedTo(batch);
     registrations.addTo(batch);
@@ -216,8 +223,8 @@
       applyToReplica(batch, applied.revision());
       batch.complete();
     } else if (reply instanceof Reply.Conflict conflict) {
-      sink.debug("write conflict keys=" + conflict.failed() + ", term=" + term);
-      readVersions(conflict.failed());
+      sink.debug("write conflict keys=" + conflict.failedKeys() + ", term=" + term);
+      readVersions(conflict.failedKeys());
     } else if (reply instanceof Reply.NoResponse) {
       uncertainKeys = batch.conditions().stream().map(Request.Condition::key).toList();
     } else {
--- a/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
+++ b/src/main/java/org/eiderstair/core/workers/AttemptTracker.java
@@ -94,7 +94,7 @@
   void reserveResources(Attempt attempt) {
     if (attempt.phase() == Attempt.Phase.QUEUED) {
       dequeue(attempt);
-      attempt.plan();
+      attempt.markPlanned();
     }
     quotas.acquire(attempt.spec());
     attempt.machine().reserve(attempt.spec());
@@ -184,7 +184,9 @@
    * Called when its free resources may have grown.
    */
   void freeResourcesChanged(Machine machine) {
-    if (machine.plan() == Machine.Plan.ACTIVE && machine.known() && machine.hasFreeResources()) {
+    if (machine.plan() == Machine.Plan.ACTIVE
+        && machine.isStateKnown()
+        && machine.hasFreeResources()) {
       availableMachines.offer(machine);
       if (!machine.queue().isEmpty()) {
         queuesToServe.add(machine);
--- a/src/main/java/org/eiderstair/core/workers/CommandSender.java
+++ b/src/main/java/org/eiderstair/core/workers/CommandSender.java
@@ -51,7 +51,7 @@
 
   private boolean canLaunchNow(Machine machine) {
     return !machine.commands().isInFlight()
-        && machine.known()
+        && machine.isStateKnown()
         && context.nowMicros() >= machine.holdUntilMicros();
   }
 
@@ -60,7 +60,7 @@
    * in flight, which may take its whole time limit, nor for the hold after a missing reply.
    */
   private boolean canKillNow(Machine machine) {
-    boolean incarnationKnown = machine.phase() == Machine.Phase.FENCING || machine.known();
+    boolean incarnationKnown = machine.phase() == Machine.Phase.FENCING || machine.isStateKnown();
     return incarnationKnown
         && !machine.commands().isKillInFlight()
         && context.nowMicros() >= machine.commands().nextKillMicros();
@@ -84,7 +84,7 @@
         launchReplication.takePlannedLaunches(machine, Attempt.SENT_BY_COMMAND);
     FencingToken fencingToken = machine.fencingToken();
     long incarnation = machine.incarnation();
-    machine.commands().begin();
+    machine.commands().beginCommand();
     launchReplication.send(
         launches,
         () -> {
@@ -94,7 +94,7 @@
               new Request.WorkerCommands(machine.address(), fencingToken, incarnation, orders),
               launches);
         },
-        () -> machine.commands().end());
+        () -> machine.commands().endCommand());
   }
 
   private void sendKills(Machine machine) {
--- a/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/workers/HeartbeatHandler.java
@@ -85,7 +85,7 @@
     if (freshness != PendingHeartbeat.Freshness.CURRENT) {
       // A duplicate or delayed heartbeat that the worker no longer waits for. It proves nothing,
       // renews no lease and launches no task.
-      responder.refuse(exchange, freshness.refusal());
+      responder.refuse(exchange, freshness.refusalReason());
       return;
     }
     if (!relayed) {
@@ -145,7 +145,7 @@
    */
   private void process(
       Machine machine, Heartbeat heartbeat, boolean answered, boolean noCommandInFlight) {
-    if (!heartbeat.newerThan(machine.incarnation(), machine.sequence())) {
+    if (!heartbeat.isNewerThan(machine.incarnation(), machine.sequence())) {
       return;
     }
     machine.recordContact(context.nowMicros());
--- a/src/main/java/org/eiderstair/core/workers/MachineDrain.java
+++ b/src/main/java/org/eiderstair/core/workers/MachineDrain.java
@@ -37,8 +37,8 @@
   void drainForPreemption(Machine machine, long noticeMicros) {
     drain(machine);
     for (Attempt attempt : machine.attempts()) {
-      boolean savesCheckpoints = attempt.spec().checkpointEveryMicros() > 0;
-      long neededMicros = attempt.spec().saveMicros() + CHECKPOINT_MARGIN_MICROS;
+      boolean savesCheckpoints = attempt.spec().checkpointIntervalMicros() > 0;
+      long neededMicros = attempt.spec().checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS;
       if (savesCheckpoints && neededMicros <= noticeMicros) {
         attempt.requestStop();
         commandQueue.scheduleKills(machine);
--- a/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
+++ b/src/main/java/org/eiderstair/core/workers/TaskReconciler.java
@@ -95,7 +95,7 @@
       context.debug("task=" + entry.task() + " found on machine=" + machine.id());
       adopt(machine, job, entry);
       writeFirstProgress(job);
-    } else if (known == null && job != null && !job.open() && job.spec() != null) {
+    } else if (known == null && job != null && !job.isOpen() && job.spec() != null) {
       // A task of an ended job uses resources until a heartbeat shows that it is gone.
       adopt(machine, job, entry);
     } else {
@@ -105,14 +105,14 @@
 
   private static boolean isUnplacedTask(Job job, int index) {
     return job != null
-        && job.open()
+        && job.isOpen()
         && index < job.tasks()
         && !job.isCompleted(index)
         && !job.isAttempted(index);
   }
 
   private void confirm(Machine machine, Attempt attempt, Heartbeat.TaskState state) {
-    attempt.confirm();
+    attempt.markReported();
     if (attempt.reportedState() == state) {
       return;
     }
@@ -133,7 +133,7 @@
   }
 
   private void writeFirstProgress(Job job) {
-    if (job.open() && job.durablyRunning() == 0) {
+    if (job.isOpen() && job.durablyRunningCount() == 0) {
       stateWriter.writeProgress(job);
     }
   }
@@ -148,7 +148,7 @@
       tracker.remove(known);
     }
     Job job = replica.job(task.job());
-    boolean jobOpen = job != null && job.open();
+    boolean jobOpen = job != null && job.isOpen();
     if (entry.exit() == Heartbeat.Exit.DONE && jobOpen && task.index() < job.tasks()) {
       if (job.markCompleted(task.index())) {
         recordCompletion(machine, job);
--- a/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerCommandClient.java
@@ -69,7 +69,7 @@
    * @param onEnd runs when the probe gets a reply or is given up
    */
   void probe(Machine machine, Runnable onEnd) {
-    machine.commands().begin();
+    machine.commands().beginCommand();
     // If the incarnation is unknown, the first one is assumed; a worker in a later incarnation
     // reports its own in the refusal.
     long incarnation = Math.max(1, machine.incarnation());
@@ -117,7 +117,7 @@
         request,
         launches.isEmpty() ? bounds.answerEndMicros() : bounds.launchEndMicros(),
         reply -> {
-          machine.commands().end();
+          machine.commands().endCommand();
           onEnd.run();
           handleReply(machine, launches, reply);
         });
@@ -127,7 +127,7 @@
     if (ignoresReplies(machine)) {
       return;
     }
-    if (launches.stream().anyMatch(attempt -> !attempt.job().open())) {
+    if (launches.stream().anyMatch(attempt -> !attempt.job().isOpen())) {
       // A kill that was sent in the meantime may have arrived before the launch.
       commandQueue.scheduleKills(machine);
     }
@@ -184,7 +184,7 @@
   private void raiseFence(Machine machine, Reply reply) {
     boolean confirmed = machine.phase() == Machine.Phase.CONFIRMED;
     if (confirmed || machine.phase() == Machine.Phase.RECOVERED) {
-      machine.raiseFence();
+      machine.raiseFencingToken();
       availableMachines.remove(machine);
       // This node may be unable to reach the machine while peers still relay its heartbeats.
       machine.holdUntil(context.nowMicros() + NO_REPLY_HOLD_MICROS);
--- a/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerRegistry.java
@@ -157,7 +157,7 @@
   /** Adds the machine to {@link #queueable()} or removes it, according to its current state. */
   void updateQueueable(Machine machine) {
     boolean mayQueue =
-        machine.known()
+        machine.isStateKnown()
             && machine.plan() == Machine.Plan.ACTIVE
             && machine.isRegistered()
             && machine.type() != null;
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -69,8 +69,8 @@
     }
     List<Request.Write> first = applyNextTransaction();
     assertEquals(3, finished.size());
-    assertEquals(bench.settings.stateLimits().transactionOps() / 4, durable[0]);
-    assertTrue(first.size() <= bench.settings.stateLimits().transactionOps());
+    assertEquals(bench.settings.stateServiceLimits().maxWritesPerTransaction() / 4, durable[0]);
+    assertTrue(first.size() <= bench.settings.stateServiceLimits().maxWritesPerTransaction());
   }
 
   /**
--- a/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
+++ b/src/test/java/org/eiderstair/core/workers/CommandSearchTest.java
@@ -73,7 +73,7 @@
       }
       case FORGETS_CANCELLED -> {
         for (Attempt attempt : new ArrayList<>(machine.attempts())) {
-          if (!attempt.job().open()) {
+          if (!attempt.job().isOpen()) {
             simulation.newestLeader().workers.remove(attempt);
           }
         }
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -112,10 +112,10 @@
   @Example
   void heartbeatDuringCommandDoesNotFreeAttempt() {
     startAttempt(Attempt.Phase.SENT);
-    machine.commands().begin();
+    machine.commands().beginCommand();
     receive(heartbeat(1, 1, machine.fencingToken(), -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
-    machine.commands().end();
+    machine.commands().endCommand();
     receive(heartbeat(1, 2, machine.fencingToken(), -1), 2_000_000);
     assertEquals(0, job.attemptCount());
   }
@@ -128,7 +128,7 @@
   void lostCommandIsSettledOnlyByRaisedFence() {
     startAttempt(Attempt.Phase.SENT);
     FencingToken before = machine.fencingToken();
-    machine.raiseFence();
+    machine.raiseFencingToken();
     machine.enterPhase(Machine.Phase.FENCING);
     receive(heartbeat(1, 1, before, -1), 1_000_000);
     assertEquals(attempt, job.attempt(0));
