--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -8,18 +8,21 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.MachineType;
 
-/** Messages to and from the cloud: rentals, returns, the catalogue and the list of machines. */
+/**
+ * Encodes and decodes the messages exchanged with the cloud: rentals, deletions, the catalogue and
+ * the list of machines.
+ */
 public final class CloudMessages {
-  /** So many machines are asked for at a time when the cloud lists them. */
+  /** The number of machines requested in one page of the list. */
   private static final int PAGE_SIZE = 500;
 
-  /** Where the catalogue of machine types is. */
+  /** The path of the catalogue of machine types. */
   public static final String CATALOG_PATH = "/catalog";
 
-  /** Where machines are rented and listed. */
+  /** The path for renting and listing machines. */
   public static final String MACHINES_PATH = "/hosts";
 
-  /** Where machines are deleted. */
+  /** The path for deleting machines. */
   public static final String DELETE_PATH = "/hosts/delete";
 
   private static final String FIRST_PAGE =
@@ -27,7 +30,7 @@
 
   private CloudMessages() {}
 
-  /** The path and query that list a page of machines. */
+  /** Returns the path and query for listing one page of machines. */
   public static String listPath(Request.CloudList list) {
     return UrlQuery.withAfter(FIRST_PAGE, list.after());
   }
@@ -43,12 +46,12 @@
     return MessagePackCodec.write(message);
   }
 
-  /** Decodes the answer to a rental: the names of the machines. */
+  /** Decodes the answer to a rental request: the names of the rented machines. */
   public static Reply decodeRented(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Rented(new Fields(message).texts(WireFields.MACHINES));
   }
 
-  /** Encodes a request to delete machines. */
+  /** Encodes a request to delete the machines with the given names. */
   public static byte[] encodeDelete(List<String> machines) {
     return MessagePackCodec.write(Map.of(WireFields.MACHINES, machines));
   }
@@ -64,15 +67,15 @@
 
   private static MachineType machineType(Fields fields) throws MalformedMessageException {
     return new MachineType(
-        fields.text(WireFields.TYPE_NAME),
+        fields.text(WireFields.MACHINE_TYPE_NAME),
         fields.amount(WireFields.CPUS),
         fields.amount(WireFields.ACCELERATORS),
         fields.amount(WireFields.MEMORY_GB),
-        fields.amountOrZero(WireFields.LOCAL_GB),
-        fields.amountOrZero(WireFields.PULL_GB_PER_S),
+        fields.amountOrZero(WireFields.CACHE_GB),
+        fields.amountOrZero(WireFields.FETCH_GB_PER_SECOND),
         fields.amount(WireFields.HOURLY_PRICE),
         fields.amountOrZero(WireFields.SPOT_PRICE),
-        fields.micros(WireFields.BOOT_S),
+        fields.micros(WireFields.BOOT_SECONDS),
         fields.texts(WireFields.ZONES));
   }
 
@@ -94,6 +97,6 @@
         fields.text(WireFields.ZONE),
         fields.flag(WireFields.SPOT),
         fields.text(WireFields.STATE),
-        fields.micros(WireFields.AGE_S));
+        fields.micros(WireFields.AGE_SECONDS));
   }
 }
--- a/src/main/java/org/eiderstair/protocol/Fields.java
+++ b/src/main/java/org/eiderstair/protocol/Fields.java
@@ -4,10 +4,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** Typed, checked access to the fields of a message. */
+/**
+ * Typed and checked access to the fields of a message. A getter throws an exception that names the
+ * field when the value is missing or invalid, unless its documentation says otherwise.
+ */
 final class Fields {
   private static final double MAX_AMOUNT = 1e9;
+
+  /** In UTF-16 code units. */
   private static final int MAX_TEXT_LENGTH = 1000;
+
   private static final double MICROS_PER_SECOND = 1e6;
 
   private final Map<String, Object> values;
@@ -16,7 +22,11 @@
     this.values = values;
   }
 
-  /** The fields of one item of the list that {@code listName} names. */
+  /**
+   * Returns the fields of one item of a list.
+   *
+   * @param listName the name of the list on the wire, for the exception's message
+   */
   @SuppressWarnings("unchecked")
   static Fields of(Object item, String listName) throws MalformedMessageException {
     if (item instanceof Map<?, ?> map) {
@@ -25,20 +35,22 @@
     throw new MalformedMessageException(listName, "is not a map");
   }
 
+  /** Returns whether the field exists and is not null. */
   boolean has(String name) {
     return values.get(name) != null;
   }
 
-  /** The value as it was read, unchecked; null when there is none. */
+  /** Returns the decoded value without a check, or null when the field is missing. */
   Object raw(String name) {
     return values.get(name);
   }
 
-  /** Whether the field is there and true. */
+  /** Returns whether the field is true. A missing or non-boolean field counts as false. */
   boolean isTrue(String name) {
     return Boolean.TRUE.equals(values.get(name));
   }
 
+  /** Returns a text that is not empty and not too long. */
   String text(String name) throws MalformedMessageException {
     return text(values.get(name), name);
   }
@@ -50,10 +62,12 @@
     throw new MalformedMessageException(name, "is missing or not text");
   }
 
+  /** Returns the text, or null when the field is missing. */
   String textOrNull(String name) throws MalformedMessageException {
     return has(name) ? text(name) : null;
   }
 
+  /** Returns a whole number that is not negative. */
   long count(String name) throws MalformedMessageException {
     return count(values.get(name), name);
   }
@@ -65,6 +79,7 @@
     throw new MalformedMessageException(name, "is missing or not a count");
   }
 
+  /** Returns a number from 0 to {@value #MAX_AMOUNT}, which may have a fraction. */
   double amount(String name) throws MalformedMessageException {
     if (values.get(name) instanceof Number number) {
       double amount = number.doubleValue();
@@ -75,19 +90,22 @@
     throw new MalformedMessageException(name, "is missing or not an amount");
   }
 
+  /** Returns the amount, or 0 when the field is missing. */
   double amountOrZero(String name) throws MalformedMessageException {
     return has(name) ? amount(name) : 0;
   }
 
-  /** Seconds on the wire, as whole microseconds. */
+  /** Returns a duration, which is in seconds on the wire, in whole microseconds. */
   long micros(String name) throws MalformedMessageException {
     return Math.round(amount(name) * MICROS_PER_SECOND);
   }
 
-  long microsOr(String name, long defaultMicros) throws MalformedMessageException {
+  /** Returns the duration in microseconds, or the default when the field is missing. */
+  long microsOrDefault(String name, long defaultMicros) throws MalformedMessageException {
     return has(name) ? micros(name) : defaultMicros;
   }
 
+  /** Returns a boolean. */
   boolean flag(String name) throws MalformedMessageException {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
@@ -95,6 +113,7 @@
     throw new MalformedMessageException(name, "is missing or not true or false");
   }
 
+  /** Returns a list, whose items are not checked. */
   List<?> list(String name) throws MalformedMessageException {
     if (values.get(name) instanceof List<?> list) {
       return list;
@@ -102,6 +121,7 @@
     throw new MalformedMessageException(name, "is missing or not a list");
   }
 
+  /** Returns a list of texts, which may be empty. Neither its size nor the texts are bounded. */
   List<String> texts(String name) throws MalformedMessageException {
     List<String> texts = new ArrayList<>();
     for (Object item : list(name)) {
--- a/src/main/java/org/eiderstair/protocol/InternedNames.java
+++ b/src/main/java/org/eiderstair/protocol/InternedNames.java
@@ -3,31 +3,33 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Names of fields and words of states come again and again: each is made into a string once. A slot
- * that is taken stays taken. Two threads may race for a slot: then one string is made twice.
+ * A cache of strings for field names and state values, which recur in every message. A filled slot
+ * keeps its string. When two threads race to fill a slot, each creates its own string, and the slot
+ * keeps the one written last.
  */
 final class InternedNames {
-  private static final int MAX_LENGTH = 24;
+  private static final int MAX_LENGTH_BYTES = 24;
 
-  /** A power of two. */
-  private static final int SLOTS = 512;
+  /** Must be a power of two. */
+  private static final int SLOT_COUNT = 512;
 
-  private static final String[] NAMES = new String[SLOTS];
+  private static final String[] SLOTS = new String[SLOT_COUNT];
 
   private InternedNames() {}
 
+  /** Returns the text, from the cache if it is short and cached. */
   static String of(byte[] utf8) {
-    if (utf8.length > MAX_LENGTH) {
+    if (utf8.length > MAX_LENGTH_BYTES) {
       return new String(utf8, StandardCharsets.UTF_8);
     }
     int slot = slot(utf8);
-    String known = NAMES[slot];
-    if (known != null && isSameAscii(known, utf8)) {
-      return known;
+    String cached = SLOTS[slot];
+    if (cached != null && isSameAscii(cached, utf8)) {
+      return cached;
     }
     String name = new String(utf8, StandardCharsets.UTF_8);
-    if (known == null) {
-      NAMES[slot] = name;
+    if (cached == null) {
+      SLOTS[slot] = name;
     }
     return name;
   }
@@ -37,16 +39,19 @@
     for (byte b : utf8) {
       hash = hash * 31 + b;
     }
-    return (hash ^ hash >>> 15) & SLOTS - 1;
+    return (hash ^ hash >>> 15) & SLOT_COUNT - 1;
   }
 
-  /** Other text than ASCII is never the same, and so not shared. */
-  private static boolean isSameAscii(String known, byte[] utf8) {
-    if (known.length() != utf8.length) {
+  /**
+   * Returns whether the bytes are the ASCII form of the cached text. Text with other characters
+   * never matches, so it is never shared.
+   */
+  private static boolean isSameAscii(String cached, byte[] utf8) {
+    if (cached.length() != utf8.length) {
       return false;
     }
     for (int i = 0; i < utf8.length; i++) {
-      if (known.charAt(i) != utf8[i]) {
+      if (cached.charAt(i) != utf8[i]) {
         return false;
       }
     }
--- a/src/main/java/org/eiderstair/protocol/MalformedMessageException.java
+++ b/src/main/java/org/eiderstair/protocol/MalformedMessageException.java
@@ -2,16 +2,16 @@
 
 import java.util.Optional;
 
-/** A message breaks the protocol: as a whole, or in one field. */
+/** Thrown when a message, or one of its fields, does not conform to the protocol. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** The field's name on the wire; null when the message as a whole is malformed. */
+  /** The name of the field on the wire; null when the message as a whole is malformed. */
   private final String field;
 
   private final String problem;
 
-  /** The message as a whole is malformed. */
+  /** Creates an exception for a message that is malformed as a whole. */
   public MalformedMessageException(String problem) {
     super(problem, null, false, false);
     this.field = null;
@@ -19,10 +19,10 @@
   }
 
   /**
-   * One field is malformed.
+   * Creates an exception for one malformed field.
    *
-   * @param field its name on the wire
-   * @param problem what is wrong with it, to follow the name in a sentence
+   * @param field the name of the field on the wire
+   * @param problem a predicate that follows the name, such as "is not a map"
    */
   public MalformedMessageException(String field, String problem) {
     super(field + " " + problem, null, false, false);
@@ -30,12 +30,15 @@
     this.problem = problem;
   }
 
-  /** The name on the wire of the field that is malformed, if it is one. */
+  /**
+   * Returns the name of the malformed field on the wire, or empty when the message as a whole is
+   * malformed.
+   */
   public Optional<String> field() {
     return Optional.ofNullable(field);
   }
 
-  /** What is wrong, without the field's name. */
+  /** Returns the description of the problem without the name of the field. */
   public String problem() {
     return problem;
   }
--- a/src/main/java/org/eiderstair/protocol/MessagePackCodec.java
+++ b/src/main/java/org/eiderstair/protocol/MessagePackCodec.java
@@ -9,22 +9,23 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * MessagePack to and from plain maps, lists, text, numbers, booleans and null; nothing is binary.
+ * Converts between MessagePack and plain maps, lists, texts, numbers, booleans and null. Binary and
+ * extension values are not supported.
  */
 public final class MessagePackCodec {
-  /** Small buffers: the library's defaults are made for far larger messages. */
-  private static final MessagePack.PackerConfig PACKER =
+  /** The default buffers of the library are sized for far larger messages. */
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
       new MessagePack.PackerConfig().withBufferSize(1024);
 
   private MessagePackCodec() {}
 
   /** Encodes a message as MessagePack. */
   public static byte[] write(Map<String, ?> message) {
-    try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
+    try (MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker()) {
       write(packer, message);
       return packer.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException("packing to memory failed", e);
+      throw new IllegalStateException("encoding a message to memory failed", e);
     }
   }
 
@@ -44,7 +45,7 @@
     } else if (value instanceof List<?> list) {
       writeList(packer, list);
     } else {
-      throw new IllegalArgumentException("cannot pack " + value.getClass());
+      throw new IllegalArgumentException("cannot encode a value of " + value.getClass());
     }
   }
 
@@ -64,46 +65,52 @@
   }
 
   /**
-   * Takes the maps of one list of a message as they come, instead of a map for each: a heartbeat's
-   * tasks are most of what a leader reads.
+   * Receives the maps of one list of a message as rows of values, so that no map is allocated for
+   * each. Tasks in heartbeats are most of the data that a leader reads.
    */
   interface RowReader {
-    /** The name of the list. */
-    String field();
+    /** Returns the name of the list on the wire. */
+    String listName();
 
-    /** The names of a row's fields. Values of the first differ; the others are of a few words. */
-    String[] names();
+    /**
+     * Returns the names of the fields of a row. Texts in all fields but the first are cached, so
+     * they should come from a small set of values.
+     */
+    String[] columnNames();
 
     /**
-     * The list begins, also when the message holds it twice: what was taken before does not count.
+     * Starts the list. A message may hold the list more than once; each call discards the rows
+     * received before.
      */
-    void begin();
+    void beginList();
 
     /**
-     * One map of the list.
+     * Receives one map of the list.
      *
-     * @param values in the order of {@link #names}, null where there is none; overwritten by the
-     *     next row
+     * @param values in the order of {@link #columnNames}, null for a missing field; the reader
+     *     reuses the array for the next row
      */
     void row(Object[] values) throws MalformedMessageException;
   }
 
   /**
-   * Reads exactly one map. Lengths are checked against what is there before anything is allocated
-   * for them.
+   * Decodes a body that holds exactly one map. A declared length above the number of remaining
+   * bytes is refused before memory is allocated for it.
    */
   public static Map<String, Object> readMap(byte[] bytes) throws MalformedMessageException {
     return readMap(bytes, null);
   }
 
   /**
-   * The same, but for one list, which is handed over row by row; what is left in the map for it is
-   * no row's.
+   * Decodes like {@link #readMap(byte[])}, but passes one list to a reader row by row. In the
+   * returned map that list holds only the items that are not maps.
+   *
+   * @param rowReader null to decode all lists into the map
    */
-  static Map<String, Object> readMap(byte[] bytes, RowReader rows)
+  static Map<String, Object> readMap(byte[] bytes, RowReader rowReader)
       throws MalformedMessageException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
-      return new MessagePackReader(unpacker, bytes.length, rows).readMessage();
+      return new MessagePackReader(unpacker, bytes.length, rowReader).readMessage();
     } catch (IOException | MessagePackException e) {
       throw new MalformedMessageException("not MessagePack: " + e.getClass().getSimpleName());
     }
--- a/src/main/java/org/eiderstair/protocol/MessagePackReader.java
+++ b/src/main/java/org/eiderstair/protocol/MessagePackReader.java
@@ -10,23 +10,27 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 
-/** Reads one message; see {@link MessagePackCodec#readMap}. */
+/** Decodes one message; see {@link MessagePackCodec#readMap}. */
 final class MessagePackReader {
+  /** The greatest depth of a list, map or text; the outermost map has depth 1. */
   private static final int MAX_DEPTH = 24;
+
+  /** The largest number of items for which memory is reserved before they are read. */
   private static final int MAX_INITIAL_CAPACITY = 64;
 
   private final MessageUnpacker unpacker;
-  private final int size;
-  private final MessagePackCodec.RowReader rows;
+  private final int sizeBytes;
+  private final MessagePackCodec.RowReader rowReader;
 
   /**
-   * @param size of the message in bytes
-   * @param rows takes the rows of one list of the message's own fields; null for none
+   * @param sizeBytes the size of the message
+   * @param rowReader receives the rows of one list among the fields of the outermost map; null for
+   *     none
    */
-  MessagePackReader(MessageUnpacker unpacker, int size, MessagePackCodec.RowReader rows) {
+  MessagePackReader(MessageUnpacker unpacker, int sizeBytes, MessagePackCodec.RowReader rowReader) {
     this.unpacker = unpacker;
-    this.size = size;
-    this.rows = rows;
+    this.sizeBytes = sizeBytes;
+    this.rowReader = rowReader;
   }
 
   Map<String, Object> readMessage() throws IOException, MalformedMessageException {
@@ -68,22 +72,25 @@
 
   private Map<String, Object> map(int depth) throws IOException, MalformedMessageException {
     int count = unpacker.unpackMapHeader();
-    check(2L * count, depth);
+    checkBounds(2L * count, depth);
     Map<String, Object> map = new LinkedHashMap<>(Math.min(count, MAX_INITIAL_CAPACITY) * 2);
     for (int i = 0; i < count; i++) {
       String name = name(depth);
-      map.put(name, isRows(name, depth) ? rows(depth + 1) : value(depth + 1));
+      map.put(name, isRowList(name, depth) ? rowList(depth + 1) : value(depth + 1));
     }
     return map;
   }
 
-  private boolean isRows(String name, int depth) throws IOException {
-    return rows != null && depth == 1 && name.equals(rows.field()) && nextType() == ValueType.ARRAY;
+  private boolean isRowList(String name, int depth) throws IOException {
+    return rowReader != null
+        && depth == 1
+        && name.equals(rowReader.listName())
+        && nextType() == ValueType.ARRAY;
   }
 
   private List<Object> list(int depth) throws IOException, MalformedMessageException {
     int count = unpacker.unpackArrayHeader();
-    check(count, depth);
+    checkBounds(count, depth);
     List<Object> list = new ArrayList<>(Math.min(count, MAX_INITIAL_CAPACITY));
     for (int i = 0; i < count; i++) {
       list.add(value(depth + 1));
@@ -92,29 +99,30 @@
   }
 
   /**
-   * An empty list when all items were rows, else what was none: for a reader of fields to refuse.
+   * Passes all maps of the list to the row reader, and returns the other items. The caller refuses
+   * the message when there are any.
    */
-  private List<Object> rows(int depth) throws IOException, MalformedMessageException {
+  private List<Object> rowList(int depth) throws IOException, MalformedMessageException {
     int count = unpacker.unpackArrayHeader();
-    check(count, depth);
-    Object[] values = new Object[rows.names().length];
-    List<Object> others = List.of();
-    rows.begin();
+    checkBounds(count, depth);
+    Object[] values = new Object[rowReader.columnNames().length];
+    List<Object> otherItems = List.of();
+    rowReader.beginList();
     for (int i = 0; i < count; i++) {
       if (nextType() == ValueType.MAP) {
         row(values, depth + 1);
       } else {
-        others = new ArrayList<>(others);
-        others.add(value(depth + 1));
+        otherItems = new ArrayList<>(otherItems);
+        otherItems.add(value(depth + 1));
       }
     }
-    return others;
+    return otherItems;
   }
 
   private void row(Object[] values, int depth) throws IOException, MalformedMessageException {
     Arrays.fill(values, null);
     int count = unpacker.unpackMapHeader();
-    check(2L * count, depth);
+    checkBounds(2L * count, depth);
     for (int i = 0; i < count; i++) {
       int column = column(name(depth));
       Object value = rowValue(column, depth + 1);
@@ -122,12 +130,12 @@
         values[column] = value;
       }
     }
-    rows.row(values);
+    rowReader.row(values);
   }
 
-  /** Its index among the names of a row's fields; -1 for one that is not read. */
+  /** Returns the index of the column with this name, or -1 when there is none. */
   private int column(String name) {
-    String[] names = rows.names();
+    String[] names = rowReader.columnNames();
     int column = names.length - 1;
     while (column >= 0 && !names[column].equals(name)) {
       column--;
@@ -135,7 +143,7 @@
     return column;
   }
 
-  /** Text of all columns but the first is one of a few words, and so is shared. */
+  /** Reads the value of a column. Texts of all columns but the first are cached. */
   private Object rowValue(int column, int depth) throws IOException, MalformedMessageException {
     boolean shared = column > 0 && nextType() == ValueType.STRING;
     return shared ? InternedNames.of(utf8(depth)) : value(depth);
@@ -149,20 +157,24 @@
   }
 
   /**
-   * The bytes of a text. The library's own way to read text sets aside 16 KB for each message,
-   * which cost an unchanged heartbeat more than all the rest of its way: 26 KB against 8.
+   * Returns the bytes of a text. The text decoder of the library allocates 16 KB for each message.
+   * It raised the memory allocated for an unchanged heartbeat from 8 KB to 26 KB.
    */
   private byte[] utf8(int depth) throws IOException, MalformedMessageException {
     int length = unpacker.unpackRawStringHeader();
-    check(length, depth);
+    checkBounds(length, depth);
     return unpacker.readPayload(length);
   }
 
-  private void check(long items, int depth) throws MalformedMessageException {
+  /**
+   * Refuses nesting that is too deep, and lengths above the number of remaining bytes. Each item
+   * takes at least one byte, so a short message cannot cause a large allocation.
+   */
+  private void checkBounds(long items, int depth) throws MalformedMessageException {
     if (depth > MAX_DEPTH) {
       throw new MalformedMessageException("nested too deeply");
     }
-    if (items < 0 || items > size - unpacker.getTotalReadBytes()) {
+    if (items < 0 || items > sizeBytes - unpacker.getTotalReadBytes()) {
       throw new MalformedMessageException("longer than its message");
     }
   }
--- a/src/main/java/org/eiderstair/protocol/StoreMessages.java
+++ b/src/main/java/org/eiderstair/protocol/StoreMessages.java
@@ -8,12 +8,15 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.record.StoredValueCodec;
 
-/** Messages to and from the state service: compare-and-swap, leases, keys and watches. */
+/**
+ * Encodes and decodes the messages exchanged with the state service: transactions, leases, keys and
+ * watches.
+ */
 public final class StoreMessages {
-  /** Where transactions go. */
+  /** The path for transactions. */
   public static final String TRANSACTION_PATH = "/txn";
 
-  /** Where leases are asked for. */
+  /** The path for requesting leases. */
   public static final String LEASES_PATH = "/leases";
 
   private static final String KEYS_PATH = "/store";
@@ -22,12 +25,12 @@
 
   private StoreMessages() {}
 
-  /** The path of one key; keys need no escapes. */
+  /** Returns the path of a key. The keys of this program need no URL escapes. */
   public static String keyPath(String key) {
     return KEYS_PATH + "/" + key;
   }
 
-  /** The path and query that list a page of keys. */
+  /** Returns the path and query for listing one page of keys. */
   public static String listPath(Request.StoreList list) {
     String firstPage =
         KEYS_PATH
@@ -38,28 +41,28 @@
     return UrlQuery.withAfter(firstPage, list.after());
   }
 
-  /** The path and query of a watch. */
+  /** Returns the path and query for watching a prefix. */
   public static String watchPath(Request.StoreWatch watch) {
     return WATCH_PATH
         + ("?" + WireFields.QUERY_PREFIX + "=")
         + UrlQuery.encode(watch.prefix())
         + ("&" + WireFields.QUERY_AFTER + "=")
         + watch.after()
-        + ("&" + WireFields.QUERY_HOLD_MS + "=")
+        + ("&" + WireFields.QUERY_HOLD_MILLIS + "=")
         + watch.holdMicros() / MICROS_PER_MILLI;
   }
 
-  /** The path of one lease, to revoke it. */
+  /** Returns the path for revoking a lease. */
   public static String leasePath(long lease) {
     return LEASES_PATH + "/" + lease;
   }
 
-  /** The path that renews a lease. */
+  /** Returns the path for renewing a lease. */
   public static String renewPath(long lease) {
     return LEASES_PATH + "/" + lease + "/touch";
   }
 
-  /** Encodes a compare-and-swap of several keys. */
+  /** Encodes a transaction: a compare-and-swap of several keys. */
   public static byte[] encodeTransaction(Request.StoreTransaction transaction) {
     List<Object> conditions = new ArrayList<>();
     for (Request.Condition condition : transaction.conditions()) {
@@ -98,15 +101,19 @@
 
   /** Encodes a request for a lease. */
   public static byte[] encodeLeaseRequest(long ttlMicros) {
-    return MessagePackCodec.write(Map.of(WireFields.LEASE_TTL_MS, ttlMicros / MICROS_PER_MILLI));
+    return MessagePackCodec.write(
+        Map.of(WireFields.LEASE_TTL_MILLIS, ttlMicros / MICROS_PER_MILLI));
   }
 
-  /** Decodes the answer to a transaction that was carried out. */
+  /** Decodes the answer to a transaction that was applied. */
   public static Reply decodeApplied(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Applied(new Fields(message).count(WireFields.REVISION));
   }
 
-  /** Decodes the answer to a transaction whose conditions did not hold. */
+  /**
+   * Decodes the answer to a transaction whose conditions did not hold. The revision is 0 when the
+   * answer has none.
+   */
   public static Reply decodeConflict(Map<String, Object> message) throws MalformedMessageException {
     Fields fields = new Fields(message);
     List<String> failedKeys = fields.texts(WireFields.FAILED_KEYS);
@@ -120,14 +127,14 @@
     return new Reply.LeaseGranted(new Fields(message).count(WireFields.LEASE));
   }
 
-  /** Decodes one key that exists. */
+  /** Decodes a key that exists, with its value and version. */
   public static Reply decodeFound(Map<String, Object> message) throws MalformedMessageException {
     Fields fields = new Fields(message);
     long version = fields.count(WireFields.VERSION);
     return new Reply.Found(item(fields.text(WireFields.KEY), fields, version));
   }
 
-  /** Decodes that a key does not exist, and as of which revision. */
+  /** Decodes the answer for a key that does not exist: the revision of the store. */
   public static Reply decodeMissing(Map<String, Object> message) throws MalformedMessageException {
     return new Reply.Absent(new Fields(message).count(WireFields.REVISION));
   }
@@ -145,7 +152,7 @@
         items, page.isTrue(WireFields.TRUNCATED), page.count(WireFields.REVISION));
   }
 
-  /** Decodes the answer to a watch. */
+  /** Decodes the answer to a watch: the changed and deleted keys. */
   public static Reply decodeChanged(Map<String, Object> message) throws MalformedMessageException {
     Fields answer = new Fields(message);
     List<Reply.Item> changes = new ArrayList<>();
@@ -164,7 +171,10 @@
     return new Reply.Item(key, null, fields.count(WireFields.VERSION));
   }
 
-  /** Keys of others may hold anything; what is not a map reads as an empty one. */
+  /**
+   * Decodes the value of a key. Other programs may store any value under their keys; a value that
+   * is not a map counts as an empty map.
+   */
   @SuppressWarnings("unchecked")
   private static Reply.Item item(String key, Fields fields, long version) {
     Map<String, Object> data =
--- a/src/main/java/org/eiderstair/protocol/UserMessages.java
+++ b/src/main/java/org/eiderstair/protocol/UserMessages.java
@@ -7,15 +7,15 @@
 import org.eiderstair.core.message.Answer;
 import org.eiderstair.core.model.JobSpec;
 
-/** Messages from and to users: submissions, job states and errors. */
+/** Encodes and decodes the messages exchanged with users: submissions, job states and errors. */
 public final class UserMessages {
-  /** A larger request of a user is refused. */
+  /** The largest request body that is accepted from a user. */
   public static final int MAX_BYTES = 64 * 1024;
 
   private static final int MAX_TASKS = 100_000;
   private static final int MAX_MACHINE_TYPES = 100;
   private static final int MAX_MACHINE_TYPE_LENGTH = 100;
-  private static final Pattern JOB_ID_FORM = Pattern.compile("job-[0-9]{1,20}");
+  private static final Pattern JOB_ID_PATTERN = Pattern.compile("job-[0-9]{1,20}");
 
   private static final Map<String, JobSpec.Shape> SHAPES =
       Map.of("sweep", JobSpec.Shape.ARRAY, "standing", JobSpec.Shape.SERVICE);
@@ -44,12 +44,15 @@
 
   private UserMessages() {}
 
-  /** Whether a text has the form of a job id. */
+  /** Returns whether a text has the form of a job id. */
   public static boolean isJobId(String id) {
-    return JOB_ID_FORM.matcher(id).matches();
+    return JOB_ID_PATTERN.matcher(id).matches();
   }
 
-  /** Decodes the id alone, so that a known job can be answered whatever else the message holds. */
+  /**
+   * Decodes only the job id, so that a known job can be answered even if other fields are
+   * malformed.
+   */
   public static String decodeJobId(Map<String, Object> message) throws MalformedMessageException {
     String id = new Fields(message).text(WireFields.JOB_ID);
     if (!isJobId(id)) {
@@ -58,13 +61,13 @@
     return id;
   }
 
-  /** Decodes and checks a submission; the exception names the field that is wrong. */
+  /** Decodes and checks a submission. The exception names the first malformed field. */
   public static JobSpec decodeSubmission(Map<String, Object> message)
       throws MalformedMessageException {
     Fields fields = new Fields(message);
-    // The order of the checks is part of the answer: the first field that is wrong is named.
-    JobSpec.Shape shape = known(SHAPES, fields, WireFields.SHAPE);
-    JobSpec.Priority priority = known(PRIORITIES, fields, WireFields.PRIORITY);
+    // The answer names the first malformed field, so the order of the checks is part of it.
+    JobSpec.Shape shape = lookUp(SHAPES, fields, WireFields.SHAPE);
+    JobSpec.Priority priority = lookUp(PRIORITIES, fields, WireFields.PRIORITY);
     int tasks = taskCount(fields);
     List<String> machineTypes = machineTypes(fields);
     return new JobSpec(
@@ -84,13 +87,14 @@
         fields.flag(WireFields.ONE_ZONE),
         fields.flag(WireFields.SPREAD),
         fields.flag(WireFields.SPOT),
-        fields.micros(WireFields.ESTIMATE_S),
-        fields.micros(WireFields.CHECKPOINT_INTERVAL_S),
-        fields.micros(WireFields.CHECKPOINT_DURATION_S),
-        fields.microsOr(WireFields.DEADLINE_S, JobSpec.NO_DEADLINE));
+        fields.micros(WireFields.ESTIMATE_SECONDS),
+        fields.micros(WireFields.CHECKPOINT_INTERVAL_SECONDS),
+        fields.micros(WireFields.CHECKPOINT_DURATION_SECONDS),
+        fields.microsOrDefault(WireFields.DEADLINE_SECONDS, JobSpec.NO_DEADLINE));
   }
 
-  private static <T> T known(Map<String, T> values, Fields fields, String name)
+  /** Returns the value for the text of a field, and refuses texts that are not in the map. */
+  private static <T> T lookUp(Map<String, T> values, Fields fields, String name)
       throws MalformedMessageException {
     T value = values.get(fields.text(name));
     if (value == null) {
@@ -107,7 +111,10 @@
     return (int) tasks;
   }
 
-  /** Null when any type will do. Bounded, as a job's record must fit into one stored value. */
+  /**
+   * Returns the allowed machine types, or null when any type is allowed. The list is bounded
+   * because the record of a job must fit into one stored value.
+   */
   private static List<String> machineTypes(Fields fields) throws MalformedMessageException {
     if (!fields.has(WireFields.MACHINE_TYPES)) {
       return null;
@@ -120,7 +127,7 @@
     return types;
   }
 
-  /** Encodes the state of a job. */
+  /** Encodes the state of a job and its numbers of done and running tasks. */
   public static byte[] encodeJobStatus(Answer.JobView view) {
     Map<String, Object> message = new LinkedHashMap<>();
     message.put(WireFields.JOB_ID, view.id());
@@ -130,7 +137,7 @@
     return MessagePackCodec.write(message);
   }
 
-  /** Encodes the reason of a refusal. */
+  /** Encodes the reason why a request was refused or failed. */
   public static byte[] encodeError(String reason) {
     return MessagePackCodec.write(Map.of(WireFields.ERROR, reason));
   }
--- a/src/main/java/org/eiderstair/protocol/WireFields.java
+++ b/src/main/java/org/eiderstair/protocol/WireFields.java
@@ -1,11 +1,11 @@
 package org.eiderstair.protocol;
 
 /**
- * The names of fields on the wire, each under the code's term for it. The package's documentation
- * has them as a table.
+ * The names of fields on the wire, as constants named by the terms that the code uses. The package
+ * documentation explains the names in a table.
  */
 final class WireFields {
-  // Jobs, as users submit and see them.
+  // Submissions and states of jobs.
   static final String JOB_ID = "Id";
   static final String JOB_CLASS = "JobkindGroup";
   static final String TEAM = "Crew";
@@ -20,15 +20,15 @@
   static final String MACHINE_TYPES = "Hulls";
   static final String ONE_ZONE = "OneZone";
   static final String SPREAD = "Scatter";
-  static final String ESTIMATE_S = "GuessS";
-  static final String CHECKPOINT_INTERVAL_S = "CairnEveryS";
-  static final String CHECKPOINT_DURATION_S = "CairnS";
-  static final String DEADLINE_S = "DueS";
+  static final String ESTIMATE_SECONDS = "GuessS";
+  static final String CHECKPOINT_INTERVAL_SECONDS = "CairnEveryS";
+  static final String CHECKPOINT_DURATION_SECONDS = "CairnS";
+  static final String DEADLINE_SECONDS = "DueS";
   static final String TASKS_DONE = "done";
   static final String TASKS_RUNNING = "running";
   static final String ERROR = "error";
 
-  // Of several kinds of messages.
+  // Fields of several kinds of messages.
   static final String ZONE = "Fjord";
   static final String SPOT = "Driftwood";
   static final String STATE = "Tide";
@@ -37,22 +37,22 @@
   static final String ADDRESS = "Endpoint";
   static final String TRUNCATED = "Truncated";
 
-  // Workers' heartbeats and commands.
+  // Heartbeats of workers, and commands.
   static final String MACHINE = "Skerry";
   static final String INCARNATION = "Watch";
   static final String SEQUENCE = "Tally";
   static final String FENCING_TOKEN = "Baton";
-  static final String SPOT_NOTICE_S = "WarningS";
+  static final String SPOT_NOTICE_SECONDS = "WarningS";
   static final String TASK = "Piece";
   static final String ATTEMPT = "Try";
   static final String EXIT = "Cause";
   static final String CHECKPOINT_SAVED = "Saved";
   static final String ORDERS = "Orders";
   static final String ORDER_KIND = "Verb";
-  static final String GRACE_S = "LeewayS";
+  static final String GRACE_SECONDS = "LeewayS";
   static final String REDIRECT_NODE = "Harbour";
 
-  // The state service.
+  // Messages of the state service.
   static final String KEY = "K";
   static final String VERSION = "Stamp";
   static final String REVISION = "LedgerRev";
@@ -62,28 +62,28 @@
   static final String DELETE_KEY = "Drop";
   static final String VALUE = "Data";
   static final String LEASE = "Tenure";
-  static final String LEASE_TTL_MS = "TtlMs";
+  static final String LEASE_TTL_MILLIS = "TtlMs";
   static final String FAILED_KEYS = "failed";
   static final String ITEMS = "Entries";
   static final String CHANGES = "News";
   static final String QUERY_PREFIX = "Under";
   static final String QUERY_PAGE_SIZE = "Page";
   static final String QUERY_AFTER = "From";
-  static final String QUERY_HOLD_MS = "HoldMs";
+  static final String QUERY_HOLD_MILLIS = "HoldMs";
 
-  // The cloud.
+  // Messages of the cloud.
   static final String RENTAL_REQUEST = "Charter";
   static final String RENTAL_COUNT = "HowMany";
   static final String CATALOG = "Hulls";
-  static final String TYPE_NAME = "Label";
-  static final String LOCAL_GB = "LocalGb";
-  static final String PULL_GB_PER_S = "PullGbPerS";
+  static final String MACHINE_TYPE_NAME = "Label";
+  static final String CACHE_GB = "LocalGb";
+  static final String FETCH_GB_PER_SECOND = "PullGbPerS";
   static final String HOURLY_PRICE = "Hourly";
   static final String SPOT_PRICE = "MarketPrice";
-  static final String BOOT_S = "StartupS";
+  static final String BOOT_SECONDS = "StartupS";
   static final String ZONES = "Fjords";
   static final String MACHINE_ID = "Id";
-  static final String AGE_S = "AgeS";
+  static final String AGE_SECONDS = "AgeS";
 
   private WireFields() {}
 }
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -12,12 +12,12 @@
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
 
-/** Messages from and to workers: heartbeats, their answers, and commands. */
+/** Encodes and decodes the messages exchanged with workers: heartbeats, answers and commands. */
 public final class WorkerMessages {
-  /** Where a worker is asked for its status. */
+  /** The path on a worker for reading its status. */
   public static final String STATUS_PATH = "/status";
 
-  /** Where a worker takes commands. */
+  /** The path on a worker for sending commands. */
   public static final String COMMANDS_PATH = "/commands";
 
   private static final Map<String, TaskState> TASK_STATES =
@@ -53,16 +53,16 @@
 
   private WorkerMessages() {}
 
-  /** Reads the tasks of a heartbeat, one after the other. */
-  private static final class TaskRows implements MessagePackCodec.RowReader {
-    private static final int TASK = 0;
-    private static final int ATTEMPT = 1;
-    private static final int STATE = 2;
-    private static final int EXIT = 3;
-    private static final int SAVED = 4;
+  /** Collects the tasks of a heartbeat. */
+  private static final class TaskRowReader implements MessagePackCodec.RowReader {
+    private static final int TASK_COLUMN = 0;
+    private static final int ATTEMPT_COLUMN = 1;
+    private static final int STATE_COLUMN = 2;
+    private static final int EXIT_COLUMN = 3;
+    private static final int SAVED_COLUMN = 4;
 
-    /** In the order of the indexes above. */
-    private static final String[] NAMES = {
+    /** In the order of the column indexes above. */
+    private static final String[] COLUMN_NAMES = {
       WireFields.TASK,
       WireFields.ATTEMPT,
       WireFields.STATE,
@@ -71,59 +71,69 @@
     };
 
     private List<Entry> entries = new ArrayList<>();
-    private MalformedMessageException fault;
+
+    /** The problem of the first malformed row; null when there is none. */
+    private MalformedMessageException firstProblem;
 
     @Override
-    public String field() {
+    public String listName() {
       return WireFields.TASKS;
     }
 
     @Override
-    public String[] names() {
-      return NAMES;
+    public String[] columnNames() {
+      return COLUMN_NAMES;
     }
 
     @Override
-    public void begin() {
+    public void beginList() {
       entries = new ArrayList<>();
-      fault = null;
+      firstProblem = null;
     }
 
     @Override
     public void row(Object[] values) {
-      if (fault == null) {
+      if (firstProblem == null) {
         try {
           entries.add(entry(values));
         } catch (MalformedMessageException e) {
-          // The message is read to its end: it may yet hold the list again.
-          fault = e;
+          // Not thrown yet: if the message repeats the list, only the last list counts.
+          firstProblem = e;
         }
       }
     }
 
     private static Entry entry(Object[] values) throws MalformedMessageException {
-      TaskId task = TaskId.parse(Fields.text(values[TASK], WireFields.TASK));
-      TaskState state = TASK_STATES.get(Fields.text(values[STATE], WireFields.STATE));
+      TaskId task = TaskId.parse(Fields.text(values[TASK_COLUMN], WireFields.TASK));
+      TaskState state = TASK_STATES.get(Fields.text(values[STATE_COLUMN], WireFields.STATE));
       if (task == null || state == null) {
         throw new MalformedMessageException(WireFields.TASKS, "holds an unknown task or state");
       }
-      Exit exit = state == TaskState.ENDED ? exit(values[EXIT]) : Exit.NONE;
-      long attempt = Fields.count(values[ATTEMPT], WireFields.ATTEMPT);
-      return new Entry(task, attempt, state, exit, Boolean.TRUE.equals(values[SAVED]));
+      Exit exit = state == TaskState.ENDED ? exit(values[EXIT_COLUMN]) : Exit.NONE;
+      long attempt = Fields.count(values[ATTEMPT_COLUMN], WireFields.ATTEMPT);
+      return new Entry(task, attempt, state, exit, Boolean.TRUE.equals(values[SAVED_COLUMN]));
     }
 
-    /** A reason that this version does not know can only mean that the task did not complete. */
+    /**
+     * Returns the reason why a task ended. An unknown reason counts as an error, because only
+     * {@link Exit#DONE} means that the task completed.
+     */
     private static Exit exit(Object value) throws MalformedMessageException {
       return EXITS.getOrDefault(Fields.text(value, WireFields.EXIT), Exit.ERROR);
     }
 
-    /** The tasks that were read; {@code others} are the items of the list that were no rows. */
-    List<Entry> entries(List<?> others) throws MalformedMessageException {
-      if (!others.isEmpty()) {
+    /**
+     * Returns the tasks of the heartbeat.
+     *
+     * @param otherItems the items of the list that are not maps; the message is refused unless
+     *     empty
+     */
+    List<Entry> entries(List<?> otherItems) throws MalformedMessageException {
+      if (!otherItems.isEmpty()) {
         throw new MalformedMessageException(WireFields.TASKS, "is not a map");
       }
-      if (fault != null) {
-        throw fault;
+      if (firstProblem != null) {
+        throw firstProblem;
       }
       return entries;
     }
@@ -131,9 +141,9 @@
 
   /** Decodes and checks a worker's heartbeat. */
   public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
-    TaskRows rows = new TaskRows();
-    Fields fields = new Fields(MessagePackCodec.readMap(body, rows));
-    List<Entry> tasks = rows.entries(fields.list(WireFields.TASKS));
+    TaskRowReader rowReader = new TaskRowReader();
+    Fields fields = new Fields(MessagePackCodec.readMap(body, rowReader));
+    List<Entry> tasks = rowReader.entries(fields.list(WireFields.TASKS));
     return new Heartbeat(
         fields.text(WireFields.MACHINE),
         fields.text(WireFields.ADDRESS),
@@ -143,11 +153,11 @@
         fields.count(WireFields.INCARNATION),
         fields.count(WireFields.SEQUENCE),
         new FencingToken(fields.count(WireFields.FENCING_TOKEN)),
-        fields.microsOr(WireFields.SPOT_NOTICE_S, Heartbeat.NO_NOTICE),
+        fields.microsOrDefault(WireFields.SPOT_NOTICE_SECONDS, Heartbeat.NO_NOTICE),
         tasks);
   }
 
-  /** Encodes the answer to a heartbeat. */
+  /** Encodes the answer to a heartbeat, which carries orders for the worker. */
   public static byte[] encodeHeartbeatAnswer(FencingToken fencingToken, List<Order> orders) {
     Map<String, Object> message = new LinkedHashMap<>();
     message.put(WireFields.FENCING_TOKEN, fencingToken.value());
@@ -155,7 +165,11 @@
     return MessagePackCodec.write(message);
   }
 
-  /** Encodes a command that is sent to the worker itself. */
+  /**
+   * Encodes a command that the leader sends to a worker.
+   *
+   * @param incarnation the incarnation of the worker to which the orders apply
+   */
   public static byte[] encodeCommand(
       FencingToken fencingToken, long incarnation, List<Order> orders) {
     Map<String, Object> message = new LinkedHashMap<>();
@@ -165,7 +179,11 @@
     return MessagePackCodec.write(message);
   }
 
-  /** Encodes the body of a 421: the node to report to, or none when it is null. */
+  /**
+   * Encodes the body of a 421 response, which redirects a worker.
+   *
+   * @param node the node to which the worker sends its heartbeats; null when no leader is known
+   */
   public static byte[] encodeRedirect(String node) {
     return MessagePackCodec.write(node == null ? Map.of() : Map.of(WireFields.REDIRECT_NODE, node));
   }
@@ -184,7 +202,7 @@
     fields.put(WireFields.TASK, order.task().toString());
     fields.put(WireFields.ATTEMPT, order.attempt());
     if (order instanceof Order.Kill kill) {
-      fields.put(WireFields.GRACE_S, kill.graceMicros() / MICROS_PER_SECOND);
+      fields.put(WireFields.GRACE_SECONDS, kill.graceMicros() / MICROS_PER_SECOND);
     }
     return fields;
   }
--- a/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
+++ b/src/test/java/org/eiderstair/protocol/MessagePackCodecTest.java
@@ -17,6 +17,7 @@
 import org.eiderstair.core.model.JobSpec;
 import org.msgpack.core.MessagePack;
 
+/** Tests of the MessagePack codec, and of decoding submissions with it. */
 class MessagePackCodecTest {
   @Provide
   Arbitrary<Map<String, Object>> messages() {
@@ -36,23 +37,26 @@
   }
 
   @Property(tries = 300, seed = "1")
-  void messagesReadBackAsWritten(@ForAll("messages") Map<String, Object> message)
+  void messagesRoundTrip(@ForAll("messages") Map<String, Object> message)
       throws MalformedMessageException {
     assertEquals(message, MessagePackCodec.readMap(MessagePackCodec.write(message)));
   }
 
   @Property(tries = 1000, seed = "2")
-  void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
+  void arbitraryBytesAreDecodedOrRefused(@ForAll byte[] bytes) {
     try {
       MessagePackCodec.readMap(bytes);
     } catch (MalformedMessageException expected) {
-      // Nothing else may come out of here, whatever arrives.
+      // No other exception may be thrown for any input.
     }
   }
 
-  /** A few bytes must not make the reader allocate for what they declare to hold. */
+  /**
+   * A short message that declares a huge map or list must be refused before memory is allocated for
+   * it.
+   */
   @Example
-  void claimedLengthsAreChecked() {
+  void declaredLengthsBeyondTheMessageAreRefused() {
     byte[] hugeMap = {(byte) 0xdf, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
     byte[] hugeList = {
       (byte) 0x81, (byte) 0xa1, 'a', (byte) 0xdd, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff
@@ -75,32 +79,32 @@
   }
 
   static Map<String, Object> submission() {
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("Id", "job-000412");
-    m.put("JobkindGroup", "train");
-    m.put("Crew", "vision");
-    m.put("Shape", "sweep");
-    m.put("Urgency", "urgent");
-    m.put("Pieces", 16L);
-    m.put("Cores", 8.0);
-    m.put("Accelerators", 1.0);
-    m.put("MemoryGb", 64.0);
-    m.put("Bundle", "img-07");
-    m.put("ImageGb", 6.2);
-    m.put("Hulls", List.of("g8"));
-    m.put("Fjord", null);
-    m.put("OneZone", true);
-    m.put("Scatter", false);
-    m.put("Driftwood", true);
-    m.put("GuessS", 240.0);
-    m.put("CairnEveryS", 30.0);
-    m.put("CairnS", 4.0);
-    m.put("DueS", 900.0);
-    return m;
+    Map<String, Object> message = new LinkedHashMap<>();
+    message.put("Id", "job-000412");
+    message.put("JobkindGroup", "train");
+    message.put("Crew", "vision");
+    message.put("Shape", "sweep");
+    message.put("Urgency", "urgent");
+    message.put("Pieces", 16L);
+    message.put("Cores", 8.0);
+    message.put("Accelerators", 1.0);
+    message.put("MemoryGb", 64.0);
+    message.put("Bundle", "img-07");
+    message.put("ImageGb", 6.2);
+    message.put("Hulls", List.of("g8"));
+    message.put("Fjord", null);
+    message.put("OneZone", true);
+    message.put("Scatter", false);
+    message.put("Driftwood", true);
+    message.put("GuessS", 240.0);
+    message.put("CairnEveryS", 30.0);
+    message.put("CairnS", 4.0);
+    message.put("DueS", 900.0);
+    return message;
   }
 
   @Example
-  void aSubmissionIsUnderstood() throws MalformedMessageException {
+  void submissionIsDecoded() throws MalformedMessageException {
     JobSpec spec = UserMessages.decodeSubmission(submission());
     assertEquals(16, spec.tasks());
     assertEquals(JobSpec.Priority.HIGH, spec.priority());
@@ -108,19 +112,20 @@
   }
 
   @Property(seed = "3")
-  void aWrongFieldIsNamed(@ForAll("wrongFields") Map.Entry<String, Object> wrong) {
+  void exceptionNamesTheMalformedField(
+      @ForAll("malformedFields") Map.Entry<String, Object> malformed) {
     Map<String, Object> message = submission();
-    message.put(wrong.getKey(), wrong.getValue());
-    MalformedMessageException refused =
+    message.put(malformed.getKey(), malformed.getValue());
+    MalformedMessageException exception =
         assertThrows(MalformedMessageException.class, () -> UserMessages.decodeSubmission(message));
-    assertEquals(wrong.getKey(), refused.getMessage().split(" ")[0]);
-    assertEquals(Optional.of(wrong.getKey()), refused.field());
-    assertEquals(wrong.getKey() + " " + refused.problem(), refused.getMessage());
+    assertEquals(malformed.getKey(), exception.getMessage().split(" ")[0]);
+    assertEquals(Optional.of(malformed.getKey()), exception.field());
+    assertEquals(malformed.getKey() + " " + exception.problem(), exception.getMessage());
   }
 
   @Provide
-  Arbitrary<Map.Entry<String, Object>> wrongFields() {
-    Map<String, List<Object>> wrong =
+  Arbitrary<Map.Entry<String, Object>> malformedFields() {
+    Map<String, List<Object>> malformed =
         Map.of(
             "Pieces",
             List.of(0L, 100_001L, -1L, 4.0, "4"),
@@ -143,7 +148,7 @@
             "MemoryGb",
             List.of(-2L, Double.NaN));
     return Arbitraries.of(
-        wrong.entrySet().stream()
+        malformed.entrySet().stream()
             .flatMap(e -> e.getValue().stream().map(v -> Map.entry(e.getKey(), v)))
             .toList());
   }
--- a/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/PeerMessagesTest.java
@@ -18,9 +18,10 @@
 import org.eiderstair.core.model.TaskId;
 import org.eiderstair.peer.PeerMessages;
 
+/** Tests of encoding and decoding the messages between controllers. */
 class PeerMessagesTest {
   @Property(tries = 200, seed = "4")
-  void relayedHeartbeatsReadBackAsWritten(
+  void relayedHeartbeatsRoundTrip(
       @ForAll long incarnation,
       @ForAll long fencingToken,
       @ForAll int index,
@@ -28,7 +29,7 @@
       @ForAll Heartbeat.Exit exit,
       @ForAll boolean spot)
       throws MalformedMessageException {
-    Heartbeat report =
+    Heartbeat heartbeat =
         new Heartbeat(
             "i-1",
             "10.0.0.1:1",
@@ -42,11 +43,11 @@
             List.of(
                 new Heartbeat.Entry(
                     new TaskId("job-000001", index), fencingToken, state, exit, !spot)));
-    assertEquals(report, PeerMessages.decodeHeartbeat(PeerMessages.encodeHeartbeat(report)));
+    assertEquals(heartbeat, PeerMessages.decodeHeartbeat(PeerMessages.encodeHeartbeat(heartbeat)));
   }
 
   @Example
-  void relayedAnswersReadBackAsWritten() throws MalformedMessageException {
+  void answersToRelayedHeartbeatsRoundTrip() throws MalformedMessageException {
     TaskId task = new TaskId("job-000001", 3);
     List<Answer> answers =
         List.of(
@@ -66,29 +67,30 @@
   }
 
   @Property(tries = 100, seed = "6")
-  void digestsReadBackAsWritten(@ForAll String run, @ForAll long after, @ForAll boolean whole)
+  void digestsRoundTrip(@ForAll String runId, @ForAll long afterSequence, @ForAll boolean full)
       throws MalformedMessageException {
     HeartbeatDigest digest =
         new HeartbeatDigest(
-            run,
-            whole,
-            after,
-            !whole,
+            runId,
+            full,
+            afterSequence,
+            !full,
             List.of(
-                new HeartbeatDigest.Change("i-000001", whole, after),
-                new HeartbeatDigest.Change("", !whole, 0)));
+                new HeartbeatDigest.Change("i-000001", full, afterSequence),
+                new HeartbeatDigest.Change("", !full, 0)));
     assertEquals(
         digest,
         PeerMessages.decodeHeartbeatDigest(PeerMessages.encodeHeartbeatDigest(digest)).digest());
     assertEquals(
-        new Event.MembershipRequested(9, run, after),
-        PeerMessages.decodeMembershipRequest(9, PeerMessages.encodeMembershipRequest(run, after)));
+        new Event.MembershipRequested(9, runId, afterSequence),
+        PeerMessages.decodeMembershipRequest(
+            9, PeerMessages.encodeMembershipRequest(runId, afterSequence)));
   }
 
   @Property(tries = 100, seed = "7")
-  void replicationBatchesReadBackAsWritten(
+  void replicationBatchesRoundTrip(
       @ForAll long term,
-      @ForAll long first,
+      @ForAll long firstSequence,
       @ForAll boolean more,
       @ForAll String job,
       @ForAll int index)
@@ -97,21 +99,24 @@
         new ReplicationBatch(
             term,
             2,
-            first,
+            firstSequence,
             more,
             List.of(
-                new ReplicationBatch.Change(more, "i-000001", term, job, index, first),
+                new ReplicationBatch.Change(more, "i-000001", term, job, index, firstSequence),
                 new ReplicationBatch.Change(true, "i-000002", 1, "", 0, 0)));
     assertEquals(
         batch, PeerMessages.decodeReplicationBatch(PeerMessages.encodeReplicationBatch(batch)));
-    ReplicationBatch.Ack ack = new ReplicationBatch.Ack(job, more, first);
+    ReplicationBatch.Ack ack = new ReplicationBatch.Ack(job, more, firstSequence);
     assertEquals(
         ack, PeerMessages.decodeReplicationAck(PeerMessages.encodeReplicationAck(ack)).ack());
   }
 
-  /** As many changes as one message takes, with names longer than any cloud or user gives. */
+  /**
+   * A batch or digest with the maximum number of changes must be within the size limit of a
+   * message, even with names of machines and jobs that are longer than those of any cloud or user.
+   */
   @Example
-  void fullBatchesAndDigestsFitInOneMessage() {
+  void fullBatchesAndDigestsAreWithinTheSizeLimit() {
     String machine = "i-" + "0".repeat(100);
     String job = "job-" + "9".repeat(20);
     List<ReplicationBatch.Change> changes =
@@ -136,31 +141,31 @@
   }
 
   @Property(tries = 500, seed = "5")
-  void anyBytesAreReadOrRefused(@ForAll byte[] bytes) {
+  void arbitraryBytesAreDecodedOrRefused(@ForAll byte[] bytes) {
     try {
       PeerMessages.decodeHeartbeat(bytes);
     } catch (MalformedMessageException expected) {
-      // Nothing else may come out of here, whatever arrives.
+      // No other exception may be thrown for any input.
     }
     try {
       PeerMessages.decodeMembershipRequest(1, bytes);
     } catch (MalformedMessageException expected) {
-      // Nor here.
+      // No other exception may be thrown for any input.
     }
     try {
       PeerMessages.decodeReplicationBatch(bytes);
     } catch (MalformedMessageException expected) {
-      // Nor here.
+      // No other exception may be thrown for any input.
     }
     try {
       PeerMessages.decodeReplicationAck(bytes);
     } catch (MalformedMessageException expected) {
-      // Nor here.
+      // No other exception may be thrown for any input.
     }
     try {
       PeerMessages.decodeHeartbeatDigest(bytes);
     } catch (MalformedMessageException expected) {
-      // Nothing else may come out of here, whatever arrives.
+      // No other exception may be thrown for any input.
     }
   }
 }
--- a/src/test/java/org/eiderstair/protocol/SampleMessages.java
+++ b/src/test/java/org/eiderstair/protocol/SampleMessages.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Messages as users and workers write them, for tests to send whole or to spoil. */
+/** Valid messages of users and workers, which tests send as they are or with a changed field. */
 public final class SampleMessages {
   private SampleMessages() {}
 
-  /** A submission of an array job of team "red": small tasks that may run on any machine. */
+  /**
+   * Returns a submission of an array job of team "red", whose small tasks may run on any machine.
+   */
   public static Map<String, Object> submission(String id, long tasks, double estimateSeconds) {
     Map<String, Object> message = new HashMap<>();
     message.put("Id", id);
@@ -31,10 +33,10 @@
     return message;
   }
 
-  /** What a worker says of its machine, apart from its numbers and tasks. */
+  /** The fields of a heartbeat that describe the machine of a worker. */
   public record Worker(String machine, String address, String type, String zone, boolean spot) {}
 
-  /** A worker's heartbeat in its first incarnation. */
+  /** Returns a heartbeat of a worker in its first incarnation. */
   public static Map<String, Object> heartbeat(
       Worker worker, long sequence, long fencingToken, List<?> tasks) {
     return Map.of(
@@ -58,17 +60,17 @@
         tasks);
   }
 
-  /** A task in a heartbeat that runs. */
+  /** Returns the entry of a heartbeat for a running task. */
   public static Map<String, Object> runningTask(String task, long attempt) {
     return Map.of("Piece", task, "Try", attempt, "Tide", "running");
   }
 
-  /** A task in a heartbeat that has completed. */
+  /** Returns the entry of a heartbeat for a completed task. */
   public static Map<String, Object> completedTask(String task, long attempt) {
     return Map.of("Piece", task, "Try", attempt, "Tide", "ended", "Cause", "done");
   }
 
-  /** A message that differs from another in one field; without it where the value is null. */
+  /** Returns a copy of the message with one field changed, or removed if the value is null. */
   public static Map<String, Object> with(Map<String, Object> message, String field, Object value) {
     Map<String, Object> changed = new HashMap<>(message);
     if (value == null) {
--- a/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
+++ b/src/test/java/org/eiderstair/protocol/WorkerMessagesTest.java
@@ -21,7 +21,10 @@
 import org.eiderstair.core.model.TaskId;
 import org.msgpack.core.MessagePack;
 
-/** The reader of heartbeats that makes no map for each task, against one that does. */
+/**
+ * Compares the decoder of heartbeats, which reads tasks as rows without a map for each, with a
+ * reference decoder that reads them from maps.
+ */
 class WorkerMessagesTest {
   private static final Map<String, TaskState> STATES =
       Map.of(
@@ -48,47 +51,51 @@
           "no_such",
           Exit.UNKNOWN_JOB);
 
-  /** As the protocol says it, from maps. */
-  private static Heartbeat general(byte[] body) throws MalformedMessageException {
-    Fields f = new Fields(MessagePackCodec.readMap(body));
+  /** Decodes a heartbeat from maps, with the names of the wire written out. */
+  private static Heartbeat referenceDecode(byte[] body) throws MalformedMessageException {
+    Fields fields = new Fields(MessagePackCodec.readMap(body));
     List<Entry> entries = new ArrayList<>();
-    for (Object item : f.list("Pieces")) {
-      Fields piece = Fields.of(item, "Pieces");
-      TaskId task = TaskId.parse(piece.text("Piece"));
-      TaskState state = STATES.get(piece.text("Tide"));
+    for (Object item : fields.list("Pieces")) {
+      Fields taskFields = Fields.of(item, "Pieces");
+      TaskId task = TaskId.parse(taskFields.text("Piece"));
+      TaskState state = STATES.get(taskFields.text("Tide"));
       if (task == null || state == null) {
         throw new MalformedMessageException("Pieces");
       }
       Exit exit =
           state == TaskState.ENDED
-              ? EXITS.getOrDefault(piece.text("Cause"), Exit.ERROR)
+              ? EXITS.getOrDefault(taskFields.text("Cause"), Exit.ERROR)
               : Exit.NONE;
       entries.add(
           new Entry(
-              task, piece.count("Try"), state, exit, Boolean.TRUE.equals(piece.raw("Saved"))));
+              task,
+              taskFields.count("Try"),
+              state,
+              exit,
+              Boolean.TRUE.equals(taskFields.raw("Saved"))));
     }
     return new Heartbeat(
-        f.text("Skerry"),
-        f.text("Endpoint"),
-        f.text("Hull"),
-        f.text("Fjord"),
-        f.flag("Driftwood"),
-        f.count("Watch"),
-        f.count("Tally"),
-        new FencingToken(f.count("Baton")),
-        f.microsOr("WarningS", Heartbeat.NO_NOTICE),
+        fields.text("Skerry"),
+        fields.text("Endpoint"),
+        fields.text("Hull"),
+        fields.text("Fjord"),
+        fields.flag("Driftwood"),
+        fields.count("Watch"),
+        fields.count("Tally"),
+        new FencingToken(fields.count("Baton")),
+        fields.microsOrDefault("WarningS", Heartbeat.NO_NOTICE),
         entries);
   }
 
-  private static Object read(byte[] body, boolean general) {
+  private static Object decodeOrRefuse(byte[] body, boolean byReference) {
     try {
-      return general ? general(body) : WorkerMessages.decodeHeartbeat(body);
+      return byReference ? referenceDecode(body) : WorkerMessages.decodeHeartbeat(body);
     } catch (MalformedMessageException e) {
       return "refused";
     }
   }
 
-  private static Arbitrary<Object> any() {
+  private static Arbitrary<Object> anyValue() {
     return Arbitraries.oneOf(
         Arbitraries.of("running", "ended", "done", "halted", "", "job-1/2").map(x -> x),
         Arbitraries.longs().between(-1, 9).map(x -> x),
@@ -98,10 +105,10 @@
         Arbitraries.just((Object) Map.of("Piece", "job-1/1")));
   }
 
-  private static <T> Arbitrary<Object> mostly(Arbitrary<T> good) {
+  private static <T> Arbitrary<Object> mostlyValid(Arbitrary<T> valid) {
     return Arbitraries.frequencyOf(
-        net.jqwik.api.Tuple.of(40, good.map(x -> (Object) x)),
-        net.jqwik.api.Tuple.of(1, any()),
+        net.jqwik.api.Tuple.of(40, valid.map(x -> (Object) x)),
+        net.jqwik.api.Tuple.of(1, anyValue()),
         net.jqwik.api.Tuple.of(1, Arbitraries.just((Object) "absent")));
   }
 
@@ -116,20 +123,20 @@
   }
 
   @Provide
-  Arbitrary<Map<String, Object>> reports() {
-    List<String> pieceNames = List.of("Piece", "Try", "Tide", "Cause", "Saved", "Unknown");
-    Arbitrary<Object> piece =
+  Arbitrary<Map<String, Object>> heartbeats() {
+    List<String> taskFieldNames = List.of("Piece", "Try", "Tide", "Cause", "Saved", "Unknown");
+    Arbitrary<Object> task =
         Combinators.combine(
                 List.of(
-                    mostly(
+                    mostlyValid(
                         Arbitraries.integers().between(0, 99).map(i -> "job-0000" + i + "/" + i)),
-                    mostly(Arbitraries.longs().greaterOrEqual(0)),
-                    mostly(Arbitraries.of(STATES.keySet())),
-                    mostly(Arbitraries.of(EXITS.keySet())),
-                    mostly(Arbitraries.of(true, false)),
-                    any()))
-            .as(values -> map(pieceNames, values));
-    List<String> names =
+                    mostlyValid(Arbitraries.longs().greaterOrEqual(0)),
+                    mostlyValid(Arbitraries.of(STATES.keySet())),
+                    mostlyValid(Arbitraries.of(EXITS.keySet())),
+                    mostlyValid(Arbitraries.of(true, false)),
+                    anyValue()))
+            .as(values -> map(taskFieldNames, values));
+    List<String> fieldNames =
         List.of(
             "Skerry",
             "Endpoint",
@@ -143,50 +150,50 @@
             "Unknown",
             "Pieces");
     Arbitrary<String> text = Arbitraries.strings().ofMinLength(1).ofMaxLength(30);
-    Arbitrary<Object> pieces =
+    Arbitrary<Object> tasks =
         Arbitraries.frequencyOf(
-            net.jqwik.api.Tuple.of(30, piece.list().ofMaxSize(12).map(x -> (Object) x)),
-            net.jqwik.api.Tuple.of(1, any().list().ofMaxSize(3).map(x -> (Object) x)),
-            net.jqwik.api.Tuple.of(1, any()));
+            net.jqwik.api.Tuple.of(30, task.list().ofMaxSize(12).map(x -> (Object) x)),
+            net.jqwik.api.Tuple.of(1, anyValue().list().ofMaxSize(3).map(x -> (Object) x)),
+            net.jqwik.api.Tuple.of(1, anyValue()));
     Arbitrary<Long> count = Arbitraries.longs().greaterOrEqual(0);
     return Combinators.combine(
             List.of(
-                mostly(text),
-                mostly(text),
-                mostly(text),
-                mostly(text),
-                mostly(Arbitraries.of(true, false)),
-                mostly(count),
-                mostly(count),
-                mostly(count),
-                mostly(Arbitraries.doubles().between(0, 1e6)),
-                any(),
-                pieces))
-        .as(values -> map(names, values));
+                mostlyValid(text),
+                mostlyValid(text),
+                mostlyValid(text),
+                mostlyValid(text),
+                mostlyValid(Arbitraries.of(true, false)),
+                mostlyValid(count),
+                mostlyValid(count),
+                mostlyValid(count),
+                mostlyValid(Arbitraries.doubles().between(0, 1e6)),
+                anyValue(),
+                tasks))
+        .as(values -> map(fieldNames, values));
   }
 
   @Property(tries = 2000, seed = "9")
-  void readsWhatTheGeneralReaderReads(@ForAll("reports") Map<String, Object> report) {
-    byte[] body = MessagePackCodec.write(report);
-    assertEquals(read(body, true), read(body, false));
+  void decodesLikeTheReferenceDecoder(@ForAll("heartbeats") Map<String, Object> heartbeat) {
+    byte[] body = MessagePackCodec.write(heartbeat);
+    assertEquals(decodeOrRefuse(body, true), decodeOrRefuse(body, false));
   }
 
   @Property(tries = 2000, seed = "10")
-  void refusesWhatTheGeneralReaderRefuses(
-      @ForAll("reports") Map<String, Object> report,
-      @ForAll int at,
-      @ForAll byte other,
-      @ForAll boolean cut) {
-    byte[] body = MessagePackCodec.write(report);
-    int place = Math.floorMod(at, body.length);
-    body[place] = other;
-    byte[] broken = cut ? java.util.Arrays.copyOf(body, place) : body;
-    assertEquals(read(broken, true), read(broken, false));
+  void corruptedBytesAreDecodedOrRefusedLikeTheReference(
+      @ForAll("heartbeats") Map<String, Object> heartbeat,
+      @ForAll int offset,
+      @ForAll byte replacement,
+      @ForAll boolean truncate) {
+    byte[] body = MessagePackCodec.write(heartbeat);
+    int index = Math.floorMod(offset, body.length);
+    body[index] = replacement;
+    byte[] corrupted = truncate ? java.util.Arrays.copyOf(body, index) : body;
+    assertEquals(decodeOrRefuse(corrupted, true), decodeOrRefuse(corrupted, false));
   }
 
-  /** Of a field that comes twice the last counts, also of the list. */
+  /** If a message repeats a field, the last value counts. The same must hold for the task list. */
   @Example
-  void theLastOfTwoListsCounts() throws Exception {
+  void lastOfTwoTaskListsCounts() throws Exception {
     try (var packer = MessagePack.newDefaultBufferPacker()) {
       packer.packMapHeader(10);
       for (String name : List.of("Skerry", "Endpoint", "Hull", "Fjord")) {
@@ -205,7 +212,7 @@
           .packString("job-1/3");
       packer.packString("Try").packLong(4).packString("Tide").packString("running");
       byte[] body = packer.toByteArray();
-      assertEquals(general(body), WorkerMessages.decodeHeartbeat(body));
+      assertEquals(referenceDecode(body), WorkerMessages.decodeHeartbeat(body));
       assertEquals(
           new TaskId("job-1", 3), WorkerMessages.decodeHeartbeat(body).tasks().get(0).task());
     }
--- a/src/test/java/org/eiderstair/protocol/package-info.java
+++ b/src/test/java/org/eiderstair/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the messages, with generated inputs. */
+/** Tests of encoding and decoding messages, mostly with generated input. */
 package org.eiderstair.protocol;
