--- a/src/main/java/org/eiderstair/peer/AvroCodec.java
+++ b/src/main/java/org/eiderstair/peer/AvroCodec.java
@@ -7,10 +7,11 @@
 import org.apache.avro.message.BinaryMessageEncoder;
 import org.eiderstair.protocol.MalformedMessageException;
 
-/** Records to and from Avro's single-object encoding. */
+/** Converts records to and from the single-object encoding of Avro. */
 final class AvroCodec {
   private AvroCodec() {}
 
+  /** Encodes a record. */
   static <T> byte[] encode(BinaryMessageEncoder<T> encoder, T message) {
     try {
       ByteBuffer buffer = encoder.encode(message);
@@ -18,14 +19,15 @@
       buffer.get(bytes);
       return bytes;
     } catch (IOException e) {
-      throw new IllegalStateException("encoding to memory failed", e);
+      throw new IllegalStateException("encoding a message to memory failed", e);
     }
   }
 
   /**
-   * Decodes any bytes, or refuses them.
+   * Decodes a record.
    *
-   * @param expected what it should have been, for the exception's message
+   * @param expected a noun phrase for the expected record, for the exception's message
+   * @throws MalformedMessageException if the bytes are not a record that the decoder can read
    */
   static <T> T decode(BinaryMessageDecoder<T> decoder, byte[] bytes, String expected)
       throws MalformedMessageException {
--- a/src/main/java/org/eiderstair/peer/PeerMessages.java
+++ b/src/main/java/org/eiderstair/peer/PeerMessages.java
@@ -31,26 +31,27 @@
 import org.eiderstair.protocol.MalformedMessageException;
 
 /**
- * What controllers send each other, in Avro's single-object encoding: every message names its
- * schema, so nodes of two versions understand each other or know that they do not.
+ * Encodes and decodes the messages between controllers, in the single-object encoding of Avro.
+ * Every message carries the fingerprint of its schema, so a node of another version either reads
+ * the message or refuses it.
  */
 public final class PeerMessages {
-  /** Where a follower relays a heartbeat to. */
+  /** The path to which a follower relays heartbeats. */
   public static final String RELAY_PATH = "/peer/relay";
 
-  /** Where a peer is asked which machines it reaches. */
+  /** The path for requesting the machines whose heartbeats reach a peer directly. */
   public static final String MEMBERSHIP_PATH = "/peer/heard";
 
-  /** Where the leader sends its state's changes to. */
+  /** The path to which the leader sends changes of its state. */
   public static final String REPLICATION_PATH = "/peer/standby";
 
-  /** Where cancellations are sent to. */
+  /** The path for sending cancellations. */
   public static final String CANCELLATIONS_PATH = "/peer/cancelled";
 
-  /** Where a peer is asked whether the state service serves it. */
+  /** The path for asking whether the state service serves a peer. */
   public static final String STATE_SERVICE_STATUS_PATH = "/peer/standing";
 
-  /** A larger message of a peer is refused. */
+  /** The largest message that is accepted from a peer. */
   public static final int MAX_BYTES = 128 * 1024;
 
   private static final int OK = 200;
@@ -59,7 +60,7 @@
 
   private PeerMessages() {}
 
-  /** Encodes a worker's heartbeat that is relayed to the leader. */
+  /** Encodes a heartbeat for relaying to the leader. */
   public static byte[] encodeHeartbeat(Heartbeat heartbeat) {
     List<RelayedTask> tasks = new ArrayList<>(heartbeat.tasks().size());
     for (Heartbeat.Entry entry : heartbeat.tasks()) {
@@ -90,7 +91,7 @@
         entry.saved());
   }
 
-  /** Decodes a worker's heartbeat that a peer has relayed. */
+  /** Decodes a heartbeat that a peer has relayed. */
   public static Heartbeat decodeHeartbeat(byte[] bytes) throws MalformedMessageException {
     RelayedReport report = AvroCodec.decode(RelayedReport.getDecoder(), bytes, "a relayed report");
     List<Heartbeat.Entry> tasks = new ArrayList<>(report.getTasks().size());
@@ -119,7 +120,10 @@
         task.getSaved());
   }
 
-  /** Encodes the leader's answer to a relayed heartbeat; any other answer is "unavailable". */
+  /**
+   * Encodes the leader's answer to a relayed heartbeat: a command, a redirect or a failure. An
+   * answer of any other type is encoded as status 503.
+   */
   public static byte[] encodeHeartbeatAnswer(Answer answer) {
     return AvroCodec.encode(RelayedAnswer.getEncoder(), relayedAnswer(answer));
   }
@@ -154,7 +158,7 @@
     return order instanceof Order.Kill ? RelayedVerb.KILL : RelayedVerb.REAP;
   }
 
-  /** Decodes the leader's answer to a relayed heartbeat. */
+  /** Decodes the leader's answer to a relayed heartbeat: a command, a redirect or a failure. */
   public static Answer decodeHeartbeatAnswer(byte[] bytes) throws MalformedMessageException {
     RelayedAnswer answer = AvroCodec.decode(RelayedAnswer.getDecoder(), bytes, "a relayed answer");
     return switch (answer.getStatus()) {
@@ -181,35 +185,41 @@
     };
   }
 
-  /** Encodes whether the state service serves this node, and whom it follows. */
+  /** Encodes whether the state service serves this node, and which leader this node follows. */
   public static byte[] encodeStateServiceStatus(Answer.StateServiceStatus status) {
     return AvroCodec.encode(
         PeerStanding.getEncoder(),
         new PeerStanding(status.served(), status.leader(), status.term()));
   }
 
-  /** Decodes whether the state service serves a peer, and whom that follows. */
+  /** Decodes whether the state service serves a peer, and which leader the peer follows. */
   public static Reply.PeerStateServiceStatus decodeStateServiceStatus(byte[] bytes)
       throws MalformedMessageException {
-    PeerStanding status = AvroCodec.decode(PeerStanding.getDecoder(), bytes, "a peer's standing");
+    PeerStanding status =
+        AvroCodec.decode(PeerStanding.getDecoder(), bytes, "a state service status");
     return new Reply.PeerStateServiceStatus(
         status.getServed(), status.getLeader(), status.getTerm());
   }
 
-  /** Encodes a request for the changes of a peer's digest after a sequence number. */
+  /**
+   * Encodes a request for the heartbeat digest of a peer.
+   *
+   * @param runId the run of the peer to which the sequence number belongs
+   * @param afterSequence the sequence number after which the changes are requested
+   */
   public static byte[] encodeMembershipRequest(String runId, long afterSequence) {
     return AvroCodec.encode(HeardAsk.getEncoder(), new HeardAsk(runId, afterSequence));
   }
 
-  /** Decodes a request for the machines that report to this node. */
+  /** Decodes a request for the heartbeat digest of this node. */
   public static Event.MembershipRequested decodeMembershipRequest(long exchange, byte[] bytes)
       throws MalformedMessageException {
     HeardAsk request =
-        AvroCodec.decode(HeardAsk.getDecoder(), bytes, "a question for machines heard");
+        AvroCodec.decode(HeardAsk.getDecoder(), bytes, "a request for a heartbeat digest");
     return new Event.MembershipRequested(exchange, request.getRun(), request.getAfter());
   }
 
-  /** Encodes the machines that report to this node. */
+  /** Encodes the heartbeat digest of this node. */
   public static byte[] encodeHeartbeatDigest(HeartbeatDigest digest) {
     List<HeardChange> changes = new ArrayList<>(digest.changes().size());
     for (HeartbeatDigest.Change change : digest.changes()) {
@@ -221,10 +231,10 @@
             digest.runId(), digest.full(), digest.lastSequence(), digest.more(), changes));
   }
 
-  /** Decodes the machines that report to a peer. */
+  /** Decodes the heartbeat digest of a peer. */
   public static Reply.PeerMembership decodeHeartbeatDigest(byte[] bytes)
       throws MalformedMessageException {
-    HeardTold digest = AvroCodec.decode(HeardTold.getDecoder(), bytes, "machines heard");
+    HeardTold digest = AvroCodec.decode(HeardTold.getDecoder(), bytes, "a heartbeat digest");
     List<HeartbeatDigest.Change> changes = new ArrayList<>(digest.getChanges().size());
     for (HeardChange change : digest.getChanges()) {
       changes.add(
@@ -236,7 +246,7 @@
             digest.getRun(), digest.getWhole(), digest.getLast(), digest.getMore(), changes));
   }
 
-  /** Encodes changes of the leader's state for its standby. */
+  /** Encodes changes of the leader's state for a standby. */
   public static byte[] encodeReplicationBatch(ReplicationBatch batch) {
     List<StandbyChange> changes = new ArrayList<>(batch.changes().size());
     for (ReplicationBatch.Change change : batch.changes()) {
@@ -259,11 +269,10 @@
             changes));
   }
 
-  /** Decodes changes of the leader's state. */
+  /** Decodes changes of the leader's state that a standby has received. */
   public static ReplicationBatch decodeReplicationBatch(byte[] bytes)
       throws MalformedMessageException {
-    StandbyBatch batch =
-        AvroCodec.decode(StandbyBatch.getDecoder(), bytes, "changes for a standby");
+    StandbyBatch batch = AvroCodec.decode(StandbyBatch.getDecoder(), bytes, "a replication batch");
     List<ReplicationBatch.Change> changes = new ArrayList<>(batch.getChanges().size());
     for (StandbyChange change : batch.getChanges()) {
       changes.add(
@@ -279,17 +288,18 @@
         batch.getTerm(), batch.getFilling(), batch.getFirst(), batch.getMore(), changes);
   }
 
-  /** Encodes the standby's acknowledgement. */
+  /** Encodes a standby's acknowledgement of a replication batch. */
   public static byte[] encodeReplicationAck(ReplicationBatch.Ack ack) {
     return AvroCodec.encode(
         StandbyAck.getEncoder(),
         new StandbyAck(ack.runId(), ack.accepted(), ack.throughSequence()));
   }
 
-  /** Decodes the standby's acknowledgement. */
+  /** Decodes a standby's acknowledgement of a replication batch. */
   public static Reply.ReplicationAck decodeReplicationAck(byte[] bytes)
       throws MalformedMessageException {
-    StandbyAck ack = AvroCodec.decode(StandbyAck.getDecoder(), bytes, "a standby's answer");
+    StandbyAck ack =
+        AvroCodec.decode(StandbyAck.getDecoder(), bytes, "a replication acknowledgement");
     return new Reply.ReplicationAck(
         new ReplicationBatch.Ack(ack.getRun(), ack.getAccepted(), ack.getUpTo()));
   }
