--- a/src/test/java/org/eiderstair/architecture/PackageDependencyTest.java
+++ b/src/test/java/org/eiderstair/architecture/PackageDependencyTest.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import net.jqwik.api.Example;
 
-/** Which package may use which: the table of docs/architecture.md, and no cycles. */
+/**
+ * Checks that dependencies between packages follow the table in docs/architecture.md and have no
+ * cycles.
+ */
 class PackageDependencyTest {
   private static final String ROOT = "org.eiderstair.";
   private static final JavaClasses CLASSES =
@@ -20,28 +23,29 @@
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.eiderstair");
 
-  /** Each package of the core with those that may use it. */
-  private static final Map<String, String[]> USERS = users();
+  /** The packages that may depend on each package, by its name without {@link #ROOT}. */
+  private static final Map<String, String[]> ALLOWED_DEPENDENTS = allowedDependents();
 
-  private static Map<String, String[]> users() {
-    Map<String, String[]> users = new LinkedHashMap<>();
-    users.put("core.leadership", new String[] {"core", "core.workers", "core.capacity", "config"});
-    users.put("core.jobs", new String[] {"core"});
-    users.put(
+  private static Map<String, String[]> allowedDependents() {
+    Map<String, String[]> dependents = new LinkedHashMap<>();
+    dependents.put(
+        "core.leadership", new String[] {"core", "core.workers", "core.capacity", "config"});
+    dependents.put("core.jobs", new String[] {"core"});
+    dependents.put(
         "core.quota",
         new String[] {"core", "core.jobs", "core.workers", "core.placement", "core.capacity"});
-    users.put("core.workers", new String[] {"core", "core.placement", "core.capacity"});
-    users.put("core.placement", new String[] {"core"});
-    users.put("core.capacity", new String[] {"core", "core.placement"});
-    users.put("core.provisioning", new String[] {"core.capacity"});
-    users.put("core.membership", new String[] {"core", "core.workers", "core.capacity"});
-    users.put("core.standby", new String[] {"core", "core.workers"});
-    users.put(
+    dependents.put("core.workers", new String[] {"core", "core.placement", "core.capacity"});
+    dependents.put("core.placement", new String[] {"core"});
+    dependents.put("core.capacity", new String[] {"core", "core.placement"});
+    dependents.put("core.provisioning", new String[] {"core.capacity"});
+    dependents.put("core.membership", new String[] {"core", "core.workers", "core.capacity"});
+    dependents.put("core.standby", new String[] {"core", "core.workers"});
+    dependents.put(
         "core.state",
         new String[] {
           "core", "core.leadership", "core.jobs", "core.workers", "core.placement", "core.capacity"
         });
-    users.put(
+    dependents.put(
         "core.record",
         new String[] {
           "core",
@@ -54,37 +58,37 @@
           "core.standby",
           "protocol"
         });
-    users.put("protocol", new String[] {"http", "peer", "cli"});
-    users.put("peer", new String[] {"http"});
-    users.put("http", new String[] {"node"});
-    users.put("node", new String[] {"cli"});
-    return users;
+    dependents.put("protocol", new String[] {"http", "peer", "cli"});
+    dependents.put("peer", new String[] {"http"});
+    dependents.put("http", new String[] {"node"});
+    dependents.put("node", new String[] {"cli"});
+    return dependents;
   }
 
   @Example
-  void eachPackageIsUsedOnlyByThoseThatMayUseIt() {
+  void onlyAllowedPackagesDependOnEachPackage() {
     LayeredArchitecture layers =
         layeredArchitecture().consideringOnlyDependenciesInAnyPackage("org.eiderstair..");
     layers = layers.layer("core").definedBy("org.eiderstair.core");
     layers = layers.layer("cli").definedBy(ROOT + "cli..");
     layers = layers.layer("config").definedBy(ROOT + "config..");
     layers = layers.layer("core.message").definedBy(ROOT + "core.message..");
-    for (String name : USERS.keySet()) {
+    for (String name : ALLOWED_DEPENDENTS.keySet()) {
       layers = layers.layer(name).definedBy(ROOT + name + "..");
     }
-    for (Map.Entry<String, String[]> entry : USERS.entrySet()) {
+    for (Map.Entry<String, String[]> entry : ALLOWED_DEPENDENTS.entrySet()) {
       layers = layers.whereLayer(entry.getKey()).mayOnlyBeAccessedByLayers(entry.getValue());
     }
     layers.check(CLASSES);
   }
 
   @Example
-  void packagesHaveNoCycles() {
+  void packageDependenciesHaveNoCycles() {
     slices().matching("org.eiderstair.(**)").should().beFreeOfCycles().check(CLASSES);
   }
 
   @Example
-  void theCoreDoesNoInputOrOutputAndHasNoClockOrThread() {
+  void coreUsesNoInputOutputClockOrThreads() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage(ROOT + "core..")
@@ -109,7 +113,7 @@
   }
 
   @Example
-  void whatTheCoreIsMadeOfDoesNotUseTheShellsRoundIt() {
+  void coreDoesNotDependOnOuterPackages() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAPackage(ROOT + "core..")
@@ -126,7 +130,7 @@
   }
 
   @Example
-  void theModelAndTheMessagesUseNoSubsystem() {
+  void modelMessagesAndRecordsDependOnNoSubsystem() {
     ArchRuleDefinition.noClasses()
         .that()
         .resideInAnyPackage(ROOT + "core.model", ROOT + "core.settings")
--- a/src/test/java/org/eiderstair/architecture/package-info.java
+++ b/src/test/java/org/eiderstair/architecture/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the packages' dependencies. */
+/** Tests of the dependencies between packages. */
 package org.eiderstair.architecture;
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -12,9 +12,10 @@
 import org.eiderstair.core.record.CatalogRecord;
 import org.eiderstair.core.record.StateKeys;
 
-/** The write with which a submission creates its job. */
+/** Produces the write with which a submission creates a job. */
 final class CreatedJob {
-  static final long AT_MICROS = 3_000_000;
+  /** The time of the submission. */
+  static final long SUBMITTED_MICROS = 3_000_000;
 
   private static final MachineType LARGE =
       new MachineType("g8", 64, 8, 512, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
@@ -27,8 +28,9 @@
     Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
     Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
     bench.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
-    JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
-    service.tick(AT_MICROS);
+    JobService service =
+        new JobService(bench.settings, bench.sink, bench.replica, cancellation -> {});
+    service.tick(SUBMITTED_MICROS);
     bench.effects.clear();
     service.submit(1, new Submission.Parsed(spec));
     Effect.Call call = (Effect.Call) bench.effects.get(0);
--- a/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/PeerMessageCompatibilityTest.java
@@ -21,8 +21,9 @@
 import org.eiderstair.protocol.MalformedMessageException;
 
 /**
- * Every message between controllers: written in the bytes in which version 0.1.0 wrote it, and read
- * from them.
+ * Guards against changes of the messages between controllers that peers of version 0.1.0 could not
+ * read. Every message must be encoded in the bytes that version 0.1.0 wrote, and be decoded from
+ * them.
  */
 class PeerMessageCompatibilityTest {
   private static final RecordedBytes RECORDED = RecordedBytes.load("peer-messages.hex");
@@ -80,7 +81,7 @@
         "i-2", "x", "t", "b", false, 0, 0, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of());
   }
 
-  private static Map<String, byte[]> allWritten() {
+  private static Map<String, byte[]> encodeAll() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     all.put("heartbeat", PeerMessages.encodeHeartbeat(HEARTBEAT));
     all.put("heartbeat-empty", PeerMessages.encodeHeartbeat(emptyHeartbeat()));
@@ -102,12 +103,12 @@
   }
 
   @Example
-  void everyPeerMessageIsWrittenInTheRecordedBytes() {
-    RECORDED.assertWrittenAlike(allWritten());
+  void everyMessageIsEncodedInTheRecordedBytes() {
+    RECORDED.assertSameBytes(encodeAll());
   }
 
   @Example
-  void everyRecordedPeerMessageIsRead() throws MalformedMessageException {
+  void everyRecordedMessageIsDecoded() throws MalformedMessageException {
     assertEquals(HEARTBEAT, PeerMessages.decodeHeartbeat(RECORDED.get("heartbeat")));
     assertEquals(emptyHeartbeat(), PeerMessages.decodeHeartbeat(RECORDED.get("heartbeat-empty")));
     for (int i = 0; i < ANSWERS.size(); i++) {
--- a/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/ProvisioningWrites.java
@@ -15,11 +15,15 @@
 import org.eiderstair.core.provisioning.RentalResponseHandler;
 import org.eiderstair.core.record.StoredValue;
 
-/** What a leader writes of rentals and releases, in the order of its writes. */
+/**
+ * Produces the records of rentals and releases that a leader writes, in the order of its writes.
+ */
 final class ProvisioningWrites {
   static final RentalOption SPOT = new RentalOption("g8", "a", true);
   static final RentalOption RELIABLE = new RentalOption("c4", "b", false);
-  static final List<String> NAMES =
+
+  /** The names of these writes in the recorded file. */
+  static final List<String> RECORDED_NAMES =
       List.of(
           "provisioning-1:e/duty/rent/r-70-1",
           "provisioning-2:e/duty/rent/r-70-2",
@@ -30,18 +34,19 @@
   private ProvisioningWrites() {}
 
   /**
-   * Keeps what is written, and grants three machines to the first rental and none yet to others.
+   * Collects the writes, and grants three machines to each request for {@link #SPOT}. Other
+   * requests stay unanswered.
    */
   static final class Host implements ProvisioningHost {
     final List<Request.Write> writes = new ArrayList<>();
-    final List<Runnable> durable = new ArrayList<>();
+    final List<Runnable> durableCallbacks = new ArrayList<>();
     final List<String> errors = new ArrayList<>();
-    final List<String> booting = new ArrayList<>();
+    final List<String> bootingMachines = new ArrayList<>();
 
     @Override
     public void put(String key, StoredValue value, Runnable onDurable) {
       writes.add(Request.Write.put(key, value));
-      durable.add(onDurable);
+      durableCallbacks.add(onDurable);
     }
 
     @Override
@@ -66,7 +71,7 @@
 
     @Override
     public void machinesBooting(RentalRequest request, List<String> machines, long ageMicros) {
-      booting.addAll(machines);
+      bootingMachines.addAll(machines);
     }
 
     @Override
@@ -97,14 +102,14 @@
     }
   }
 
-  static List<Request.Write> make() {
+  static List<Request.Write> writes() {
     Host host = new Host();
     ProvisioningController controller =
         new ProvisioningController(host, 70, 1, 1_764_670_000_000_000L);
     resume(controller, new TreeMap<>(), 1_000_000);
     controller.scaleOut(SPOT, 3);
     controller.scaleOut(RELIABLE, 1);
-    host.durable.get(0).run();
+    host.durableCallbacks.get(0).run();
     controller.tick(2_000_000);
     controller.scaleIn("m-7");
     controller.scaleIn("m-8");
--- a/src/test/java/org/eiderstair/compatibility/RecordedBytes.java
+++ b/src/test/java/org/eiderstair/compatibility/RecordedBytes.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * Named messages of one kind as an earlier version wrote them: a text file with a line for each,
- * its name and its bytes in hexadecimal. Such a file is never made anew; what this version adds is
- * appended.
+ * Messages that an earlier version wrote, each with a name. The file has one line for each message,
+ * with the name and the bytes in hexadecimal. The recorded lines must never be regenerated;
+ * messages that a later version adds are appended.
  */
 final class RecordedBytes {
   private static final String DIRECTORY = "/compatibility/";
@@ -45,8 +45,10 @@
     return messages.get(name).clone();
   }
 
-  /** All that was recorded is written in the same bytes, and nothing else. */
-  void assertWrittenAlike(Map<String, byte[]> written) {
+  /**
+   * Asserts that the messages have the recorded names, in the same order, and the recorded bytes.
+   */
+  void assertSameBytes(Map<String, byte[]> written) {
     List<String> names = new ArrayList<>(messages.keySet());
     assertEquals(names, new ArrayList<>(written.keySet()));
     messages.forEach((name, bytes) -> assertArrayEquals(bytes, written.get(name), name));
--- a/src/test/java/org/eiderstair/compatibility/SampleSpecs.java
+++ b/src/test/java/org/eiderstair/compatibility/SampleSpecs.java
@@ -3,10 +3,11 @@
 import java.util.List;
 import org.eiderstair.core.model.JobSpec;
 
-/** Job specifications that between them take every form of every field. */
+/** Job specifications that together cover every form of every field. */
 final class SampleSpecs {
   private SampleSpecs() {}
 
+  /** Returns an array job without optional fields. */
   static JobSpec plain(String id) {
     return new JobSpec(
         id,
@@ -31,6 +32,7 @@
         JobSpec.NO_DEADLINE);
   }
 
+  /** Returns a service that sets every optional field. */
   static JobSpec full(String id) {
     return new JobSpec(
         id,
@@ -55,7 +57,8 @@
         900_000_000_000L);
   }
 
-  static JobSpec other(String id, JobSpec.Priority priority, List<String> types, String zone) {
+  /** Returns an array job with empty, null and extreme values. */
+  static JobSpec extreme(String id, JobSpec.Priority priority, List<String> types, String zone) {
     return new JobSpec(
         id,
         "",
--- a/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
+++ b/src/test/java/org/eiderstair/compatibility/StandbyWrites.java
@@ -15,7 +15,10 @@
 import org.eiderstair.core.standby.RecoveredMachine;
 import org.eiderstair.core.standby.Standby;
 
-/** What is written about the standby: that it is in sync, that nobody is, that it took over. */
+/**
+ * Produces the records of the standby: one that names the peer, one that names no node, and one
+ * after a takeover.
+ */
 final class StandbyWrites {
   private static final long TERM = 70;
   private static final List<ReplicationBatch.Change> CHANGES =
@@ -23,12 +26,16 @@
 
   private StandbyWrites() {}
 
-  /** A leader whose one peer acknowledges all, while the state service answers as the test says. */
+  /**
+   * The host of a leader whose only peer acknowledges every batch while {@link #acknowledges} is
+   * set. The state service applies each write, unless {@link #stored} is set: then the outcome of
+   * writes is uncertain, and reads return that record.
+   */
   private static final class Host implements Standby.Host {
     final List<Request.Write> writes = new ArrayList<>();
     boolean acknowledges = true;
     Reply.Item stored;
-    boolean claimed;
+    boolean takenOver;
 
     @Override
     public boolean hasCompleteState() {
@@ -63,14 +70,14 @@
 
     @Override
     public void termTakenOver() {
-      claimed = true;
+      takenOver = true;
     }
 
     @Override
     public void info(String text) {}
   }
 
-  static List<Request.Write> make() {
+  static List<Request.Write> writes() {
     Standby leader = new Standby("a", "run-a", text -> {});
     Host host = new Host();
     leader.startTerm(host, TERM, List.of("b"), 0);
@@ -90,17 +97,17 @@
     return (StandbyRecord) item.value();
   }
 
-  /** Whether a leader that reads this record leaves office. */
-  static boolean endsTheTerm(Reply.Item item) {
+  /** Returns whether a leader that reads this record stops leading. */
+  static boolean endsTerm(Reply.Item item) {
     Host host = new Host();
     host.stored = item;
     Standby leader = new Standby("a", "run-a", text -> {});
     leader.startTerm(host, TERM, List.of("b"), 9);
     leader.tick(1_000_000);
-    return host.claimed;
+    return host.takenOver;
   }
 
-  /** A peer that holds all that the leader of the term has sent. */
+  /** A peer that holds the complete state that the leader of the term has sent. */
   static final class Follower {
     private final Standby standby = new Standby("b", "run-b", text -> {});
 
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -36,22 +36,26 @@
 import org.eiderstair.protocol.StoreMessages;
 
 /**
- * Every value that is kept in the state service: written in the bytes in which version 0.1.0 wrote
- * it, and read from them.
+ * Guards against changes of stored values that version 0.1.0 could not read, or that make its
+ * values unreadable. Every value must be encoded in the bytes that version 0.1.0 wrote, and be
+ * decoded from them.
  */
 class StoredValueCompatibilityTest {
   private static final RecordedBytes RECORDED = RecordedBytes.load("stored-values.hex");
-  private static final long DAY = 1_764_670_000_000_000L;
+  private static final long DAY_MICROS = 1_764_670_000_000_000L;
   private static final List<MachineType> CATALOG =
       List.of(
           new MachineType("g8", 8, 4, 32.5, 10, 0.4, 1.25, 0.3, 30_000_000, List.of("a", "b")),
           new MachineType("c4", 64, 0, 256, 100, 1, 3, 0, 0, List.of()));
 
-  private static byte[] written(Request.Write write) {
+  private static byte[] encode(Request.Write write) {
     return StoreMessages.encodeTransaction(new Request.StoreTransaction(List.of(), List.of(write)));
   }
 
-  /** The transactions of a leader's writer, with all that was to be written. */
+  /**
+   * Returns two transactions of a leader's state writer: one with all kinds of its writes, whose
+   * reply is lost, and the one that follows.
+   */
   private static List<Request.StoreTransaction> leaderTransactions() {
     LeaderBench bench = new LeaderBench();
     StateWriter.Listener listener =
@@ -104,7 +108,7 @@
     for (JobSpec spec : specs()) {
       String key = StateKeys.job(spec.id());
       writes.add(Request.Write.put(key, JobRecord.open(spec, 0)));
-      writes.add(Request.Write.put(key, JobRecord.cancelled(spec, 2, DAY)));
+      writes.add(Request.Write.put(key, JobRecord.cancelled(spec, 2, DAY_MICROS)));
     }
     writes.add(
         new Request.Write("e/prog/job-1", ProgressRecord.of(new BitSet(), Integer.MAX_VALUE), 0));
@@ -115,39 +119,39 @@
     return List.of(
         SampleSpecs.plain("job-1"),
         SampleSpecs.full("job-2"),
-        SampleSpecs.other("job-3", JobSpec.Priority.HIGH, List.of(), "a"),
-        SampleSpecs.other("job-4", JobSpec.Priority.LOW, List.of("t"), null));
+        SampleSpecs.extreme("job-3", JobSpec.Priority.HIGH, List.of(), "a"),
+        SampleSpecs.extreme("job-4", JobSpec.Priority.LOW, List.of("t"), null));
   }
 
-  private static Map<String, byte[]> allWritten() {
+  private static Map<String, byte[]> encodeAll() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     int number = 0;
     for (Request.Write write : samples()) {
-      all.put("sample-" + ++number + ":" + write.key(), written(write));
+      all.put("sample-" + ++number + ":" + write.key(), encode(write));
     }
     Request.Write created = CreatedJob.write(SampleSpecs.full("job-9"));
-    all.put("created:" + created.key(), written(created));
+    all.put("created:" + created.key(), encode(created));
     number = 0;
     for (Request.StoreTransaction transaction : leaderTransactions()) {
       all.put("transaction-" + ++number, StoreMessages.encodeTransaction(transaction));
     }
     number = 0;
-    for (Request.Write write : ProvisioningWrites.make()) {
-      all.put("provisioning-" + ++number + ":" + write.key(), written(write));
+    for (Request.Write write : ProvisioningWrites.writes()) {
+      all.put("provisioning-" + ++number + ":" + write.key(), encode(write));
     }
     number = 0;
-    for (Request.Write write : StandbyWrites.make()) {
-      all.put("standby-" + ++number + ":" + write.key(), written(write));
+    for (Request.Write write : StandbyWrites.writes()) {
+      all.put("standby-" + ++number + ":" + write.key(), encode(write));
     }
     return all;
   }
 
   @Example
-  void everyStoredValueIsWrittenInTheRecordedBytes() {
-    RECORDED.assertWrittenAlike(allWritten());
+  void everyStoredValueIsEncodedInTheRecordedBytes() {
+    RECORDED.assertSameBytes(encodeAll());
   }
 
-  /** The values of a recorded transaction as the state service gives them back. */
+  /** Decodes the values of a recorded transaction from a page as the state service returns it. */
   private static List<Reply.Item> read(String name, long version) throws MalformedMessageException {
     List<Object> entries = new ArrayList<>();
     for (Object write : (List<?>) MessagePackCodec.readMap(RECORDED.get(name)).get("Writes")) {
@@ -162,15 +166,14 @@
     return ((Reply.Listed) StoreMessages.decodeListed(MessagePackCodec.readMap(page))).items();
   }
 
-  /** What was read is the very record that was written, and is written again in the same bytes. */
   @Example
-  void everyRecordedValueIsTheRecordThatWasWritten() throws MalformedMessageException {
+  void everyRecordedValueDecodesToTheRecordThatWasWritten() throws MalformedMessageException {
     int compared = 0;
     List<Request.Write> writes = new ArrayList<>(samples());
     writes.add(CreatedJob.write(SampleSpecs.full("job-9")));
     leaderTransactions().forEach(transaction -> writes.addAll(transaction.writes()));
-    writes.addAll(ProvisioningWrites.make());
-    writes.addAll(StandbyWrites.make());
+    writes.addAll(ProvisioningWrites.writes());
+    writes.addAll(StandbyWrites.writes());
     List<StoredValue> written =
         writes.stream().map(Request.Write::value).filter(value -> value != null).toList();
     for (String name : RECORDED.names()) {
@@ -191,7 +194,7 @@
   }
 
   @Example
-  void theLeaderAndTheCatalogAreRead() throws MalformedMessageException {
+  void leaderAndCatalogAreDecoded() throws MalformedMessageException {
     Replica replica = replicaOf("sample-1:e/leader", "sample-3:e/catalog", "sample-2:e/catalog");
     assertEquals(new Replica.Leader("n1", "run-7", 1L << 40, 11), replica.leader());
     assertEquals(CATALOG, replica.catalog());
@@ -200,7 +203,7 @@
   }
 
   @Example
-  void openAndCancelledJobsAreRead() throws MalformedMessageException {
+  void openAndCancelledJobsAreDecoded() throws MalformedMessageException {
     int number = 4;
     for (JobSpec spec : specs()) {
       String open = "sample-" + number++ + ":e/job/" + spec.id();
@@ -218,17 +221,17 @@
   }
 
   @Example
-  void whenAJobWasCreatedIsRead() throws MalformedMessageException {
+  void submissionTimeOfAJobIsDecoded() throws MalformedMessageException {
     LeaderBench bench = new LeaderBench();
     bench.replica.advanceTo(5_000_000);
     read("created:e/job/job-9", 11).forEach(bench.replica::apply);
     Job job = bench.replica.job("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
-    assertEquals(CreatedJob.AT_MICROS, job.submittedMicros());
+    assertEquals(CreatedJob.SUBMITTED_MICROS, job.submittedMicros());
   }
 
   @Example
-  void finishedJobsProgressAndWorkersAreRead() throws MalformedMessageException {
+  void finishedJobsProgressAndWorkersAreDecoded() throws MalformedMessageException {
     LeaderBench bench = new LeaderBench();
     Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
     Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
@@ -250,34 +253,34 @@
   }
 
   @Example
-  void rentalsAndReleasesAreTakenOver() throws MalformedMessageException {
+  void newLeaderResumesRentalsAndReleases() throws MalformedMessageException {
     ProvisioningWrites.Host host = new ProvisioningWrites.Host();
-    ProvisioningController next = new ProvisioningController(host, 90, 1, DAY);
+    ProvisioningController controller = new ProvisioningController(host, 90, 1, DAY_MICROS);
     TreeMap<String, Reply.Item> items = new TreeMap<>();
-    for (String name : ProvisioningWrites.NAMES) {
+    for (String name : ProvisioningWrites.RECORDED_NAMES) {
       for (Reply.Item item : read(name, 11)) {
         items.put(item.key(), item);
       }
     }
-    ProvisioningWrites.resume(next, items, 0);
+    ProvisioningWrites.resume(controller, items, 0);
     assertEquals(List.of(), host.errors);
-    assertEquals("rentals=2 releases=1", next.summary());
+    assertEquals("rentals=2 releases=1", controller.summary());
     assertEquals(
         List.of(new RentalRequest("r-70-2", ProvisioningWrites.RELIABLE, 1)),
-        next.pendingRentals());
-    assertEquals(List.of("m-2", "m-3"), host.booting);
-    assertTrue(next.isReleasing("m-8"));
-    assertFalse(next.isReleasing("m-7"));
+        controller.pendingRentals());
+    assertEquals(List.of("m-2", "m-3"), host.bootingMachines);
+    assertTrue(controller.isReleasing("m-8"));
+    assertFalse(controller.isReleasing("m-7"));
   }
 
   @Example
-  void theStandbysRecordIsRead() throws MalformedMessageException {
+  void standbyRecordIsDecoded() throws MalformedMessageException {
     assertTrue(
         Standby.namesAnyNode(StandbyWrites.value(read("standby-1:e/duty/standby", 11).get(0))));
     assertFalse(
         Standby.namesAnyNode(StandbyWrites.value(read("standby-2:e/duty/standby", 11).get(0))));
-    assertTrue(StandbyWrites.endsTheTerm(read("standby-3:e/duty/standby", 11).get(0)));
-    assertFalse(StandbyWrites.endsTheTerm(read("standby-1:e/duty/standby", 11).get(0)));
+    assertTrue(StandbyWrites.endsTerm(read("standby-3:e/duty/standby", 11).get(0)));
+    assertFalse(StandbyWrites.endsTerm(read("standby-1:e/duty/standby", 11).get(0)));
     StandbyWrites.Follower follower = new StandbyWrites.Follower();
     Reply.Item named = read("standby-1:e/duty/standby", 11).get(0);
     assertEquals(1, follower.recover(named).orElseThrow().size());
--- a/src/test/java/org/eiderstair/compatibility/package-info.java
+++ b/src/test/java/org/eiderstair/compatibility/package-info.java
@@ -1,2 +1,5 @@
-/** Tests that bytes written by an earlier version are written and read alike by this one. */
+/**
+ * Tests that this version reads the recorded bytes of an earlier version, and writes the same bytes
+ * for the same values.
+ */
 package org.eiderstair.compatibility;
