--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -144,7 +144,7 @@
 
   private double cpuLimit(String name) {
     Settings.Team team = settings.teams().get(name);
-    return team == null || team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax();
+    return team == null || team.maxCpus() <= 0 ? Double.MAX_VALUE : team.maxCpus();
   }
 
   /**
@@ -183,7 +183,7 @@
     // is planned for all of its remaining tasks at once.
     double windowMicros = spec.spotAllowed() ? timeLeftMicros : 0;
     return Math.min(
-        job.unfinishedTasks(),
+        job.unfinishedTaskCount(),
         remainingMicros(job, nowMicros) / Math.max(windowMicros, estimateMicros(spec)));
   }
 
@@ -194,7 +194,7 @@
   /** Returns the total remaining run time of a job's tasks, based on its owner's estimate. */
   private static double remainingMicros(Job job, long nowMicros) {
     double estimate = estimateMicros(job.spec());
-    double remaining = job.freeTasks() * estimate;
+    double remaining = job.freeTaskCount() * estimate;
     for (Attempt attempt : job.attempts()) {
       boolean running = attempt.reportedState() == Heartbeat.TaskState.RUNNING;
       double left = running ? estimate - (nowMicros - attempt.runningSinceMicros()) : estimate;
--- a/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
+++ b/src/main/java/org/eiderstair/core/capacity/MachineRetirement.java
@@ -73,7 +73,7 @@
     ReachabilityClassifier classifier =
         membership.classify(
             workers.machines().values(),
-            workers.reachability().isReachedByFew(),
+            workers.reachability().hasFewDirectHeartbeats(),
             settings.tuning().unreachableDeleteMicros(),
             settings.tuning().partitionedDeleteMicros(),
             clock.nowMicros());
@@ -137,7 +137,7 @@
   private boolean bootTimedOut(Machine machine) {
     long bootMicros =
         machine.type() == null ? UNKNOWN_TYPE_BOOT_MICROS : machine.type().bootMicros();
-    return clock.nowMicros() > machine.sinceMicros() + bootMicros * BOOT_TIME_FACTOR
+    return clock.nowMicros() > machine.createdMicros() + bootMicros * BOOT_TIME_FACTOR
         && !membership.isReachableByPeer(machine.id())
         && !workers.reachability().isOverloaded();
   }
--- a/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
+++ b/src/main/java/org/eiderstair/core/placement/GuaranteePreemption.java
@@ -75,7 +75,7 @@
     PlacementConstraints constraints =
         new PlacementConstraints(job, workers.machines().values(), nowMicros);
     constraints.chooseZone();
-    double neededCpus = job.waitingTasks() * job.spec().cpus();
+    double neededCpus = job.waitingTaskCount() * job.spec().cpus();
     List<Attempt> victims = new ArrayList<>();
     for (Attempt attempt : candidates()) {
       if (attempt.isStopRequested()) {
@@ -133,7 +133,7 @@
    */
   private boolean isPreemptible(Attempt attempt) {
     return attempt.phase() == Attempt.Phase.REPORTED
-        && attempt.job().open()
+        && attempt.job().isOpen()
         && !order.isWithinGuarantee(attempt.job());
   }
 
--- a/src/main/java/org/eiderstair/core/placement/Placement.java
+++ b/src/main/java/org/eiderstair/core/placement/Placement.java
@@ -63,7 +63,7 @@
     preemption = new GuaranteePreemption(sink, workers, quotas, order, term);
     diagnostics =
         new PlacementDiagnostics(replica, workers, availableMachines, quotas, starvationGuard);
-    workers.onJobStarted(starvationGuard::recordStarted);
+    workers.setJobStartedListener(starvationGuard::recordStarted);
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -57,8 +57,8 @@
       Settings.Team team = settings.teams().get(job.spec().team());
       double cpus =
           cpusByTeam.merge(
-              job.spec().team(), job.unfinishedTasks() * job.spec().cpus(), Double::sum);
-      if (team != null && team.cpus() > 0 && cpus <= team.cpus()) {
+              job.spec().team(), job.unfinishedTaskCount() * job.spec().cpus(), Double::sum);
+      if (team != null && team.guaranteedCpus() > 0 && cpus <= team.guaranteedCpus()) {
         within.add(job);
       }
     }
--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -1,7 +1,7 @@
 package org.eiderstair.compatibility;
 
 import java.util.List;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.jobs.JobService;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
@@ -23,17 +23,17 @@
   private CreatedJob() {}
 
   static Request.Write write(JobSpec spec) {
-    LeaderBench bench = new LeaderBench();
-    bench.replica.tick(bench.now);
-    Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+    LeaderFixture fixture = new LeaderFixture();
+    fixture.replica.tick(fixture.now);
+    Effect.Call list = (Effect.Call) fixture.effects.get(fixture.effects.size() - 1);
     Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
-    bench.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
+    fixture.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
     JobService service =
-        new JobService(bench.settings, bench.sink, bench.replica, cancellation -> {});
+        new JobService(fixture.settings, fixture.sink, fixture.replica, cancellation -> {});
     service.tick(SUBMITTED_MICROS);
-    bench.effects.clear();
+    fixture.effects.clear();
     service.submit(1, new Submission.Parsed(spec));
-    Effect.Call call = (Effect.Call) bench.effects.get(0);
+    Effect.Call call = (Effect.Call) fixture.effects.get(0);
     return ((Request.StoreTransaction) call.request()).writes().get(0);
   }
 }
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import net.jqwik.api.Example;
-import org.eiderstair.core.LeaderBench;
+import org.eiderstair.core.LeaderFixture;
 import org.eiderstair.core.message.Effect;
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
@@ -57,7 +57,7 @@
    * reply is lost, and the one that follows.
    */
   private static List<Request.StoreTransaction> leaderTransactions() {
-    LeaderBench bench = new LeaderBench();
+    LeaderFixture fixture = new LeaderFixture();
     StateWriter.Listener listener =
         new StateWriter.Listener() {
           @Override
@@ -67,35 +67,37 @@
           public void workerRegistered(String machine) {}
         };
     StateWriter writer =
-        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderBench.TERM, listener);
-    Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
+        new StateWriter(
+            fixture.settings, fixture.sink, fixture.replica, LeaderFixture.TERM, listener);
+    Job finished = fixture.job("red", JobSpec.Priority.NORMAL, 7, 1);
     finished.advanceProgressTo(4);
     writer.writeFinished(finished);
-    Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
+    Job progressed = fixture.job("red", JobSpec.Priority.NORMAL, 10, 1);
     for (int index : new int[] {0, 1, 2, 3, 4, 5, 9}) {
       progressed.markCompleted(index);
     }
     writer.writeProgress(progressed);
-    Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
+    Job scattered = fixture.job("red", JobSpec.Priority.NORMAL, 1000, 1);
     for (int i = 0; i < 1000; i += 2) {
       scattered.markCompleted(i);
     }
     writer.writeProgress(scattered);
-    writer.writeProgress(bench.job("red", JobSpec.Priority.NORMAL, 2, 1));
+    writer.writeProgress(fixture.job("red", JobSpec.Priority.NORMAL, 2, 1));
     for (boolean spot : new boolean[] {true, false}) {
       Machine machine =
-          new Machine(spot ? "i-1" : "i-2", LeaderBench.TERM, Machine.Phase.CONFIRMED, 0);
+          new Machine(spot ? "i-1" : "i-2", LeaderFixture.TERM, Machine.Phase.CONFIRMED, 0);
       machine.describe("10.0.0.1:80", "t", spot ? "a" : null, spot);
       writer.register(machine);
     }
     List<Request.StoreTransaction> transactions = new ArrayList<>();
-    bench.effects.clear();
+    fixture.effects.clear();
     writer.tick(10_000_000);
-    Effect.Call lost = (Effect.Call) bench.effects.remove(0);
+    Effect.Call lost = (Effect.Call) fixture.effects.remove(0);
     transactions.add((Request.StoreTransaction) lost.request());
-    bench.sink.replied(lost.callId(), new Reply.NoResponse("timeout"));
+    fixture.sink.replied(lost.callId(), new Reply.NoResponse("timeout"));
     writer.tick(11_000_000);
-    transactions.add((Request.StoreTransaction) ((Effect.Call) bench.effects.remove(0)).request());
+    transactions.add(
+        (Request.StoreTransaction) ((Effect.Call) fixture.effects.remove(0)).request());
     return transactions;
   }
 
@@ -185,7 +187,7 @@
   }
 
   private static Replica replicaOf(String... names) throws MalformedMessageException {
-    Replica replica = new LeaderBench().replica;
+    Replica replica = new LeaderFixture().replica;
     long version = 10;
     for (String name : names) {
       read(name, ++version).forEach(replica::apply);
@@ -215,28 +217,28 @@
       assertEquals(11, job.version());
       Job ended = replicaOf(open, cancelled).job(spec.id());
       assertEquals(Job.State.CANCELLED, ended.state());
-      assertEquals(2, ended.finalDone());
+      assertEquals(2, ended.finalDoneCount());
       assertEquals(spec.tasks(), ended.tasks());
     }
   }
 
   @Example
   void submissionTimeOfAJobIsDecoded() throws MalformedMessageException {
-    LeaderBench bench = new LeaderBench();
-    bench.replica.advanceTo(5_000_000);
-    read("created:e/job/job-9", 11).forEach(bench.replica::apply);
-    Job job = bench.replica.job("job-9");
+    LeaderFixture fixture = new LeaderFixture();
+    fixture.replica.advanceTo(5_000_000);
+    read("created:e/job/job-9", 11).forEach(fixture.replica::apply);
+    Job job = fixture.replica.job("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
     assertEquals(CreatedJob.SUBMITTED_MICROS, job.submittedMicros());
   }
 
   @Example
   void finishedJobsProgressAndWorkersAreDecoded() throws MalformedMessageException {
-    LeaderBench bench = new LeaderBench();
-    Job finished = bench.job("red", JobSpec.Priority.NORMAL, 7, 1);
-    Job progressed = bench.job("red", JobSpec.Priority.NORMAL, 10, 1);
-    Job scattered = bench.job("red", JobSpec.Priority.NORMAL, 1000, 1);
-    read("transaction-1", 11).forEach(bench.replica::apply);
+    LeaderFixture fixture = new LeaderFixture();
+    Job finished = fixture.job("red", JobSpec.Priority.NORMAL, 7, 1);
+    Job progressed = fixture.job("red", JobSpec.Priority.NORMAL, 10, 1);
+    Job scattered = fixture.job("red", JobSpec.Priority.NORMAL, 1000, 1);
+    read("transaction-1", 11).forEach(fixture.replica::apply);
     assertEquals(Job.State.DONE, finished.state());
     assertEquals(7, finished.tasks());
     assertEquals("{0, 1, 2, 3, 4, 5, 9}", progressed.durablyCompletedTasks().toString());
@@ -244,12 +246,12 @@
     assertEquals(1000 - 1, scattered.durablyCompletedTasks().length());
     assertEquals(
         new Replica.RegisteredWorker("i-1", "10.0.0.1:80", "t", "a", true, 11),
-        bench.replica.registeredWorker("i-1"));
+        fixture.replica.registeredWorker("i-1"));
     assertEquals(
         new Replica.RegisteredWorker("i-2", "10.0.0.1:80", "t", null, false, 11),
-        bench.replica.registeredWorker("i-2"));
-    read("transaction-2", 12).forEach(bench.replica::apply);
-    assertEquals(12, bench.replica.dutyRecord("e/duty/barrier").version());
+        fixture.replica.registeredWorker("i-2"));
+    read("transaction-2", 12).forEach(fixture.replica::apply);
+    assertEquals(12, fixture.replica.coordinationRecord("e/duty/barrier").version());
   }
 
   @Example
