--- a/src/test/java/org/eiderstair/compatibility/CreatedJob.java
+++ b/src/test/java/org/eiderstair/compatibility/CreatedJob.java
@@ -12,9 +12,10 @@
 import org.eiderstair.core.record.CatalogRecord;
 import org.eiderstair.core.record.StateKeys;
 
-/** The write with which a submission creates its job. */
+/** Produces the write with which a submission creates a job. */
 final class CreatedJob {
-  static final long AT_MICROS = 3_000_000;
+  /** The time of the submission. */
+  static final long SUBMITTED_MICROS = 3_000_000;
 
   private static final MachineType LARGE =
       new MachineType("g8", 64, 8, 512, 10, 1, 1, 0.3, 30_000_000, List.of("a"));
@@ -22,16 +23,17 @@
   private CreatedJob() {}
 
   static Request.Write write(JobSpec spec) {
-    LeaderFixture bench = new LeaderFixture();
-    bench.replica.tick(bench.now);
-    Effect.Call list = (Effect.Call) bench.effects.get(bench.effects.size() - 1);
+    LeaderFixture fixture = new LeaderFixture();
+    fixture.replica.tick(fixture.now);
+    Effect.Call list = (Effect.Call) fixture.effects.get(fixture.effects.size() - 1);
     Reply.Item catalog = new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LARGE)), 2);
-    bench.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
-    JobService service = new JobService(bench.settings, bench.sink, bench.replica, told -> {});
-    service.tick(AT_MICROS);
-    bench.effects.clear();
+    fixture.sink.replied(list.callId(), new Reply.Listed(List.of(catalog), false, 2));
+    JobService service =
+        new JobService(fixture.settings, fixture.sink, fixture.replica, cancellation -> {});
+    service.tick(SUBMITTED_MICROS);
+    fixture.effects.clear();
     service.submit(1, new Submission.Parsed(spec));
-    Effect.Call call = (Effect.Call) bench.effects.get(0);
+    Effect.Call call = (Effect.Call) fixture.effects.get(0);
     return ((Request.StoreTransaction) call.request()).writes().get(0);
   }
 }
