--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -83,7 +83,7 @@
    * whichever processes cannot be reached.
    */
   private void requireCancellationBounds(Settings core) throws InvalidConfigException {
-    if (!LeadershipBounds.boundsHold(core)) {
+    if (!LeadershipBounds.isAnswerPeriodSufficient(core)) {
       throw workers.invalid(
           "cancel_s",
           "must exceed lease_s by at least leader_ttl_s ("
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -20,8 +20,9 @@
 import org.eiderstair.core.record.WorkerRecord;
 
 /**
- * A leader of 4,000 machines with sockets for a few of them: the others reach its peers. That looks
- * like a partition, and is none.
+ * Guards against the resignation of an overloaded leader. A leader of 4,000 machines has too few
+ * sockets for all of them, so the others send their heartbeats to its peers. This looks like a
+ * partition between the leader and its machines, but is none.
  */
 class OverloadTest {
   private static final int MACHINES = 4_000;
@@ -29,15 +30,16 @@
   private static final long TICK_MICROS = 50_000;
   private static final long RUN_MICROS = 3_500_000;
 
-  private final LeaderBench bench = new LeaderBench();
+  private final LeaderFixture leader = new LeaderFixture();
   private final Membership membership =
       new Membership(
           "n0",
           List.of("n1"),
           Map.of(),
           "run",
-          bench.settings.workerTimings().heartbeatMicros(),
-          (peer, run, after, callback) -> callback.accept(new PeerAnswer.Digest(digest())),
+          leader.settings.workerTimings().heartbeatMicros(),
+          (peer, runId, afterSequence, callback) ->
+              callback.accept(new PeerAnswer.Digest(digest())),
           text -> {});
   private LeaderTerm leaderTerm;
 
@@ -49,25 +51,25 @@
     return new HeartbeatDigest("peer-run", true, REACHING_PEERS, false, changes);
   }
 
-  private void lead() {
+  private void becomeLeader() {
     for (int i = 0; i < MACHINES; i++) {
-      bench.replica.apply(
+      leader.replica.apply(
           new Reply.Item(
               StateKeys.worker("m-" + i), new WorkerRecord("10.0.0.1:1", "t", "a", false), 1));
     }
-    bench.lead();
+    leader.lead();
     leaderTerm =
         new LeaderTerm(
-            bench.settings,
-            bench.sink,
-            bench.replica,
-            bench.leadership,
+            leader.settings,
+            leader.sink,
+            leader.replica,
+            leader.leadership,
             membership,
-            bench.standby,
-            bench.overload,
-            bench.leadership.term(),
+            leader.standby,
+            leader.overload,
+            leader.leadership.term(),
             n -> 0);
-    leaderTerm.tick(bench.now);
+    leaderTerm.tick(leader.now);
     for (int i = 0; i < MACHINES; i++) {
       Heartbeat heartbeat =
           new Heartbeat(
@@ -78,69 +80,68 @@
               false,
               1,
               1,
-              FencingToken.first(bench.leadership.term()),
+              FencingToken.first(leader.leadership.term()),
               Heartbeat.NO_NOTICE,
               List.of());
-      leaderTerm.heartbeatReceived(i + 1, heartbeat, false, bench.now);
+      leaderTerm.heartbeatReceived(i + 1, heartbeat, false, leader.now);
     }
-    leaderTerm.tick(bench.now);
+    leaderTerm.tick(leader.now);
   }
 
-  /** No heartbeat arrives any more, and peers receive most of them. */
+  /** Advances the time without heartbeats to the leader, while peers receive most of them. */
   private void runWithoutHeartbeats(boolean overloaded) {
-    for (long end = bench.now + RUN_MICROS; bench.now < end; bench.now += TICK_MICROS) {
+    for (long end = leader.now + RUN_MICROS; leader.now < end; leader.now += TICK_MICROS) {
       if (overloaded) {
-        bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
+        leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
       }
       if (!hasResigned()) {
-        leaderTerm.tick(bench.now);
+        leaderTerm.tick(leader.now);
       }
     }
   }
 
   private boolean hasResigned() {
-    return bench.effects.stream()
+    return leader.effects.stream()
         .anyMatch(e -> e instanceof Effect.Call c && c.request() instanceof Request.LeaseRevoke);
   }
 
   @Example
-  void anOverloadedLeaderDoesNotHandOver() {
-    lead();
+  void anOverloadedLeaderDoesNotResign() {
+    becomeLeader();
     runWithoutHeartbeats(true);
     assertFalse(hasResigned());
   }
 
   @Example
-  void aLeaderThatIsCutFromItsMachinesHandsOver() {
-    lead();
+  void aLeaderPartitionedFromItsMachinesResigns() {
+    becomeLeader();
     runWithoutHeartbeats(false);
     assertTrue(hasResigned());
   }
 
   /**
-   * Machines that were silent for long are no reason either; once the overload is over they are.
+   * During an overload, machines that have long been silent are no reason to consider the leader
+   * isolated. After the overload, they are.
    */
   @Example
-  void silenceCountsAgainOnceTheOverloadIsOver() {
-    bench.machines(MACHINES);
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now += 8_000_000);
-    bench.workers.tick(bench.now, false);
-    assertFalse(bench.workers.reachability().isIsolated());
-    bench.workers.tick(bench.now += 12_000_000, false);
-    assertTrue(bench.workers.reachability().isIsolated());
+  void silentMachinesShowIsolationOnlyOnceTheOverloadIsOver() {
+    leader.machines(MACHINES);
+    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now += 8_000_000);
+    leader.workers.tick(leader.now, false);
+    assertFalse(leader.workers.reachability().isIsolated());
+    leader.workers.tick(leader.now += 12_000_000, false);
+    assertTrue(leader.workers.reachability().isIsolated());
   }
 
-  /**
-   * Without a socket to spare a node may still keep up with its events: nothing is put off then.
-   */
+  /** A node that has run out of sockets may still keep up with its events, and defers no work. */
   @Example
-  void workIsPutOffOnlyWhileEventsWait() {
-    bench.overload.noteOverload(new Event.Overloaded(505, 0), bench.now);
-    assertFalse(bench.overload.putsOffWork(bench.now));
-    bench.overload.noteOverload(new Event.Overloaded(0, 3_000), bench.now);
-    assertTrue(bench.overload.putsOffWork(bench.now + 500_000));
-    assertFalse(bench.overload.putsOffWork(bench.now + 11_000_000));
-    bench.workers.tick(bench.now + 2_000_000, false);
-    assertTrue(bench.workers.reachability().isOverloaded());
+  void workIsDeferredOnlyWhileEventsWait() {
+    leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
+    assertFalse(leader.overload.putsOffWork(leader.now));
+    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now);
+    assertTrue(leader.overload.putsOffWork(leader.now + 500_000));
+    assertFalse(leader.overload.putsOffWork(leader.now + 11_000_000));
+    leader.workers.tick(leader.now + 2_000_000, false);
+    assertTrue(leader.workers.reachability().isOverloaded());
   }
 }
