--- a/src/test/java/org/eiderstair/node/BadInputTest.java
+++ b/src/test/java/org/eiderstair/node/BadInputTest.java
@@ -244,8 +244,7 @@
     ContentResponse answer = post("/agent/beat", MessagePackCodec.write(known));
     assertEquals(200, answer.getStatus());
     // The job was never accepted, so the worker is ordered to stop its task. The rejected
-    // heartbeats
-    // above cause no other orders.
+    // heartbeats above cause no other orders.
     assertEquals(1, ((List<?>) MessagePackCodec.readMap(answer.getContent()).get("Orders")).size());
   }
 }
--- a/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
+++ b/src/test/java/org/eiderstair/node/ClassArchiveWorkload.java
@@ -128,13 +128,13 @@
       platform.addMachinesOfEarlierLeader(machines / 2);
       List<String> command = new ArrayList<>(List.of(args).subList(3, args.length));
       command.addAll(List.of("serve", "--config", file.toString()));
-      ProcessBuilder start = new ProcessBuilder(command).inheritIO();
+      ProcessBuilder processBuilder = new ProcessBuilder(command).inheritIO();
       if (QUIET) {
-        start
+        processBuilder
             .redirectError(ProcessBuilder.Redirect.DISCARD)
             .redirectOutput(ProcessBuilder.Redirect.DISCARD);
       }
-      Process process = start.start();
+      Process process = processBuilder.start();
       startWatchdog(process, seconds);
       ClassArchiveWorkload workload =
           new ClassArchiveWorkload(platform, process, port, machines > 20 ? 3000 : 300);
@@ -171,9 +171,9 @@
 
   private static void reportFailure(String reason) {
     System.err.println(
-        "class archive workload failed: "
+        "class archive workload: failed ("
             + reason
-            + "; the program runs without its class archive, but starts more slowly");
+            + "); the program runs without its class archive, but starts more slowly");
   }
 
   private void runPhases(int seconds, int jobsPerMinute) throws Exception {
@@ -226,10 +226,10 @@
             new BufferingResponseListener() {
               @Override
               public void onComplete(Result result) {
-                boolean soon = false;
+                boolean stateChanged = false;
                 try {
                   if (result.isSucceeded() && result.getResponse().getStatus() == 200) {
-                    soon = machine.execute(MessagePackCodec.readMap(getContent()));
+                    stateChanged = machine.execute(MessagePackCodec.readMap(getContent()));
                     countAnsweredHeartbeat();
                   }
                 } catch (MalformedMessageException e) {
@@ -237,9 +237,10 @@
                       "class archive workload: cannot decode the answer to a heartbeat: "
                           + e.getMessage());
                 }
-                long pause = soon ? 500 : (long) (heartbeatMillis * (0.75 + Math.random() / 2));
+                long pauseMillis =
+                    stateChanged ? 500 : (long) (heartbeatMillis * (0.75 + Math.random() / 2));
                 if (!timer.isShutdown()) {
-                  timer.schedule(() -> sendHeartbeat(machine), pause, TimeUnit.MILLISECONDS);
+                  timer.schedule(() -> sendHeartbeat(machine), pauseMillis, TimeUnit.MILLISECONDS);
                 }
               }
             });
