--- a/src/main/java/org/eiderstair/core/LeaderTerm.java
+++ b/src/main/java/org/eiderstair/core/LeaderTerm.java
@@ -146,10 +146,10 @@
     if (!started) {
       return;
     }
-    if (!job.open()) {
+    if (!job.isOpen()) {
       workers.jobEnded(job);
     }
-    workers.noteChange();
+    workers.requestPlacement();
   }
 
   /** Performs all work that is due. */
@@ -167,7 +167,7 @@
     }
     logSummaryIfDue();
     standby.tick(now);
-    if (!overload.putsOffWork(now) || now >= nextOverloadedCapacityMicros) {
+    if (!overload.defersWork(now) || now >= nextOverloadedCapacityMicros) {
       nextOverloadedCapacityMicros = now + OVERLOADED_CAPACITY_INTERVAL_MICROS;
       capacity.tick(now);
     }
@@ -216,7 +216,7 @@
    * which has to wait because the machines may be dead.
    */
   private boolean resignIfMachinesReachPeersOnly() {
-    boolean reachedByFew = workers.reachability().isReachedByFew();
+    boolean reachedByFew = workers.reachability().hasFewDirectHeartbeats();
     membership.tick(reachedByFew || capacity.hasMissingMachines(), now);
     int reachingPeers = reachedByFew ? workers.reachability().countReachableByPeers(membership) : 0;
     if (reachingPeers < MIN_MACHINES_REACHING_PEERS) {
@@ -282,22 +282,23 @@
    * Without these, passes run at the maximum interval, because some decisions depend on time alone.
    */
   long passDueMicros() {
-    if (!workers.hasChanged() && !workers.hasPendingAnswers()) {
+    if (!workers.isPlacementRequested() && !workers.hasPendingAnswers()) {
       return lastPassMicros + MAX_PASS_INTERVAL_MICROS;
     }
     return lastPassMicros
-        + (overload.putsOffWork(now)
+        + (overload.defersWork(now)
             ? OVERLOADED_MIN_PASS_INTERVAL_MICROS
             : MIN_PASS_INTERVAL_MICROS);
   }
 
   /** Places tasks once for all events since the last pass, and answers the machines. */
   private void runPass() {
-    boolean placementDue = workers.hasChanged() || now >= lastPassMicros + MAX_PASS_INTERVAL_MICROS;
+    boolean placementDue =
+        workers.isPlacementRequested() || now >= lastPassMicros + MAX_PASS_INTERVAL_MICROS;
     lastPassMicros = now;
     if (placementDue && leadership.mayLaunch(now)) {
-      workers.clearChange();
-      placement.place(now, !overload.putsOffWork(now));
+      workers.clearPlacementRequest();
+      placement.place(now, !overload.defersWork(now));
     }
     workers.flush(now);
     standby.tick(now);
@@ -305,12 +306,12 @@
 
   @Override
   public void jobFinished(Job job) {
-    workers.noteChange();
+    workers.requestPlacement();
   }
 
   @Override
   public void workerRegistered(String machine) {
-    workers.registered(machine);
+    workers.markRegistered(machine);
     capacity.machineRegistered(machine);
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobSubmission.java
@@ -55,7 +55,7 @@
   }
 
   private void answerRepeated(long exchange, Job known) {
-    if (!known.open()) {
+    if (!known.isOpen()) {
       answers.job(exchange, known);
       return;
     }
@@ -76,7 +76,7 @@
   }
 
   private void create(long exchange, JobSpec spec, long nowMicros) {
-    JobRecord record = JobRecord.open(spec, replica.dayMicros(nowMicros));
+    JobRecord record = JobRecord.open(spec, replica.wallClockMicros(nowMicros));
     String key = StateKeys.job(spec.id());
     sink.call(
         new Request.StoreTransaction(
--- a/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeadershipBounds.java
@@ -11,8 +11,8 @@
  *   <li><em>lease validity</em>: no other node can lead until this node's lease expires. The lease
  *       period counts from the time at which the latest successful renewal was sent.
  *   <li><em>replica freshness</em>: the replica holds every change made up to a certain time
- *       ({@link Replica#currentMicros}). An answer of the state service shows this, and the time is
- *       when its request was sent.
+ *       ({@link Replica#freshAsOfMicros}). An answer of the state service shows this, and the time
+ *       is when its request was sent.
  * </ul>
  *
  * A cancellation unknown to this node was confirmed after the time up to which the replica is
@@ -74,7 +74,7 @@
 
   /** Returns the time up to which the replica is known to hold every change. */
   long replicaCurrentMicros() {
-    return replica.currentMicros();
+    return replica.freshAsOfMicros();
   }
 
   /**
--- a/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
+++ b/src/main/java/org/eiderstair/core/quota/ResourceLimit.java
@@ -9,7 +9,7 @@
 
   /** Returns the configured limit of a team. */
   static ResourceLimit of(Settings.Team team) {
-    return new ResourceLimit(team.cpusMax(), team.acceleratorsMax());
+    return new ResourceLimit(team.maxCpus(), team.maxAccelerators());
   }
 
   /** Returns whether the given usage is within the limit. */
--- a/src/test/java/org/eiderstair/core/OverloadTest.java
+++ b/src/test/java/org/eiderstair/core/OverloadTest.java
@@ -92,7 +92,7 @@
   private void runWithoutHeartbeats(boolean overloaded) {
     for (long end = leader.now + RUN_MICROS; leader.now < end; leader.now += TICK_MICROS) {
       if (overloaded) {
-        leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
+        leader.overload.recordOverload(new Event.Overloaded(505, 0), leader.now);
       }
       if (!hasResigned()) {
         leaderTerm.tick(leader.now);
@@ -126,7 +126,7 @@
   @Example
   void silentMachinesShowIsolationOnlyOnceTheOverloadIsOver() {
     leader.machines(MACHINES);
-    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now += 8_000_000);
+    leader.overload.recordOverload(new Event.Overloaded(0, 3_000), leader.now += 8_000_000);
     leader.workers.tick(leader.now, false);
     assertFalse(leader.workers.reachability().isIsolated());
     leader.workers.tick(leader.now += 12_000_000, false);
@@ -136,11 +136,11 @@
   /** A node that has run out of sockets may still keep up with its events, and defers no work. */
   @Example
   void workIsDeferredOnlyWhileEventsWait() {
-    leader.overload.noteOverload(new Event.Overloaded(505, 0), leader.now);
-    assertFalse(leader.overload.putsOffWork(leader.now));
-    leader.overload.noteOverload(new Event.Overloaded(0, 3_000), leader.now);
-    assertTrue(leader.overload.putsOffWork(leader.now + 500_000));
-    assertFalse(leader.overload.putsOffWork(leader.now + 11_000_000));
+    leader.overload.recordOverload(new Event.Overloaded(505, 0), leader.now);
+    assertFalse(leader.overload.defersWork(leader.now));
+    leader.overload.recordOverload(new Event.Overloaded(0, 3_000), leader.now);
+    assertTrue(leader.overload.defersWork(leader.now + 500_000));
+    assertFalse(leader.overload.defersWork(leader.now + 11_000_000));
     leader.workers.tick(leader.now + 2_000_000, false);
     assertTrue(leader.workers.reachability().isOverloaded());
   }
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -160,11 +160,11 @@
       callback.accept(new Reply.LeaseGranted(lastLease));
     } else if (request instanceof Request.LeaseRenew renew) {
       Lease renewed =
-          leases.computeIfPresent(renew.lease(), (id, lease) -> beginning(lease.ttlMicros()));
+          leases.computeIfPresent(renew.leaseId(), (id, lease) -> beginning(lease.ttlMicros()));
       callback.accept(renewed == null ? new Reply.Refused(404) : new Reply.Applied(0));
     } else if (request instanceof Request.LeaseRevoke revoke) {
-      if (leases.containsKey(revoke.lease())) {
-        endLease(revoke.lease());
+      if (leases.containsKey(revoke.leaseId())) {
+        endLease(revoke.leaseId());
       }
       callback.accept(new Reply.Applied(0));
     }
@@ -172,8 +172,8 @@
 
   private Reply list(Request.StoreList list) {
     List<Reply.Item> page = new ArrayList<>();
-    boolean fromPrefix = list.after() == null;
-    String from = fromPrefix ? list.prefix() : list.after();
+    boolean fromPrefix = list.afterKey() == null;
+    String from = fromPrefix ? list.prefix() : list.afterKey();
     for (Reply.Item item : items.tailMap(from, fromPrefix).values()) {
       if (!item.key().startsWith(list.prefix())) {
         break;
@@ -207,7 +207,7 @@
   private Reply commit(Request.StoreTransaction txn) {
     maxWrites = Math.max(maxWrites, txn.writes().size());
     if (txn.writes().stream()
-        .anyMatch(write -> write.lease() != 0 && !leases.containsKey(write.lease()))) {
+        .anyMatch(write -> write.leaseId() != 0 && !leases.containsKey(write.leaseId()))) {
       return new Reply.Refused(400);
     }
     List<String> failed = new ArrayList<>();
@@ -240,15 +240,15 @@
     everWritten.put(write.key(), item.value());
     log.add(item);
     leaseOfKey.remove(write.key());
-    if (write.lease() != 0) {
-      leaseOfKey.put(write.key(), write.lease());
+    if (write.leaseId() != 0) {
+      leaseOfKey.put(write.key(), write.leaseId());
     }
   }
 
   private void watch(String node, Request.StoreWatch watch, Consumer<Reply> callback) {
     if (!nodesWithHeldWatches.contains(node)) {
-      watches.add(new Watch(node, watch.prefix(), watch.after(), callback));
-      clock.after(watch.holdMicros(), () -> endWatch(node, callback));
+      watches.add(new Watch(node, watch.prefix(), watch.afterRevision(), callback));
+      clock.after(watch.maxWaitMicros(), () -> endWatch(node, callback));
       notifyWatches();
     }
   }
