--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -73,7 +73,7 @@
     loop.attach(core, effect -> execute(effect, loop, outbound, inbound));
     loop.setTimeoutCheck(outbound::expire);
     loop.setRefusedConnectionCounter(budget::takeRefusals);
-    loop.setLateEventFilter(inbound::refusedAsLate);
+    loop.setLateEventFilter(inbound::refuseIfLate);
     coreThread = new Thread(null, loop, "core", 512 * 1024);
     coreThread.start();
     port = inbound.listen(sockets, config.bindHost(), config.bindPort(), budget);
