--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -14,11 +14,11 @@
  * at the fleet size.
  */
 class ControllerFaultScenariosTest {
-  private static final long SECOND = 1_000_000;
-  private static final long FAULT = 80 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long FAULT_AT_MICROS = 80 * SECOND_MICROS;
 
   /** More room than the work of the day ever asks for. */
-  private static final ClusterSize ROOMY = new ClusterSize(5, 900, 240, 900, 160, 60);
+  private static final ClusterSize AMPLE = new ClusterSize(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
 
@@ -31,19 +31,19 @@
 
   private SimulatedCluster play(long seed, ClusterSize size, Consumer<SimulatedCluster> fault) {
     SimulatedCluster day = SimulatedDay.prepare(seed, size);
-    day.logs = logs::add;
-    day.clock.after(FAULT, () -> fault.accept(day));
-    day.clock.runUntil(320 * SECOND);
-    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
-    day.clock.runUntil(480 * SECOND);
+    day.logListener = logs::add;
+    day.clock.after(FAULT_AT_MICROS, () -> fault.accept(day));
+    day.clock.runUntil(320 * SECOND_MICROS);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL_MICROS);
+    day.clock.runUntil(480 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
-    assertEquals(List.of(), day.users.unfinished());
+    assertEquals(List.of(), day.users.unfinishedJobs());
     assertTrue(day.completedShare() >= 0.5, "completed share " + day.completedShare());
     return day;
   }
 
-  private long logged(String what) {
-    return logs.stream().filter(l -> l.contains(what)).count();
+  private long countLogs(String text) {
+    return logs.stream().filter(l -> l.contains(text)).count();
   }
 
   /** From whichever state of a leader. */
@@ -58,85 +58,92 @@
    * silent.
    */
   @Example
-  void aLeaderCutFromItsWorkersHandsOverAndGivesBackNone() {
+  void aLeaderPartitionedFromItsWorkersResignsAndReleasesFewLiveMachines() {
     int[] machines = new int[1];
     SimulatedCluster day =
         play(
             ClusterSize.fleet(3),
-            d -> {
-              machines[0] = d.cloud.machines();
-              d.outages.cutNodeFromWorkers(d.leader(), 40 * SECOND);
+            cluster -> {
+              machines[0] = cluster.cloud.machineCount();
+              cluster.outages.partitionNodeFromWorkers(cluster.leader(), 40 * SECOND_MICROS);
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
-    assertEquals(1, logged("no machine reaches this node while peers receive heartbeats of"));
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+    assertEquals(1, countLogs("no machine reaches this node while peers receive heartbeats of"));
   }
 
   @Example
-  void aLeaderCutFromItsPeersGoesOn() {
+  void aLeaderPartitionedFromItsPeersKeepsLeading() {
     SimulatedCluster day =
-        play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 40 * SECOND));
+        play(
+            ClusterSize.GROWN,
+            cluster ->
+                cluster.outages.partitionNodeFromPeers(cluster.leader(), 40 * SECOND_MICROS));
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
     assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
   }
 
   @Example
-  void aLeaderCutFromWorkersAndPeersGivesBackNone() {
+  void aLeaderPartitionedFromWorkersAndPeersReleasesFewLiveMachines() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              int leader = d.leader();
-              d.outages.cutNodeFromWorkers(leader, 40 * SECOND);
-              d.outages.cutNodeFromPeers(leader, 40 * SECOND);
+            cluster -> {
+              int leader = cluster.leader();
+              cluster.outages.partitionNodeFromWorkers(leader, 40 * SECOND_MICROS);
+              cluster.outages.partitionNodeFromPeers(leader, 40 * SECOND_MICROS);
             });
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
    * Rentals of a leader that the cloud does not answer are settled by the next, under their names.
    */
   @Example
-  void openRentalsOfALeaderCutFromTheCloudAreSettledByTheNext() {
+  void pendingRentalsOfALeaderPartitionedFromTheCloudAreResolvedByItsSuccessor() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              int leader = d.leader();
-              d.outages.cutNodeFromCloud(leader, 60 * SECOND);
-              d.clock.after(20 * SECOND, () -> d.outages.crash(leader, 3 * SECOND));
+            cluster -> {
+              int leader = cluster.leader();
+              cluster.outages.partitionNodeFromCloud(leader, 60 * SECOND_MICROS);
+              cluster.clock.after(
+                  20 * SECOND_MICROS, () -> cluster.outages.crash(leader, 3 * SECOND_MICROS));
             });
-    assertTrue(logged("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        countLogs("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
+    assertTrue(
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /** Nobody rents where nobody sees, while there is room elsewhere. */
   @Example
-  void aPartitionedZoneIsNotTakenForDeadMachines() {
+  void aPartitionedZoneIsDetectedAndNoMachinesAreRentedThere() {
     String[] zone = new String[1];
-    int[] there = new int[2];
+    int[] rented = new int[2];
     play(
-        ROOMY,
-        d -> {
-          int cut = (d.leader() + 1) % 3;
+        AMPLE,
+        cluster -> {
+          int cut = (cluster.leader() + 1) % 3;
           zone[0] = String.valueOf("abc".charAt(cut));
-          d.outages.cutZone(cut, 70 * SECOND);
+          cluster.outages.partitionZone(cut, 70 * SECOND_MICROS);
           // So that machines are asked for during the cut.
-          d.clock.after(12 * SECOND, () -> d.cloud.killMachines(60));
-          d.clock.after(9 * SECOND, () -> there[0] = d.cloud.rentedIn(zone[0]));
-          d.clock.after(69 * SECOND, () -> there[1] = d.cloud.rentedIn(zone[0]));
+          cluster.clock.after(12 * SECOND_MICROS, () -> cluster.cloud.killMachines(60));
+          cluster.clock.after(
+              9 * SECOND_MICROS, () -> rented[0] = cluster.cloud.rentedInZoneCount(zone[0]));
+          cluster.clock.after(
+              69 * SECOND_MICROS, () -> rented[1] = cluster.cloud.rentedInZoneCount(zone[0]));
         });
-    assertEquals(1, logged("zone=" + zone[0] + " -> PARTITIONED"));
-    assertEquals(1, logged("zone=" + zone[0] + " -> REACHABLE"));
-    assertEquals(there[0], there[1], "no machine is rented in a partitioned zone");
+    assertEquals(1, countLogs("zone=" + zone[0] + " -> PARTITIONED"));
+    assertEquals(1, countLogs("zone=" + zone[0] + " -> REACHABLE"));
+    assertEquals(rented[0], rented[1], "no machine is rented in a partitioned zone");
   }
 
   /**
@@ -145,7 +152,7 @@
    * of several days that tells.
    */
   @Example
-  void halfOfAllMachinesDeadAtOnceAreReplaced() {
+  void machinesAreReplacedWhenHalfOfThemDieAtOnce() {
     int before = 0;
     int after = 0;
     for (long seed = 5; seed <= 8; seed++) {
@@ -154,23 +161,25 @@
           play(
               seed,
               ClusterSize.GROWN,
-              d -> {
-                machines[0] = d.cloud.machines();
-                d.cloud.killMachines(50);
-                d.clock.after(
-                    60 * SECOND,
+              cluster -> {
+                machines[0] = cluster.cloud.machineCount();
+                cluster.cloud.killMachines(50);
+                cluster.clock.after(
+                    60 * SECOND_MICROS,
                     () -> {
-                      machines[1] = d.cloud.alive();
-                      machines[2] = d.cloud.machines() - d.cloud.alive();
+                      machines[1] = cluster.cloud.aliveMachineCount();
+                      machines[2] =
+                          cluster.cloud.machineCount() - cluster.cloud.aliveMachineCount();
                     });
               });
-      String what = "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
-      assertTrue(machines[1] > machines[0] / 2, what);
+      String message =
+          "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
+      assertTrue(machines[1] > machines[0] / 2, message);
       // None that died is paid for any more.
       assertEquals(0, machines[2], "machines that died a minute ago are returned");
       assertTrue(
-          day.cloud.returnedAlive() < machines[0] / 50,
-          "machines returned while alive: " + day.cloud.returnedAlive());
+          day.cloud.releasedWhileAlive() < machines[0] / 50,
+          "machines returned while alive: " + day.cloud.releasedWhileAlive());
       before += machines[0];
       after += machines[1];
     }
@@ -182,32 +191,32 @@
    * the next.
    */
   @Example
-  void aNewLeaderDoesNotReturnMachinesASecondTime() {
-    int[] given = new int[1];
+  void aNewLeaderDoesNotReleaseMachinesASecondTime() {
+    int[] released = new int[1];
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              d.cloud.killMachines(30);
-              d.clock.after(
-                  14 * SECOND,
+            cluster -> {
+              cluster.cloud.killMachines(30);
+              cluster.clock.after(
+                  14 * SECOND_MICROS,
                   () -> {
-                    given[0] = (int) logged(": unreachable: ");
+                    released[0] = (int) countLogs(": unreachable: ");
                     // Back at once, so that the next leader's first list is of the time before.
-                    d.outages.crash(d.leader(), SECOND / 3);
+                    cluster.outages.crash(cluster.leader(), SECOND_MICROS / 3);
                   });
             });
     assertTrue(
-        day.cloud.returnedAsUnreachable() >= given[0],
-        "machines known to be returned as unreachable: " + day.cloud.returnedAsUnreachable());
-    assertTrue(given[0] > 20, "given back " + given[0]);
+        day.cloud.releasedAsUnreachable() >= released[0],
+        "machines known to be returned as unreachable: " + day.cloud.releasedAsUnreachable());
+    assertTrue(released[0] > 20, "released back " + released[0]);
     List<String> returned =
         logs.stream()
             .filter(l -> l.startsWith("scaling in machine="))
             .map(l -> l.split("[=:]")[1])
             .toList();
-    assertEquals(0, logged("found in the cloud's list"));
-    assertEquals(new HashSet<>(returned).size(), returned.size(), "some were given back twice");
+    assertEquals(0, countLogs("found in the cloud's list"));
+    assertEquals(new HashSet<>(returned).size(), returned.size(), "some were released back twice");
   }
 
   @Example
@@ -215,14 +224,14 @@
     SimulatedCluster day =
         play(
             ClusterSize.fleet(5),
-            d -> {
+            cluster -> {
               for (int i = 0; i < 5; i++) {
-                d.outages.crash(i, 300_000 + i * 150_000);
+                cluster.outages.crash(i, 300_000 + i * 150_000);
               }
             });
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
@@ -230,29 +239,29 @@
    * decided.
    */
   @Example
-  void aPausedLeaderIsReplacedByItsStandbyAndDoesNoHarm() {
+  void aPausedLeaderIsReplacedByItsStandbyAndBreaksNoRule() {
     long[] takeovers = new long[2];
     long[] recoveries = new long[2];
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              takeovers[0] = logged("takeover of term=");
-              recoveries[0] = logged("standby recovery -> COMPLETE");
-              d.outages.pause(d.leader(), 8 * SECOND);
-              d.clock.after(
-                  4 * SECOND,
+            cluster -> {
+              takeovers[0] = countLogs("takeover of term=");
+              recoveries[0] = countLogs("standby recovery -> COMPLETE");
+              cluster.outages.pause(cluster.leader(), 8 * SECOND_MICROS);
+              cluster.clock.after(
+                  4 * SECOND_MICROS,
                   () -> {
-                    takeovers[1] = logged("takeover of term=");
-                    recoveries[1] = logged("standby recovery -> COMPLETE");
+                    takeovers[1] = countLogs("takeover of term=");
+                    recoveries[1] = countLogs("standby recovery -> COMPLETE");
                   });
             });
     // Before its lease could be over.
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
@@ -260,9 +269,11 @@
    * without its standby.
    */
   @Example
-  void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
-    play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 6 * SECOND));
-    assertTrue(logged("IN_SYNC -> REMOVING") > 0);
+  void aPartitionBetweenLeaderAndStandbyDoesNotEndTheLeadership() {
+    play(
+        ClusterSize.GROWN,
+        cluster -> cluster.outages.partitionNodeFromPeers(cluster.leader(), 6 * SECOND_MICROS));
+    assertTrue(countLogs("IN_SYNC -> REMOVING") > 0);
     assertEquals(0, leadershipLosses());
   }
 
@@ -271,15 +282,16 @@
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
+            cluster -> {
               for (int i = 0; i < 3; i++) {
-                d.clock.after(i * 3_300_000L, () -> d.outages.crash(d.leader(), SECOND));
+                cluster.clock.after(
+                    i * 3_300_000L, () -> cluster.outages.crash(cluster.leader(), SECOND_MICROS));
               }
             });
-    assertTrue(logged("standby recovery -> ELECTED") >= 4);
+    assertTrue(countLogs("standby recovery -> ELECTED") >= 4);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /** Nobody can take over or be elected then; and nobody launches. */
@@ -288,14 +300,14 @@
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              d.outages.crash(d.leader(), 3 * SECOND);
-              d.outages.stateService(12 * SECOND);
+            cluster -> {
+              cluster.outages.crash(cluster.leader(), 3 * SECOND_MICROS);
+              cluster.outages.stateServiceOutage(12 * SECOND_MICROS);
             });
-    assertTrue(logged("standby recovery -> ELECTED") >= 2);
+    assertTrue(countLogs("standby recovery -> ELECTED") >= 2);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
@@ -306,21 +318,23 @@
   void aFailoverAtTheFullSizeKeepsEveryRule() {
     ClusterSize size = ClusterSize.full(5);
     SimulatedCluster day = SimulatedDay.prepare(1, size);
-    day.logs = logs::add;
-    day.clock.after(3 * SECOND, () -> day.faults.begin(FaultInjector.Kind.OVERLOAD, 100 * SECOND));
-    day.clock.runUntil(41 * SECOND);
-    assertEquals(size.machines(), day.cloud.machines(), "all machines have come up");
+    day.logListener = logs::add;
+    day.clock.after(
+        3 * SECOND_MICROS,
+        () -> day.faults.start(FaultInjector.Kind.OVERLOAD, 100 * SECOND_MICROS));
+    day.clock.runUntil(41 * SECOND_MICROS);
+    assertEquals(size.machines(), day.cloud.machineCount(), "all machines have come up");
     int leader = day.leader();
-    int started = day.tasks.starts();
-    day.outages.crash(leader, 3 * SECOND);
-    day.clock.runUntil(53 * SECOND);
+    int started = day.tasks.startCount();
+    day.outages.crash(leader, 3 * SECOND_MICROS);
+    day.clock.runUntil(53 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
     assertTrue(day.leader() != leader, "another controller leads");
-    assertEquals(2, logged("standby recovery -> ELECTED"), "terms that began by an election");
+    assertEquals(2, countLogs("standby recovery -> ELECTED"), "terms that began by an election");
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
-    int startedSince = day.tasks.starts() - started;
+        day.cloud.releasedWhileAlive() < 20,
+        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+    int startedSince = day.tasks.startCount() - started;
     assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
   }
 }
--- a/src/test/java/org/eiderstair/sim/ControllerLog.java
+++ b/src/test/java/org/eiderstair/sim/ControllerLog.java
@@ -16,7 +16,7 @@
   private ControllerLog() {}
 
   /** The machine that a leader releases because nobody reaches it. */
-  static Optional<String> machineReturnedAsUnreachable(String text) {
+  static Optional<String> machineReleasedAsUnreachable(String text) {
     Matcher matcher = UNREACHABLE.matcher(text);
     return matcher.matches() ? Optional.of(matcher.group(1)) : Optional.empty();
   }
--- a/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
@@ -21,59 +21,61 @@
  * -B test -Dtest=DrawnFaultScenariosTest -Ddrawn.first=1000 -Ddrawn.days=500}.
  */
 class DrawnFaultScenariosTest {
-  private static final long SECOND = 1_000_000;
-  private static final long FIRST = Long.getLong("drawn.first", 1);
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long FIRST_SEED = Long.getLong("drawn.first", 1);
   private static final int DAYS = Integer.getInteger("drawn.days", 80);
   private static final int LATE_COMMAND_DAYS = Integer.getInteger("drawn.late", 1);
   private static final FaultInjector.Kind[] KINDS = FaultInjector.Kind.values();
   private static final int FAULT_GROUPS = 3;
-  private static final int DAYS_TO_FIND = 12;
+  private static final int MAX_DETECTION_DAYS = 12;
   private static final double MIN_COMPLETED_SHARE = 0.5;
-  private static final long FAULTS_END = 290 * SECOND;
+  private static final long FAULTS_END_MICROS = 290 * SECOND_MICROS;
 
   /** From then on no job may wait beside room, and every question is answered. */
-  private static final long FAULTS_OVER = 320 * SECOND;
+  private static final long FAULTS_OVER_MICROS = 320 * SECOND_MICROS;
 
   /** Two or three faults within seconds, three times a day. */
-  private static SimulatedCluster play(long seed, Consumer<SimulatedCluster> planted) {
+  private static SimulatedCluster play(long seed, Consumer<SimulatedCluster> injectDefects) {
     SimulatedCluster day = SimulatedDay.prepare(seed, ClusterSize.SMALL);
-    planted.accept(day);
+    injectDefects.accept(day);
     for (int group = 0; group < FAULT_GROUPS; group++) {
-      long at = drawGroupStart(day, group);
+      long startMicros = randomGroupStartMicros(day, group);
       int count = 2 + day.random.nextInt(2);
       for (int i = 0; i < count; i++) {
         FaultInjector.Kind kind = KINDS[day.random.nextInt(KINDS.length)];
-        long span = (4 + day.random.nextInt(38)) * SECOND;
+        long durationMicros = (4 + day.random.nextInt(38)) * SECOND_MICROS;
         day.clock.after(
-            at + day.random.nextInt(4_000_000),
-            () -> day.faults.begin(kind, Math.min(span, FAULTS_END - day.clock.now())));
+            startMicros + day.random.nextInt(4_000_000),
+            () ->
+                day.faults.start(
+                    kind, Math.min(durationMicros, FAULTS_END_MICROS - day.clock.now())));
       }
     }
-    return playToTheEnd(day);
+    return runToEnd(day);
   }
 
-  private static long drawGroupStart(SimulatedCluster day, int group) {
-    return (25 + group * 70 + day.random.nextInt(30)) * SECOND;
+  private static long randomGroupStartMicros(SimulatedCluster day, int group) {
+    return (25 + group * 70 + day.random.nextInt(30)) * SECOND_MICROS;
   }
 
-  private static SimulatedCluster playToTheEnd(SimulatedCluster day) {
-    day.clock.after(FAULTS_OVER, day.liveness::faultsAreOver);
-    day.clock.runUntil(FAULTS_OVER + 10 * SECOND);
-    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
-    day.clock.runUntil(700 * SECOND);
+  private static SimulatedCluster runToEnd(SimulatedCluster day) {
+    day.clock.after(FAULTS_OVER_MICROS, day.liveness::onFaultsOver);
+    day.clock.runUntil(FAULTS_OVER_MICROS + 10 * SECOND_MICROS);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL_MICROS);
+    day.clock.runUntil(700 * SECOND_MICROS);
     return day;
   }
 
-  private static String verdict(SimulatedCluster day) {
+  private static String failure(SimulatedCluster day) {
     if (day.rules.violations().isEmpty()
-        && day.users.unfinished().isEmpty()
-        && day.tasks.starts() > 0
+        && day.users.unfinishedJobs().isEmpty()
+        && day.tasks.startCount() > 0
         && day.completedShare() >= MIN_COMPLETED_SHARE) {
       return null;
     }
     return day.rules.violations().stream().limit(2).toList()
         + " unfinished "
-        + day.users.unfinished()
+        + day.users.unfinishedJobs()
         + " completed share "
         + day.completedShare();
   }
@@ -81,14 +83,14 @@
   @Example
   void noRuleBreaksUnderCombinedFaults() {
     List<String> failures = new ArrayList<>();
-    for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
-      String verdict = verdict(play(seed, day -> {}));
-      if (verdict != null) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + DAYS; seed++) {
+      String failure = failure(play(seed, day -> {}));
+      if (failure != null) {
         failures.add(
             "seed "
                 + seed
                 + ": "
-                + verdict
+                + failure
                 + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksUnder* -Ddrawn.first="
                 + seed
                 + " -Ddrawn.days=1 -DargLine=-Dsim.log=true");
@@ -105,15 +107,15 @@
   void noRuleBreaksWithLateCommandsAndAnotherFault() {
     List<String> failures = new ArrayList<>();
     for (FaultInjector.Kind other : KINDS) {
-      for (long seed = FIRST; seed < FIRST + LATE_COMMAND_DAYS; seed++) {
-        String verdict = verdict(playWithLateCommands(seed, other));
-        if (verdict != null) {
+      for (long seed = FIRST_SEED; seed < FIRST_SEED + LATE_COMMAND_DAYS; seed++) {
+        String failure = failure(playWithLateCommands(seed, other));
+        if (failure != null) {
           failures.add(
               other
                   + " seed "
                   + seed
                   + ": "
-                  + verdict
+                  + failure
                   + "; again: mvn -B test -Dtest=DrawnFaultScenariosTest#noRuleBreaksWithLate*"
                   + " -Ddrawn.first="
                   + seed
@@ -127,31 +129,35 @@
   private static SimulatedCluster playWithLateCommands(long seed, FaultInjector.Kind other) {
     SimulatedCluster day = SimulatedDay.prepare(seed * 1000 + other.ordinal(), ClusterSize.SMALL);
     for (int group = 0; group < FAULT_GROUPS; group++) {
-      long at = drawGroupStart(day, group);
+      long startMicros = randomGroupStartMicros(day, group);
       FaultInjector.Kind third = KINDS[day.random.nextInt(KINDS.length)];
-      day.clock.after(at, () -> day.faults.begin(FaultInjector.Kind.LATE_COMMANDS, 45 * SECOND));
+      day.clock.after(
+          startMicros,
+          () -> day.faults.start(FaultInjector.Kind.LATE_COMMANDS, 45 * SECOND_MICROS));
       for (FaultInjector.Kind kind : List.of(other, third)) {
-        long span = (4 + day.random.nextInt(30)) * SECOND;
-        day.clock.after(at + day.random.nextInt(12_000_000), () -> day.faults.begin(kind, span));
+        long durationMicros = (4 + day.random.nextInt(30)) * SECOND_MICROS;
+        day.clock.after(
+            startMicros + day.random.nextInt(12_000_000),
+            () -> day.faults.start(kind, durationMicros));
       }
     }
-    return playToTheEnd(day);
+    return runToEnd(day);
   }
 
   /** A planted fault breaks the rule on some day. */
-  private static void assertFound(Rule rule, Consumer<SimulatedCluster> planted) {
-    assertFound(
+  private static void assertDetected(Rule rule, Consumer<SimulatedCluster> injectDefects) {
+    assertDetected(
         rule.toString(),
-        day -> day.rules.violations().stream().anyMatch(found -> found.rule() == rule),
-        planted);
+        day -> day.rules.violations().stream().anyMatch(violation -> violation.rule() == rule),
+        injectDefects);
   }
 
-  private static void assertFound(
-      String what, Predicate<SimulatedCluster> found, Consumer<SimulatedCluster> planted) {
+  private static void assertDetected(
+      String what, Predicate<SimulatedCluster> detected, Consumer<SimulatedCluster> injectDefects) {
     List<Violation> violations = new ArrayList<>();
-    for (long seed = 1; seed <= DAYS_TO_FIND; seed++) {
-      SimulatedCluster day = play(seed, planted);
-      if (found.test(day)) {
+    for (long seed = 1; seed <= MAX_DETECTION_DAYS; seed++) {
+      SimulatedCluster day = play(seed, injectDefects);
+      if (detected.test(day)) {
         return;
       }
       violations.addAll(day.rules.violations());
@@ -160,55 +166,55 @@
   }
 
   /** Takes some orders out of all that is sent to machines. */
-  private static void assertFoundWithout(Predicate<Order> lost, Rule rule) {
-    assertFound(rule, day -> lose(lost, day));
+  private static void assertDetectedWithout(Predicate<Order> dropped, Rule rule) {
+    assertDetected(rule, day -> dropOrders(dropped, day));
   }
 
   /** Less than half of some class's, team's or large jobs' work is completed in time. */
-  private static void assertLateWorkFound(Consumer<SimulatedCluster> planted) {
-    assertFound(
+  private static void assertLowCompletedShareDetected(Consumer<SimulatedCluster> injectDefects) {
+    assertDetected(
         "a completed share below " + MIN_COMPLETED_SHARE,
         day -> day.completedShare() < MIN_COMPLETED_SHARE,
-        planted);
+        injectDefects);
   }
 
-  private static void assertLateWorkFoundWithout(Predicate<Order> lost) {
-    assertLateWorkFound(day -> lose(lost, day));
+  private static void assertLowCompletedShareDetectedWithout(Predicate<Order> dropped) {
+    assertLowCompletedShareDetected(day -> dropOrders(dropped, day));
   }
 
-  private static List<Order> without(Predicate<Order> lost, List<Order> orders) {
-    return orders.stream().filter(lost.negate()).toList();
+  private static List<Order> without(Predicate<Order> dropped, List<Order> orders) {
+    return orders.stream().filter(dropped.negate()).toList();
   }
 
   /** Some orders neither go out in commands nor in answers to heartbeats. */
-  private static void lose(Predicate<Order> lost, SimulatedCluster day) {
-    day.planted.request = request -> withoutOrders(lost, request);
-    day.planted.answer =
+  private static void dropOrders(Predicate<Order> dropped, SimulatedCluster day) {
+    day.defects.request = request -> withoutOrders(dropped, request);
+    day.defects.answer =
         answer ->
             answer instanceof Answer.Command command
-                ? new Answer.Command(command.fencingToken(), without(lost, command.orders()))
+                ? new Answer.Command(command.fencingToken(), without(dropped, command.orders()))
                 : answer;
   }
 
-  private static Request withoutOrders(Predicate<Order> lost, Request request) {
+  private static Request withoutOrders(Predicate<Order> dropped, Request request) {
     if (request instanceof Request.WorkerCommands commands) {
       return new Request.WorkerCommands(
           commands.address(),
           commands.fencingToken(),
           commands.incarnation(),
-          without(lost, commands.orders()));
+          without(dropped, commands.orders()));
     }
     return request;
   }
 
   /** Machines that do not obey: what they may not go on with goes with them, in time. */
   @Example
-  void machinesThatKillNothingAreGivenBackInTime() {
+  void machinesThatIgnoreKillOrdersAreReleasedInTime() {
     for (long seed = 1; seed <= 6; seed++) {
       SimulatedCluster day = SimulatedDay.prepare(seed, ClusterSize.SMALL);
-      lose(order -> order instanceof Order.Kill, day);
-      day.clock.after(90 * SECOND, () -> day.outages.crash(day.leader(), 3 * SECOND));
-      day.clock.runUntil(600 * SECOND);
+      dropOrders(order -> order instanceof Order.Kill, day);
+      day.clock.after(90 * SECOND_MICROS, () -> day.outages.crash(day.leader(), 3 * SECOND_MICROS));
+      day.clock.runUntil(600 * SECOND_MICROS);
       assertEquals(List.of(), day.rules.violations(), "seed " + seed);
     }
   }
@@ -226,92 +232,94 @@
   }
 
   /** Puts another answer in the place of some. */
-  private static Consumer<SimulatedCluster> answering(
+  private static Consumer<SimulatedCluster> replacingAnswers(
       BiPredicate<SimulatedCluster, Answer> replaced, UnaryOperator<Answer> replacement) {
     return day ->
-        day.planted.answer =
+        day.defects.answer =
             answer -> replaced.test(day, answer) ? replacement.apply(answer) : answer;
   }
 
-  private static UnaryOperator<Answer> inPhase(Answer.Phase phase) {
+  private static UnaryOperator<Answer> withPhase(Answer.Phase phase) {
     return answer -> view(((Answer.JobView) answer).id(), phase);
   }
 
   @Example
-  void answersThatAreOlderOrUntrueAreFound() {
-    assertFound(
+  void staleAndFalseAnswersAreDetected() {
+    assertDetected(
         Rule.WENT_BACK,
-        answering(
+        replacingAnswers(
             (day, answer) -> isViewIn(Answer.Phase.CANCELLED, answer) && day.random.nextInt(3) == 0,
-            inPhase(Answer.Phase.RUNNING)));
-    assertFound(
+            withPhase(Answer.Phase.RUNNING)));
+    assertDetected(
         Rule.NOT_DONE,
-        answering(
-            (day, answer) -> isViewIn(Answer.Phase.RUNNING, answer), inPhase(Answer.Phase.DONE)));
-    assertFound(
+        replacingAnswers(
+            (day, answer) -> isViewIn(Answer.Phase.RUNNING, answer), withPhase(Answer.Phase.DONE)));
+    assertDetected(
         Rule.FORGOTTEN,
-        answering(
+        replacingAnswers(
             (day, answer) -> answer instanceof Answer.JobView && day.random.nextInt(50) == 0,
             answer -> new Answer.Failure(404, "no such job", 0)));
-    assertFound(
+    assertDetected(
         Rule.INVENTED,
-        answering(
+        replacingAnswers(
             (day, answer) -> isFailure(404, answer),
             answer -> view("job-900001", Answer.Phase.PENDING)));
     Consumer<SimulatedCluster> acceptsImpossible =
-        answering(
+        replacingAnswers(
             (day, answer) -> isFailure(422, answer),
             answer -> new Answer.JobView(201, "job-800001", Answer.Phase.PENDING, 0, 0));
-    assertFound(
+    assertDetected(
         Rule.ACCEPTED_IMPOSSIBLE,
         acceptsImpossible.andThen(
             day ->
                 day.clock.after(
-                    20 * SECOND,
-                    () -> day.faults.begin(FaultInjector.Kind.INVALID_REQUESTS, 20 * SECOND))));
+                    20 * SECOND_MICROS,
+                    () ->
+                        day.faults.start(
+                            FaultInjector.Kind.INVALID_REQUESTS, 20 * SECOND_MICROS))));
   }
 
   @Example
-  void tasksWhereTheyMustNotBeAreFound() {
+  void forbiddenExecutionIsDetected() {
     Predicate<Order> kills = order -> order instanceof Order.Kill;
-    assertFound(
+    assertDetected(
         Rule.RAN_CANCELLED,
         day -> {
-          lose(kills, day);
+          dropOrders(kills, day);
           // What is not killed is not released either.
-          day.planted.request =
+          day.defects.request =
               request ->
                   request instanceof Request.CloudDelete
                       ? new Request.CloudDelete(List.of())
                       : withoutOrders(kills, request);
         });
-    assertFound(Rule.QUOTA, day -> day.rules.limitTeamsTo(day.size.limit() / 3));
-    assertFound(
-        Rule.WRONG_PLACE, day -> day.planted.submission = DrawnFaultScenariosTest::inAnyZone);
+    assertDetected(Rule.QUOTA, day -> day.rules.setTeamLimit(day.size.limit() / 3));
+    assertDetected(
+        Rule.WRONG_PLACE, day -> day.defects.submission = DrawnFaultScenariosTest::withoutZone);
   }
 
-  private static JobSpec inAnyZone(JobSpec spec) {
+  private static JobSpec withoutZone(JobSpec spec) {
     return JobSpecBuilder.like(spec).zone(null).build();
   }
 
   @Example
-  void jobsThatAreLeftWaitingAreFound() {
-    assertFoundWithout(
+  void starvedJobsAreDetected() {
+    assertDetectedWithout(
         order -> order instanceof Order.Launch && order.task().job().endsWith("1"),
         Rule.WAITS_BESIDE_ROOM);
-    assertFound(
+    assertDetected(
         Rule.LARGEST_DELAYED,
-        day -> lose(order -> order instanceof Order.Launch && tasksOf(day, order) > 9, day));
-    assertLateWorkFoundWithout(
+        day -> dropOrders(order -> order instanceof Order.Launch && tasksOf(day, order) > 9, day));
+    assertLowCompletedShareDetectedWithout(
         order -> order instanceof Order.Launch && order.task().job().compareTo("job-000012") < 0);
     // Only large jobs are held back, until long after the half of them should have been done: less
     // than a tenth of all jobs.
-    assertLateWorkFound(
+    assertLowCompletedShareDetected(
         day ->
-            lose(
+            dropOrders(
                 order ->
                     order instanceof Order.Launch
-                        && day.clock.now() < FAULTS_OVER + 15 * SECOND
+                        && day.clock.now() < FAULTS_OVER_MICROS + 15 * SECOND_MICROS
                         && tasksOf(day, order) > 10,
                 day));
   }
@@ -322,14 +330,14 @@
 
   /** Nobody answers about one job in ten, though its state is known. */
   @Example
-  void questionsThatAreNotAnsweredAreFound() {
-    assertFound(
+  void unansweredPollsAreDetected() {
+    assertDetected(
         Rule.UNANSWERED,
-        answering(
+        replacingAnswers(
             (day, answer) ->
                 answer instanceof Answer.JobView view
                     && view.id().endsWith("3")
-                    && day.clock.now() > FAULTS_OVER,
+                    && day.clock.now() > FAULTS_OVER_MICROS,
             answer -> new Answer.Failure(503, "planted", 1)));
   }
 }
--- a/src/test/java/org/eiderstair/sim/HeartbeatCopies.java
+++ b/src/test/java/org/eiderstair/sim/DuplicateHeartbeats.java
@@ -5,10 +5,10 @@
 import org.eiderstair.core.model.Heartbeat;
 
 /** Copies of heartbeats that arrive again: late, or at whoever leads next. */
-final class HeartbeatCopies {
-  private static final int PERCENT = 30;
-  private static final long MIN_LATE_MICROS = 2_000_000;
-  private static final int NEW_LEADER_SPREAD_MICROS = 400_000;
+final class DuplicateHeartbeats {
+  private static final int DUPLICATE_PERCENT = 30;
+  private static final long MIN_DELAY_MICROS = 2_000_000;
+  private static final int NEW_LEADER_JITTER_MICROS = 400_000;
 
   private record Copy(String worker, Heartbeat heartbeat) {}
 
@@ -18,27 +18,27 @@
   private boolean forNextLeader;
   private int deliveredToNewLeaders;
 
-  HeartbeatCopies(SimulatedCluster cluster) {
+  DuplicateHeartbeats(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
   /** Some heartbeats arrive a second time, up to one and a half leases later. */
-  void arriveLate(long micros) {
-    begin(false, micros);
+  void deliverLate(long micros) {
+    start(false, micros);
   }
 
   /** Copies of some heartbeats are kept until another leader begins. */
   void keepForNextLeader(long micros) {
-    begin(true, micros);
+    start(true, micros);
   }
 
-  private void begin(boolean keep, long micros) {
-    percent = PERCENT;
+  private void start(boolean keep, long micros) {
+    percent = DUPLICATE_PERCENT;
     forNextLeader = keep;
     cluster.clock.after(micros, () -> percent = 0);
   }
 
-  void heartbeatSent(String worker, int node, Heartbeat heartbeat) {
+  void onHeartbeatSent(String worker, int node, Heartbeat heartbeat) {
     if (percent == 0 || cluster.random.nextInt(100) >= percent) {
       return;
     }
@@ -46,9 +46,9 @@
       keptForNextLeader.add(new Copy(worker, heartbeat));
     } else {
       long delayMicros =
-          MIN_LATE_MICROS + cluster.random.nextInt((int) (SimulatedCluster.LEASE_MICROS * 3 / 2));
+          MIN_DELAY_MICROS + cluster.random.nextInt((int) (SimulatedCluster.LEASE_MICROS * 3 / 2));
       cluster.clock.after(
-          delayMicros, () -> cluster.deliver(worker, node, heartbeat, answer -> {}));
+          delayMicros, () -> cluster.deliverHeartbeat(worker, node, heartbeat, answer -> {}));
     }
   }
 
@@ -58,14 +58,14 @@
   }
 
   /** Kept copies reach every controller just as a new leader begins. */
-  void newLeader() {
+  void onNewLeader() {
     for (Copy copy : keptForNextLeader) {
       deliveredToNewLeaders++;
       for (int i = 0; i < cluster.size.nodes(); i++) {
         int node = i;
         cluster.clock.after(
-            cluster.random.nextInt(NEW_LEADER_SPREAD_MICROS),
-            () -> cluster.deliver(copy.worker(), node, copy.heartbeat(), answer -> {}));
+            cluster.random.nextInt(NEW_LEADER_JITTER_MICROS),
+            () -> cluster.deliverHeartbeat(copy.worker(), node, copy.heartbeat(), answer -> {}));
       }
     }
     keptForNextLeader.clear();
--- a/src/test/java/org/eiderstair/sim/EffectDigestTest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigestTest.java
@@ -14,16 +14,17 @@
   private static final int DAYS = Integer.getInteger("digest.days", 0);
 
   @Example
-  void aDayGivesTheSameEffectsAgain() {
-    String digest = SimulatedDay.playSmall(3).effects.toString();
-    assertEquals(digest, SimulatedDay.playSmall(3).effects.toString());
-    assertNotEquals(digest, SimulatedDay.playSmall(4).effects.toString());
+  void sameSeedGivesTheSameEffects() {
+    String digest = SimulatedDay.playSmall(3).effectDigest.toString();
+    assertEquals(digest, SimulatedDay.playSmall(3).effectDigest.toString());
+    assertNotEquals(digest, SimulatedDay.playSmall(4).effectDigest.toString());
   }
 
   @Example
-  void digestsOfSomeDays() {
+  void printDigests() {
     for (long seed = 1; seed <= DAYS; seed++) {
-      System.out.println("digest of day " + seed + ": " + SimulatedDay.playSmall(seed).effects);
+      System.out.println(
+          "digest of day " + seed + ": " + SimulatedDay.playSmall(seed).effectDigest);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -1,7 +1,7 @@
 package org.eiderstair.sim;
 
+import static org.eiderstair.sim.FaultInjector.Kind.ALL_CRASH;
 import static org.eiderstair.sim.FaultInjector.Kind.ALL_DOWN_FOR_A_LEASE;
-import static org.eiderstair.sim.FaultInjector.Kind.ALL_END;
 import static org.eiderstair.sim.FaultInjector.Kind.ALL_OUTBOUND_LOST;
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW;
 import static org.eiderstair.sim.FaultInjector.Kind.CANCEL_NOW_WITH_HANG;
@@ -15,21 +15,21 @@
 import static org.eiderstair.sim.FaultInjector.Kind.LATE_HEARTBEATS;
 import static org.eiderstair.sim.FaultInjector.Kind.LATE_WRITES;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CHANGES;
-import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CUT_FROM_STATE_AND_PEERS;
-import static org.eiderstair.sim.FaultInjector.Kind.LEADER_ENDS;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_CRASHES;
+import static org.eiderstair.sim.FaultInjector.Kind.LEADER_PARTITIONED_FROM_STATE_AND_PEERS;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_PAUSES;
 import static org.eiderstair.sim.FaultInjector.Kind.LEADER_REFUSED_ALONE;
 import static org.eiderstair.sim.FaultInjector.Kind.LOST_ANSWERS;
-import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_CUT;
 import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_DIE;
 import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_HANG;
+import static org.eiderstair.sim.FaultInjector.Kind.MACHINES_PARTITIONED;
 import static org.eiderstair.sim.FaultInjector.Kind.ONE_TASK_JOBS;
 import static org.eiderstair.sim.FaultInjector.Kind.OVERLOAD;
 import static org.eiderstair.sim.FaultInjector.Kind.QUICK_BOOTS;
 import static org.eiderstair.sim.FaultInjector.Kind.SLOW_STATE;
 import static org.eiderstair.sim.FaultInjector.Kind.STATE_OUTAGE;
 import static org.eiderstair.sim.FaultInjector.Kind.UNEVEN_JOBS;
-import static org.eiderstair.sim.FaultInjector.Kind.ZONE_CUT;
+import static org.eiderstair.sim.FaultInjector.Kind.ZONE_PARTITIONED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -46,30 +46,32 @@
  * -B test -Dtest=FaultScenariosTest -Dscenario.first=100 -Dscenario.days=50}.
  */
 class FaultScenariosTest {
-  private static final long SECOND = 1_000_000;
-  private static final long FIRST = Long.getLong("scenario.first", 1);
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long FIRST_SEED = Long.getLong("scenario.first", 1);
   private static final int DAYS = Integer.getInteger("scenario.days", 4);
-  private static final int GROWN = Integer.getInteger("scenario.grown", 12);
-  private static final int FLEET = Integer.getInteger("scenario.fleet", 1);
-  private static final int FULL = Integer.getInteger("scenario.full", 0);
+  private static final int GROWN_SCENARIOS = Integer.getInteger("scenario.grown", 12);
+  private static final int FLEET_SCENARIOS = Integer.getInteger("scenario.fleet", 1);
+  private static final int FULL_SCENARIOS = Integer.getInteger("scenario.full", 0);
 
   /**
    * In this order at the larger sizes: late commands at the limits, then the seven of the users'
    * letter.
    */
-  private static final List<String> LARGE =
+  private static final List<String> PREFERRED_SCENARIOS =
       List.of("29", "16", "20", "06", "08", "04", "23", "10", "26", "27", "28", "30");
 
-  private static final long AT = 80;
+  private static final long START_SECONDS = 80;
 
   /** A fault so many seconds after the scenario begins, for so many. */
-  private record Begin(double after, FaultInjector.Kind kind, double span) {}
+  private record ScheduledFault(
+      double afterSeconds, FaultInjector.Kind kind, double durationSeconds) {}
 
-  private static Begin at(double after, FaultInjector.Kind kind, double span) {
-    return new Begin(after, kind, span);
+  private static ScheduledFault at(
+      double afterSeconds, FaultInjector.Kind kind, double durationSeconds) {
+    return new ScheduledFault(afterSeconds, kind, durationSeconds);
   }
 
-  private static final Map<String, List<Begin>> SCENARIOS =
+  private static final Map<String, List<ScheduledFault>> SCENARIOS =
       new TreeMap<>(
           Map.ofEntries(
               Map.entry(
@@ -83,11 +85,12 @@
                   List.of(
                       at(-25, UNEVEN_JOBS, 0),
                       at(-10, UNEVEN_JOBS, 0),
-                      at(0, LEADER_ENDS, 0),
-                      at(9, LEADER_ENDS, 0))),
+                      at(0, LEADER_CRASHES, 0),
+                      at(9, LEADER_CRASHES, 0))),
               Map.entry(
                   "03 transactions without an answer are carried out late",
-                  List.of(at(0, LATE_WRITES, 60), at(20, LEADER_ENDS, 0), at(30, MACHINES_DIE, 0))),
+                  List.of(
+                      at(0, LATE_WRITES, 60), at(20, LEADER_CRASHES, 0), at(30, MACHINES_DIE, 0))),
               Map.entry(
                   "04 only the answer of a transaction is lost",
                   List.of(
@@ -103,14 +106,14 @@
                   List.of(
                       at(0, LATE_WRITES, 25),
                       at(0, QUICK_BOOTS, 25),
-                      at(4, LEADER_ENDS, 0),
-                      at(12, LEADER_ENDS, 0))),
+                      at(4, LEADER_CRASHES, 0),
+                      at(12, LEADER_CRASHES, 0))),
               Map.entry(
                   "07 commands and answers held up for seconds",
                   List.of(
                       at(0, MACHINES_HANG, 8),
-                      at(2, MACHINES_CUT, 6),
-                      at(12, MACHINES_CUT, 3),
+                      at(2, MACHINES_PARTITIONED, 6),
+                      at(12, MACHINES_PARTITIONED, 3),
                       at(13, CANCEL_NOW, 0))),
               Map.entry(
                   "08 users ask at all nodes right after an answer",
@@ -118,25 +121,25 @@
                       at(-60, IMMEDIATE_POLLS, 180),
                       at(0, INVALID_REQUESTS, 60),
                       at(10, CANCEL_NOW, 0),
-                      at(30, LEADER_ENDS, 0))),
+                      at(30, LEADER_CRASHES, 0))),
               Map.entry(
                   "09 a team at its limit, machines that can't be asked, a change of leader, a cancellation",
                   List.of(
                       at(-25, OVERLOAD, 80),
-                      at(0, MACHINES_CUT, 30),
-                      at(1, LEADER_ENDS, 0),
+                      at(0, MACHINES_PARTITIONED, 30),
+                      at(1, LEADER_CRASHES, 0),
                       at(2, CANCEL_NOW, 0))),
               Map.entry("10 one-task jobs, four a second", List.of(at(-60, ONE_TASK_JOBS, 150))),
               Map.entry(
                   "11 a report is held back until a new leader has acted",
-                  List.of(at(-10, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 20), at(8, LEADER_ENDS, 0))),
+                  List.of(at(-10, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 20), at(8, LEADER_CRASHES, 0))),
               Map.entry(
                   "12 a question, a repeat or a cancellation meets the end of the last task",
                   List.of(at(-60, CANCEL_ON_COMPLETION, 180), at(-60, IMMEDIATE_POLLS, 180))),
               Map.entry(
                   "13 the leader is cut from store and peers, jobs are cancelled through the new one",
                   List.of(
-                      at(0, LEADER_CUT_FROM_STATE_AND_PEERS, 45),
+                      at(0, LEADER_PARTITIONED_FROM_STATE_AND_PEERS, 45),
                       at(6, CANCEL_NOW, 0),
                       at(10, CANCEL_NOW, 0))),
               Map.entry(
@@ -157,14 +160,15 @@
                       at(-25, OVERLOAD, 80),
                       at(-24, OVERLOAD, 80),
                       at(0, CANCEL_NOW_WITH_HANG, 20),
-                      at(0, MACHINES_CUT, 30),
-                      at(2, LEADER_ENDS, 0))),
+                      at(0, MACHINES_PARTITIONED, 30),
+                      at(2, LEADER_CRASHES, 0))),
               Map.entry(
                   "17 hand over and back, all end, one returns",
-                  List.of(at(0, LEADER_CHANGES, 10), at(12, ALL_END, 0), at(13, LEADER_ENDS, 0))),
+                  List.of(
+                      at(0, LEADER_CHANGES, 10), at(12, ALL_CRASH, 0), at(13, LEADER_CRASHES, 0))),
               Map.entry(
                   "18 a zone with workers and a controller is cut off",
-                  List.of(at(0, ZONE_CUT, 30), at(5, CANCEL_NOW, 0))),
+                  List.of(at(0, ZONE_PARTITIONED, 30), at(5, CANCEL_NOW, 0))),
               Map.entry(
                   "19 leaders change ten times in two minutes, also in an outage",
                   List.of(
@@ -175,7 +179,7 @@
               Map.entry(
                   "20 jobs are cancelled while work changes hands",
                   List.of(
-                      at(0, LEADER_ENDS, 0),
+                      at(0, LEADER_CRASHES, 0),
                       at(0.1, CANCEL_NOW, 0),
                       at(1.5, CANCEL_NOW, 0),
                       at(2.5, CANCEL_NOW, 0),
@@ -197,32 +201,32 @@
               Map.entry(
                   "24 the leader ends while machines can't be reached or don't hear the next",
                   List.of(
-                      at(0, MACHINES_CUT, 35),
+                      at(0, MACHINES_PARTITIONED, 35),
                       at(0, INBOUND_LOST, 35),
-                      at(1, LEADER_ENDS, 0),
+                      at(1, LEADER_CRASHES, 0),
                       at(3, CANCEL_NOW, 0))),
               Map.entry(
                   "25 jobs bound to a zone lose machines",
                   List.of(
                       at(0, MACHINES_DIE, 0),
                       at(15, MACHINES_DIE, 0),
-                      at(20, LEADER_ENDS, 0),
-                      at(30, ZONE_CUT, 15))),
+                      at(20, LEADER_CRASHES, 0),
+                      at(30, ZONE_PARTITIONED, 15))),
               Map.entry(
                   "26 commands of a leader that has ended arrive after the next one's",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
-                      at(0, LEADER_ENDS, 0),
+                      at(0, LEADER_CRASHES, 0),
                       at(1, CANCEL_NOW, 0),
-                      at(6, LEADER_ENDS, 0),
-                      at(14, LEADER_ENDS, 0))),
+                      at(6, LEADER_CRASHES, 0),
+                      at(14, LEADER_CRASHES, 0))),
               Map.entry(
                   "27 commands of a deposed leader arrive after the next one's",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
                       at(0, LEADER_PAUSES, 18),
                       at(3, CANCEL_NOW, 0),
-                      at(20, LEADER_CUT_FROM_STATE_AND_PEERS, 25),
+                      at(20, LEADER_PARTITIONED_FROM_STATE_AND_PEERS, 25),
                       at(28, CANCEL_NOW, 0))),
               Map.entry(
                   "28 commands come late while cancelled jobs' machines hang, are deaf or mute",
@@ -238,7 +242,7 @@
                       at(-25, OVERLOAD, 80),
                       at(-2, LATE_COMMANDS, 60),
                       at(0, QUICK_BOOTS, 25),
-                      at(4, LEADER_ENDS, 0),
+                      at(4, LEADER_CRASHES, 0),
                       at(6, CANCEL_NOW, 0))),
               Map.entry(
                   "30 commands come late in an outage, and of a leader that the state service refuses",
@@ -254,9 +258,9 @@
                       at(-2, LATE_COMMANDS, 60),
                       at(0, CLOUD_OUTAGE, 70),
                       at(1, CANCEL_NOW_WITH_HANG, 15),
-                      at(2, LEADER_ENDS, 0),
+                      at(2, LEADER_CRASHES, 0),
                       at(6, CANCEL_NOW_WITH_HANG, 5),
-                      at(8, MACHINES_CUT, 30),
+                      at(8, MACHINES_PARTITIONED, 30),
                       at(9, CANCEL_NOW, 0))),
               Map.entry(
                   "32 one-task jobs, four a second, while commands and writes come late and the leader ends",
@@ -265,19 +269,19 @@
                       at(-2, LATE_COMMANDS, 60),
                       at(0, LATE_WRITES, 30),
                       at(5, CANCEL_ON_COMPLETION, 40),
-                      at(10, LEADER_ENDS, 0)))));
+                      at(10, LEADER_CRASHES, 0)))));
 
-  private static SimulatedCluster play(long seed, ClusterSize size, List<Begin> scenario) {
+  private static SimulatedCluster play(long seed, ClusterSize size, List<ScheduledFault> scenario) {
     SimulatedCluster day = SimulatedDay.prepare(seed, size);
-    for (Begin fault : scenario) {
+    for (ScheduledFault fault : scenario) {
       day.clock.after(
-          (long) ((AT + fault.after()) * SECOND),
-          () -> day.faults.begin(fault.kind(), (long) (fault.span() * SECOND)));
+          (long) ((START_SECONDS + fault.afterSeconds()) * SECOND_MICROS),
+          () -> day.faults.start(fault.kind(), (long) (fault.durationSeconds() * SECOND_MICROS)));
     }
-    day.clock.after(280 * SECOND, day.liveness::faultsAreOver);
-    day.clock.runUntil(360 * SECOND);
-    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
-    day.clock.runUntil(620 * SECOND);
+    day.clock.after(280 * SECOND_MICROS, day.liveness::onFaultsOver);
+    day.clock.runUntil(360 * SECOND_MICROS);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL_MICROS);
+    day.clock.runUntil(620 * SECOND_MICROS);
     return day;
   }
 
@@ -292,7 +296,7 @@
       for (int i = 0; i < 75; i++) {
         int number = i;
         day.clock.after(
-            3 * SECOND + i * 4L * SECOND,
+            3 * SECOND_MICROS + i * 4L * SECOND_MICROS,
             () -> {
               day.users.submit(job(2 * number, JobSpec.Priority.HIGH, 12));
               if (number % 3 == 0) {
@@ -300,10 +304,10 @@
               }
             });
       }
-      day.clock.runUntil(330 * SECOND);
+      day.clock.runUntil(330 * SECOND_MICROS);
       assertTrue(
-          CompletionShares.min(day, 150 * SECOND) >= 0.5,
-          "seed " + seed + " completed share " + CompletionShares.min(day, 150 * SECOND));
+          CompletionShares.min(day, 150 * SECOND_MICROS) >= 0.5,
+          "seed " + seed + " completed share " + CompletionShares.min(day, 150 * SECOND_MICROS));
       assertEquals(List.of(), day.rules.violations());
     }
   }
@@ -314,7 +318,7 @@
         .team(number % 8 < 4 ? "red" : "blue")
         .priority(priority)
         .tasks(tasks)
-        .estimateMicros(18 * SECOND)
+        .estimateMicros(18 * SECOND_MICROS)
         .build();
   }
 
@@ -322,11 +326,11 @@
     List<String> failures = new ArrayList<>();
     SCENARIOS.forEach(
         (name, scenario) -> {
-          for (long seed = FIRST; chosen.test(name) && seed < FIRST + days; seed++) {
+          for (long seed = FIRST_SEED; chosen.test(name) && seed < FIRST_SEED + days; seed++) {
             SimulatedCluster day = play(seed, size, scenario);
             if (!day.rules.violations().isEmpty()
-                || !day.users.unfinished().isEmpty()
-                || day.tasks.starts() == 0
+                || !day.users.unfinishedJobs().isEmpty()
+                || day.tasks.startCount() == 0
                 || day.completedShare() < 0.5) {
               failures.add(
                   name
@@ -335,7 +339,7 @@
                       + ": "
                       + day.rules.violations().stream().limit(2).toList()
                       + " unfinished "
-                      + day.users.unfinished()
+                      + day.users.unfinishedJobs()
                       + " completed share "
                       + day.completedShare()
                       + "; again: mvn -B test -Dtest=FaultScenariosTest -Dscenario.first="
@@ -370,17 +374,21 @@
    */
   @Example
   void someScenariosAtTheGrownSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(ClusterSize.GROWN, 1, firstOf(LARGE, GROWN)));
+    assertEquals(
+        List.of(), failures(ClusterSize.GROWN, 1, firstOf(PREFERRED_SCENARIOS, GROWN_SCENARIOS)));
   }
 
   @Example
   void someScenariosAtTheFleetSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(ClusterSize.fleet(3), 1, firstOf(LARGE, FLEET)));
+    assertEquals(
+        List.of(),
+        failures(ClusterSize.fleet(3), 1, firstOf(PREFERRED_SCENARIOS, FLEET_SCENARIOS)));
   }
 
   @Example
   void chosenScenariosAtTheFullSizeKeepEveryRule() {
-    assertEquals(List.of(), failures(ClusterSize.full(3), 1, firstOf(LARGE, FULL)));
+    assertEquals(
+        List.of(), failures(ClusterSize.full(3), 1, firstOf(PREFERRED_SCENARIOS, FULL_SCENARIOS)));
   }
 
   /** By their numbers, the first of these and then the rest. */
--- a/src/test/java/org/eiderstair/sim/PlantedFaults.java
+++ b/src/test/java/org/eiderstair/sim/InjectedDefects.java
@@ -6,7 +6,7 @@
 import org.eiderstair.core.model.JobSpec;
 
 /** What a test makes controllers do wrong, to show that a rule's check finds it. */
-final class PlantedFaults {
+final class InjectedDefects {
   /** Changes a request to the outside before it is carried out. */
   UnaryOperator<Request> request = UnaryOperator.identity();
 
--- a/src/test/java/org/eiderstair/sim/LivenessChecker.java
+++ b/src/test/java/org/eiderstair/sim/LivenessChecker.java
@@ -12,101 +12,104 @@
  * waits for long beside room, and questions are answered.
  */
 final class LivenessChecker {
-  private static final long SECOND = 1_000_000;
-  private static final long MAX_WAIT_BESIDE_ROOM = 90 * SECOND;
-  private static final long MAX_SILENCE = 75 * SECOND;
-  private static final long MAX_LARGE_JOB_DELAY = 240 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long MAX_WAIT_WITH_FREE_RESOURCES_MICROS = 90 * SECOND_MICROS;
+  private static final long MAX_UNANSWERED_MICROS = 75 * SECOND_MICROS;
+  private static final long MAX_LARGE_JOB_START_DELAY_MICROS = 240 * SECOND_MICROS;
 
   private final SimulatedCluster cluster;
 
   /** Since when a job has waited while a task of its size would have found room. */
   private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
-  /** Jobs that have begun, and large ones that were found not to. */
-  private final Set<String> begun = new HashSet<>();
+  /** Jobs that have startedOrReported, and large ones that were found not to. */
+  private final Set<String> startedOrReported = new HashSet<>();
 
   /** When a question about a job was last answered. */
-  private final Map<String, Long> answeredMicros = new HashMap<>();
+  private final Map<String, Long> lastAnsweredMicros = new HashMap<>();
 
-  private long faultsOverMicros;
+  private long faultsOverAtMicros;
 
   LivenessChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
   void start() {
-    checkLargestBegin();
+    checkLargestJobsStart();
   }
 
   /** From now on nothing fails. */
-  void faultsAreOver() {
-    faultsOverMicros = cluster.clock.now();
-    checkWaitingJobs();
+  void onFaultsOver() {
+    faultsOverAtMicros = cluster.clock.now();
+    checkAcceptedJobs();
   }
 
   /** A user was answered in which phase the job is. */
-  void answered(String job) {
-    answeredMicros.put(job, cluster.clock.now());
+  void onAnswer(String job) {
+    lastAnsweredMicros.put(job, cluster.clock.now());
   }
 
-  void started(String job) {
+  void onTaskStarted(String job) {
     waitingSinceMicros.remove(job);
-    begun.add(job);
+    startedOrReported.add(job);
   }
 
-  private void checkLargestBegin() {
-    cluster.clock.after(SECOND, this::checkLargestBegin);
-    for (String job : cluster.users.accepted()) {
+  private void checkLargestJobsStart() {
+    cluster.clock.after(SECOND_MICROS, this::checkLargestJobsStart);
+    for (String job : cluster.users.acceptedJobs()) {
       if (cluster.users.spec(job).tasks() > cluster.size.tasks() * 3 / 4
           && !cluster.users.cancelRequested(job)
-          && cluster.clock.now() > cluster.users.submittedAtMicros(job) + MAX_LARGE_JOB_DELAY
-          && begun.add(job)) {
-        cluster.rules.broken(Rule.LARGEST_DELAYED, job + " does not begin");
+          && cluster.clock.now()
+              > cluster.users.submittedAtMicros(job) + MAX_LARGE_JOB_START_DELAY_MICROS
+          && startedOrReported.add(job)) {
+        cluster.rules.recordViolation(Rule.LARGEST_DELAYED, job + " does not begin");
       }
     }
   }
 
-  private void checkWaitingJobs() {
-    cluster.clock.after(SECOND, this::checkWaitingJobs);
-    for (String job : cluster.users.accepted()) {
+  private void checkAcceptedJobs() {
+    cluster.clock.after(SECOND_MICROS, this::checkAcceptedJobs);
+    for (String job : cluster.users.acceptedJobs()) {
       checkAnswered(job);
-      checkDoesNotWaitBesideRoom(job);
+      checkDoesNotWaitWithFreeResources(job);
     }
   }
 
   private void checkAnswered(String job) {
-    long unansweredSince = Math.max(faultsOverMicros, answeredMicros.getOrDefault(job, 0L));
-    if (cluster.clock.now() > unansweredSince + MAX_SILENCE) {
-      cluster.rules.broken(Rule.UNANSWERED, job);
-      answered(job);
+    long unansweredSince = Math.max(faultsOverAtMicros, lastAnsweredMicros.getOrDefault(job, 0L));
+    if (cluster.clock.now() > unansweredSince + MAX_UNANSWERED_MICROS) {
+      cluster.rules.recordViolation(Rule.UNANSWERED, job);
+      onAnswer(job);
     }
   }
 
-  private void checkDoesNotWaitBesideRoom(String job) {
+  private void checkDoesNotWaitWithFreeResources(String job) {
     long now = cluster.clock.now();
-    if (!waitsBesideRoom(job)) {
+    if (!waitsWithFreeResources(job)) {
       waitingSinceMicros.remove(job);
-    } else if (now > waitingSinceMicros.computeIfAbsent(job, id -> now) + MAX_WAIT_BESIDE_ROOM) {
-      cluster.rules.broken(Rule.WAITS_BESIDE_ROOM, job);
+    } else if (now
+        > waitingSinceMicros.computeIfAbsent(job, id -> now)
+            + MAX_WAIT_WITH_FREE_RESOURCES_MICROS) {
+      cluster.rules.recordViolation(Rule.WAITS_BESIDE_ROOM, job);
       waitingSinceMicros.remove(job);
     }
   }
 
-  private boolean waitsBesideRoom(String job) {
+  private boolean waitsWithFreeResources(String job) {
     SimulatedUsers users = cluster.users;
     JobSpec spec = users.spec(job);
-    return !users.ended(job)
+    return !users.hasEnded(job)
         && !cluster.tasks.allCompleted(job)
         && !users.cancelRequested(job)
         && !users.alwaysFails(job)
         && !runsSomewhere(job)
         && cluster.tasks.teamCpus(spec.team()) + spec.cpus()
-            <= cluster.size.limit() + RuleChecker.ROUNDING
+            <= cluster.size.limit() + RuleChecker.MAX_ROUNDING_ERROR_CPUS
         && hasFreeResources(spec);
   }
 
   private boolean runsSomewhere(String job) {
-    for (TaskId task : cluster.tasks.runningOf(job)) {
+    for (TaskId task : cluster.tasks.runningTasksOf(job)) {
       if (cluster.cloud.worker(cluster.tasks.machineOf(task)) != null) {
         return true;
       }
--- a/src/test/java/org/eiderstair/sim/Outages.java
+++ b/src/test/java/org/eiderstair/sim/Outages.java
@@ -9,11 +9,11 @@
   }
 
   /** The process ends and starts again later; nothing happens to one that is down already. */
-  void crash(int node, long forMicros) {
+  void crash(int node, long micros) {
     SimulatedController controller = cluster.controller(node);
-    if (controller.runs()) {
+    if (controller.isRunning()) {
       controller.crash();
-      cluster.clock.after(forMicros, controller::start);
+      cluster.clock.after(micros, controller::start);
     }
   }
 
@@ -22,56 +22,56 @@
     cluster.controller(node).pause(micros);
   }
 
-  void stateService(long micros) {
-    cluster.state.down(true);
-    cluster.clock.after(micros, () -> cluster.state.down(false));
+  void stateServiceOutage(long micros) {
+    cluster.state.setDown(true);
+    cluster.clock.after(micros, () -> cluster.state.setDown(false));
   }
 
   /** The state service refuses one controller, and serves the others. */
   void stateServiceRefuses(int node, long micros) {
     String name = SimulatedController.nameOf(node);
-    cluster.state.refuse(name, true);
-    cluster.clock.after(micros, () -> cluster.state.refuse(name, false));
+    cluster.state.setRefused(name, true);
+    cluster.clock.after(micros, () -> cluster.state.setRefused(name, false));
   }
 
   /** The state service answers one controller's requests, but not its watches. */
   void watchHangs(int node, long micros) {
     String name = SimulatedController.nameOf(node);
-    cluster.state.holdWatches(name, true);
-    cluster.clock.after(micros, () -> cluster.state.holdWatches(name, false));
+    cluster.state.setWatchesHeld(name, true);
+    cluster.clock.after(micros, () -> cluster.state.setWatchesHeld(name, false));
   }
 
-  void cutNodeFromStateService(int node, long micros) {
-    cut(node, RequestTransport.STATE_SERVICE, micros);
+  void partitionNodeFromStateService(int node, long micros) {
+    partition(node, RequestTransport.STATE_SERVICE, micros);
   }
 
-  void cutNodeFromCloud(int node, long micros) {
-    cut(node, RequestTransport.CLOUD, micros);
+  void partitionNodeFromCloud(int node, long micros) {
+    partition(node, RequestTransport.CLOUD, micros);
   }
 
-  void cutNodeFromWorkers(int node, long micros) {
-    cluster.cloud.workers().forEach(worker -> cut(node, worker.id, micros));
+  void partitionNodeFromWorkers(int node, long micros) {
+    cluster.cloud.workers().forEach(worker -> partition(node, worker.id, micros));
   }
 
-  void cutNodeFromPeers(int node, long micros) {
+  void partitionNodeFromPeers(int node, long micros) {
     for (int peer = 0; peer < cluster.size.nodes(); peer++) {
       if (peer != node) {
-        cut(node, SimulatedController.nameOf(peer), micros);
+        partition(node, SimulatedController.nameOf(peer), micros);
       }
     }
   }
 
-  void cutWorker(SimulatedWorker worker, long micros) {
+  void partitionWorker(SimulatedWorker worker, long micros) {
     for (int node = 0; node < cluster.size.nodes(); node++) {
-      cut(node, worker.id, micros);
+      partition(node, worker.id, micros);
     }
   }
 
-  private void cut(int node, String host, long micros) {
-    cluster.network.cut(SimulatedController.nameOf(node), host, micros);
+  private void partition(int node, String host, long micros) {
+    cluster.network.partition(SimulatedController.nameOf(node), host, micros);
   }
 
-  void cutZone(int zone, long micros) {
-    cluster.network.cutZone(SimulatedCloud.ZONES.get(zone), micros);
+  void partitionZone(int zone, long micros) {
+    cluster.network.partitionZone(SimulatedCloud.ZONES.get(zone), micros);
   }
 }
--- a/src/test/java/org/eiderstair/sim/RequestTransport.java
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -32,45 +32,45 @@
         : TIMEOUT_MICROS;
   }
 
-  void carry(SimulatedController from, Request request, Consumer<Reply> callback) {
+  void send(SimulatedController from, Request request, Consumer<Reply> callback) {
     if (request instanceof Request.WorkerCommands commands) {
-      toWorker(from, commands.address(), request, callback);
+      sendToWorker(from, commands.address(), request, callback);
     } else if (request instanceof Request.WorkerStatus status) {
-      toWorker(from, status.address(), request, callback);
+      sendToWorker(from, status.address(), request, callback);
     } else if (request instanceof Request.PeerRelayHeartbeat relay) {
-      toPeer(
+      sendToPeer(
           from,
           relay.peer(),
           exchange -> new Event.HeartbeatReceived(exchange, relay.heartbeat(), true),
           Reply.Relayed::new,
           callback);
     } else if (request instanceof Request.PeerMembership membership) {
-      toPeer(
+      sendToPeer(
           from,
           membership.peer(),
           exchange -> new Event.MembershipRequested(exchange, membership.run(), membership.after()),
           answer -> new Reply.PeerMembership(((Answer.ReachableWorkers) answer).digest()),
           callback);
     } else if (request instanceof Request.PeerReplicate replicate) {
-      toPeer(
+      sendToPeer(
           from,
           replicate.peer(),
           exchange -> new Event.ReplicationReceived(exchange, replicate.batch()),
           answer -> new Reply.ReplicationAck(((Answer.ReplicationAck) answer).ack()),
           callback);
     } else if (request instanceof Request.PeerCancellations cancellations) {
-      cancellations(from, cancellations, callback);
+      sendCancellations(from, cancellations, callback);
     } else if (request instanceof Request.PeerStateServiceStatus status) {
-      toPeer(
+      sendToPeer(
           from,
           status.peer(),
           Event.StateServiceStatusRequested::new,
-          RequestTransport::stateServiceStatus,
+          RequestTransport::toStateServiceStatus,
           callback);
     } else if (isForCloud(request)) {
-      toCloud(from, request, callback);
+      sendToCloud(from, request, callback);
     } else {
-      toStateService(from, request, callback);
+      sendToStateService(from, request, callback);
     }
   }
 
@@ -81,23 +81,23 @@
         || request instanceof Request.CloudCatalog;
   }
 
-  private static Reply stateServiceStatus(Answer answer) {
+  private static Reply toStateServiceStatus(Answer answer) {
     Answer.StateServiceStatus status = (Answer.StateServiceStatus) answer;
     return new Reply.PeerStateServiceStatus(status.served(), status.leader(), status.term());
   }
 
   /** One that is held on its way stays unanswered. */
-  private void toWorker(
+  private void sendToWorker(
       SimulatedController from, String worker, Request request, Consumer<Reply> callback) {
     long delayMicros = cluster.faults.commandDelayMicros();
-    Consumer<Reply> answered =
+    Consumer<Reply> onReply =
         delayMicros > 0
             ? unanswered -> {}
             : reply -> cluster.network.send(worker, from.name(), () -> callback.accept(reply));
     cluster.network.send(
         from.name(),
         worker,
-        () -> cluster.clock.after(delayMicros, () -> deliver(worker, request, answered)));
+        () -> cluster.clock.after(delayMicros, () -> deliver(worker, request, onReply)));
   }
 
   private void deliver(String worker, Request request, Consumer<Reply> callback) {
@@ -107,7 +107,7 @@
     }
   }
 
-  private void toPeer(
+  private void sendToPeer(
       SimulatedController from,
       String peer,
       LongFunction<Event> event,
@@ -119,20 +119,20 @@
         () ->
             cluster
                 .controller(peer)
-                .ask(
+                .receive(
                     event,
                     answer ->
                         cluster.network.send(
                             peer, from.name(), () -> callback.accept(toReply.apply(answer)))));
   }
 
-  private void cancellations(
+  private void sendCancellations(
       SimulatedController from, Request.PeerCancellations request, Consumer<Reply> callback) {
-    if (cluster.planted.peerCancellationsLost) {
-      cluster.note("lost: " + request);
+    if (cluster.defects.peerCancellationsLost) {
+      cluster.trace("lost: " + request);
       return;
     }
-    toPeer(
+    sendToPeer(
         from,
         request.peer(),
         exchange -> new Event.CancellationsReceived(exchange, request.cancellations()),
@@ -140,19 +140,20 @@
         callback);
   }
 
-  private void toCloud(SimulatedController from, Request request, Consumer<Reply> callback) {
-    Map<String, Long> returnTerms = cluster.rules.checkWrittenFirst(request);
+  private void sendToCloud(SimulatedController from, Request request, Consumer<Reply> callback) {
+    Map<String, Long> releaseTerms = cluster.rules.checkWrittenBeforeRequest(request);
     cluster.network.send(
         from.name(),
         CLOUD,
         () ->
             cluster.cloud.serve(
                 request,
-                returnTerms,
+                releaseTerms,
                 reply -> cluster.network.send(CLOUD, from.name(), () -> callback.accept(reply))));
   }
 
-  private void toStateService(SimulatedController from, Request request, Consumer<Reply> callback) {
+  private void sendToStateService(
+      SimulatedController from, Request request, Consumer<Reply> callback) {
     cluster.network.send(
         from.name(),
         STATE_SERVICE,
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -18,9 +18,9 @@
   static final long CANCEL_BOUND_MICROS = 32_000_000;
 
   /** Sums of processors may be off by so much, by rounding. */
-  static final double ROUNDING = 1e-6;
+  static final double MAX_ROUNDING_ERROR_CPUS = 1e-6;
 
-  private static final long SWEEP_MICROS = 1_000_000;
+  private static final long CANCELLED_CHECK_INTERVAL_MICROS = 1_000_000;
   private static final int MAX_VIOLATIONS = 20;
 
   private final SimulatedCluster cluster;
@@ -43,36 +43,36 @@
     return violations;
   }
 
-  void broken(Rule rule, String detail) {
-    cluster.note("BROKEN " + rule + ": " + detail);
+  void recordViolation(Rule rule, String detail) {
+    cluster.trace("BROKEN " + rule + ": " + detail);
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add(new Violation(rule, cluster.clock.now(), detail));
     }
   }
 
   /** Checks quotas against another limit than the controllers know: planted by tests. */
-  void limitTeamsTo(double cpus) {
+  void setTeamLimit(double cpus) {
     teamLimit = cpus;
   }
 
   // What runs on machines.
 
-  void ranTwice(TaskId task, String machine, String other) {
-    broken(Rule.RAN_TWICE, task + " on " + machine + " and " + other);
+  void recordRanTwice(TaskId task, String machine, String other) {
+    recordViolation(Rule.RAN_TWICE, task + " on " + machine + " and " + other);
   }
 
   void checkQuota(String team, double usedCpus) {
-    if (usedCpus > teamLimit + ROUNDING) {
-      broken(Rule.QUOTA, team + " uses " + usedCpus);
+    if (usedCpus > teamLimit + MAX_ROUNDING_ERROR_CPUS) {
+      recordViolation(Rule.QUOTA, team + " uses " + usedCpus);
     }
   }
 
-  void checkPlace(TaskId task, JobSpec spec, SimulatedWorker worker) {
+  void checkPlacement(TaskId task, JobSpec spec, SimulatedWorker worker) {
     if (!spec.allows(worker.type, worker.zone, worker.spot)) {
-      broken(Rule.WRONG_PLACE, task + " on " + worker.id);
+      recordViolation(Rule.WRONG_PLACE, task + " on " + worker.id);
     }
     int inZone = 0;
-    for (TaskId other : cluster.tasks.runningOf(task.job())) {
+    for (TaskId other : cluster.tasks.runningTasksOf(task.job())) {
       SimulatedWorker machine = cluster.cloud.worker(cluster.tasks.machineOf(other));
       if (machine == null) {
         continue;
@@ -80,11 +80,11 @@
       if (machine.zone.equals(worker.zone)) {
         inZone++;
       } else if (spec.oneZone()) {
-        broken(Rule.WRONG_PLACE, task + " not in one zone");
+        recordViolation(Rule.WRONG_PLACE, task + " not in one zone");
       }
     }
     if (inZone > spec.maxPerZone()) {
-      broken(Rule.WRONG_PLACE, task + " too many in zone " + worker.zone);
+      recordViolation(Rule.WRONG_PLACE, task + " too many in zone " + worker.zone);
     }
   }
 
@@ -97,16 +97,16 @@
     maxStartAfterCancellationMicros =
         Math.max(maxStartAfterCancellationMicros, cluster.clock.now() - confirmed);
     if (cluster.clock.now() > confirmed + CANCEL_BOUND_MICROS) {
-      broken(Rule.RAN_CANCELLED, task + " starts");
+      recordViolation(Rule.RAN_CANCELLED, task + " starts");
     }
   }
 
   private void checkCancelledHaveStopped() {
-    cluster.clock.after(SWEEP_MICROS, this::checkCancelledHaveStopped);
-    for (TaskId task : cluster.tasks.running()) {
+    cluster.clock.after(CANCELLED_CHECK_INTERVAL_MICROS, this::checkCancelledHaveStopped);
+    for (TaskId task : cluster.tasks.runningTasks()) {
       Long confirmed = cluster.users.cancelConfirmedAtMicros(task.job());
       if (confirmed != null && cluster.clock.now() > confirmed + CANCEL_BOUND_MICROS) {
-        broken(Rule.RAN_CANCELLED, task + " still on " + cluster.tasks.machineOf(task));
+        recordViolation(Rule.RAN_CANCELLED, task + " still on " + cluster.tasks.machineOf(task));
       }
     }
   }
@@ -116,29 +116,29 @@
     return startsAfterCancellation;
   }
 
-  /** How long before such a start the confirmation was, at most. */
+  /** How long phaseBefore such a start the confirmation was, at most. */
   long maxStartAfterCancellationMicros() {
     return maxStartAfterCancellationMicros;
   }
 
   // What users are answered.
 
-  void checkFinalPhaseStays(Answer.JobView view, Answer.Phase before) {
-    if (SimulatedUsers.isFinal(before) && view.phase() != before) {
-      broken(Rule.WENT_BACK, view.id() + " from " + before + " to " + view.phase());
+  void checkFinalPhaseStays(Answer.JobView view, Answer.Phase phaseBefore) {
+    if (SimulatedUsers.isFinal(phaseBefore) && view.phase() != phaseBefore) {
+      recordViolation(Rule.WENT_BACK, view.id() + " from " + phaseBefore + " to " + view.phase());
     }
   }
 
   void checkCancelledOnRequest(String job) {
     if (!cluster.users.cancelRequested(job)) {
-      broken(Rule.WENT_BACK, job + " cancelled by nobody");
+      recordViolation(Rule.WENT_BACK, job + " cancelled by nobody");
     }
   }
 
   void checkAllTasksCompleted(String job) {
     for (int i = 0; i < cluster.users.spec(job).tasks(); i++) {
       if (!cluster.tasks.isCompleted(new TaskId(job, i))) {
-        broken(Rule.NOT_DONE, job + "/" + i);
+        recordViolation(Rule.NOT_DONE, job + "/" + i);
       }
     }
   }
@@ -146,13 +146,13 @@
   void checkSubmissionNotRefused(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure
         && (failure.status() == 400 || failure.status() == 422)) {
-      broken(Rule.FORGOTTEN, job + " refused " + failure);
+      recordViolation(Rule.FORGOTTEN, job + " refused " + failure);
     }
   }
 
   void checkAcceptedIsKnown(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure && failure.status() == 404) {
-      broken(Rule.FORGOTTEN, job + " is unknown");
+      recordViolation(Rule.FORGOTTEN, job + " is unknown");
     }
   }
 
@@ -160,48 +160,48 @@
   void checkAcceptedNotRefused(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure
         && (failure.status() == 400 || failure.status() == 404 || failure.status() == 422)) {
-      broken(Rule.FORGOTTEN, job + " answered " + failure);
+      recordViolation(Rule.FORGOTTEN, job + " answered " + failure);
     }
   }
 
   void checkNotInvented(String job, Answer answer) {
     if (answer instanceof Answer.JobView) {
-      broken(Rule.INVENTED, job);
+      recordViolation(Rule.INVENTED, job);
     }
   }
 
   void checkImpossibleNotAccepted(String job, Answer answer) {
     if (answer instanceof Answer.JobView) {
-      broken(Rule.ACCEPTED_IMPOSSIBLE, job);
+      recordViolation(Rule.ACCEPTED_IMPOSSIBLE, job);
     }
   }
 
   // What the cloud is asked for.
 
   /**
-   * Rentals and releases must be durable before the cloud is asked, by whoever asks and however
-   * late. Gives the term in which the return of each machine was written last.
+   * Rentals and releases must be durable phaseBefore the cloud is asked, by whoever asks and
+   * however late. Gives the term in which the return of each machine was written last.
    */
-  Map<String, Long> checkWrittenFirst(Request request) {
+  Map<String, Long> checkWrittenBeforeRequest(Request request) {
     if (request instanceof Request.CloudRent rent) {
-      if (!cluster.state.everWritten().containsKey(StateKeys.rental(rent.request()))) {
-        broken(Rule.UNWRITTEN, rent.request());
+      if (!cluster.state.lastWrittenValues().containsKey(StateKeys.rental(rent.request()))) {
+        recordViolation(Rule.UNWRITTEN, rent.request());
       }
     } else if (request instanceof Request.CloudDelete delete) {
-      Map<String, Long> returnTerms = returnTerms();
+      Map<String, Long> releaseTerms = releaseTerms();
       for (String id : delete.machines()) {
-        if (!returnTerms.containsKey(id)) {
-          broken(Rule.UNWRITTEN, id + " is given back without a written intent");
+        if (!releaseTerms.containsKey(id)) {
+          recordViolation(Rule.UNWRITTEN, id + " is given back without a written intent");
         }
       }
-      return returnTerms;
+      return releaseTerms;
     }
     return Map.of();
   }
 
-  private Map<String, Long> returnTerms() {
+  private Map<String, Long> releaseTerms() {
     Map<String, Long> terms = new HashMap<>();
-    for (StoredValue value : cluster.state.everWritten().values()) {
+    for (StoredValue value : cluster.state.lastWrittenValues().values()) {
       if (value instanceof ReleaseRecord release) {
         release.machines().forEach(id -> terms.merge(id, release.term(), Math::max));
       }
@@ -210,11 +210,11 @@
   }
 
   /**
-   * @param returnTerm the term in which its return was written last, null if it never was
+   * @param releaseTerm the term in which its return was written last, null if it never was
    */
-  void checkNotUsedSince(SimulatedWorker worker, Long returnTerm) {
-    if (!worker.dead() && worker.usedAfter(returnTerm == null ? 0 : returnTerm)) {
-      broken(Rule.LATE_DELETE, worker.id + " is in use, written in term " + returnTerm);
+  void checkNotUsedByLaterTerm(SimulatedWorker worker, Long releaseTerm) {
+    if (!worker.isDead() && worker.isUsedByTermAfter(releaseTerm == null ? 0 : releaseTerm)) {
+      recordViolation(Rule.LATE_DELETE, worker.id + " is in use, written in term " + releaseTerm);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/SampleJobs.java
+++ b/src/test/java/org/eiderstair/sim/SampleJobs.java
@@ -13,17 +13,20 @@
 
   private static final String IMAGE = "img";
   private static final double IMAGE_GB = 0.5;
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
 
   private SampleJobs() {}
 
   /** A plain array job; each task runs for about a second. */
   static JobSpecBuilder job(String id) {
-    return JobSpecBuilder.job(id).jobClass("NORMAL").image(IMAGE, IMAGE_GB).estimateMicros(SECOND);
+    return JobSpecBuilder.job(id)
+        .jobClass("NORMAL")
+        .image(IMAGE, IMAGE_GB)
+        .estimateMicros(SECOND_MICROS);
   }
 
   /** A job of a drawn kind, team, priority and size. */
-  static JobSpec drawn(SimulatedCluster cluster, int number) {
+  static JobSpec randomJob(SimulatedCluster cluster, int number) {
     boolean red = cluster.random.nextBoolean();
     int kind = cluster.random.nextInt(12);
     JobSpec.Priority priority = JobSpec.Priority.values()[cluster.random.nextInt(4)];
@@ -40,7 +43,7 @@
         .oneZone(kind == 3 || kind == 4)
         .spread(kind == 5 || kind == 6)
         .spotAllowed(cluster.random.nextInt(3) > 0)
-        .estimateMicros((3 + cluster.random.nextInt(15)) * SECOND)
+        .estimateMicros((3 + cluster.random.nextInt(15)) * SECOND_MICROS)
         .build();
   }
 
--- a/src/test/java/org/eiderstair/sim/SimulatedClock.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedClock.java
@@ -2,33 +2,33 @@
 
 import java.util.PriorityQueue;
 
-/** Simulated time: runs what is due in order of time, and of arrival where times are equal. */
+/** Simulated time: runs what is next in sequence of time, and of arrival where times are equal. */
 final class SimulatedClock {
-  private record Due(long atMicros, long order, Runnable action) {}
+  private record ScheduledAction(long atMicros, long sequence, Runnable action) {}
 
-  private final PriorityQueue<Due> queue =
+  private final PriorityQueue<ScheduledAction> queue =
       new PriorityQueue<>(
           (a, b) ->
               a.atMicros() != b.atMicros()
                   ? Long.compare(a.atMicros(), b.atMicros())
-                  : Long.compare(a.order(), b.order()));
-  private long now;
-  private long order;
+                  : Long.compare(a.sequence(), b.sequence()));
+  private long nowMicros;
+  private long sequence;
 
   long now() {
-    return now;
+    return nowMicros;
   }
 
   void after(long micros, Runnable action) {
-    queue.add(new Due(now + Math.max(0, micros), ++order, action));
+    queue.add(new ScheduledAction(nowMicros + Math.max(0, micros), ++sequence, action));
   }
 
   void runUntil(long endMicros) {
     while (!queue.isEmpty() && queue.peek().atMicros() <= endMicros) {
-      Due due = queue.poll();
-      now = due.atMicros();
-      due.action().run();
+      ScheduledAction next = queue.poll();
+      nowMicros = next.atMicros();
+      next.action().run();
     }
-    now = endMicros;
+    nowMicros = endMicros;
   }
 }
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -17,14 +17,14 @@
 final class SimulatedCloud {
   static final List<String> ZONES = List.of("a", "b", "c");
 
-  static final MachineType TYPE =
+  static final MachineType MACHINE_TYPE =
       new MachineType("m8", 8, 0, 32, 30, 1, 1.0, 0.3, 8_000_000, ZONES);
 
-  private static final long SNAPSHOT_MICROS = 1_000_000;
-  private static final int KEPT_SNAPSHOTS = 20;
-  private static final int MIN_LIST_AGE = 3;
-  private static final int LIST_AGE_SPREAD = 4;
-  private static final long FAILED_AFTER_MICROS = 30_000_000;
+  private static final long SNAPSHOT_INTERVAL_MICROS = 1_000_000;
+  private static final int MAX_SNAPSHOTS = 20;
+  private static final int MIN_LIST_AGE_SNAPSHOTS = 3;
+  private static final int LIST_AGE_JITTER_SNAPSHOTS = 4;
+  private static final long FAILURE_DETECTION_DELAY_MICROS = 30_000_000;
 
   private final SimulatedCluster cluster;
 
@@ -35,11 +35,11 @@
   private final Map<String, Long> rentedAtMicros = new HashMap<>();
 
   /** For every machine that was ever rented, by which request. */
-  private final Map<String, Request.CloudRent> requests = new HashMap<>();
+  private final Map<String, Request.CloudRent> rentRequestByMachine = new HashMap<>();
 
   private final List<List<Reply.CloudMachine>> snapshots = new ArrayList<>();
-  private final Set<String> returnedAsUnreachable = new HashSet<>();
-  private int returnedAlive;
+  private final Set<String> releasedAsUnreachable = new HashSet<>();
+  private int releasedWhileAlive;
   private int lastNumber;
   private boolean down;
 
@@ -58,25 +58,26 @@
   }
 
   /**
-   * @param returnTerms for each machine that is to be deleted, the term in which its return was
+   * @param releaseTerms for each machine that is to be deleted, the term in which its return was
    *     written last
    */
-  void serve(Request request, Map<String, Long> returnTerms, Consumer<Reply> callback) {
+  void serve(Request request, Map<String, Long> releaseTerms, Consumer<Reply> callback) {
     if (down) {
       callback.accept(new Reply.Refused(503));
     } else if (request instanceof Request.CloudCatalog) {
-      callback.accept(new Reply.Catalog(List.of(TYPE)));
+      callback.accept(new Reply.Catalog(List.of(MACHINE_TYPE)));
     } else if (request instanceof Request.CloudRent rent) {
       callback.accept(
           new Reply.Rented(rentedByRequest.computeIfAbsent(rent.request(), name -> rent(rent))));
     } else if (request instanceof Request.CloudDelete delete) {
-      delete.machines().forEach(id -> delete(id, returnTerms));
+      delete.machines().forEach(id -> delete(id, releaseTerms));
       callback.accept(new Reply.Applied(0));
     } else {
       // Old by a few seconds, and by another few now and then: deleted machines still appear.
-      int age = MIN_LIST_AGE + cluster.random.nextInt(LIST_AGE_SPREAD);
+      int ageSnapshots = MIN_LIST_AGE_SNAPSHOTS + cluster.random.nextInt(LIST_AGE_JITTER_SNAPSHOTS);
       callback.accept(
-          new Reply.CloudMachines(snapshots.get(Math.max(0, snapshots.size() - 1 - age)), false));
+          new Reply.CloudMachines(
+              snapshots.get(Math.max(0, snapshots.size() - 1 - ageSnapshots)), false));
     }
   }
 
@@ -86,7 +87,7 @@
       String id = String.format("i-%06d", ++lastNumber);
       ids.add(id);
       rentedAtMicros.put(id, cluster.clock.now());
-      requests.put(id, rent);
+      rentRequestByMachine.put(id, rent);
       cluster.clock.after(cluster.faults.bootMicros(), () -> boot(id, rent));
     }
     return ids;
@@ -98,12 +99,12 @@
     }
   }
 
-  private void delete(String id, Map<String, Long> returnTerms) {
+  private void delete(String id, Map<String, Long> releaseTerms) {
     SimulatedWorker worker = workers.remove(id);
     if (worker != null) {
-      cluster.rules.checkNotUsedSince(worker, returnTerms.get(id));
-      if (!worker.dead() && returnedAsUnreachable.contains(id)) {
-        returnedAlive++;
+      cluster.rules.checkNotUsedByLaterTerm(worker, releaseTerms.get(id));
+      if (!worker.isDead() && releasedAsUnreachable.contains(id)) {
+        releasedWhileAlive++;
       }
       worker.die();
     }
@@ -112,18 +113,18 @@
 
   /** What the cloud would list now, kept for a while. */
   private void takeSnapshot() {
-    cluster.clock.after(SNAPSHOT_MICROS, this::takeSnapshot);
+    cluster.clock.after(SNAPSHOT_INTERVAL_MICROS, this::takeSnapshot);
     List<Reply.CloudMachine> list = new ArrayList<>();
-    rentedAtMicros.forEach((id, rentedAt) -> list.add(listed(id, rentedAt)));
+    rentedAtMicros.forEach((id, rentedAt) -> list.add(toCloudMachine(id, rentedAt)));
     list.sort(Comparator.comparing(Reply.CloudMachine::id));
     snapshots.add(list);
-    if (snapshots.size() > KEPT_SNAPSHOTS) {
+    if (snapshots.size() > MAX_SNAPSHOTS) {
       snapshots.remove(0);
     }
   }
 
-  private Reply.CloudMachine listed(String id, long rentedAt) {
-    Request.CloudRent rent = requests.get(id);
+  private Reply.CloudMachine toCloudMachine(String id, long rentedAt) {
+    Request.CloudRent rent = rentRequestByMachine.get(id);
     return new Reply.CloudMachine(
         id,
         id,
@@ -139,13 +140,14 @@
       return "booting";
     }
     boolean failed =
-        worker.dead() && cluster.clock.now() > worker.diedMicros() + FAILED_AFTER_MICROS;
+        worker.isDead()
+            && cluster.clock.now() > worker.diedMicros() + FAILURE_DETECTION_DELAY_MICROS;
     return failed ? "failed" : "running";
   }
 
   /** The cloud takes a spot machine back after a notice. */
   void reclaim(SimulatedWorker worker, long noticeMicros) {
-    worker.notice(noticeMicros);
+    worker.receiveReclaimNotice(noticeMicros);
     cluster.clock.after(
         noticeMicros,
         () -> {
@@ -158,25 +160,25 @@
   /** So many machines in a hundred stop with all that is on them. */
   void killMachines(int percent) {
     for (SimulatedWorker worker : workers()) {
-      if (!worker.dead() && cluster.random.nextInt(100) < percent) {
+      if (!worker.isDead() && cluster.random.nextInt(100) < percent) {
         worker.die();
       }
     }
   }
 
   /** A leader has said that it gives this machine back since nobody reaches it. */
-  void returnedAsUnreachable(String id) {
-    returnedAsUnreachable.add(id);
+  void releasedAsUnreachable(String id) {
+    releasedAsUnreachable.add(id);
   }
 
   /** How many machines leaders have released as unreachable. */
-  int returnedAsUnreachable() {
-    return returnedAsUnreachable.size();
+  int releasedAsUnreachable() {
+    return releasedAsUnreachable.size();
   }
 
   /** How many machines were released as unreachable although they were alive. */
-  int returnedAlive() {
-    return returnedAlive;
+  int releasedWhileAlive() {
+    return releasedWhileAlive;
   }
 
   /** The booted machine of that name, or null. */
@@ -189,21 +191,22 @@
     return new ArrayList<>(workers.values());
   }
 
-  SimulatedWorker anyWorker() {
+  SimulatedWorker randomWorker() {
     List<SimulatedWorker> all = workers();
     return all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
   }
 
-  int machines() {
+  int machineCount() {
     return workers.size();
   }
 
-  int alive() {
-    return (int) workers.values().stream().filter(worker -> !worker.dead()).count();
+  int aliveMachineCount() {
+    return (int) workers.values().stream().filter(worker -> !worker.isDead()).count();
   }
 
   /** Of all machines that were ever rented, how many in that zone. */
-  int rentedIn(String zone) {
-    return (int) requests.values().stream().filter(rent -> rent.zone().equals(zone)).count();
+  int rentedInZoneCount(String zone) {
+    return (int)
+        rentRequestByMachine.values().stream().filter(rent -> rent.zone().equals(zone)).count();
   }
 }
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -20,13 +20,13 @@
 final class SimulatedCluster {
   static final long LEASE_MICROS = 15_000_000;
   private static final long HEARTBEAT_MICROS = 3_000_000;
-  private static final double STATE_RPS = 200;
-  private static final double STATE_WRITE_RPS = 80;
-  static final int STATE_TXN_OPS = 12;
-  private static final double CLOUD_RPS = 8;
+  private static final double STATE_REQUESTS_PER_SECOND = 200;
+  private static final double STATE_WRITES_PER_SECOND = 80;
+  static final int MAX_TRANSACTION_OPERATIONS = 12;
+  private static final double CLOUD_REQUESTS_PER_SECOND = 8;
 
   /** Prints what the controllers decide, to follow one seed: -Dsim.log=true. */
-  private static final boolean LOGGED = Boolean.getBoolean("sim.log");
+  private static final boolean TRACE_ENABLED = Boolean.getBoolean("sim.log");
 
   final SimulatedClock clock = new SimulatedClock();
   final Random random;
@@ -40,15 +40,15 @@
   final LivenessChecker liveness = new LivenessChecker(this);
   final Outages outages = new Outages(this);
   final FaultInjector faults = new FaultInjector(this);
-  final PlantedFaults planted = new PlantedFaults();
+  final InjectedDefects defects = new InjectedDefects();
 
   /**
    * Of all that controllers decided: the same before and after a change that only moves or renames.
    */
-  final EffectDigest effects = new EffectDigest();
+  final EffectDigest effectDigest = new EffectDigest();
 
   /** Takes all that controllers log. */
-  Consumer<String> logs = text -> {};
+  Consumer<String> logListener = text -> {};
 
   private final SimulatedController[] controllers;
   private double completedShare;
@@ -92,8 +92,9 @@
         teams,
         List.of(),
         new Settings.WorkerTimings(HEARTBEAT_MICROS, LEASE_MICROS, RuleChecker.CANCEL_BOUND_MICROS),
-        new Settings.StateServiceLimits(STATE_RPS, STATE_WRITE_RPS, STATE_TXN_OPS),
-        CLOUD_RPS,
+        new Settings.StateServiceLimits(
+            STATE_REQUESTS_PER_SECOND, STATE_WRITES_PER_SECOND, MAX_TRANSACTION_OPERATIONS),
+        CLOUD_REQUESTS_PER_SECOND,
         Settings.Tuning.defaults(),
         nodeZones,
         0);
@@ -118,18 +119,18 @@
   }
 
   /** A request to one controller; it is not answered while that is down. */
-  void ask(int node, LongFunction<Event> event, Consumer<Answer> callback) {
-    controllers[node].ask(event, callback);
+  void sendRequest(int node, LongFunction<Event> event, Consumer<Answer> callback) {
+    controllers[node].receive(event, callback);
   }
 
   /** Carries a worker's heartbeat to a controller, and the answer back. */
-  void deliver(String worker, int node, Heartbeat heartbeat, Consumer<Answer> callback) {
+  void deliverHeartbeat(String worker, int node, Heartbeat heartbeat, Consumer<Answer> callback) {
     String controller = SimulatedController.nameOf(node);
     network.send(
         worker,
         controller,
         () ->
-            ask(
+            sendRequest(
                 node,
                 exchange -> new Event.HeartbeatReceived(exchange, heartbeat, false),
                 answer -> network.send(controller, worker, () -> callback.accept(answer))));
@@ -146,18 +147,18 @@
   }
 
   /** A controller has logged this. */
-  void logged(String controller, String text) {
-    note(controller + " " + text);
-    ControllerLog.machineReturnedAsUnreachable(text).ifPresent(cloud::returnedAsUnreachable);
-    logs.accept(text);
+  void onControllerLog(String controller, String text) {
+    trace(controller + " " + text);
+    ControllerLog.machineReleasedAsUnreachable(text).ifPresent(cloud::releasedAsUnreachable);
+    logListener.accept(text);
     if (ControllerLog.isElection(text)) {
-      faults.newLeader();
+      faults.onNewLeader();
     }
   }
 
   /** Looks which share of the work is completed that came before a time. */
-  void recordCompletedShare(long beforeMicros) {
-    completedShare = CompletionShares.min(this, beforeMicros);
+  void recordCompletedShare(long submittedBeforeMicros) {
+    completedShare = CompletionShares.min(this, submittedBeforeMicros);
   }
 
   /** The smallest share over classes, teams and largest jobs, when it was last looked at. */
@@ -165,8 +166,8 @@
     return completedShare;
   }
 
-  void note(String text) {
-    if (LOGGED) {
+  void trace(String text) {
+    if (TRACE_ENABLED) {
       System.out.println(clock.now() / 1000 + " " + text);
     }
   }
--- a/src/test/java/org/eiderstair/sim/SimulatedController.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedController.java
@@ -18,7 +18,7 @@
   private final SimulatedCluster cluster;
   private final RequestTransport transport;
   private final int index;
-  private final Map<Long, Consumer<Answer>> exchanges = new HashMap<>();
+  private final Map<Long, Consumer<Answer>> callbackByExchange = new HashMap<>();
   private Core core;
 
   /** Counts starts and ends: what belongs to an earlier process is dropped. */
@@ -55,7 +55,7 @@
     return index;
   }
 
-  boolean runs() {
+  boolean isRunning() {
     return core != null;
   }
 
@@ -64,8 +64,8 @@
   }
 
   void start() {
-    int started = ++incarnation;
-    exchanges.clear();
+    int startedIncarnation = ++incarnation;
+    callbackByExchange.clear();
     pauseMicros = 0;
     pausedUntilMicros = 0;
     core =
@@ -74,14 +74,14 @@
             name() + "-" + incarnation,
             0,
             cluster.random::nextInt,
-            effect -> effect(effect, started));
-    tick(started);
+            effect -> onEffect(effect, startedIncarnation));
+    tick(startedIncarnation);
   }
 
   void crash() {
     incarnation++;
     core = null;
-    exchanges.clear();
+    callbackByExchange.clear();
   }
 
   /** The process pauses after its next decision, before what it decided is carried out. */
@@ -92,31 +92,31 @@
   /**
    * Hands an event to the core; its answer goes to {@code callback}. Nobody answers if it is down.
    */
-  void ask(LongFunction<Event> event, Consumer<Answer> callback) {
+  void receive(LongFunction<Event> event, Consumer<Answer> callback) {
     if (core != null) {
-      exchanges.put(++lastExchange, callback);
+      callbackByExchange.put(++lastExchange, callback);
       handle(event.apply(lastExchange));
     }
   }
 
-  private boolean isCurrent(int expected) {
-    return expected == incarnation && core != null;
+  private boolean isCurrent(int expectedIncarnation) {
+    return expectedIncarnation == incarnation && core != null;
   }
 
-  private boolean paused() {
+  private boolean isPaused() {
     return cluster.clock.now() < pausedUntilMicros;
   }
 
-  private void tick(int expected) {
-    if (isCurrent(expected)) {
+  private void tick(int expectedIncarnation) {
+    if (isCurrent(expectedIncarnation)) {
       handle(new Event.Tick());
-      cluster.clock.after(TICK_MICROS, () -> tick(expected));
+      cluster.clock.after(TICK_MICROS, () -> tick(expectedIncarnation));
     }
   }
 
   private void handle(Event event) {
-    if (paused()) {
-      afterPause(incarnation, () -> handle(event));
+    if (isPaused()) {
+      runAfterPause(incarnation, () -> handle(event));
       return;
     }
     if (pauseMicros > 0) {
@@ -126,54 +126,55 @@
     core.handle(event, cluster.clock.now());
   }
 
-  private void afterPause(int expected, Runnable action) {
-    cluster.clock.after(pausedUntilMicros - cluster.clock.now(), () -> ifCurrent(expected, action));
+  private void runAfterPause(int expectedIncarnation, Runnable action) {
+    cluster.clock.after(
+        pausedUntilMicros - cluster.clock.now(), () -> runIfCurrent(expectedIncarnation, action));
   }
 
-  private void ifCurrent(int expected, Runnable action) {
-    if (isCurrent(expected)) {
+  private void runIfCurrent(int expectedIncarnation, Runnable action) {
+    if (isCurrent(expectedIncarnation)) {
       action.run();
     }
   }
 
-  private void effect(Effect effect, int expected) {
-    cluster.effects.add(index, cluster.clock.now(), effect);
+  private void onEffect(Effect effect, int expectedIncarnation) {
+    cluster.effectDigest.add(index, cluster.clock.now(), effect);
     if (effect instanceof Effect.Log log) {
-      cluster.logged(name(), log.text());
+      cluster.onControllerLog(name(), log.text());
     }
-    if (paused()) {
-      afterPause(expected, () -> carryOut(effect, expected));
+    if (isPaused()) {
+      runAfterPause(expectedIncarnation, () -> execute(effect, expectedIncarnation));
     } else {
-      carryOut(effect, expected);
+      execute(effect, expectedIncarnation);
     }
   }
 
-  private void carryOut(Effect effect, int expected) {
+  private void execute(Effect effect, int expectedIncarnation) {
     if (effect instanceof Effect.Respond respond) {
-      Consumer<Answer> callback = exchanges.remove(respond.exchange());
+      Consumer<Answer> callback = callbackByExchange.remove(respond.exchange());
       if (callback != null) {
-        callback.accept(cluster.planted.answer.apply(respond.answerAt(cluster.clock.now())));
+        callback.accept(cluster.defects.answer.apply(respond.answerAt(cluster.clock.now())));
       }
     } else if (effect instanceof Effect.Call call) {
-      carryOut(call, expected);
+      execute(call, expectedIncarnation);
     }
   }
 
-  private void carryOut(Effect.Call call, int expected) {
+  private void execute(Effect.Call call, int expectedIncarnation) {
     if (call.isExpired(cluster.clock.now())) {
       cluster.clock.after(
           0,
           () ->
-              ifCurrent(
-                  expected,
+              runIfCurrent(
+                  expectedIncarnation,
                   () -> handle(new Event.ReplyReceived(call.callId(), Effect.Call.EXPIRED))));
       return;
     }
-    Request request = cluster.planted.request.apply(call.request());
+    Request request = cluster.defects.request.apply(call.request());
     boolean[] replied = {false};
     Consumer<Reply> firstReply =
         reply -> {
-          if (!replied[0] && isCurrent(expected)) {
+          if (!replied[0] && isCurrent(expectedIncarnation)) {
             replied[0] = true;
             handle(new Event.ReplyReceived(call.callId(), reply));
           }
@@ -181,6 +182,6 @@
     cluster.clock.after(
         RequestTransport.timeoutMicros(request),
         () -> firstReply.accept(new Reply.NoResponse("timeout")));
-    transport.carry(this, request, firstReply);
+    transport.send(this, request, firstReply);
   }
 }
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -19,10 +19,10 @@
 /** A stand-in for the state service, to the letter of its contract as far as the core uses it. */
 final class SimulatedStateService {
   private static final long TICK_MICROS = 50_000;
-  private static final long MIN_LATE_MICROS = 2_000_000;
-  private static final int LATE_SPREAD_MICROS = 10_000_000;
-  private static final long RETRY_LATE_MICROS = 500_000;
-  private static final long RETRY_WATCH_END_MICROS = 200_000;
+  private static final long MIN_LATE_COMMIT_DELAY_MICROS = 2_000_000;
+  private static final int LATE_COMMIT_JITTER_MICROS = 10_000_000;
+  private static final long LATE_COMMIT_RETRY_DELAY_MICROS = 500_000;
+  private static final long WATCH_END_RETRY_DELAY_MICROS = 200_000;
 
   private record Lease(long ttlMicros, long endMicros) {}
 
@@ -32,7 +32,7 @@
    * What becomes of a transaction: carried out and answered, or with its answer lost, at once or
    * late.
    */
-  enum Fate {
+  enum TransactionOutcome {
     ANSWERED,
     ANSWER_LOST,
     LATE
@@ -43,16 +43,17 @@
   private final TreeMap<String, Reply.Item> items = new TreeMap<>();
   private final Map<String, Long> leaseOfKey = new HashMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private final List<Reply.Item> log = new ArrayList<>();
+  private final List<Reply.Item> changeLog = new ArrayList<>();
   private final List<Watch> watches = new ArrayList<>();
   private long revision;
   private long lastLease;
   private boolean down;
   private final Set<String> refusedNodes = new HashSet<>();
   private final Set<String> nodesWithHeldWatches = new HashSet<>();
-  private Function<Request.StoreTransaction, Fate> fate = txn -> Fate.ANSWERED;
+  private Function<Request.StoreTransaction, TransactionOutcome> transactionOutcomes =
+      txn -> TransactionOutcome.ANSWERED;
   private int maxWrites;
-  private final Map<String, StoredValue> everWritten = new HashMap<>();
+  private final Map<String, StoredValue> lastWrittenValues = new HashMap<>();
 
   SimulatedStateService(SimulatedClock clock, Random random) {
     this.clock = clock;
@@ -61,25 +62,25 @@
   }
 
   /** While it is down nobody is served; leases begin anew when it is back. */
-  void down(boolean isDown) {
+  void setDown(boolean isDown) {
     if (down && !isDown) {
-      leases.replaceAll((id, lease) -> beginning(lease.ttlMicros()));
+      leases.replaceAll((id, lease) -> newLease(lease.ttlMicros()));
     }
     down = isDown;
     notifyWatches();
   }
 
   /** Whether one node alone is refused. */
-  void refuse(String node, boolean refused) {
-    change(refusedNodes, node, refused);
+  void setRefused(String node, boolean refused) {
+    setContained(refusedNodes, node, refused);
   }
 
   /** Whether one node's watches are never answered, while all else is. */
-  void holdWatches(String node, boolean held) {
-    change(nodesWithHeldWatches, node, held);
+  void setWatchesHeld(String node, boolean held) {
+    setContained(nodesWithHeldWatches, node, held);
   }
 
-  private static void change(Set<String> nodes, String node, boolean contained) {
+  private static void setContained(Set<String> nodes, String node, boolean contained) {
     if (contained) {
       nodes.add(node);
     } else {
@@ -88,8 +89,8 @@
   }
 
   /** Decides from now on what becomes of each transaction. */
-  void decideFates(Function<Request.StoreTransaction, Fate> newFate) {
-    fate = newFate;
+  void setTransactionOutcomes(Function<Request.StoreTransaction, TransactionOutcome> newOutcomes) {
+    transactionOutcomes = newOutcomes;
   }
 
   /** Writes of the largest transaction so far. */
@@ -98,11 +99,11 @@
   }
 
   /** Every key that was ever there, with its last value: for what must be durable first. */
-  Map<String, StoredValue> everWritten() {
-    return everWritten;
+  Map<String, StoredValue> lastWrittenValues() {
+    return lastWrittenValues;
   }
 
-  private Lease beginning(long ttlMicros) {
+  private Lease newLease(long ttlMicros) {
     return new Lease(ttlMicros, clock.now() + ttlMicros);
   }
 
@@ -135,7 +136,7 @@
   private void remove(String key) {
     if (items.remove(key) != null) {
       leaseOfKey.remove(key);
-      log.add(new Reply.Item(key, null, revision));
+      changeLog.add(new Reply.Item(key, null, revision));
     }
   }
 
@@ -156,11 +157,11 @@
     } else if (request instanceof Request.StoreList list) {
       callback.accept(list(list));
     } else if (request instanceof Request.LeaseGrant grant) {
-      leases.put(++lastLease, beginning(grant.ttlMicros()));
+      leases.put(++lastLease, newLease(grant.ttlMicros()));
       callback.accept(new Reply.LeaseGranted(lastLease));
     } else if (request instanceof Request.LeaseRenew renew) {
       Lease renewed =
-          leases.computeIfPresent(renew.lease(), (id, lease) -> beginning(lease.ttlMicros()));
+          leases.computeIfPresent(renew.lease(), (id, lease) -> newLease(lease.ttlMicros()));
       callback.accept(renewed == null ? new Reply.Refused(404) : new Reply.Applied(0));
     } else if (request instanceof Request.LeaseRevoke revoke) {
       if (leases.containsKey(revoke.lease())) {
@@ -187,18 +188,20 @@
   }
 
   private void serve(Request.StoreTransaction txn, Consumer<Reply> callback) {
-    switch (fate.apply(txn)) {
+    switch (transactionOutcomes.apply(txn)) {
       case ANSWERED -> callback.accept(commit(txn));
       case ANSWER_LOST -> commit(txn);
       // After newer ones of the same controller, and whoever leads by then.
       case LATE ->
-          clock.after(MIN_LATE_MICROS + random.nextInt(LATE_SPREAD_MICROS), () -> commitLate(txn));
+          clock.after(
+              MIN_LATE_COMMIT_DELAY_MICROS + random.nextInt(LATE_COMMIT_JITTER_MICROS),
+              () -> commitLate(txn));
     }
   }
 
   private void commitLate(Request.StoreTransaction txn) {
     if (down) {
-      clock.after(RETRY_LATE_MICROS, () -> commitLate(txn));
+      clock.after(LATE_COMMIT_RETRY_DELAY_MICROS, () -> commitLate(txn));
     } else {
       commit(txn);
     }
@@ -237,8 +240,8 @@
     Reply.Item item =
         new Reply.Item(write.key(), StoredValueCodec.decode(write.key(), stored), revision);
     items.put(write.key(), item);
-    everWritten.put(write.key(), item.value());
-    log.add(item);
+    lastWrittenValues.put(write.key(), item.value());
+    changeLog.add(item);
     leaseOfKey.remove(write.key());
     if (write.lease() != 0) {
       leaseOfKey.put(write.key(), write.lease());
@@ -256,7 +259,7 @@
   /** Open watches stay open through an outage, and where one node alone is refused. */
   private void endWatch(String node, Consumer<Reply> callback) {
     if (refuses(node)) {
-      clock.after(RETRY_WATCH_END_MICROS, () -> endWatch(node, callback));
+      clock.after(WATCH_END_RETRY_DELAY_MICROS, () -> endWatch(node, callback));
     } else if (watches.removeIf(watch -> watch.callback() == callback)) {
       callback.accept(new Reply.Changed(List.of(), revision));
     }
@@ -280,9 +283,9 @@
 
   private List<Reply.Item> changesFor(Watch watch) {
     List<Reply.Item> changes = new ArrayList<>();
-    for (int i = log.size() - 1; i >= 0 && log.get(i).version() > watch.after(); i--) {
-      if (log.get(i).key().startsWith(watch.prefix())) {
-        changes.add(log.get(i));
+    for (int i = changeLog.size() - 1; i >= 0 && changeLog.get(i).version() > watch.after(); i--) {
+      if (changeLog.get(i).key().startsWith(watch.prefix())) {
+        changes.add(changeLog.get(i));
       }
     }
     Collections.reverse(changes);
--- a/src/test/java/org/eiderstair/sim/SimulatedUsers.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedUsers.java
@@ -17,12 +17,12 @@
  * All users: what they submit, ask and cancel, at drawn controllers, and what they were answered.
  */
 final class SimulatedUsers {
-  private static final int MAX_SUBMISSIONS = 200;
-  private static final long SUBMIT_RETRY_MICROS = 2_000_000;
-  private static final long CANCEL_RETRY_MICROS = 1_500_000;
-  private static final long POLL_MICROS = 2_000_000;
-  private static final int POLL_SPREAD_MICROS = 2_000_000;
-  private static final long POLL_ENDED_MICROS = 20_000_000;
+  private static final int MAX_SUBMIT_RETRIES = 200;
+  private static final long SUBMIT_RETRY_DELAY_MICROS = 2_000_000;
+  private static final long CANCEL_RETRY_DELAY_MICROS = 1_500_000;
+  private static final long POLL_INTERVAL_MICROS = 2_000_000;
+  private static final int POLL_JITTER_MICROS = 2_000_000;
+  private static final long ENDED_JOB_POLL_INTERVAL_MICROS = 20_000_000;
 
   private final SimulatedCluster cluster;
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
@@ -30,7 +30,7 @@
   private final Set<String> accepted = new HashSet<>();
 
   /** Of each job, the phase that was answered last; a final one stays. */
-  private final Map<String, Answer.Phase> phases = new HashMap<>();
+  private final Map<String, Answer.Phase> lastAnsweredPhases = new HashMap<>();
 
   private final Map<String, Long> cancelConfirmedAtMicros = new HashMap<>();
   private final Set<String> cancelRequested = new HashSet<>();
@@ -49,55 +49,56 @@
     trySubmit(spec, 0);
   }
 
-  private void trySubmit(JobSpec spec, int tries) {
-    if (tries > MAX_SUBMISSIONS) {
+  private void trySubmit(JobSpec spec, int retries) {
+    if (retries > MAX_SUBMIT_RETRIES) {
       return;
     }
     boolean[] confirmed = {false};
     cluster.clock.after(
-        SUBMIT_RETRY_MICROS,
+        SUBMIT_RETRY_DELAY_MICROS,
         () -> {
           if (!confirmed[0]) {
-            trySubmit(spec, tries + 1);
+            trySubmit(spec, retries + 1);
           }
         });
-    Answer.Phase before = phases.get(spec.id());
-    askAny(
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(spec.id());
+    sendToRandomNode(
         exchange ->
             new Event.Submit(
-                exchange, new Submission.Parsed(cluster.planted.submission.apply(spec))),
+                exchange, new Submission.Parsed(cluster.defects.submission.apply(spec))),
         answer -> {
           if (answer instanceof Answer.JobView view) {
             confirmed[0] = true;
-            submissionConfirmed(spec.id(), view, before);
+            onSubmissionConfirmed(spec.id(), view, phaseBefore);
           } else {
             cluster.rules.checkSubmissionNotRefused(spec.id(), answer);
           }
         });
   }
 
-  private void submissionConfirmed(String id, Answer.JobView view, Answer.Phase before) {
+  private void onSubmissionConfirmed(String id, Answer.JobView view, Answer.Phase phaseBefore) {
     boolean first = accepted.add(id);
-    answered(view, before);
+    onAnswer(view, phaseBefore);
     if (first) {
       poll(id);
-      cluster.faults.userAnswered(id);
+      cluster.faults.onUserAnswered(id);
     }
   }
 
   private void poll(String id) {
-    Answer.Phase before = phases.get(id);
-    if (isFinal(before)) {
-      cluster.clock.after(POLL_ENDED_MICROS, () -> poll(id));
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    if (isFinal(phaseBefore)) {
+      cluster.clock.after(ENDED_JOB_POLL_INTERVAL_MICROS, () -> poll(id));
     } else {
-      cluster.clock.after(POLL_MICROS + cluster.random.nextInt(POLL_SPREAD_MICROS), () -> poll(id));
+      cluster.clock.after(
+          POLL_INTERVAL_MICROS + cluster.random.nextInt(POLL_JITTER_MICROS), () -> poll(id));
     }
-    askAny(
+    sendToRandomNode(
         exchange -> new Event.Poll(exchange, id),
         answer -> {
           if (answer instanceof Answer.JobView view) {
-            cluster.liveness.answered(id);
-            answered(view, before);
+            cluster.liveness.onAnswer(id);
+            onAnswer(view, phaseBefore);
           } else {
             cluster.rules.checkAcceptedIsKnown(id, answer);
           }
@@ -106,7 +107,7 @@
 
   /** Asks for a job that nobody submitted. */
   void pollUnknown(String id) {
-    askAny(
+    sendToRandomNode(
         exchange -> new Event.Poll(exchange, id),
         answer -> cluster.rules.checkNotInvented(id, answer));
   }
@@ -114,39 +115,42 @@
   /** Asks at drawn controllers, again and again, until the job has ended. */
   void cancel(String id) {
     cancelRequested.add(id);
-    Answer.Phase before = phases.get(id);
-    if (isFinal(before)) {
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    if (isFinal(phaseBefore)) {
       return;
     }
-    cluster.clock.after(CANCEL_RETRY_MICROS, () -> cancel(id));
-    askAny(exchange -> new Event.Cancel(exchange, id), answer -> cancelAnswered(answer, before));
+    cluster.clock.after(CANCEL_RETRY_DELAY_MICROS, () -> cancel(id));
+    sendToRandomNode(
+        exchange -> new Event.Cancel(exchange, id), answer -> onCancelAnswer(answer, phaseBefore));
   }
 
   /** Asks one controller, once. */
   void cancelThrough(int node, String id) {
     cancelRequested.add(id);
-    Answer.Phase before = phases.get(id);
-    cluster.ask(
-        node, exchange -> new Event.Cancel(exchange, id), answer -> cancelAnswered(answer, before));
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    cluster.sendRequest(
+        node,
+        exchange -> new Event.Cancel(exchange, id),
+        answer -> onCancelAnswer(answer, phaseBefore));
   }
 
-  private void cancelAnswered(Answer answer, Answer.Phase before) {
+  private void onCancelAnswer(Answer answer, Answer.Phase phaseBefore) {
     if (answer instanceof Answer.JobView view) {
-      answered(view, before);
+      onAnswer(view, phaseBefore);
     }
   }
 
-  private void askAny(LongFunction<Event> event, Consumer<Answer> callback) {
-    cluster.ask(cluster.random.nextInt(cluster.size.nodes()), event, callback);
+  private void sendToRandomNode(LongFunction<Event> event, Consumer<Answer> callback) {
+    cluster.sendRequest(cluster.random.nextInt(cluster.size.nodes()), event, callback);
   }
 
   /**
-   * @param before what had been answered when the question was asked: only that may not be taken
-   *     back
+   * @param phaseBefore what had been answered when the question was asked: only that may not be
+   *     taken back
    */
-  void answered(Answer.JobView view, Answer.Phase before) {
+  void onAnswer(Answer.JobView view, Answer.Phase phaseBefore) {
     String id = view.id();
-    cluster.rules.checkFinalPhaseStays(view, before);
+    cluster.rules.checkFinalPhaseStays(view, phaseBefore);
     if (view.phase() == Answer.Phase.CANCELLED) {
       cancelConfirmedAtMicros.putIfAbsent(id, cluster.clock.now());
       cluster.rules.checkCancelledOnRequest(id);
@@ -154,10 +158,10 @@
     if (view.phase() == Answer.Phase.DONE) {
       cluster.rules.checkAllTasksCompleted(id);
     }
-    if (!ended(id)) {
-      phases.put(id, view.phase());
-      if (ended(id)) {
-        cluster.faults.userAnswered(id);
+    if (!hasEnded(id)) {
+      lastAnsweredPhases.put(id, view.phase());
+      if (hasEnded(id)) {
+        cluster.faults.onUserAnswered(id);
       }
     }
   }
@@ -167,16 +171,16 @@
   }
 
   Answer.Phase phase(String id) {
-    return phases.get(id);
+    return lastAnsweredPhases.get(id);
   }
 
   /** Whether its user knows it to be done or cancelled. */
-  boolean ended(String id) {
-    return isFinal(phases.get(id));
+  boolean hasEnded(String id) {
+    return isFinal(lastAnsweredPhases.get(id));
   }
 
   /** Ids of accepted jobs, in order. */
-  List<String> accepted() {
+  List<String> acceptedJobs() {
     return accepted.stream().sorted().toList();
   }
 
@@ -199,11 +203,13 @@
   }
 
   /** Accepted jobs that should have ended by now and are not known to have. */
-  List<String> unfinished() {
-    return accepted().stream()
+  List<String> unfinishedJobs() {
+    return acceptedJobs().stream()
         .filter(
             id ->
-                submitted.get(id).shape() == JobSpec.Shape.ARRAY && !alwaysFails(id) && !ended(id))
+                submitted.get(id).shape() == JobSpec.Shape.ARRAY
+                    && !alwaysFails(id)
+                    && !hasEnded(id))
         .toList();
   }
 }
--- a/src/test/java/org/eiderstair/sim/SimulatedWorker.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedWorker.java
@@ -18,39 +18,39 @@
 /** A stand-in for one machine and its worker, as far as controllers see them. */
 final class SimulatedWorker {
   private static final long TICK_MICROS = 100_000;
-  private static final long MIN_HEARTBEAT_PAUSE_MICROS = 500_000;
-  private static final long HEARTBEAT_MICROS = 2_000_000;
-  private static final int HEARTBEAT_SPREAD_MICROS = 1_500_000;
+  private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 500_000;
+  private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
+  private static final int HEARTBEAT_JITTER_MICROS = 1_500_000;
   private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
-  private static final long NEXT_NODE_PAUSE_MICROS = 1_000_000;
+  private static final long NEXT_NODE_DELAY_MICROS = 1_000_000;
   private static final long MIN_FETCH_MICROS = 200_000;
-  private static final int FETCH_SPREAD_MICROS = 2_000_000;
+  private static final int FETCH_JITTER_MICROS = 2_000_000;
 
   /** An attempt's number holds the term of the leader that placed it above these bits. */
   private static final int TERM_SHIFT = 31;
 
-  private static final class Running {
+  private static final class TaskAttempt {
     final TaskId task;
     final long attempt;
     TaskState state = TaskState.FETCHING;
     Exit exit = Exit.NONE;
 
-    Running(TaskId task, long attempt) {
+    TaskAttempt(TaskId task, long attempt) {
       this.task = task;
       this.attempt = attempt;
     }
 
-    boolean uses() {
+    boolean usesResources() {
       return state != TaskState.ENDED;
     }
 
-    boolean executes() {
+    boolean isExecuting() {
       return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
 
-    void end(Exit how) {
+    void end(Exit newExit) {
       state = TaskState.ENDED;
-      exit = how;
+      exit = newExit;
     }
   }
 
@@ -59,13 +59,13 @@
   final boolean spot;
   final String type;
   private final SimulatedCluster cluster;
-  private final Map<TaskId, Running> tasks = new LinkedHashMap<>();
+  private final Map<TaskId, TaskAttempt> tasks = new LinkedHashMap<>();
   private long incarnation = 1;
   private long sequence;
   private FencingToken fencingToken = FencingToken.NONE;
 
   /** When the last heartbeat was sent that was answered: the lease counts from it. */
-  private long answeredSentMicros;
+  private long lastAnsweredSentMicros;
 
   /** The controller that heartbeats go to. */
   private int node;
@@ -79,7 +79,7 @@
   private long diedMicros;
   private boolean failsAllTasks;
   private long hungUntilMicros;
-  private final List<Runnable> whileHung = new ArrayList<>();
+  private final List<Runnable> deferredWhileHung = new ArrayList<>();
   private long noticeAtMicros = -1;
   private long inboundLostUntilMicros;
   private long outboundLostUntilMicros;
@@ -90,7 +90,7 @@
     this.type = type;
     this.zone = zone;
     this.spot = spot;
-    this.answeredSentMicros = now();
+    this.lastAnsweredSentMicros = now();
     this.node = cluster.random.nextInt(cluster.size.nodes());
     tick();
   }
@@ -121,17 +121,17 @@
   }
 
   /** It knows that it will be taken back after that time. */
-  void notice(long micros) {
+  void receiveReclaimNotice(long micros) {
     noticeAtMicros = now() + micros;
   }
 
   void die() {
     dead = true;
     diedMicros = now();
-    tasks.keySet().forEach(task -> cluster.tasks.stoppedOn(id, task));
+    tasks.keySet().forEach(task -> cluster.tasks.onMachineStopped(id, task));
   }
 
-  boolean dead() {
+  boolean isDead() {
     return dead;
   }
 
@@ -139,11 +139,11 @@
     return diedMicros;
   }
 
-  private boolean hung() {
+  private boolean isHung() {
     return now() < hungUntilMicros;
   }
 
-  private boolean inboundLost() {
+  private boolean isInboundLost() {
     return now() < inboundLostUntilMicros;
   }
 
@@ -152,16 +152,18 @@
   /** Whether a task of that size would find room. */
   boolean hasFreeResources(double cpus) {
     double used = 0;
-    for (Running running : tasks.values()) {
-      used += running.uses() ? cluster.users.spec(running.task.job()).cpus() : 0;
+    for (TaskAttempt taskAttempt : tasks.values()) {
+      used += taskAttempt.usesResources() ? cluster.users.spec(taskAttempt.task.job()).cpus() : 0;
     }
-    return !dead && used + cpus <= SimulatedCloud.TYPE.cpus() + RuleChecker.ROUNDING;
+    return !dead
+        && used + cpus <= SimulatedCloud.MACHINE_TYPE.cpus() + RuleChecker.MAX_ROUNDING_ERROR_CPUS;
   }
 
   /** Whether something is here that a leader of a later term than that has placed. */
-  boolean usedAfter(long term) {
+  boolean isUsedByTermAfter(long term) {
     return tasks.values().stream()
-        .anyMatch(running -> running.uses() && running.attempt >> TERM_SHIFT > term);
+        .anyMatch(
+            taskAttempt -> taskAttempt.usesResources() && taskAttempt.attempt >> TERM_SHIFT > term);
   }
 
   // Its lease and heartbeats.
@@ -172,14 +174,14 @@
     }
     cluster.clock.after(TICK_MICROS, this::tick);
     // A hung machine may go on only within its lease.
-    if (now() > answeredSentMicros + SimulatedCluster.LEASE_MICROS) {
+    if (now() > lastAnsweredSentMicros + SimulatedCluster.LEASE_MICROS) {
       newIncarnation();
     }
-    if (hung()) {
+    if (isHung()) {
       return;
     }
-    List<Runnable> waiting = new ArrayList<>(whileHung);
-    whileHung.clear();
+    List<Runnable> waiting = new ArrayList<>(deferredWhileHung);
+    deferredWhileHung.clear();
     waiting.forEach(Runnable::run);
     if (!inFlight && isHeartbeatTime()) {
       sendHeartbeat();
@@ -188,23 +190,24 @@
 
   private boolean isHeartbeatTime() {
     return now() >= nextHeartbeatMicros
-        || (heartbeatDue && now() >= lastHeartbeatMicros + MIN_HEARTBEAT_PAUSE_MICROS);
+        || (heartbeatDue && now() >= lastHeartbeatMicros + MIN_HEARTBEAT_INTERVAL_MICROS);
   }
 
   private void newIncarnation() {
-    tasks.keySet().forEach(cluster.tasks::stopped);
+    tasks.keySet().forEach(cluster.tasks::onTaskStopped);
     tasks.clear();
     incarnation++;
     sequence = 0;
-    answeredSentMicros = now();
+    lastAnsweredSentMicros = now();
     heartbeatDue = true;
   }
 
-  private Heartbeat heartbeat() {
+  private Heartbeat createHeartbeat() {
     List<Heartbeat.Entry> entries = new ArrayList<>();
-    for (Running running : tasks.values()) {
+    for (TaskAttempt taskAttempt : tasks.values()) {
       entries.add(
-          new Heartbeat.Entry(running.task, running.attempt, running.state, running.exit, false));
+          new Heartbeat.Entry(
+              taskAttempt.task, taskAttempt.attempt, taskAttempt.state, taskAttempt.exit, false));
     }
     long notice = noticeAtMicros < 0 ? Heartbeat.NO_NOTICE : Math.max(0, noticeAtMicros - now());
     return new Heartbeat(
@@ -216,20 +219,22 @@
     heartbeatDue = false;
     lastHeartbeatMicros = now();
     nextHeartbeatMicros =
-        lastHeartbeatMicros + HEARTBEAT_MICROS + cluster.random.nextInt(HEARTBEAT_SPREAD_MICROS);
+        lastHeartbeatMicros
+            + HEARTBEAT_INTERVAL_MICROS
+            + cluster.random.nextInt(HEARTBEAT_JITTER_MICROS);
     long number = ++heartbeatNumber;
     long sentIncarnation = incarnation;
     long sentMicros = now();
     if (now() >= outboundLostUntilMicros) {
-      Heartbeat heartbeat = heartbeat();
-      cluster.faults.heartbeatSent(id, node, heartbeat);
-      cluster.deliver(
+      Heartbeat heartbeat = createHeartbeat();
+      cluster.faults.onHeartbeatSent(id, node, heartbeat);
+      cluster.deliverHeartbeat(
           id,
           node,
           heartbeat,
           answer -> {
-            if (!dead && isAwaited(number) && !hung() && !inboundLost()) {
-              answered(answer, sentIncarnation, sentMicros);
+            if (!dead && isAwaited(number) && !isHung() && !isInboundLost()) {
+              onAnswer(answer, sentIncarnation, sentMicros);
             }
           });
     }
@@ -247,12 +252,12 @@
     return inFlight && number == heartbeatNumber;
   }
 
-  private void answered(Answer answer, long sentIncarnation, long sentMicros) {
+  private void onAnswer(Answer answer, long sentIncarnation, long sentMicros) {
     inFlight = false;
     if (answer instanceof Answer.Command command) {
       if (command.fencingToken().isAtLeast(fencingToken) && sentIncarnation == incarnation) {
         observe(command.fencingToken());
-        answeredSentMicros = sentMicros;
+        lastAnsweredSentMicros = sentMicros;
         command.orders().forEach(this::execute);
       }
     } else if (answer instanceof Answer.Redirect redirect && redirect.node() != null) {
@@ -265,7 +270,7 @@
 
   private void tryNextNode() {
     node = (node + 1) % cluster.size.nodes();
-    nextHeartbeatMicros = now() + NEXT_NODE_PAUSE_MICROS;
+    nextHeartbeatMicros = now() + NEXT_NODE_DELAY_MICROS;
   }
 
   private void observe(FencingToken newFencingToken) {
@@ -279,11 +284,11 @@
 
   /** A direct command or a status request; a hung machine takes it when it goes on. */
   void receive(Request request, Consumer<Reply> callback) {
-    if (dead || inboundLost()) {
+    if (dead || isInboundLost()) {
       return;
     }
-    if (hung()) {
-      whileHung.add(() -> receive(request, callback));
+    if (isHung()) {
+      deferredWhileHung.add(() -> receive(request, callback));
       return;
     }
     boolean executed = false;
@@ -294,25 +299,25 @@
       commands.orders().forEach(this::execute);
       executed = true;
     }
-    callback.accept(new Reply.WorkerStatus(heartbeat(), executed));
+    callback.accept(new Reply.WorkerStatus(createHeartbeat(), executed));
   }
 
   private void execute(Order order) {
-    Running known = tasks.get(order.task());
+    TaskAttempt known = tasks.get(order.task());
     boolean same = known != null && known.attempt == order.attempt();
     if (order instanceof Order.Launch) {
-      if (known == null || (!same && !known.uses())) {
+      if (known == null || (!same && !known.usesResources())) {
         launch(order);
       }
-    } else if (same && order instanceof Order.Kill && known.uses()) {
+    } else if (same && order instanceof Order.Kill && known.usesResources()) {
       kill(known);
-    } else if (same && order instanceof Order.Acknowledge && !known.uses()) {
+    } else if (same && order instanceof Order.Acknowledge && !known.usesResources()) {
       tasks.remove(order.task());
     }
   }
 
   private void launch(Order order) {
-    Running launched = new Running(order.task(), order.attempt());
+    TaskAttempt launched = new TaskAttempt(order.task(), order.attempt());
     tasks.put(order.task(), launched);
     heartbeatDue = true;
     if (failsAllTasks) {
@@ -320,51 +325,51 @@
       return;
     }
     cluster.clock.after(
-        MIN_FETCH_MICROS + cluster.random.nextInt(FETCH_SPREAD_MICROS), () -> begin(launched));
+        MIN_FETCH_MICROS + cluster.random.nextInt(FETCH_JITTER_MICROS), () -> startTask(launched));
   }
 
-  private void kill(Running running) {
-    if (running.executes()) {
-      cluster.tasks.stopped(running.task);
+  private void kill(TaskAttempt taskAttempt) {
+    if (taskAttempt.isExecuting()) {
+      cluster.tasks.onTaskStopped(taskAttempt.task);
     }
-    running.end(Exit.STOPPED);
+    taskAttempt.end(Exit.STOPPED);
     heartbeatDue = true;
   }
 
-  private boolean isStill(TaskState state, Running running) {
-    return !dead && tasks.get(running.task) == running && running.state == state;
+  private boolean isInState(TaskState state, TaskAttempt taskAttempt) {
+    return !dead && tasks.get(taskAttempt.task) == taskAttempt && taskAttempt.state == state;
   }
 
-  private void begin(Running running) {
-    if (!isStill(TaskState.FETCHING, running)) {
+  private void startTask(TaskAttempt taskAttempt) {
+    if (!isInState(TaskState.FETCHING, taskAttempt)) {
       return;
     }
-    if (hung()) {
-      whileHung.add(() -> begin(running));
+    if (isHung()) {
+      deferredWhileHung.add(() -> startTask(taskAttempt));
       return;
     }
-    running.state = TaskState.RUNNING;
+    taskAttempt.state = TaskState.RUNNING;
     heartbeatDue = true;
-    cluster.tasks.started(running.task, this);
-    long runMicros = cluster.tasks.runMicros(running.task);
+    cluster.tasks.onTaskStarted(taskAttempt.task, this);
+    long runMicros = cluster.tasks.runMicros(taskAttempt.task);
     if (runMicros > 0) {
-      cluster.clock.after(runMicros, () -> finish(running));
+      cluster.clock.after(runMicros, () -> finishTask(taskAttempt));
     }
   }
 
-  private void finish(Running running) {
-    if (!isStill(TaskState.RUNNING, running)) {
+  private void finishTask(TaskAttempt taskAttempt) {
+    if (!isInState(TaskState.RUNNING, taskAttempt)) {
       return;
     }
-    if (hung()) {
-      whileHung.add(() -> finish(running));
+    if (isHung()) {
+      deferredWhileHung.add(() -> finishTask(taskAttempt));
       return;
     }
-    boolean fails = cluster.users.alwaysFails(running.task.job());
-    running.end(fails ? Exit.ERROR : Exit.DONE);
-    cluster.tasks.stopped(running.task);
+    boolean fails = cluster.users.alwaysFails(taskAttempt.task.job());
+    taskAttempt.end(fails ? Exit.ERROR : Exit.DONE);
+    cluster.tasks.onTaskStopped(taskAttempt.task);
     if (!fails) {
-      cluster.tasks.completed(running.task);
+      cluster.tasks.onTaskCompleted(taskAttempt.task);
     }
     heartbeatDue = true;
   }
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -15,16 +15,16 @@
  * leader. And what is like it.
  */
 class StaleLeaderFaultScenariosTest {
-  private static final long SECOND = 1_000_000;
-  private static final long CANCEL = 32 * SECOND;
-  private static final long LEASE = 15 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long CANCEL_BOUND_MICROS = 32 * SECOND_MICROS;
+  private static final long LEASE_MICROS = 15 * SECOND_MICROS;
   private static final int JOBS = 8;
 
   /**
    * Longer than the lease of the leader key: what it bounds are starts of what was cancelled
    * elsewhere.
    */
-  private static final long LEADER_LEASE = 4_500_000;
+  private static final long LEADER_LEASE_MICROS = 4_500_000;
 
   private final List<String> logs = new ArrayList<>();
 
@@ -33,9 +33,9 @@
   }
 
   /** Eight jobs of two long tasks each, all running, half of them never cancelled. */
-  private SimulatedCluster running(long seed) {
+  private SimulatedCluster dayWithRunningJobs(long seed) {
     SimulatedCluster day = new SimulatedCluster(seed, ClusterSize.SMALL);
-    day.logs = logs::add;
+    day.logListener = logs::add;
     for (int i = 0; i < JOBS; i++) {
       JobSpec spec =
           SampleJobs.job(id(i))
@@ -43,25 +43,25 @@
               .team(i % 2 == 0 ? "red" : "blue")
               .priority(JobSpec.Priority.HIGH)
               .tasks(2)
-              .estimateMicros(300 * SECOND)
-              .deadlineMicros(20 * SECOND)
+              .estimateMicros(300 * SECOND_MICROS)
+              .deadlineMicros(20 * SECOND_MICROS)
               .build();
-      day.clock.after(3 * SECOND, () -> day.users.submit(spec));
+      day.clock.after(3 * SECOND_MICROS, () -> day.users.submit(spec));
     }
-    while (day.tasks.runningJobs().size() < JOBS && day.clock.now() < 150 * SECOND) {
-      after(day, SECOND);
+    while (day.tasks.runningJobs().size() < JOBS && day.clock.now() < 150 * SECOND_MICROS) {
+      advance(day, SECOND_MICROS);
     }
     assertEquals(JOBS, day.tasks.runningJobs().size(), "all jobs run");
     return day;
   }
 
-  private static void cancelHalf(SimulatedCluster day, int otherThan) {
+  private static void cancelHalfThroughFollower(SimulatedCluster day, int leader) {
     for (int i = 0; i < JOBS; i += 2) {
-      day.users.cancelThrough((otherThan + 1) % 3, id(i));
+      day.users.cancelThrough((leader + 1) % 3, id(i));
     }
   }
 
-  private static void after(SimulatedCluster day, long micros) {
+  private static void advance(SimulatedCluster day, long micros) {
     day.clock.runUntil(day.clock.now() + micros);
   }
 
@@ -76,40 +76,40 @@
     for (String id : day.tasks.runningJobs()) {
       assertTrue(day.users.phase(id) != Answer.Phase.CANCELLED, id + " still runs");
     }
-    after(day, 700 * SECOND);
+    advance(day, 700 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
-    assertEquals(List.of(), day.users.unfinished());
+    assertEquals(List.of(), day.users.unfinishedJobs());
   }
 
   /** With the lease renewed before the watch has answered, which it does only later. */
   @Example
-  void jobsCancelledDuringTheGapEndInTimeAndOthersContinue() {
+  void jobsCancelledWhileTheLeaderIsRefusedStopInTimeAndOthersContinue() {
     for (long seed = 1; seed <= 12; seed++) {
-      for (boolean newsArrives : new boolean[] {true, false}) {
-        for (long outage : new long[] {9, 10, 36, 50}) {
+      for (boolean cancellationsArrive : new boolean[] {true, false}) {
+        for (long outageSeconds : new long[] {9, 10, 36, 50}) {
           // The shorter ones end while the old leader may still answer, so that it renews its lease
           // again.
-          long refusal = outage < 30 ? 4 + seed % 7 : 14;
-          SimulatedCluster day = running(seed);
+          long refusalSeconds = outageSeconds < 30 ? 4 + seed % 7 : 14;
+          SimulatedCluster day = dayWithRunningJobs(seed);
           int leader = day.leader();
-          day.planted.peerCancellationsLost = !newsArrives;
-          day.outages.stateServiceRefuses(leader, refusal * SECOND);
-          after(day, SECOND / 2);
-          cancelHalf(day, leader);
-          after(day, 3 * SECOND / 2);
+          day.defects.peerCancellationsLost = !cancellationsArrive;
+          day.outages.stateServiceRefuses(leader, refusalSeconds * SECOND_MICROS);
+          advance(day, SECOND_MICROS / 2);
+          cancelHalfThroughFollower(day, leader);
+          advance(day, 3 * SECOND_MICROS / 2);
           assertHalfCancelled(day);
-          day.outages.stateService(outage * SECOND);
-          day.outages.watchHangs(leader, outage * SECOND + 40 * SECOND);
-          int before = day.rules.startsAfterCancellation();
-          after(day, CANCEL + 2 * SECOND);
+          day.outages.stateServiceOutage(outageSeconds * SECOND_MICROS);
+          day.outages.watchHangs(leader, outageSeconds * SECOND_MICROS + 40 * SECOND_MICROS);
+          int startsBefore = day.rules.startsAfterCancellation();
+          advance(day, CANCEL_BOUND_MICROS + 2 * SECOND_MICROS);
           assertCancelledStoppedAndOthersDone(day);
           assertTrue(
-              day.rules.startsAfterCancellation() == before
-                  || day.rules.maxStartAfterCancellationMicros() < LEADER_LEASE,
+              day.rules.startsAfterCancellation() == startsBefore
+                  || day.rules.maxStartAfterCancellationMicros() < LEADER_LEASE_MICROS,
               "seed "
                   + seed
                   + " outage "
-                  + outage
+                  + outageSeconds
                   + ": started "
                   + day.rules.maxStartAfterCancellationMicros()
                   + " after the confirmation");
@@ -126,24 +126,24 @@
   void aLeaderWhoseWatchHangsStepsDownInTime() {
     for (long seed = 1; seed <= 8; seed++) {
       logs.clear();
-      SimulatedCluster day = running(seed);
+      SimulatedCluster day = dayWithRunningJobs(seed);
       int leader = day.leader();
-      day.planted.peerCancellationsLost = true;
-      day.outages.watchHangs(leader, 120 * SECOND);
-      after(day, SECOND);
-      cancelHalf(day, leader);
-      after(day, SECOND);
+      day.defects.peerCancellationsLost = true;
+      day.outages.watchHangs(leader, 120 * SECOND_MICROS);
+      advance(day, SECOND_MICROS);
+      cancelHalfThroughFollower(day, leader);
+      advance(day, SECOND_MICROS);
       assertHalfCancelled(day);
       assertTrue(
           day.tasks.runningJobs().size() > JOBS / 2,
           "cancelled jobs run on, since the leader does not know of their cancellation");
-      after(day, CANCEL - LEASE);
+      advance(day, CANCEL_BOUND_MICROS - LEASE_MICROS);
       assertEquals(
           1,
           logs.stream()
               .filter(l -> l.contains("-> FOLLOWING") && l.contains("replica not shown"))
               .count());
-      after(day, LEASE);
+      advance(day, LEASE_MICROS);
       assertCancelledStoppedAndOthersDone(day);
     }
   }
@@ -153,19 +153,19 @@
    */
   @Example
   void cancellationsFromAPeerEndTasksDuringAStateServiceOutage() {
-    SimulatedCluster day = running(3);
+    SimulatedCluster day = dayWithRunningJobs(3);
     int leader = day.leader();
-    day.outages.stateServiceRefuses(leader, 14 * SECOND);
-    after(day, SECOND / 2);
-    cancelHalf(day, leader);
-    after(day, SECOND);
+    day.outages.stateServiceRefuses(leader, 14 * SECOND_MICROS);
+    advance(day, SECOND_MICROS / 2);
+    cancelHalfThroughFollower(day, leader);
+    advance(day, SECOND_MICROS);
     assertHalfCancelled(day);
-    day.outages.stateService(40 * SECOND);
-    after(day, 6 * SECOND);
+    day.outages.stateServiceOutage(40 * SECOND_MICROS);
+    advance(day, 6 * SECOND_MICROS);
     for (int i = 0; i < JOBS; i++) {
       assertEquals(i % 2 != 0, day.tasks.runningJobs().contains(id(i)), "runs: " + id(i));
     }
-    after(day, 30 * SECOND);
+    advance(day, 30 * SECOND_MICROS);
     assertCancelledStoppedAndOthersDone(day);
   }
 }
--- a/src/test/java/org/eiderstair/sim/TaskTracker.java
+++ b/src/test/java/org/eiderstair/sim/TaskTracker.java
@@ -20,16 +20,16 @@
   private final Set<TaskId> completed = new HashSet<>();
   private final Map<String, Integer> completedByJob = new HashMap<>();
   private final Map<String, Double> teamCpus = new HashMap<>();
-  private int starts;
+  private int startCount;
 
   TaskTracker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
-  void started(TaskId task, SimulatedWorker worker) {
-    starts++;
+  void onTaskStarted(TaskId task, SimulatedWorker worker) {
+    startCount++;
     if (machineOf.containsKey(task)) {
-      cluster.rules.ranTwice(task, machineOf.get(task), worker.id);
+      cluster.rules.recordRanTwice(task, machineOf.get(task), worker.id);
       return;
     }
     JobSpec spec = cluster.users.spec(task.job());
@@ -37,12 +37,12 @@
     runningByJob.computeIfAbsent(task.job(), job -> new HashSet<>()).add(task);
     double used = teamCpus.merge(spec.team(), spec.cpus(), Double::sum);
     cluster.rules.checkQuota(spec.team(), used);
-    cluster.rules.checkPlace(task, spec, worker);
-    cluster.liveness.started(task.job());
+    cluster.rules.checkPlacement(task, spec, worker);
+    cluster.liveness.onTaskStarted(task.job());
     cluster.rules.checkNotCancelled(task);
   }
 
-  void stopped(TaskId task) {
+  void onTaskStopped(TaskId task) {
     if (machineOf.remove(task) != null) {
       runningByJob.get(task.job()).remove(task);
       JobSpec spec = cluster.users.spec(task.job());
@@ -51,18 +51,18 @@
   }
 
   /** The machine has stopped; the task may run on another by now. */
-  void stoppedOn(String machine, TaskId task) {
+  void onMachineStopped(String machine, TaskId task) {
     if (machine.equals(machineOf.get(task))) {
-      stopped(task);
+      onTaskStopped(task);
     }
   }
 
-  void completed(TaskId task) {
+  void onTaskCompleted(TaskId task) {
     if (completed.add(task)) {
       completedByJob.merge(task.job(), 1, Integer::sum);
     }
     if (allCompleted(task.job())) {
-      cluster.faults.jobCompleted(task.job());
+      cluster.faults.onJobCompleted(task.job());
     }
   }
 
@@ -73,7 +73,7 @@
       return 1;
     }
     int estimate = (int) spec.estimateMicros();
-    if (spec.jobClass().equals(FaultInjector.UNEVEN)) {
+    if (spec.jobClass().equals(FaultInjector.UNEVEN_JOB_CLASS)) {
       return task.index() == 0 ? estimate / 8 : estimate * 2L;
     }
     return spec.shape() == JobSpec.Shape.SERVICE
@@ -81,8 +81,8 @@
         : estimate / 2 + cluster.random.nextInt(1 + estimate);
   }
 
-  int starts() {
-    return starts;
+  int startCount() {
+    return startCount;
   }
 
   boolean isCompleted(TaskId task) {
@@ -90,19 +90,19 @@
   }
 
   boolean allCompleted(String job) {
-    return completedOf(job) == cluster.users.spec(job).tasks();
+    return completedTasksOf(job) == cluster.users.spec(job).tasks();
   }
 
   /** How many of a job's tasks are completed. */
-  int completedOf(String job) {
+  int completedTasksOf(String job) {
     return completedByJob.getOrDefault(job, 0);
   }
 
-  Set<TaskId> running() {
+  Set<TaskId> runningTasks() {
     return machineOf.keySet();
   }
 
-  Set<TaskId> runningOf(String job) {
+  Set<TaskId> runningTasksOf(String job) {
     return runningByJob.getOrDefault(job, Set.of());
   }
 
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -9,14 +9,14 @@
 
 /** What users do beside their usual jobs: overload, waves of cancellations, repeated requests. */
 final class UserLoad {
-  private static final long SECOND = 1_000_000;
+  private static final long SECOND_MICROS = 1_000_000;
   private static final int MAX_HANGING_MACHINES = 8;
-  private static final int UNEVEN_JOBS = 6;
-  private static final long IMMEDIATE_POLL_PAUSE_MICROS = 700;
-  private static final long IMMEDIATE_CANCEL_MICROS = 500;
-  private static final int CANCEL_WAVE_MICROS = 200_000;
-  private static final long INVALID_REQUEST_PAUSE_MICROS = 300_000;
-  private static final long ONE_TASK_JOB_PAUSE_MICROS = 250_000;
+  private static final int UNEVEN_JOB_COUNT = 6;
+  private static final long IMMEDIATE_POLL_INTERVAL_MICROS = 700;
+  private static final long IMMEDIATE_CANCEL_DELAY_MICROS = 500;
+  private static final int CANCEL_JITTER_MICROS = 200_000;
+  private static final long INVALID_REQUEST_INTERVAL_MICROS = 300_000;
+  private static final long ONE_TASK_JOB_INTERVAL_MICROS = 250_000;
 
   private final SimulatedCluster cluster;
   private int lastNumber;
@@ -39,15 +39,20 @@
               "flood",
               JobSpec.Priority.values()[i % 4],
               cluster.size.tasks(),
-              4 * SECOND + micros / 8));
+              4 * SECOND_MICROS + micros / 8));
     }
   }
 
   /** Jobs whose first task completes soon, and whose others take long. */
   void submitUnevenJobs() {
-    for (int i = 0; i < UNEVEN_JOBS; i++) {
+    for (int i = 0; i < UNEVEN_JOB_COUNT; i++) {
       cluster.users.submit(
-          job("job-6", FaultInjector.UNEVEN, JobSpec.Priority.NORMAL, 2 + i % 2, 8 * SECOND));
+          job(
+              "job-6",
+              FaultInjector.UNEVEN_JOB_CLASS,
+              JobSpec.Priority.NORMAL,
+              2 + i % 2,
+              8 * SECOND_MICROS));
     }
   }
 
@@ -56,8 +61,8 @@
     if (cluster.clock.now() > untilMicros) {
       return;
     }
-    cluster.clock.after(ONE_TASK_JOB_PAUSE_MICROS, () -> submitOneTaskJobs(untilMicros));
-    JobSpec spec = job("job-7", "NORMAL", JobSpec.Priority.NORMAL, 1, 4 * SECOND);
+    cluster.clock.after(ONE_TASK_JOB_INTERVAL_MICROS, () -> submitOneTaskJobs(untilMicros));
+    JobSpec spec = job("job-7", "NORMAL", JobSpec.Priority.NORMAL, 1, 4 * SECOND_MICROS);
     cluster.users.submit(spec);
     if (lastNumber % 4 == 0) {
       cluster.clock.after(
@@ -96,7 +101,7 @@
         cluster.tasks.machinesOf(job).get(0).hang(hangMicros);
       }
       cluster.clock.after(
-          cluster.random.nextInt(CANCEL_WAVE_MICROS), () -> cluster.users.cancel(job));
+          cluster.random.nextInt(CANCEL_JITTER_MICROS), () -> cluster.users.cancel(job));
     }
   }
 
@@ -106,7 +111,7 @@
     cluster.clock.after(micros, () -> cancelOnCompletionPercent = 0);
   }
 
-  void jobCompleted(String job) {
+  void onJobCompleted(String job) {
     if (cluster.random.nextInt(100) < cancelOnCompletionPercent) {
       cluster.users.cancel(job);
     }
@@ -124,50 +129,50 @@
    * A user was answered that a job is accepted, done or cancelled: others ask at all nodes, at once
    * and again.
    */
-  void userAnswered(String job) {
+  void onUserAnswered(String job) {
     if (!immediatePolls) {
       return;
     }
     for (int i = 0; i < 3 * cluster.size.nodes(); i++) {
       int node = i % cluster.size.nodes();
-      cluster.clock.after(i * IMMEDIATE_POLL_PAUSE_MICROS, () -> pollOrRepeat(node, job));
+      cluster.clock.after(i * IMMEDIATE_POLL_INTERVAL_MICROS, () -> pollOrRepeat(node, job));
     }
     if (cluster.random.nextInt(4) == 0) {
-      cluster.clock.after(IMMEDIATE_CANCEL_MICROS, () -> cluster.users.cancel(job));
+      cluster.clock.after(IMMEDIATE_CANCEL_DELAY_MICROS, () -> cluster.users.cancel(job));
     }
   }
 
   private void pollOrRepeat(int node, String job) {
     if (cluster.random.nextInt(3) == 0) {
-      submitAgain(node, job, cluster.users.spec(job));
+      resubmit(node, job, cluster.users.spec(job));
     } else {
-      Answer.Phase before = cluster.users.phase(job);
-      cluster.ask(
+      Answer.Phase phaseBefore = cluster.users.phase(job);
+      cluster.sendRequest(
           node,
           exchange -> new Event.Poll(exchange, job),
-          answer -> checkAnswer(job, before, answer));
+          answer -> checkAnswer(job, phaseBefore, answer));
     }
   }
 
   /** {@code spec} is null where the rest of the request cannot be read. */
-  private void submitAgain(int node, String job, JobSpec spec) {
-    Answer.Phase before = cluster.users.phase(job);
-    cluster.ask(
+  private void resubmit(int node, String job, JobSpec spec) {
+    Answer.Phase phaseBefore = cluster.users.phase(job);
+    cluster.sendRequest(
         node,
-        exchange -> new Event.Submit(exchange, submission(job, spec)),
-        answer -> checkAnswer(job, before, answer));
+        exchange -> new Event.Submit(exchange, toSubmission(job, spec)),
+        answer -> checkAnswer(job, phaseBefore, answer));
   }
 
   /** {@code spec} is null where the rest of the request cannot be read. */
-  private static Submission submission(String job, JobSpec spec) {
+  private static Submission toSubmission(String job, JobSpec spec) {
     return spec == null
         ? new Submission.Malformed(job, "Cores is missing")
         : new Submission.Parsed(spec);
   }
 
-  private void checkAnswer(String job, Answer.Phase before, Answer answer) {
+  private void checkAnswer(String job, Answer.Phase phaseBefore, Answer answer) {
     if (answer instanceof Answer.JobView view) {
-      cluster.users.answered(view, before);
+      cluster.users.onAnswer(view, phaseBefore);
     } else {
       cluster.rules.checkAcceptedNotRefused(job, answer);
     }
@@ -181,21 +186,21 @@
     if (cluster.clock.now() > untilMicros) {
       return;
     }
-    cluster.clock.after(INVALID_REQUEST_PAUSE_MICROS, () -> sendInvalidRequests(untilMicros));
+    cluster.clock.after(INVALID_REQUEST_INTERVAL_MICROS, () -> sendInvalidRequests(untilMicros));
     int node = cluster.random.nextInt(cluster.size.nodes());
-    repeatSomeRequest(node);
+    repeatAcceptedJobRequest(node);
     submitImpossibleJob(node);
   }
 
-  private void repeatSomeRequest(int node) {
-    List<String> accepted = cluster.users.accepted();
+  private void repeatAcceptedJobRequest(int node) {
+    List<String> accepted = cluster.users.acceptedJobs();
     if (accepted.isEmpty()) {
       return;
     }
     String job = accepted.get(cluster.random.nextInt(accepted.size()));
-    submitAgain(node, job, cluster.random.nextBoolean() ? null : cluster.users.spec(job));
+    resubmit(node, job, cluster.random.nextBoolean() ? null : cluster.users.spec(job));
     if (cluster.users.phase(job) == Answer.Phase.DONE) {
-      cluster.ask(
+      cluster.sendRequest(
           node,
           exchange -> new Event.Cancel(exchange, job),
           answer -> checkAnswer(job, Answer.Phase.DONE, answer));
@@ -205,10 +210,10 @@
   private void submitImpossibleJob(int node) {
     String id = String.format("job-8%05d", ++lastNumber);
     boolean unreadable = cluster.random.nextBoolean();
-    JobSpec tooLarge = SampleJobs.job(id).cpus(SimulatedCloud.TYPE.cpus() + 1).build();
-    cluster.ask(
+    JobSpec tooLarge = SampleJobs.job(id).cpus(SimulatedCloud.MACHINE_TYPE.cpus() + 1).build();
+    cluster.sendRequest(
         node,
-        exchange -> new Event.Submit(exchange, submission(id, unreadable ? null : tooLarge)),
+        exchange -> new Event.Submit(exchange, toSubmission(id, unreadable ? null : tooLarge)),
         answer -> cluster.rules.checkImpossibleNotAccepted(id, answer));
   }
 }
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -17,23 +17,23 @@
   private static final int GROWN_DAYS = Integer.getInteger("sim.grown", 3);
   private static final int FLEET_DAYS = Integer.getInteger("sim.fleet", 2);
   private static final int FULL_DAYS = Integer.getInteger("sim.full", 0);
-  private static final long FIRST = Long.getLong("sim.first", 1);
+  private static final long FIRST_SEED = Long.getLong("sim.first", 1);
 
   @Example
-  void everyRuleHoldsOnDrawnDaysAndAllWorkIsDone() {
+  void everyRuleHoldsUnderRandomOutagesAndAllWorkIsCompleted() {
     List<String> failures = new ArrayList<>();
-    for (long seed = FIRST; seed < FIRST + DAYS; seed++) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + DAYS; seed++) {
       SimulatedCluster day = SimulatedDay.playSmall(seed);
       if (!day.rules.violations().isEmpty()
-          || !day.users.unfinished().isEmpty()
-          || day.tasks.starts() == 0) {
+          || !day.users.unfinishedJobs().isEmpty()
+          || day.tasks.startCount() == 0) {
         failures.add(
             "seed "
                 + seed
                 + ": "
                 + day.rules.violations().stream().limit(2).toList()
                 + " unfinished "
-                + day.users.unfinished());
+                + day.users.unfinishedJobs());
       }
       assertTrue(
           day.state.maxWrites() <= 12, "transaction with " + day.state.maxWrites() + " writes");
@@ -43,11 +43,12 @@
 
   @Example
   void everyRuleHoldsAtTheGrownSize() {
-    for (long seed = FIRST; seed < FIRST + GROWN_DAYS; seed++) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + GROWN_DAYS; seed++) {
       SimulatedCluster day = SimulatedDay.play(seed, ClusterSize.GROWN);
       assertEquals(List.of(), day.rules.violations(), "seed " + seed);
-      assertEquals(List.of(), day.users.unfinished(), "seed " + seed);
-      assertTrue(day.tasks.starts() > 1000, "seed " + seed + " started " + day.tasks.starts());
+      assertEquals(List.of(), day.users.unfinishedJobs(), "seed " + seed);
+      assertTrue(
+          day.tasks.startCount() > 1000, "seed " + seed + " started " + day.tasks.startCount());
     }
   }
 
@@ -56,31 +57,32 @@
    * controllers.
    */
   @Example
-  void everyRuleHoldsAtTheFleetSizeAndNobodyStarves() {
+  void everyRuleHoldsAtTheFleetSizeAndNoJobStarves() {
     assertDaysKeepEveryRule(FLEET_DAYS, ClusterSize::fleet);
   }
 
   /** By hand: {@code -Dsim.full=2} plays so many whole days with 4,000 machines. */
   @Example
-  void everyRuleHoldsAtTheFullSizeAndNobodyStarves() {
+  void everyRuleHoldsAtTheFullSizeAndNoJobStarves() {
     assertDaysKeepEveryRule(FULL_DAYS, ClusterSize::full);
   }
 
   private static void assertDaysKeepEveryRule(int days, IntFunction<ClusterSize> sizeFor) {
-    for (long seed = FIRST; seed < FIRST + days; seed++) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + days; seed++) {
       SimulatedCluster day = SimulatedDay.play(seed, sizeFor.apply(seed % 2 == 0 ? 3 : 5));
       assertEquals(List.of(), day.rules.violations(), "seed " + seed);
-      assertEquals(List.of(), day.users.unfinished(), "seed " + seed);
-      assertTrue(day.tasks.starts() > 5000, "seed " + seed + " started " + day.tasks.starts());
+      assertEquals(List.of(), day.users.unfinishedJobs(), "seed " + seed);
+      assertTrue(
+          day.tasks.startCount() > 5000, "seed " + seed + " started " + day.tasks.startCount());
       assertTrue(
           day.completedShare() >= 0.5, "seed " + seed + " completed share " + day.completedShare());
     }
   }
 
   @Example
-  void aDayRepeatsExactly() {
+  void sameSeedRepeatsTheSameDay() {
     assertEquals(
-        SimulatedDay.playSmall(7).tasks.starts(), SimulatedDay.playSmall(7).tasks.starts());
+        SimulatedDay.playSmall(7).tasks.startCount(), SimulatedDay.playSmall(7).tasks.startCount());
   }
 
   /**
@@ -88,28 +90,30 @@
    * days above prove nothing.
    */
   @Example
-  void aControllerThatLaunchesTwiceIsCaught() {
+  void duplicateLaunchesAreDetected() {
     List<Request.WorkerCommands> launches = new ArrayList<>();
-    boolean caught = false;
-    for (long seed = 1; seed < 20 && !caught; seed++) {
+    boolean detected = false;
+    for (long seed = 1; seed < 20 && !detected; seed++) {
       launches.clear();
       SimulatedCluster day =
           SimulatedDay.play(
               seed,
               ClusterSize.SMALL,
-              cluster -> cluster.planted.request = request -> launchedAgain(request, launches));
-      caught =
+              cluster ->
+                  cluster.defects.request = request -> withRepeatedLaunch(request, launches));
+      detected =
           day.rules.violations().stream()
               .anyMatch(
                   violation ->
                       violation.rule() == Rule.RAN_TWICE || violation.rule() == Rule.RAN_CANCELLED);
     }
-    assertTrue(caught, "a launch that is sent again breaks a rule on one of the days");
+    assertTrue(detected, "a launch that is sent again breaks a rule on one of the days");
     assertFalse(launches.isEmpty(), "there was a launch to send again");
   }
 
   /** A request without orders carries those of the first launch, which are remembered. */
-  private static Request launchedAgain(Request request, List<Request.WorkerCommands> launches) {
+  private static Request withRepeatedLaunch(
+      Request request, List<Request.WorkerCommands> launches) {
     if (!(request instanceof Request.WorkerCommands commands)) {
       return request;
     }
