--- a/src/test/java/org/eiderstair/sim/CompletionShares.java
+++ b/src/test/java/org/eiderstair/sim/CompletionShares.java
@@ -6,9 +6,12 @@
 import java.util.Map;
 import org.eiderstair.core.model.JobSpec;
 
-/** Which part of the submitted work is completed, by class, by team and of the largest jobs. */
+/** The completed share of the submitted tasks, by class, by team and for the largest jobs. */
 final class CompletionShares {
-  /** Jobs of at least this part of their class's largest count among its largest. */
+  /**
+   * A job is among the largest of its class if it has at least this fraction of the largest task
+   * count.
+   */
   private static final double LARGEST_JOB_FRACTION = 0.75;
 
   private static final class Share {
@@ -28,13 +31,14 @@
   }
 
   /**
-   * The smallest share of completed tasks, over classes, teams and the largest jobs of each class,
-   * of array jobs that were submitted before a time.
+   * Returns the smallest share of completed tasks over all classes, all teams and the largest jobs
+   * of each class. Counted are array jobs that were submitted before a time, can complete and were
+   * not cancelled.
    */
   static double min(SimulatedCluster cluster, long submittedBeforeMicros) {
-    CompletionShares all = new CompletionShares(cluster);
-    all.countJobsSubmittedBefore(submittedBeforeMicros);
-    return all.shares.values().stream().mapToDouble(Share::value).min().orElse(1);
+    CompletionShares completion = new CompletionShares(cluster);
+    completion.countJobsSubmittedBefore(submittedBeforeMicros);
+    return completion.shares.values().stream().mapToDouble(Share::value).min().orElse(1);
   }
 
   private void countJobsSubmittedBefore(long submittedBeforeMicros) {
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -10,20 +10,22 @@
 import net.jqwik.api.Example;
 
 /**
- * How controllers act together when some of them are blind: days with one fault each, the dearest
+ * Days with one partition, crash or pause of controllers or machines each; the most expensive ones
  * at the fleet size.
  */
 class ControllerFaultScenariosTest {
   private static final long SECOND_MICROS = 1_000_000;
   private static final long FAULT_AT_MICROS = 80 * SECOND_MICROS;
 
-  /** More room than the work of the day ever asks for. */
-  private static final ClusterSize AMPLE = new ClusterSize(5, 900, 240, 900, 160, 60);
+  /** More machines than the work of the day ever needs. */
+  private static final ClusterSize AMPLE_SIZE = new ClusterSize(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
 
   /**
-   * @param fault happens while all machines are busy
+   * Runs a day with one fault and checks that no rule is violated and that the work is completed.
+   *
+   * @param fault called while all machines are busy
    */
   private SimulatedCluster play(ClusterSize size, Consumer<SimulatedCluster> fault) {
     return play(5, size, fault);
@@ -42,11 +44,12 @@
     return day;
   }
 
+  /** Returns how many logged lines contain a text. */
   private long countLogs(String text) {
     return logs.stream().filter(l -> l.contains(text)).count();
   }
 
-  /** From whichever state of a leader. */
+  /** Returns how often a node gave up the leadership, from any state of a leader. */
   private long leadershipLosses() {
     return logs.stream()
         .filter(l -> l.matches("leadership (LEADING|SUSPENDED|SYNCHRONIZING) -> FOLLOWING .*"))
@@ -54,8 +57,9 @@
   }
 
   /**
-   * Found on the fleet's day of cuts: within ten seconds it released half of a healthy fleet as
-   * silent.
+   * Guards against the release of healthy machines. A leader partitioned from its workers receives
+   * no heartbeats; within ten seconds it released half of a healthy fleet as silent. It must resign
+   * instead.
    */
   @Example
   void aLeaderPartitionedFromItsWorkersResignsAndReleasesFewLiveMachines() {
@@ -70,10 +74,13 @@
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
     assertEquals(1, countLogs("no machine reaches this node while peers receive heartbeats of"));
   }
 
+  /**
+   * A leader that is partitioned from its peers only must neither resign nor release live machines.
+   */
   @Example
   void aLeaderPartitionedFromItsPeersKeepsLeading() {
     SimulatedCluster day =
@@ -83,10 +90,13 @@
                 cluster.outages.partitionNodeFromPeers(cluster.leader(), 40 * SECOND_MICROS));
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
     assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
   }
 
+  /**
+   * A leader without heartbeats that cannot query its peers must not treat its machines as dead.
+   */
   @Example
   void aLeaderPartitionedFromWorkersAndPeersReleasesFewLiveMachines() {
     SimulatedCluster day =
@@ -99,11 +109,12 @@
             });
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
-   * Rentals of a leader that the cloud does not answer are settled by the next, under their names.
+   * The cloud does not answer the rentals of a leader, and the leader crashes. Its successor must
+   * resolve the rentals under their original names.
    */
   @Example
   void pendingRentalsOfALeaderPartitionedFromTheCloudAreResolvedByItsSuccessor() {
@@ -120,21 +131,24 @@
         countLogs("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
-  /** Nobody rents where nobody sees, while there is room elsewhere. */
+  /**
+   * A partitioned zone must be distinguished from dead machines. While other zones have capacity,
+   * no machines may be rented in it.
+   */
   @Example
   void aPartitionedZoneIsDetectedAndNoMachinesAreRentedThere() {
     String[] zone = new String[1];
     int[] rented = new int[2];
     play(
-        AMPLE,
+        AMPLE_SIZE,
         cluster -> {
-          int cut = (cluster.leader() + 1) % 3;
-          zone[0] = String.valueOf("abc".charAt(cut));
-          cluster.outages.partitionZone(cut, 70 * SECOND_MICROS);
-          // So that machines are asked for during the cut.
+          int partitionedZone = (cluster.leader() + 1) % 3;
+          zone[0] = String.valueOf("abc".charAt(partitionedZone));
+          cluster.outages.partitionZone(partitionedZone, 70 * SECOND_MICROS);
+          // Machines die during the partition, so replacements are rented meanwhile.
           cluster.clock.after(12 * SECOND_MICROS, () -> cluster.cloud.killMachines(60));
           cluster.clock.after(
               9 * SECOND_MICROS, () -> rented[0] = cluster.cloud.rentedInZoneCount(zone[0]));
@@ -147,9 +161,11 @@
   }
 
   /**
-   * How many are asked for a minute later depends on how much of the day's work is left then: of 80
-   * drawn days two or three had fewer than two thirds of the machines of before, so it is the sum
-   * of several days that tells.
+   * Half of all machines die at once and must be replaced within a minute.
+   *
+   * <p>The number of machines requested by then depends on the remaining work of the day. Of 80
+   * random days, two or three had fewer than two thirds of the machines of before. The bound of
+   * three quarters therefore applies to the sum of several days.
    */
   @Example
   void machinesAreReplacedWhenHalfOfThemDieAtOnce() {
@@ -175,11 +191,11 @@
       String message =
           "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
       assertTrue(machines[1] > machines[0] / 2, message);
-      // None that died is paid for any more.
-      assertEquals(0, machines[2], "machines that died a minute ago are returned");
+      // No dead machine is still rented.
+      assertEquals(0, machines[2], "machines that died a minute ago are released");
       assertTrue(
           day.cloud.releasedWhileAlive() < machines[0] / 50,
-          "machines returned while alive: " + day.cloud.releasedWhileAlive());
+          "machines released while alive: " + day.cloud.releasedWhileAlive());
       before += machines[0];
       after += machines[1];
     }
@@ -187,8 +203,9 @@
   }
 
   /**
-   * The cloud's lists are old: 542 machines released by one leader were found and released again by
-   * the next.
+   * Guards against a second release of the same machines. The list of the cloud is several seconds
+   * old; a new leader found 542 machines in it that its predecessor had released, and released them
+   * again.
    */
   @Example
   void aNewLeaderDoesNotReleaseMachinesASecondTime() {
@@ -202,23 +219,30 @@
                   14 * SECOND_MICROS,
                   () -> {
                     released[0] = (int) countLogs(": unreachable: ");
-                    // Back at once, so that the next leader's first list is of the time before.
+                    // A fast restart: the next leader's first list is older than the releases.
                     cluster.outages.crash(cluster.leader(), SECOND_MICROS / 3);
                   });
             });
     assertTrue(
         day.cloud.releasedAsUnreachable() >= released[0],
-        "machines known to be returned as unreachable: " + day.cloud.releasedAsUnreachable());
-    assertTrue(released[0] > 20, "released back " + released[0]);
-    List<String> returned =
+        "machines recognized as released as unreachable: " + day.cloud.releasedAsUnreachable());
+    assertTrue(released[0] > 20, "machines released as unreachable: " + released[0]);
+    List<String> releasedMachines =
         logs.stream()
             .filter(l -> l.startsWith("scaling in machine="))
             .map(l -> l.split("[=:]")[1])
             .toList();
     assertEquals(0, countLogs("found in the cloud's list"));
-    assertEquals(new HashSet<>(returned).size(), returned.size(), "some were released back twice");
+    assertEquals(
+        new HashSet<>(releasedMachines).size(),
+        releasedMachines.size(),
+        "some were released twice");
   }
 
+  /**
+   * All controllers crash at once and restart within a second. The new leader must not release live
+   * machines.
+   */
   @Example
   void allControllersRestartedWithinASecondLoseNothing() {
     SimulatedCluster day =
@@ -231,12 +255,12 @@
             });
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
-   * It is paused after the acknowledgement, another leads meanwhile, and then it sends what it had
-   * decided.
+   * The leader pauses between a decision and its effects. Its standby takes over before the lease
+   * of the leader ends. The effects of the old leader arrive after that and must violate no rule.
    */
   @Example
   void aPausedLeaderIsReplacedByItsStandbyAndBreaksNoRule() {
@@ -256,17 +280,18 @@
                     recoveries[1] = countLogs("standby recovery -> COMPLETE");
                   });
             });
-    // Before its lease could be over.
+    // The takeover happens before the lease of the leader can end.
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
-   * Batches and acknowledgements held by a cut arrive after the election; the leader goes on,
-   * without its standby.
+   * The leader is partitioned from its peers, and so from its standby. It must remove the standby
+   * and keep leading; batches and acknowledgements held by the partition arrive only after it
+   * heals.
    */
   @Example
   void aPartitionBetweenLeaderAndStandbyDoesNotEndTheLeadership() {
@@ -277,6 +302,7 @@
     assertEquals(0, leadershipLosses());
   }
 
+  /** The leader crashes three times within ten seconds. No leader may release live machines. */
   @Example
   void threeFailoversInTenSecondsLoseNothing() {
     SimulatedCluster day =
@@ -291,10 +317,13 @@
     assertTrue(countLogs("standby recovery -> ELECTED") >= 4);
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
-  /** Nobody can take over or be elected then; and nobody launches. */
+  /**
+   * The leader crashes as an outage of the state service starts. Nobody can take over, be elected
+   * or launch tasks until the outage ends.
+   */
   @Example
   void aStateServiceOutageDuringAFailoverLosesNothing() {
     SimulatedCluster day =
@@ -307,12 +336,13 @@
     assertTrue(countLogs("standby recovery -> ELECTED") >= 2);
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
   }
 
   /**
-   * A part of a day with 4,000 machines: all have come up when the leader ends, and its successor
-   * goes on. Whole days by hand: {@code WholeDayTest} with {@code -Dsim.full}.
+   * A part of a day with 4,000 machines: the leader crashes when all machines are up, and its
+   * successor must continue. Whole days of this size run by hand: {@code WholeDayTest} with {@code
+   * -Dsim.full}.
    */
   @Example
   void aFailoverAtTheFullSizeKeepsEveryRule() {
@@ -330,10 +360,11 @@
     day.clock.runUntil(53 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
     assertTrue(day.leader() != leader, "another controller leads");
-    assertEquals(2, countLogs("standby recovery -> ELECTED"), "terms that began by an election");
+    assertEquals(
+        2, countLogs("standby recovery -> ELECTED"), "terms that started with an election");
     assertTrue(
         day.cloud.releasedWhileAlive() < 20,
-        "machines returned while alive: " + day.cloud.releasedWhileAlive());
+        "machines released while alive: " + day.cloud.releasedWhileAlive());
     int startedSince = day.tasks.startCount() - started;
     assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
   }
--- a/src/test/java/org/eiderstair/sim/ControllerLog.java
+++ b/src/test/java/org/eiderstair/sim/ControllerLog.java
@@ -5,8 +5,9 @@
 import java.util.regex.Pattern;
 
 /**
- * What the simulator reads from controllers' logs. Tests show that both are still recognised: else
- * checks that rest on them would pass without looking.
+ * Recognizes the log lines of controllers on which checks of the simulator depend. Tests assert
+ * that both lines are still recognized; otherwise these checks would pass without checking
+ * anything.
  */
 final class ControllerLog {
   private static final Pattern UNREACHABLE =
@@ -15,13 +16,16 @@
 
   private ControllerLog() {}
 
-  /** The machine that a leader releases because nobody reaches it. */
+  /**
+   * Returns the machine that a leader releases as unreachable, or empty if the line logs no such
+   * release.
+   */
   static Optional<String> machineReleasedAsUnreachable(String text) {
     Matcher matcher = UNREACHABLE.matcher(text);
     return matcher.matches() ? Optional.of(matcher.group(1)) : Optional.empty();
   }
 
-  /** Whether a controller has been elected. */
+  /** Returns whether the line logs that a controller was elected. */
   static boolean isElection(String text) {
     return ELECTED.matcher(text).matches();
   }
--- a/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/DrawnFaultScenariosTest.java
@@ -17,8 +17,8 @@
 import org.eiderstair.core.model.Order;
 
 /**
- * Days on which faults come in pairs and threes, drawn from fixed seeds. Another range: {@code mvn
- * -B test -Dtest=DrawnFaultScenariosTest -Ddrawn.first=1000 -Ddrawn.days=500}.
+ * Days on which two or three random faults overlap, from fixed seeds. Another range of seeds:
+ * {@code mvn -B test -Dtest=DrawnFaultScenariosTest -Ddrawn.first=1000 -Ddrawn.days=500}.
  */
 class DrawnFaultScenariosTest {
   private static final long SECOND_MICROS = 1_000_000;
@@ -31,10 +31,12 @@
   private static final double MIN_COMPLETED_SHARE = 0.5;
   private static final long FAULTS_END_MICROS = 290 * SECOND_MICROS;
 
-  /** From then on no job may wait beside room, and every question is answered. */
+  /** From then on no job may wait with free resources, and every poll must be answered. */
   private static final long FAULTS_OVER_MICROS = 320 * SECOND_MICROS;
 
-  /** Two or three faults within seconds, three times a day. */
+  /**
+   * Runs a day with three groups of two or three faults, which start within seconds of each other.
+   */
   private static SimulatedCluster play(long seed, Consumer<SimulatedCluster> injectDefects) {
     SimulatedCluster day = SimulatedDay.prepare(seed, ClusterSize.SMALL);
     injectDefects.accept(day);
@@ -66,7 +68,8 @@
     return day;
   }
 
-  private static String failure(SimulatedCluster day) {
+  /** Returns a description of what failed on the day, or null if nothing did. */
+  private static String describeFailure(SimulatedCluster day) {
     if (day.rules.violations().isEmpty()
         && day.users.unfinishedJobs().isEmpty()
         && day.tasks.startCount() > 0
@@ -84,7 +87,7 @@
   void noRuleBreaksUnderCombinedFaults() {
     List<String> failures = new ArrayList<>();
     for (long seed = FIRST_SEED; seed < FIRST_SEED + DAYS; seed++) {
-      String failure = failure(play(seed, day -> {}));
+      String failure = describeFailure(play(seed, day -> {}));
       if (failure != null) {
         failures.add(
             "seed "
@@ -100,15 +103,15 @@
   }
 
   /**
-   * Commands that come late, with each other fault, three times on a day and with a third one
-   * drawn.
+   * Runs days with late commands together with each other kind of fault and a random third one,
+   * three times a day.
    */
   @Example
   void noRuleBreaksWithLateCommandsAndAnotherFault() {
     List<String> failures = new ArrayList<>();
     for (FaultInjector.Kind other : KINDS) {
       for (long seed = FIRST_SEED; seed < FIRST_SEED + LATE_COMMAND_DAYS; seed++) {
-        String failure = failure(playWithLateCommands(seed, other));
+        String failure = describeFailure(playWithLateCommands(seed, other));
         if (failure != null) {
           failures.add(
               other
@@ -144,7 +147,7 @@
     return runToEnd(day);
   }
 
-  /** A planted fault breaks the rule on some day. */
+  /** Asserts that an injected defect violates the rule on one of the days. */
   private static void assertDetected(Rule rule, Consumer<SimulatedCluster> injectDefects) {
     assertDetected(
         rule.toString(),
@@ -152,8 +155,11 @@
         injectDefects);
   }
 
+  /** Asserts that an injected defect is detected on one of the days. */
   private static void assertDetected(
-      String what, Predicate<SimulatedCluster> detected, Consumer<SimulatedCluster> injectDefects) {
+      String description,
+      Predicate<SimulatedCluster> detected,
+      Consumer<SimulatedCluster> injectDefects) {
     List<Violation> violations = new ArrayList<>();
     for (long seed = 1; seed <= MAX_DETECTION_DAYS; seed++) {
       SimulatedCluster day = play(seed, injectDefects);
@@ -162,15 +168,18 @@
       }
       violations.addAll(day.rules.violations());
     }
-    fail(what + " not found in " + violations.stream().limit(5).toList());
+    fail(description + " not detected; violations: " + violations.stream().limit(5).toList());
   }
 
-  /** Takes some orders out of all that is sent to machines. */
+  /** Asserts that a rule is violated if some orders never reach a machine. */
   private static void assertDetectedWithout(Predicate<Order> dropped, Rule rule) {
     assertDetected(rule, day -> dropOrders(dropped, day));
   }
 
-  /** Less than half of some class's, team's or large jobs' work is completed in time. */
+  /**
+   * Asserts that a defect lowers the completed share of a class, a team or the largest jobs below
+   * the minimum.
+   */
   private static void assertLowCompletedShareDetected(Consumer<SimulatedCluster> injectDefects) {
     assertDetected(
         "a completed share below " + MIN_COMPLETED_SHARE,
@@ -186,7 +195,7 @@
     return orders.stream().filter(dropped.negate()).toList();
   }
 
-  /** Some orders neither go out in commands nor in answers to heartbeats. */
+  /** Removes some orders from commands and from answers to heartbeats. */
   private static void dropOrders(Predicate<Order> dropped, SimulatedCluster day) {
     day.defects.request = request -> withoutOrders(dropped, request);
     day.defects.answer =
@@ -207,7 +216,10 @@
     return request;
   }
 
-  /** Machines that do not obey: what they may not go on with goes with them, in time. */
+  /**
+   * Kill orders never reach the machines, as if the machines ignored them. Machines with tasks that
+   * must stop are released in time, so that no rule is violated.
+   */
   @Example
   void machinesThatIgnoreKillOrdersAreReleasedInTime() {
     for (long seed = 1; seed <= 6; seed++) {
@@ -231,7 +243,7 @@
     return answer instanceof Answer.Failure failure && failure.status() == status;
   }
 
-  /** Puts another answer in the place of some. */
+  /** Returns a defect that replaces some answers. */
   private static Consumer<SimulatedCluster> replacingAnswers(
       BiPredicate<SimulatedCluster, Answer> replaced, UnaryOperator<Answer> replacement) {
     return day ->
@@ -286,7 +298,7 @@
         Rule.RAN_CANCELLED,
         day -> {
           dropOrders(kills, day);
-          // What is not killed is not released either.
+          // Otherwise the machines with these tasks would be released.
           day.defects.request =
               request ->
                   request instanceof Request.CloudDelete
@@ -312,8 +324,8 @@
         day -> dropOrders(order -> order instanceof Order.Launch && tasksOf(day, order) > 9, day));
     assertLowCompletedShareDetectedWithout(
         order -> order instanceof Order.Launch && order.task().job().compareTo("job-000012") < 0);
-    // Only large jobs are held back, until long after the half of them should have been done: less
-    // than a tenth of all jobs.
+    // Only large jobs, less than a tenth of all jobs, are delayed until long after half of their
+    // work should have been completed.
     assertLowCompletedShareDetected(
         day ->
             dropOrders(
@@ -328,7 +340,7 @@
     return day.users.spec(order.task().job()).tasks();
   }
 
-  /** Nobody answers about one job in ten, though its state is known. */
+  /** Polls of one job in ten are answered with an error although the state of the job is known. */
   @Example
   void unansweredPollsAreDetected() {
     assertDetected(
@@ -338,6 +350,6 @@
                 answer instanceof Answer.JobView view
                     && view.id().endsWith("3")
                     && day.clock.now() > FAULTS_OVER_MICROS,
-            answer -> new Answer.Failure(503, "planted", 1)));
+            answer -> new Answer.Failure(503, "injected", 1)));
   }
 }
--- a/src/test/java/org/eiderstair/sim/DuplicateHeartbeats.java
+++ b/src/test/java/org/eiderstair/sim/DuplicateHeartbeats.java
@@ -4,10 +4,13 @@
 import java.util.List;
 import org.eiderstair.core.model.Heartbeat;
 
-/** Copies of heartbeats that arrive again: late, or at whoever leads next. */
+/** Delivers copies of some heartbeats a second time: late, or to the next leader. */
 final class DuplicateHeartbeats {
   private static final int DUPLICATE_PERCENT = 30;
+
+  /** Minimum delay of a copy that is delivered late. */
   private static final long MIN_DELAY_MICROS = 2_000_000;
+
   private static final int NEW_LEADER_JITTER_MICROS = 400_000;
 
   private record Copy(String worker, Heartbeat heartbeat) {}
@@ -22,12 +25,12 @@
     this.cluster = cluster;
   }
 
-  /** Some heartbeats arrive a second time, up to one and a half leases later. */
+  /** Delivers copies of some heartbeats 2 s to one and a half worker leases plus 2 s later. */
   void deliverLate(long micros) {
     start(false, micros);
   }
 
-  /** Copies of some heartbeats are kept until another leader begins. */
+  /** Keeps copies of some heartbeats until the next election. */
   void keepForNextLeader(long micros) {
     start(true, micros);
   }
@@ -38,6 +41,7 @@
     cluster.clock.after(micros, () -> percent = 0);
   }
 
+  /** Copies a heartbeat that a worker has sent, with the current probability. */
   void onHeartbeatSent(String worker, int node, Heartbeat heartbeat) {
     if (percent == 0 || cluster.random.nextInt(100) >= percent) {
       return;
@@ -52,12 +56,12 @@
     }
   }
 
-  /** How many kept copies have been sent as a new leader began. */
+  /** Returns how many kept copies were sent after an election. */
   int deliveredToNewLeaders() {
     return deliveredToNewLeaders;
   }
 
-  /** Kept copies reach every controller just as a new leader begins. */
+  /** Sends all kept copies to every controller, just after an election. */
   void onNewLeader() {
     for (Copy copy : keptForNextLeader) {
       deliveredToNewLeaders++;
--- a/src/test/java/org/eiderstair/sim/EffectDigest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigest.java
@@ -9,9 +9,9 @@
 import org.eiderstair.core.record.StoredValueCodec;
 
 /**
- * A digest of everything that controllers decided on a day, with who and when. Names of types and
- * fields do not count, nor does what is logged, so that it is the same before and after a change
- * that only moves or renames.
+ * A digest of all effects of the controllers on a day, with controller and time. Names of types and
+ * fields and log texts are left out, so the digest does not change when code is only moved or
+ * renamed.
  */
 final class EffectDigest {
   private static final Pattern NAMES = Pattern.compile("[A-Za-z]+(?=[\\[=])");
@@ -26,6 +26,7 @@
   private long digest = 0xcbf29ce484222325L;
   private long count;
 
+  /** Adds an effect to the digest; log lines are ignored. */
   void add(int node, long nowMicros, Effect effect) {
     if (effect instanceof Effect.Log) {
       return;
@@ -34,7 +35,10 @@
     add(node + " " + nowMicros + " " + NAMES.matcher(text(effect)).replaceAll(""));
   }
 
-  /** A write counts with the fields and in the order in which it goes to the state service. */
+  /**
+   * Returns the text of an effect; a write contains its fields in the order in which they are sent
+   * to the state service.
+   */
   private static String text(Effect effect) {
     if (!(effect instanceof Effect.Call call
         && call.request() instanceof Request.StoreTransaction transaction)) {
--- a/src/test/java/org/eiderstair/sim/EffectDigestTest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigestTest.java
@@ -6,9 +6,9 @@
 import net.jqwik.api.Example;
 
 /**
- * The same day gives the same effects. {@code mvn -B test -Dtest=EffectDigestTest -Ddigest.days=8}
- * prints the digests of so many days, to be compared before and after a change that only moves or
- * renames.
+ * The same seed gives the same effects. {@code mvn -B test -Dtest=EffectDigestTest -Ddigest.days=8}
+ * prints the digests of that many days, for comparison before and after a change that only moves or
+ * renames code.
  */
 class EffectDigestTest {
   private static final int DAYS = Integer.getInteger("digest.days", 0);
--- a/src/test/java/org/eiderstair/sim/FaultInjector.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.model.Heartbeat;
 
-/** The faults of docs/fault-scenarios.md, each for a while, so that they can be drawn together. */
+/** The faults of docs/fault-scenarios.md; each lasts for a while, so that several can overlap. */
 final class FaultInjector {
   private static final long SECOND_MICROS = 1_000_000;
   private static final long MIN_COMMAND_DELAY_MICROS = 2 * SECOND_MICROS;
@@ -13,43 +13,79 @@
   private static final int DISTURBED_WRITE_PERCENT = 30;
   private static final int LEADER_CHANGE_COUNT = 5;
 
-  /** One fault; it lasts for a while. Tests draw them by their position: new ones come last. */
+  /**
+   * The kinds of faults. Random tests select them by ordinal, so a new kind is appended at the end.
+   */
   enum Kind {
+    /** Some transactions with writes are committed seconds later and not answered. */
     LATE_WRITES,
+    /** Some transactions with writes are committed, but their answers are lost. */
     LOST_ANSWERS,
+    /** Copies of some heartbeats arrive a second time, seconds later. */
     LATE_HEARTBEATS,
+    /**
+     * Copies of some heartbeats are held until the next election and then reach every controller.
+     */
     HEARTBEATS_KEPT_FOR_NEXT_LEADER,
+    /** Some machines receive nothing, while their heartbeats arrive. */
     INBOUND_LOST,
+    /** The heartbeats of some machines are lost, while commands arrive. */
     OUTBOUND_LOST,
+    /** The leader is partitioned from the state service and from the other controllers. */
     LEADER_PARTITIONED_FROM_STATE_AND_PEERS,
+    /** Users cancel many running jobs at once. */
     CANCEL_NOW,
+    /** Users cancel many running jobs at once, and some machines of these jobs hang. */
     CANCEL_NOW_WITH_HANG,
+    /** Users cancel half of the jobs just as their last task completes. */
     CANCEL_ON_COMPLETION,
+    /** Users repeat requests, send malformed ones and submit jobs that can never run. */
     INVALID_REQUESTS,
+    /** Users poll all controllers as soon as one of them has answered. */
     IMMEDIATE_POLLS,
+    /** The leader pauses between a decision and its effects. */
     LEADER_PAUSES,
+    /** Some machines die, and new ones boot within two seconds. */
     QUICK_BOOTS,
+    /** The state service refuses the leader and serves all other controllers. */
     LEADER_REFUSED_ALONE,
+    /** The state service refuses everyone. */
     STATE_OUTAGE,
+    /** The leader crashes and restarts after three seconds. */
     LEADER_CRASHES,
+    /** All controllers crash and restart at different times. */
     ALL_CRASH,
+    /** The leader crashes five times. */
     LEADER_CHANGES,
+    /** One zone is partitioned from everything outside it. */
     ZONE_PARTITIONED,
+    /** Some machines are partitioned from all controllers. */
     MACHINES_PARTITIONED,
+    /** Some machines hang. */
     MACHINES_HANG,
+    /** About 30% of all machines die. */
     MACHINES_DIE,
+    /** The state service does not answer new watches of the leader. */
     WATCH_HANGS,
+    /** Users submit four jobs with one task per second and cancel a quarter of them. */
     ONE_TASK_JOBS,
+    /** Users submit jobs whose first task completes long before the others. */
     UNEVEN_JOBS,
+    /** Users submit twice the work that all teams may run at a time. */
     OVERLOAD,
+    /** Each request takes the state service up to a second longer. */
     SLOW_STATE,
+    /** The heartbeats of all machines are lost, while commands arrive. */
     ALL_OUTBOUND_LOST,
+    /** All controllers are down for longer than a worker lease. */
     ALL_DOWN_FOR_A_LEASE,
+    /** Some commands and status requests reach workers seconds later and are not answered. */
     LATE_COMMANDS,
+    /** The cloud refuses all requests. */
     CLOUD_OUTAGE
   }
 
-  /** The class of jobs whose first task completes soon and whose others take long. */
+  /** The job class of jobs whose first task completes soon and whose other tasks take long. */
   static final String UNEVEN_JOB_CLASS = "far apart";
 
   private final SimulatedCluster cluster;
@@ -65,7 +101,7 @@
     this.userLoad = new UserLoad(cluster);
   }
 
-  /** Begins one, for about that long. */
+  /** Starts a fault that lasts for about that long. */
   void start(Kind kind, long micros) {
     Outages outages = cluster.outages;
     long end = cluster.clock.now() + micros;
@@ -116,6 +152,7 @@
     }
   }
 
+  /** Applies an outcome to a part of the transactions with writes. */
   private void disturbWrites(SimulatedStateService.TransactionOutcome fate, long micros) {
     cluster.state.setTransactionOutcomes(
         txn ->
@@ -134,7 +171,7 @@
     cluster.clock.after(micros, () -> slowState = false);
   }
 
-  /** Some machines die with it, so that there is something to boot. */
+  /** Shortens boot times; about 30% of the machines die at once, so that new ones must boot. */
   private void bootQuickly(long micros) {
     quickBoots = true;
     cluster.cloud.killMachines(30);
@@ -146,6 +183,10 @@
     cluster.clock.after(micros, () -> lateCommandsPercent = 0);
   }
 
+  /**
+   * Crashes all controllers; each restarts after {@code minMicros} plus a random part of {@code
+   * jitterMicros}.
+   */
   private void crashAll(long minMicros, int jitterMicros) {
     for (int node = 0; node < cluster.size.nodes(); node++) {
       cluster.outages.crash(node, minMicros + cluster.random.nextInt(jitterMicros));
@@ -160,7 +201,7 @@
     }
   }
 
-  /** A tenth of the machines and two more. */
+  /** Applies a fault to random machines, at most a tenth of the fleet plus two. */
   private void applyToSomeMachines(Consumer<SimulatedWorker> fault) {
     int count = cluster.size.machines() / 10 + 2;
     List<SimulatedWorker> some = new ArrayList<>();
@@ -170,7 +211,7 @@
     some.forEach(fault);
   }
 
-  // What the parts of the deployment ask.
+  // Callbacks and queries of the other parts of the deployment.
 
   void onJobCompleted(String job) {
     userLoad.onJobCompleted(job);
@@ -181,12 +222,12 @@
     userLoad.onUserAnswered(job);
   }
 
-  /** A worker's heartbeat has left. */
+  /** A worker has sent a heartbeat. */
   void onHeartbeatSent(String worker, int node, Heartbeat heartbeat) {
     duplicateHeartbeats.onHeartbeatSent(worker, node, heartbeat);
   }
 
-  /** How many heartbeats were kept for a new leader, and sent to it. */
+  /** Returns how many held heartbeats were delivered after an election. */
   int heartbeatsDeliveredToNewLeaders() {
     return duplicateHeartbeats.deliveredToNewLeaders();
   }
@@ -195,11 +236,12 @@
     duplicateHeartbeats.onNewLeader();
   }
 
-  /** How long the state service thinks beside its usual time. */
+  /** Returns how much longer than usual the state service takes for the next request. */
   long stateServiceDelayMicros() {
     return slowState ? 100_000 + cluster.random.nextInt(900_000) : 0;
   }
 
+  /** Returns how long the next machine takes to boot. */
   long bootMicros() {
     return quickBoots
         ? 200_000 + cluster.random.nextInt(1_800_000)
@@ -207,9 +249,11 @@
   }
 
   /**
-   * How long a direct command or question that leaves now is held on its way; 0 for one that is
-   * not. One that is held stays unanswered, and is executed once if its fencing token and
-   * incarnation still match then.
+   * Returns how long a command or status request that is sent now is delayed; 0 for one that is
+   * not.
+   *
+   * <p>A delayed request is not answered. It is executed once if its fencing token and incarnation
+   * are still valid on arrival.
    */
   long commandDelayMicros() {
     boolean held = lateCommandsPercent > 0 && cluster.random.nextInt(100) < lateCommandsPercent;
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -42,8 +42,8 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * Each scenario of docs/fault-scenarios.md by itself, on a few small days. Other seeds: {@code mvn
- * -B test -Dtest=FaultScenariosTest -Dscenario.first=100 -Dscenario.days=50}.
+ * Runs each scenario of docs/fault-scenarios.md on a few small days. Other seeds: {@code mvn -B
+ * test -Dtest=FaultScenariosTest -Dscenario.first=100 -Dscenario.days=50}.
  */
 class FaultScenariosTest {
   private static final long SECOND_MICROS = 1_000_000;
@@ -54,15 +54,16 @@
   private static final int FULL_SCENARIOS = Integer.getInteger("scenario.full", 0);
 
   /**
-   * In this order at the larger sizes: late commands at the limits, then the seven of the users'
-   * letter.
+   * The scenarios that run first at the larger sizes, in this order: late commands at the limits,
+   * then the seven scenarios that the users named, then others with late commands.
    */
   private static final List<String> PREFERRED_SCENARIOS =
       List.of("29", "16", "20", "06", "08", "04", "23", "10", "26", "27", "28", "30");
 
+  /** Start of each scenario, in seconds after the start of the day. */
   private static final long START_SECONDS = 80;
 
-  /** A fault so many seconds after the scenario begins, for so many. */
+  /** A fault that starts some seconds after the scenario and lasts for some seconds. */
   private record ScheduledFault(
       double afterSeconds, FaultInjector.Kind kind, double durationSeconds) {}
 
@@ -75,7 +76,7 @@
       new TreeMap<>(
           Map.ofEntries(
               Map.entry(
-                  "01 cancelled as the leader is refused alone, then an outage",
+                  "01 jobs are cancelled while only the leader is refused, then an outage",
                   List.of(
                       at(0, LEADER_REFUSED_ALONE, 14),
                       at(0.1, CANCEL_NOW, 0),
@@ -88,7 +89,7 @@
                       at(0, LEADER_CRASHES, 0),
                       at(9, LEADER_CRASHES, 0))),
               Map.entry(
-                  "03 transactions without an answer are carried out late",
+                  "03 transactions without an answer are committed late",
                   List.of(
                       at(0, LATE_WRITES, 60), at(20, LEADER_CRASHES, 0), at(30, MACHINES_DIE, 0))),
               Map.entry(
@@ -99,51 +100,51 @@
                       at(1, INVALID_REQUESTS, 50),
                       at(15, CANCEL_NOW, 0))),
               Map.entry(
-                  "05 more work than room, urgent and not",
+                  "05 more work than capacity, in all priorities",
                   List.of(at(0, OVERLOAD, 60), at(5, OVERLOAD, 60))),
               Map.entry(
-                  "06 quick boots while writes lag, and the leader ends",
+                  "06 fast boots while writes are late, and the leader crashes",
                   List.of(
                       at(0, LATE_WRITES, 25),
                       at(0, QUICK_BOOTS, 25),
                       at(4, LEADER_CRASHES, 0),
                       at(12, LEADER_CRASHES, 0))),
               Map.entry(
-                  "07 commands and answers held up for seconds",
+                  "07 commands and answers are delayed for seconds",
                   List.of(
                       at(0, MACHINES_HANG, 8),
                       at(2, MACHINES_PARTITIONED, 6),
                       at(12, MACHINES_PARTITIONED, 3),
                       at(13, CANCEL_NOW, 0))),
               Map.entry(
-                  "08 users ask at all nodes right after an answer",
+                  "08 users poll all nodes right after an answer",
                   List.of(
                       at(-60, IMMEDIATE_POLLS, 180),
                       at(0, INVALID_REQUESTS, 60),
                       at(10, CANCEL_NOW, 0),
                       at(30, LEADER_CRASHES, 0))),
               Map.entry(
-                  "09 a team at its limit, machines that can't be asked, a change of leader, a cancellation",
+                  "09 a team at its limit, unreachable machines, a change of leader, a cancellation",
                   List.of(
                       at(-25, OVERLOAD, 80),
                       at(0, MACHINES_PARTITIONED, 30),
                       at(1, LEADER_CRASHES, 0),
                       at(2, CANCEL_NOW, 0))),
-              Map.entry("10 one-task jobs, four a second", List.of(at(-60, ONE_TASK_JOBS, 150))),
+              Map.entry("10 one-task jobs, four per second", List.of(at(-60, ONE_TASK_JOBS, 150))),
               Map.entry(
-                  "11 a report is held back until a new leader has acted",
+                  "11 a heartbeat is held until a new leader has acted",
                   List.of(at(-10, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 20), at(8, LEADER_CRASHES, 0))),
               Map.entry(
-                  "12 a question, a repeat or a cancellation meets the end of the last task",
+                  "12 a poll, a repeated submission or a cancellation meets the end of the last task",
                   List.of(at(-60, CANCEL_ON_COMPLETION, 180), at(-60, IMMEDIATE_POLLS, 180))),
               Map.entry(
-                  "13 the leader is cut from store and peers, jobs are cancelled through the new one",
+                  "13 the leader is partitioned from state service and peers, jobs are cancelled through the new one",
                   List.of(
                       at(0, LEADER_PARTITIONED_FROM_STATE_AND_PEERS, 45),
                       at(6, CANCEL_NOW, 0),
                       at(10, CANCEL_NOW, 0))),
               Map.entry(
-                  "14 the store is slow, refuses the leader, then everybody, while users cancel and ask",
+                  "14 the state service is slow, refuses the leader, then everyone, while users cancel and poll",
                   List.of(
                       at(0, SLOW_STATE, 12),
                       at(0, IMMEDIATE_POLLS, 70),
@@ -151,11 +152,11 @@
                       at(8.2, CANCEL_NOW, 0),
                       at(10, STATE_OUTAGE, 40))),
               Map.entry(
-                  "15 workers reach no controller, commands reach them",
+                  "15 workers reach no controller, but commands reach workers",
                   List.of(
                       at(0, ALL_OUTBOUND_LOST, 30), at(4, CANCEL_NOW, 0), at(8, CANCEL_NOW, 0))),
               Map.entry(
-                  "16 every team at its limit, cancelled jobs on machines cut off or hung, the leader changes",
+                  "16 every team at its limit, cancelled jobs on partitioned or hung machines, the leader changes",
                   List.of(
                       at(-25, OVERLOAD, 80),
                       at(-24, OVERLOAD, 80),
@@ -163,11 +164,11 @@
                       at(0, MACHINES_PARTITIONED, 30),
                       at(2, LEADER_CRASHES, 0))),
               Map.entry(
-                  "17 hand over and back, all end, one returns",
+                  "17 several changes of leader, all crash, the leader crashes again",
                   List.of(
                       at(0, LEADER_CHANGES, 10), at(12, ALL_CRASH, 0), at(13, LEADER_CRASHES, 0))),
               Map.entry(
-                  "18 a zone with workers and a controller is cut off",
+                  "18 a zone with workers and a controller is partitioned",
                   List.of(at(0, ZONE_PARTITIONED, 30), at(5, CANCEL_NOW, 0))),
               Map.entry(
                   "19 leaders change ten times in two minutes, also in an outage",
@@ -177,7 +178,7 @@
                       at(30, STATE_OUTAGE, 15),
                       at(70, STATE_OUTAGE, 5))),
               Map.entry(
-                  "20 jobs are cancelled while work changes hands",
+                  "20 jobs are cancelled during changes of leader",
                   List.of(
                       at(0, LEADER_CRASHES, 0),
                       at(0.1, CANCEL_NOW, 0),
@@ -187,19 +188,19 @@
                       at(31, CANCEL_NOW, 0),
                       at(33, CANCEL_NOW, 0))),
               Map.entry(
-                  "21 an old report arrives after newer ones",
+                  "21 an old heartbeat arrives after newer ones",
                   List.of(at(-40, LATE_HEARTBEATS, 120), at(0, ALL_DOWN_FOR_A_LEASE, 0))),
               Map.entry(
-                  "22 all controllers are away for longer than a lease",
+                  "22 all controllers are down for longer than a lease",
                   List.of(at(0, ALL_DOWN_FOR_A_LEASE, 0), at(24, CANCEL_NOW, 0))),
               Map.entry(
-                  "23 an old report reaches every controller as a new leader begins",
+                  "23 an old heartbeat reaches every controller just after an election",
                   List.of(
                       at(-20, HEARTBEATS_KEPT_FOR_NEXT_LEADER, 60),
                       at(0, LEADER_CHANGES, 40),
                       at(5, CANCEL_NOW, 0))),
               Map.entry(
-                  "24 the leader ends while machines can't be reached or don't hear the next",
+                  "24 the leader crashes while machines are unreachable or receive nothing from the next",
                   List.of(
                       at(0, MACHINES_PARTITIONED, 35),
                       at(0, INBOUND_LOST, 35),
@@ -213,7 +214,7 @@
                       at(20, LEADER_CRASHES, 0),
                       at(30, ZONE_PARTITIONED, 15))),
               Map.entry(
-                  "26 commands of a leader that has ended arrive after the next one's",
+                  "26 commands of a crashed leader arrive after those of the next",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
                       at(0, LEADER_CRASHES, 0),
@@ -221,7 +222,7 @@
                       at(6, LEADER_CRASHES, 0),
                       at(14, LEADER_CRASHES, 0))),
               Map.entry(
-                  "27 commands of a deposed leader arrive after the next one's",
+                  "27 commands of a deposed leader arrive after those of the next",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
                       at(0, LEADER_PAUSES, 18),
@@ -229,7 +230,7 @@
                       at(20, LEADER_PARTITIONED_FROM_STATE_AND_PEERS, 25),
                       at(28, CANCEL_NOW, 0))),
               Map.entry(
-                  "28 commands come late while cancelled jobs' machines hang, are deaf or mute",
+                  "28 commands are late while machines of cancelled jobs hang, receive nothing or send nothing",
                   List.of(
                       at(-2, LATE_COMMANDS, 60),
                       at(0, CANCEL_NOW_WITH_HANG, 10),
@@ -237,7 +238,7 @@
                       at(2, ALL_OUTBOUND_LOST, 20),
                       at(8, CANCEL_NOW, 0))),
               Map.entry(
-                  "29 commands come late while teams are at their limits and new machines come up at once",
+                  "29 commands are late while teams are at their limits and new machines boot fast",
                   List.of(
                       at(-25, OVERLOAD, 80),
                       at(-2, LATE_COMMANDS, 60),
@@ -245,7 +246,7 @@
                       at(4, LEADER_CRASHES, 0),
                       at(6, CANCEL_NOW, 0))),
               Map.entry(
-                  "30 commands come late in an outage, and of a leader that the state service refuses",
+                  "30 commands are late in an outage and from a leader that the state service refuses",
                   List.of(
                       at(-2, LATE_COMMANDS, 60),
                       at(0, LEADER_REFUSED_ALONE, 12),
@@ -253,7 +254,7 @@
                       at(4, STATE_OUTAGE, 20),
                       at(12, CANCEL_NOW, 0))),
               Map.entry(
-                  "31 cancelled jobs' machines hang while the cloud is out, commands come late and the leader ends",
+                  "31 machines of cancelled jobs hang during a cloud outage, commands are late and the leader crashes",
                   List.of(
                       at(-2, LATE_COMMANDS, 60),
                       at(0, CLOUD_OUTAGE, 70),
@@ -263,7 +264,7 @@
                       at(8, MACHINES_PARTITIONED, 30),
                       at(9, CANCEL_NOW, 0))),
               Map.entry(
-                  "32 one-task jobs, four a second, while commands and writes come late and the leader ends",
+                  "32 one-task jobs, four per second, while commands and writes are late and the leader crashes",
                   List.of(
                       at(-30, ONE_TASK_JOBS, 120),
                       at(-2, LATE_COMMANDS, 60),
@@ -286,8 +287,8 @@
   }
 
   /**
-   * Found on a hunted day: with more urgent work than room, one of 118 jobs of the other class
-   * began. Urgent work that never ends must leave it its part.
+   * Guards against starvation of a job class: with more urgent work than capacity, only one of 118
+   * jobs of the other class started. Endless urgent work must leave a share to the other class.
    */
   @Example
   void endlessOverloadStarvesNoJobClass() {
@@ -351,7 +352,10 @@
     return failures;
   }
 
-  /** Else the scenarios with kept heartbeats would show nothing. */
+  /**
+   * The scenarios with kept heartbeats must deliver some of them; otherwise they would test
+   * nothing.
+   */
   @Example
   void keptHeartbeatsAreSentToTheNextLeader() {
     SCENARIOS.forEach(
@@ -369,8 +373,9 @@
   }
 
   /**
-   * Others by hand: {@code -Dscenario.grown=30}, one day for each of so many scenarios, and {@code
-   * -Dscenario.fleet=30}, and with 4,000 machines {@code -Dscenario.full=30}.
+   * Runs one day for each of the first scenarios. More of them run by hand: {@code
+   * -Dscenario.grown=30}, {@code -Dscenario.fleet=30}, and with 4,000 machines {@code
+   * -Dscenario.full=30}.
    */
   @Example
   void someScenariosAtTheGrownSizeKeepEveryRule() {
@@ -391,12 +396,15 @@
         List.of(), failures(ClusterSize.full(3), 1, firstOf(PREFERRED_SCENARIOS, FULL_SCENARIOS)));
   }
 
-  /** By their numbers, the first of these and then the rest. */
+  /**
+   * Returns whether a scenario is among the first, in the order of the preferred numbers and then
+   * all others.
+   */
   private static Predicate<String> firstOf(List<String> preferred, int count) {
     List<String> order = new ArrayList<>(preferred);
     SCENARIOS.keySet().stream()
         .map(name -> name.substring(0, 2))
-        .filter(n -> !preferred.contains(n))
+        .filter(number -> !preferred.contains(number))
         .forEach(order::add);
     return name -> order.indexOf(name.substring(0, 2)) < count;
   }
--- a/src/test/java/org/eiderstair/sim/LivenessChecker.java
+++ b/src/test/java/org/eiderstair/sim/LivenessChecker.java
@@ -8,8 +8,8 @@
 import org.eiderstair.core.model.TaskId;
 
 /**
- * The rules about what must happen in time: large jobs begin; and once all faults are over, no job
- * waits for long beside room, and questions are answered.
+ * Checks the liveness rules: large jobs start in time, also during faults. Once all faults are
+ * over, no job waits for long with free resources, and polls are answered.
  */
 final class LivenessChecker {
   private static final long SECOND_MICROS = 1_000_000;
@@ -19,13 +19,13 @@
 
   private final SimulatedCluster cluster;
 
-  /** Since when a job has waited while a task of its size would have found room. */
+  /** Since when a job has waited although a machine has free resources for one of its tasks. */
   private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
-  /** Jobs that have startedOrReported, and large ones that were found not to. */
+  /** Jobs that have started, and large jobs whose missing start was reported. */
   private final Set<String> startedOrReported = new HashSet<>();
 
-  /** When a question about a job was last answered. */
+  /** When a poll of a job was last answered. */
   private final Map<String, Long> lastAnsweredMicros = new HashMap<>();
 
   private long faultsOverAtMicros;
@@ -38,13 +38,15 @@
     checkLargestJobsStart();
   }
 
-  /** From now on nothing fails. */
+  /**
+   * Called when all faults have ended; the checks of waiting jobs and unanswered polls start now.
+   */
   void onFaultsOver() {
     faultsOverAtMicros = cluster.clock.now();
     checkAcceptedJobs();
   }
 
-  /** A user was answered in which phase the job is. */
+  /** A poll of a job was answered. */
   void onAnswer(String job) {
     lastAnsweredMicros.put(job, cluster.clock.now());
   }
@@ -62,7 +64,7 @@
           && cluster.clock.now()
               > cluster.users.submittedAtMicros(job) + MAX_LARGE_JOB_START_DELAY_MICROS
           && startedOrReported.add(job)) {
-        cluster.rules.recordViolation(Rule.LARGEST_DELAYED, job + " does not begin");
+        cluster.rules.recordViolation(Rule.LARGEST_DELAYED, job + " does not start in time");
       }
     }
   }
--- a/src/test/java/org/eiderstair/sim/Outages.java
+++ b/src/test/java/org/eiderstair/sim/Outages.java
@@ -1,6 +1,6 @@
 package org.eiderstair.sim;
 
-/** Single failures of the parts of a deployment, each for a while. */
+/** Failures of single parts of a deployment, each for a while. */
 final class Outages {
   private final SimulatedCluster cluster;
 
@@ -8,7 +8,9 @@
     this.cluster = cluster;
   }
 
-  /** The process ends and starts again later; nothing happens to one that is down already. */
+  /**
+   * Crashes a controller and restarts it later; a controller that is already down is not affected.
+   */
   void crash(int node, long micros) {
     SimulatedController controller = cluster.controller(node);
     if (controller.isRunning()) {
@@ -17,24 +19,30 @@
     }
   }
 
-  /** The process pauses after its next decision, before what it decided is carried out. */
+  /**
+   * Pauses a controller after its next decision, before the effects of that decision are executed.
+   */
   void pause(int node, long micros) {
     cluster.controller(node).pause(micros);
   }
 
+  /** Makes the state service refuse everyone for a while. */
   void stateServiceOutage(long micros) {
     cluster.state.setDown(true);
     cluster.clock.after(micros, () -> cluster.state.setDown(false));
   }
 
-  /** The state service refuses one controller, and serves the others. */
+  /** Makes the state service refuse one controller and serve all others. */
   void stateServiceRefuses(int node, long micros) {
     String name = SimulatedController.nameOf(node);
     cluster.state.setRefused(name, true);
     cluster.clock.after(micros, () -> cluster.state.setRefused(name, false));
   }
 
-  /** The state service answers one controller's requests, but not its watches. */
+  /**
+   * Makes the state service leave new watches of one controller unanswered, and answer its other
+   * requests.
+   */
   void watchHangs(int node, long micros) {
     String name = SimulatedController.nameOf(node);
     cluster.state.setWatchesHeld(name, true);
--- a/src/test/java/org/eiderstair/sim/RandomOutage.java
+++ b/src/test/java/org/eiderstair/sim/RandomOutage.java
@@ -1,13 +1,13 @@
 package org.eiderstair.sim;
 
-/** One of the outages that whole days draw from; it lasts for a while. */
+/** One of the outages that occur at random on whole days; each lasts for a while. */
 final class RandomOutage {
   private static final long SECOND_MICROS = 1_000_000;
   private static final int KIND_COUNT = 24;
 
   private RandomOutage() {}
 
-  /** Draws and begins one. */
+  /** Selects and starts a random outage. */
   static void start(SimulatedCluster cluster) {
     long durationMicros = (2 + cluster.random.nextInt(35)) * SECOND_MICROS;
     SimulatedWorker worker = cluster.cloud.randomWorker();
@@ -37,8 +37,7 @@
       }
       case 10, 11, 12, 13, 14 -> failMachine(cluster, worker, kind, durationMicros);
       case 18 -> {
-        // A rental or a return is on its way, and is answered or carried out long after the
-        // failover.
+        // A rental or release in flight is answered or executed long after the failover.
         outages.partitionNodeFromCloud(cluster.leader(), durationMicros + 20 * SECOND_MICROS);
         int leader = cluster.leader();
         cluster.clock.after(durationMicros / 2, () -> outages.crash(leader, 3 * SECOND_MICROS));
@@ -57,7 +56,7 @@
       }
       case 16 -> outages.pause(cluster.leader(), SECOND_MICROS / 2 + durationMicros / 4);
       case 17 -> {
-        // Long enough for another to be elected meanwhile.
+        // The pause is long enough for the election of another leader.
         outages.pause(cluster.leader(), 5 * SECOND_MICROS + durationMicros / 4);
         outages.partitionNodeFromStateService(node, durationMicros / 2);
       }
@@ -85,13 +84,16 @@
     }
   }
 
+  /** Crashes all controllers; they restart one second apart. */
   private static void crashAllWithStaggeredRestarts(SimulatedCluster cluster) {
     for (int node = 0; node < cluster.size.nodes(); node++) {
       cluster.outages.crash(node, (3 + node) * SECOND_MICROS);
     }
   }
 
-  /** Some are back in the middle of the election. */
+  /**
+   * Crashes all controllers for less than two seconds, so that some restart during the election.
+   */
   private static void crashAllBriefly(SimulatedCluster cluster) {
     for (int node = 0; node < cluster.size.nodes(); node++) {
       cluster.outages.crash(node, SECOND_MICROS / 3 + cluster.random.nextInt(1_000_000));
--- a/src/test/java/org/eiderstair/sim/RequestTransport.java
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -9,7 +9,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 
-/** Carries controllers' requests over the network to whom they are for, and the replies back. */
+/** Sends the requests of controllers over the network to their receivers, and the replies back. */
 final class RequestTransport {
   static final String STATE_SERVICE = "state";
   static final String CLOUD = "cloud";
@@ -22,7 +22,7 @@
     this.cluster = cluster;
   }
 
-  /** When the sender gives a request up. */
+  /** Returns the time after which the sender gives up on a request. */
   static long timeoutMicros(Request request) {
     if (request instanceof Request.StoreWatch watch) {
       return watch.holdMicros() + TIMEOUT_MICROS;
@@ -32,6 +32,7 @@
         : TIMEOUT_MICROS;
   }
 
+  /** Sends a request; {@code callback} is not called if the request or its reply is lost. */
   void send(SimulatedController from, Request request, Consumer<Reply> callback) {
     if (request instanceof Request.WorkerCommands commands) {
       sendToWorker(from, commands.address(), request, callback);
@@ -86,7 +87,7 @@
     return new Reply.PeerStateServiceStatus(status.served(), status.leader(), status.term());
   }
 
-  /** One that is held on its way stays unanswered. */
+  /** Sends a command or status request to a worker; a delayed request is not answered. */
   private void sendToWorker(
       SimulatedController from, String worker, Request request, Consumer<Reply> callback) {
     long delayMicros = cluster.faults.commandDelayMicros();
--- a/src/test/java/org/eiderstair/sim/Rule.java
+++ b/src/test/java/org/eiderstair/sim/Rule.java
@@ -1,20 +1,23 @@
 package org.eiderstair.sim;
 
-/** What must hold at every moment of a simulated day, by the names of docs/fault-scenarios.md. */
+/**
+ * The rules that must hold throughout a simulated day, with the names used in
+ * docs/fault-scenarios.md.
+ */
 enum Rule {
   /** A task runs on one machine at a time. */
   RAN_TWICE,
-  /** What a team runs stays within its limit. */
+  /** The running tasks of a team stay within its limit. */
   QUOTA,
-  /** A task runs only on a machine type, in a zone and beside others as its job asks. */
+  /** A task runs only where its job allows: machine type, zone and spread over zones. */
   WRONG_PLACE,
-  /** Nothing of a job runs once its confirmed cancellation is older than the bound. */
+  /** No task of a job runs once its confirmed cancellation is older than the bound. */
   RAN_CANCELLED,
-  /** A final state, once answered, stays; only its user cancels a job. */
+  /** A final state that was answered does not change; a job is cancelled only on request. */
   WENT_BACK,
   /** A job is answered as done only if all of its tasks are. */
   NOT_DONE,
-  /** An accepted job, or one that is asked for again, is never refused or unknown. */
+  /** An accepted job is never unknown, and a valid or repeated submission is never refused. */
   FORGOTTEN,
   /** A job that nobody submitted is not known. */
   INVENTED,
@@ -24,10 +27,10 @@
   UNWRITTEN,
   /** A machine that a later leader uses is not released by an earlier one. */
   LATE_DELETE,
-  /** Once all faults are over no job waits for long while there is room for it. */
+  /** Once all faults are over, no job waits for long while there are free resources for it. */
   WAITS_BESIDE_ROOM,
-  /** Once all faults are over questions are answered. */
+  /** Once all faults are over, polls are answered. */
   UNANSWERED,
-  /** The largest jobs begin within minutes, also during faults. */
+  /** The largest jobs start within minutes, also during faults. */
   LARGEST_DELAYED
 }
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -12,15 +12,17 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.record.StoredValue;
 
-/** The rules that hold at every moment, each checked where it would be broken. */
+/** Checks the safety rules at every event that could violate them. */
 final class RuleChecker {
-  /** How long after its confirmation a cancelled job's tasks may still run. */
+  /** How long the tasks of a cancelled job may still run after the confirmation. */
   static final long CANCEL_BOUND_MICROS = 32_000_000;
 
-  /** Sums of processors may be off by so much, by rounding. */
+  /** Maximum rounding error of a sum of processors. */
   static final double MAX_ROUNDING_ERROR_CPUS = 1e-6;
 
+  /** Interval between two checks that the tasks of cancelled jobs have stopped. */
   private static final long CANCELLED_CHECK_INTERVAL_MICROS = 1_000_000;
+
   private static final int MAX_VIOLATIONS = 20;
 
   private final SimulatedCluster cluster;
@@ -38,11 +40,12 @@
     checkCancelledHaveStopped();
   }
 
-  /** The first of what was broken. */
+  /** Returns the first violations, at most {@code MAX_VIOLATIONS}. */
   List<Violation> violations() {
     return violations;
   }
 
+  /** Records and traces a violation. */
   void recordViolation(Rule rule, String detail) {
     cluster.trace("BROKEN " + rule + ": " + detail);
     if (violations.size() < MAX_VIOLATIONS) {
@@ -50,12 +53,14 @@
     }
   }
 
-  /** Checks quotas against another limit than the controllers know: planted by tests. */
+  /**
+   * Replaces the team limit that is checked, so that a test can show that a violation is detected.
+   */
   void setTeamLimit(double cpus) {
     teamLimit = cpus;
   }
 
-  // What runs on machines.
+  // Execution of tasks.
 
   void recordRanTwice(TaskId task, String machine, String other) {
     recordViolation(Rule.RAN_TWICE, task + " on " + machine + " and " + other);
@@ -111,17 +116,20 @@
     }
   }
 
-  /** Starts of tasks whose job's cancellation had been confirmed. */
+  /** Returns how many tasks started after the cancellation of their job was confirmed. */
   int startsAfterCancellation() {
     return startsAfterCancellation;
   }
 
-  /** How long phaseBefore such a start the confirmation was, at most. */
+  /**
+   * Returns the longest time between a confirmed cancellation and a later start of a task of the
+   * job.
+   */
   long maxStartAfterCancellationMicros() {
     return maxStartAfterCancellationMicros;
   }
 
-  // What users are answered.
+  // Answers to users.
 
   void checkFinalPhaseStays(Answer.JobView view, Answer.Phase phaseBefore) {
     if (SimulatedUsers.isFinal(phaseBefore) && view.phase() != phaseBefore) {
@@ -131,7 +139,7 @@
 
   void checkCancelledOnRequest(String job) {
     if (!cluster.users.cancelRequested(job)) {
-      recordViolation(Rule.WENT_BACK, job + " cancelled by nobody");
+      recordViolation(Rule.WENT_BACK, job + " cancelled without a request");
     }
   }
 
@@ -156,7 +164,10 @@
     }
   }
 
-  /** Whatever is asked about an accepted job, and whatever else the request holds. */
+  /**
+   * Checks that a request for an accepted job is not refused, even if the rest of the request is
+   * invalid.
+   */
   void checkAcceptedNotRefused(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure
         && (failure.status() == 400 || failure.status() == 404 || failure.status() == 422)) {
@@ -176,11 +187,13 @@
     }
   }
 
-  // What the cloud is asked for.
+  // Requests to the cloud.
 
   /**
-   * Rentals and releases must be durable phaseBefore the cloud is asked, by whoever asks and
-   * however late. Gives the term in which the return of each machine was written last.
+   * Checks that rentals and releases are durable when they are requested from the cloud, by any
+   * leader and at any time.
+   *
+   * @return for each machine that is to be deleted, the term in which its release was last written
    */
   Map<String, Long> checkWrittenBeforeRequest(Request request) {
     if (request instanceof Request.CloudRent rent) {
@@ -191,7 +204,7 @@
       Map<String, Long> releaseTerms = releaseTerms();
       for (String id : delete.machines()) {
         if (!releaseTerms.containsKey(id)) {
-          recordViolation(Rule.UNWRITTEN, id + " is given back without a written intent");
+          recordViolation(Rule.UNWRITTEN, id + " is released without a stored release record");
         }
       }
       return releaseTerms;
@@ -210,11 +223,14 @@
   }
 
   /**
-   * @param releaseTerm the term in which its return was written last, null if it never was
+   * Checks that no leader of a later term than the release uses a machine that is being deleted.
+   *
+   * @param releaseTerm the term in which the release was last written, or null if none was written
    */
   void checkNotUsedByLaterTerm(SimulatedWorker worker, Long releaseTerm) {
     if (!worker.isDead() && worker.isUsedByTermAfter(releaseTerm == null ? 0 : releaseTerm)) {
-      recordViolation(Rule.LATE_DELETE, worker.id + " is in use, written in term " + releaseTerm);
+      recordViolation(
+          Rule.LATE_DELETE, worker.id + " is in use, release was stored in term=" + releaseTerm);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/SampleJobs.java
+++ b/src/test/java/org/eiderstair/sim/SampleJobs.java
@@ -4,11 +4,11 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.JobSpecBuilder;
 
-/** The jobs of a usual simulated day. */
+/** The jobs of a normal simulated day. */
 final class SampleJobs {
   static final List<String> TEAMS = List.of("red", "blue");
 
-  /** Tasks of jobs with this image end with an error, always. */
+  /** Tasks of jobs with this image always end with an error. */
   static final String FAILING_IMAGE = "mistake";
 
   private static final String IMAGE = "img";
@@ -17,7 +17,7 @@
 
   private SampleJobs() {}
 
-  /** A plain array job; each task runs for about a second. */
+  /** Returns a builder of a plain array job; the estimated run time of each task is one second. */
   static JobSpecBuilder job(String id) {
     return JobSpecBuilder.job(id)
         .jobClass("NORMAL")
@@ -25,7 +25,7 @@
         .estimateMicros(SECOND_MICROS);
   }
 
-  /** A job of a drawn kind, team, priority and size. */
+  /** Returns a job of random kind, team, priority and size. */
   static JobSpec randomJob(SimulatedCluster cluster, int number) {
     boolean red = cluster.random.nextBoolean();
     int kind = cluster.random.nextInt(12);
@@ -47,6 +47,7 @@
         .build();
   }
 
+  /** Returns the job id for a number. */
   static String id(int number) {
     return String.format("job-%06d", number);
   }
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -13,7 +13,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.MachineType;
 
-/** A stand-in for the cloud: it rents machines out, and its lists are some seconds old. */
+/** A simulated cloud that rents machines out and whose machine lists are some seconds old. */
 final class SimulatedCloud {
   static final List<String> ZONES = List.of("a", "b", "c");
 
@@ -28,13 +28,16 @@
 
   private final SimulatedCluster cluster;
 
-  /** Machines that have booted. */
+  /** Booted machines by id; dead machines remain until they are deleted. */
   private final Map<String, SimulatedWorker> workers = new LinkedHashMap<>();
 
+  /** Ids of the machines rented by each request, so that a repeated request rents nothing more. */
   private final Map<String, List<String>> rentedByRequest = new HashMap<>();
+
+  /** Rental time of each machine that is rented now, by id. */
   private final Map<String, Long> rentedAtMicros = new HashMap<>();
 
-  /** For every machine that was ever rented, by which request. */
+  /** The request that rented each machine, for all machines that were ever rented. */
   private final Map<String, Request.CloudRent> rentRequestByMachine = new HashMap<>();
 
   private final List<List<Reply.CloudMachine>> snapshots = new ArrayList<>();
@@ -52,14 +55,17 @@
     takeSnapshot();
   }
 
+  /** Makes the cloud refuse all requests for a while. */
   void outage(long micros) {
     down = true;
     cluster.clock.after(micros, () -> down = false);
   }
 
   /**
-   * @param releaseTerms for each machine that is to be deleted, the term in which its return was
-   *     written last
+   * Serves a request.
+   *
+   * @param releaseTerms for each machine that is to be deleted, the term in which its release was
+   *     last written
    */
   void serve(Request request, Map<String, Long> releaseTerms, Consumer<Reply> callback) {
     if (down) {
@@ -73,7 +79,7 @@
       delete.machines().forEach(id -> delete(id, releaseTerms));
       callback.accept(new Reply.Applied(0));
     } else {
-      // Old by a few seconds, and by another few now and then: deleted machines still appear.
+      // Lists are three to seven seconds old, so deleted machines still appear.
       int ageSnapshots = MIN_LIST_AGE_SNAPSHOTS + cluster.random.nextInt(LIST_AGE_JITTER_SNAPSHOTS);
       callback.accept(
           new Reply.CloudMachines(
@@ -111,7 +117,7 @@
     rentedAtMicros.remove(id);
   }
 
-  /** What the cloud would list now, kept for a while. */
+  /** Records the machine list of this moment and keeps the last snapshots. */
   private void takeSnapshot() {
     cluster.clock.after(SNAPSHOT_INTERVAL_MICROS, this::takeSnapshot);
     List<Reply.CloudMachine> list = new ArrayList<>();
@@ -145,7 +151,7 @@
     return failed ? "failed" : "running";
   }
 
-  /** The cloud takes a spot machine back after a notice. */
+  /** Reclaims a spot machine after a notice. */
   void reclaim(SimulatedWorker worker, long noticeMicros) {
     worker.receiveReclaimNotice(noticeMicros);
     cluster.clock.after(
@@ -157,7 +163,7 @@
         });
   }
 
-  /** So many machines in a hundred stop with all that is on them. */
+  /** Kills each machine with a probability of {@code percent} in a hundred. */
   void killMachines(int percent) {
     for (SimulatedWorker worker : workers()) {
       if (!worker.isDead() && cluster.random.nextInt(100) < percent) {
@@ -166,45 +172,51 @@
     }
   }
 
-  /** A leader has said that it gives this machine back since nobody reaches it. */
+  /** Records that a leader releases this machine as unreachable. */
   void releasedAsUnreachable(String id) {
     releasedAsUnreachable.add(id);
   }
 
-  /** How many machines leaders have released as unreachable. */
+  /** Returns how many machines leaders have released as unreachable. */
   int releasedAsUnreachable() {
     return releasedAsUnreachable.size();
   }
 
-  /** How many machines were released as unreachable although they were alive. */
+  /** Returns how many machines were released as unreachable although they were alive. */
   int releasedWhileAlive() {
     return releasedWhileAlive;
   }
 
-  /** The booted machine of that name, or null. */
+  /** Returns the booted machine with that id, or null. */
   SimulatedWorker worker(String id) {
     return workers.get(id);
   }
 
-  /** A copy: what is done with them may change the machines. */
+  /**
+   * Returns a copy of the booted machines, dead ones included, so that the machines can change
+   * during iteration.
+   */
   List<SimulatedWorker> workers() {
     return new ArrayList<>(workers.values());
   }
 
+  /** Returns a random booted machine, or null if there is none. */
   SimulatedWorker randomWorker() {
     List<SimulatedWorker> all = workers();
     return all.isEmpty() ? null : all.get(cluster.random.nextInt(all.size()));
   }
 
+  /** Returns the number of booted machines, dead ones included. */
   int machineCount() {
     return workers.size();
   }
 
+  /** Returns the number of booted machines that are alive. */
   int aliveMachineCount() {
     return (int) workers.values().stream().filter(worker -> !worker.isDead()).count();
   }
 
-  /** Of all machines that were ever rented, how many in that zone. */
+  /** Returns how many machines have ever been rented in a zone. */
   int rentedInZoneCount(String zone) {
     return (int)
         rentRequestByMachine.values().stream().filter(rent -> rent.zone().equals(zone)).count();
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -14,18 +14,23 @@
 
 /**
  * A whole deployment on simulated time: controllers, a state service, a cloud, workers and users.
- * It only holds its parts together; each part draws from the one seeded source, so that a day
+ *
+ * <p>All parts draw their random numbers from one seeded source, so a day with the same seed
  * repeats exactly.
  */
 final class SimulatedCluster {
+  /** Duration of a worker lease. */
   static final long LEASE_MICROS = 15_000_000;
+
   private static final long HEARTBEAT_MICROS = 3_000_000;
   private static final double STATE_REQUESTS_PER_SECOND = 200;
   private static final double STATE_WRITES_PER_SECOND = 80;
   static final int MAX_TRANSACTION_OPERATIONS = 12;
   private static final double CLOUD_REQUESTS_PER_SECOND = 8;
 
-  /** Prints what the controllers decide, to follow one seed: -Dsim.log=true. */
+  /**
+   * Whether trace lines, including all controller log lines, are printed: {@code -Dsim.log=true}.
+   */
   private static final boolean TRACE_ENABLED = Boolean.getBoolean("sim.log");
 
   final SimulatedClock clock = new SimulatedClock();
@@ -43,11 +48,12 @@
   final InjectedDefects defects = new InjectedDefects();
 
   /**
-   * Of all that controllers decided: the same before and after a change that only moves or renames.
+   * Digest of all effects of the controllers; it does not change when code is only moved or
+   * renamed.
    */
   final EffectDigest effectDigest = new EffectDigest();
 
-  /** Takes all that controllers log. */
+  /** Receives the text of every line that a controller logs. */
   Consumer<String> logListener = text -> {};
 
   private final SimulatedController[] controllers;
@@ -70,7 +76,7 @@
     liveness.start();
   }
 
-  /** The settings that the controller with that index runs with. */
+  /** Returns the settings of the controller with that index. */
   Settings settingsOf(int index) {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     for (String team : SampleJobs.TEAMS) {
@@ -100,7 +106,10 @@
         0);
   }
 
-  /** Controllers are spread over the zones; the state service and the cloud are in none. */
+  /**
+   * Returns the zone of a controller or worker, or null for the state service, the cloud and
+   * unknown hosts.
+   */
   private String zoneOf(String host) {
     if (SimulatedController.isController(host)) {
       return SimulatedCloud.ZONES.get(
@@ -118,12 +127,14 @@
     return controllers[SimulatedController.indexOf(name)];
   }
 
-  /** A request to one controller; it is not answered while that is down. */
+  /**
+   * Sends a request to one controller; the callback is not called while that controller is down.
+   */
   void sendRequest(int node, LongFunction<Event> event, Consumer<Answer> callback) {
     controllers[node].receive(event, callback);
   }
 
-  /** Carries a worker's heartbeat to a controller, and the answer back. */
+  /** Sends a heartbeat of a worker to a controller, and the answer back, over the network. */
   void deliverHeartbeat(String worker, int node, Heartbeat heartbeat, Consumer<Answer> callback) {
     String controller = SimulatedController.nameOf(node);
     network.send(
@@ -136,7 +147,7 @@
                 answer -> network.send(controller, worker, () -> callback.accept(answer))));
   }
 
-  /** The index of the controller that leads; a drawn one where none does. */
+  /** Returns the index of the leader, or of a random controller while there is none. */
   int leader() {
     for (SimulatedController controller : controllers) {
       if (controller.isLeader()) {
@@ -146,7 +157,7 @@
     return random.nextInt(controllers.length);
   }
 
-  /** A controller has logged this. */
+  /** Handles a line that a controller has logged. */
   void onControllerLog(String controller, String text) {
     trace(controller + " " + text);
     ControllerLog.machineReleasedAsUnreachable(text).ifPresent(cloud::releasedAsUnreachable);
@@ -156,16 +167,17 @@
     }
   }
 
-  /** Looks which share of the work is completed that came before a time. */
+  /** Records the smallest completed share of the work that was submitted before a time. */
   void recordCompletedShare(long submittedBeforeMicros) {
     completedShare = CompletionShares.min(this, submittedBeforeMicros);
   }
 
-  /** The smallest share over classes, teams and largest jobs, when it was last looked at. */
+  /** Returns the smallest share over classes, teams and largest jobs, as last recorded. */
   double completedShare() {
     return completedShare;
   }
 
+  /** Prints a line with the simulated time in milliseconds, if tracing is enabled. */
   void trace(String text) {
     if (TRACE_ENABLED) {
       System.out.println(clock.now() / 1000 + " " + text);
--- a/src/test/java/org/eiderstair/sim/SimulatedController.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedController.java
@@ -11,7 +11,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 
-/** One controller: a core whose process may end, start again or pause. */
+/** A controller: a core whose process can crash, restart and pause. */
 final class SimulatedController {
   private static final long TICK_MICROS = 50_000;
 
@@ -21,11 +21,14 @@
   private final Map<Long, Consumer<Answer>> callbackByExchange = new HashMap<>();
   private Core core;
 
-  /** Counts starts and ends: what belongs to an earlier process is dropped. */
+  /** Number of starts and crashes; callbacks of an earlier process are ignored. */
   private int incarnation;
 
   private long lastExchange;
+
+  /** Duration of the pause that begins with the next event; 0 for none. */
   private long pauseMicros;
+
   private long pausedUntilMicros;
 
   SimulatedController(SimulatedCluster cluster, RequestTransport transport, int index) {
@@ -38,7 +41,7 @@
     return "n" + index;
   }
 
-  /** The index of the controller with that name. */
+  /** Returns the index of the controller with that name. */
   static int indexOf(String name) {
     return Integer.parseInt(name.substring(1));
   }
@@ -78,19 +81,23 @@
     tick(startedIncarnation);
   }
 
+  /** Ends the process; its state and the exchanges in progress are lost. */
   void crash() {
     incarnation++;
     core = null;
     callbackByExchange.clear();
   }
 
-  /** The process pauses after its next decision, before what it decided is carried out. */
+  /**
+   * Pauses the process after its next decision, before the effects of that decision are executed.
+   */
   void pause(long micros) {
     pauseMicros = micros;
   }
 
   /**
-   * Hands an event to the core; its answer goes to {@code callback}. Nobody answers if it is down.
+   * Passes an event to the core and its answer to {@code callback}; a controller that is down does
+   * not answer.
    */
   void receive(LongFunction<Event> event, Consumer<Answer> callback) {
     if (core != null) {
--- a/src/test/java/org/eiderstair/sim/SimulatedDay.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedDay.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.model.JobSpec;
 
-/** A deployment's day: jobs come in its first minutes, and drawn outages meet them. */
+/** A simulated day: jobs are submitted in its first minutes, and random outages occur meanwhile. */
 final class SimulatedDay {
   static final long SECOND_MICROS = 1_000_000;
 
-  /** Work that came until then is looked at for its completed share. */
+  /** Jobs submitted until then count for the completed share. */
   static final long COUNTED_UNTIL_MICROS = 200 * SECOND_MICROS;
 
   private static final long SHARE_RECORDED_AT_MICROS = 320 * SECOND_MICROS;
@@ -15,7 +15,7 @@
 
   private SimulatedDay() {}
 
-  /** A day with its users, on which nothing fails by itself; it has not begun yet. */
+  /** Returns a day with its jobs and without faults; its clock is still at 0. */
   static SimulatedCluster prepare(long seed, ClusterSize size) {
     SimulatedCluster cluster = new SimulatedCluster(seed, size);
     for (int i = 0; i < size.jobs(); i++) {
@@ -39,18 +39,20 @@
     cluster.users.pollUnknown("job-9" + number);
   }
 
+  /** Runs a day with random outages at the small size to its end. */
   static SimulatedCluster playSmall(long seed) {
     return play(seed, ClusterSize.SMALL, cluster -> {});
   }
 
+  /** Runs a day with random outages to its end. */
   static SimulatedCluster play(long seed, ClusterSize size) {
     return play(seed, size, cluster -> {});
   }
 
   /**
-   * Plays a day with drawn outages to its end.
+   * Runs a day with random outages and injected defects to its end.
    *
-   * @param injectDefects what the test makes wrong before the day begins
+   * @param injectDefects called before the day starts, to inject the defects
    */
   static SimulatedCluster play(
       long seed, ClusterSize size, Consumer<SimulatedCluster> injectDefects) {
@@ -61,7 +63,7 @@
       cluster.clock.after(
           (15 + cluster.random.nextInt(230)) * SECOND_MICROS, () -> RandomOutage.start(cluster));
     }
-    // Outages may still be going on: what came two minutes ago must be half done all the same.
+    // Half of the work submitted two minutes ago must be completed, even during an outage.
     cluster.clock.runUntil(SHARE_RECORDED_AT_MICROS);
     cluster.recordCompletedShare(COUNTED_UNTIL_MICROS);
     cluster.clock.runUntil(END_MICROS);
--- a/src/test/java/org/eiderstair/sim/SimulatedNetwork.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedNetwork.java
@@ -9,17 +9,25 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A network whose heldByPair hold packets and deliver them, possibly much later, when they heal.
+ * A network with partitions. A partition holds packets and delivers them when it heals, possibly
+ * much later.
  */
 final class SimulatedNetwork {
   private final SimulatedClock clock;
   private final Random random;
+
+  /** Held packets of each pair of hosts that is partitioned. */
   private final Map<String, List<Runnable>> heldByPair = new HashMap<>();
+
   private final UnaryOperator<String> zoneOf;
+
+  /** Held packets of each zone that is partitioned. */
   private final Map<String, List<Runnable>> heldByZone = new HashMap<>();
 
   /**
-   * @param zoneOf the zone of a host, null for one that is in none
+   * Creates a network without partitions.
+   *
+   * @param zoneOf returns the zone of a host, null for a host outside all zones
    */
   SimulatedNetwork(SimulatedClock clock, Random random, UnaryOperator<String> zoneOf) {
     this.zoneOf = zoneOf;
@@ -31,6 +39,7 @@
     return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
   }
 
+  /** Partitions two hosts; without effect if they are already partitioned. */
   void partition(String one, String other, long micros) {
     if (heldByPair.putIfAbsent(pairKey(one, other), new ArrayList<>()) == null) {
       clock.after(
@@ -39,7 +48,7 @@
     }
   }
 
-  /** A zone goes on inside; nothing comes in or out. */
+  /** Partitions a zone: hosts inside it still reach each other, but nothing passes its boundary. */
   void partitionZone(String zone, long micros) {
     if (heldByZone.putIfAbsent(zone, new ArrayList<>()) == null) {
       clock.after(
@@ -47,6 +56,7 @@
     }
   }
 
+  /** Returns the held packets of the partition between two hosts, or null if there is none. */
   private List<Runnable> heldPackets(String from, String to) {
     List<Runnable> held = heldByPair.get(pairKey(from, to));
     if (held == null && !heldByZone.isEmpty()) {
@@ -59,7 +69,10 @@
     return held;
   }
 
-  /** Packets already on their way still arrive; a few take long, as when lost and sent again. */
+  /**
+   * Sends a packet, or holds it if the hosts are partitioned; packets already in flight still
+   * arrive.
+   */
   void send(String from, String to, Runnable deliver) {
     List<Runnable> held = heldPackets(from, to);
     if (held != null) {
@@ -69,6 +82,10 @@
     }
   }
 
+  /**
+   * Returns a random delay: a few milliseconds, for one packet in 300 longer, as after a
+   * retransmission.
+   */
   private long delayMicros() {
     return random.nextInt(300) == 0
         ? 300_000 + random.nextInt(2_000_000)
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -16,10 +16,15 @@
 import org.eiderstair.core.record.StoredValue;
 import org.eiderstair.core.record.StoredValueCodec;
 
-/** A stand-in for the state service, to the letter of its contract as far as the core uses it. */
+/**
+ * A simulated state service that follows the contract of the real one as far as the core uses it.
+ */
 final class SimulatedStateService {
   private static final long TICK_MICROS = 50_000;
+
+  /** Minimum delay of a transaction that is committed late. */
   private static final long MIN_LATE_COMMIT_DELAY_MICROS = 2_000_000;
+
   private static final int LATE_COMMIT_JITTER_MICROS = 10_000_000;
   private static final long LATE_COMMIT_RETRY_DELAY_MICROS = 500_000;
   private static final long WATCH_END_RETRY_DELAY_MICROS = 200_000;
@@ -28,13 +33,13 @@
 
   private record Watch(String node, String prefix, long after, Consumer<Reply> callback) {}
 
-  /**
-   * What becomes of a transaction: carried out and answered, or with its answer lost, at once or
-   * late.
-   */
+  /** How a transaction is processed. */
   enum TransactionOutcome {
+    /** The transaction is committed immediately and answered. */
     ANSWERED,
+    /** The transaction is committed immediately, but its answer is lost. */
     ANSWER_LOST,
+    /** The transaction is committed seconds later and never answered. */
     LATE
   }
 
@@ -61,7 +66,10 @@
     tick();
   }
 
-  /** While it is down nobody is served; leases begin anew when it is back. */
+  /**
+   * Sets whether the service is down; it refuses all requests then, and all leases restart when it
+   * is back.
+   */
   void setDown(boolean isDown) {
     if (down && !isDown) {
       leases.replaceAll((id, lease) -> newLease(lease.ttlMicros()));
@@ -70,12 +78,12 @@
     notifyWatches();
   }
 
-  /** Whether one node alone is refused. */
+  /** Sets whether the service refuses the requests of one node. */
   void setRefused(String node, boolean refused) {
     setContained(refusedNodes, node, refused);
   }
 
-  /** Whether one node's watches are never answered, while all else is. */
+  /** Sets whether new watches of one node are never answered; all its other requests are served. */
   void setWatchesHeld(String node, boolean held) {
     setContained(nodesWithHeldWatches, node, held);
   }
@@ -88,17 +96,17 @@
     }
   }
 
-  /** Decides from now on what becomes of each transaction. */
+  /** Sets the function that decides how each transaction is processed from now on. */
   void setTransactionOutcomes(Function<Request.StoreTransaction, TransactionOutcome> newOutcomes) {
     transactionOutcomes = newOutcomes;
   }
 
-  /** Writes of the largest transaction so far. */
+  /** Returns the number of writes of the largest transaction so far. */
   int maxWrites() {
     return maxWrites;
   }
 
-  /** Every key that was ever there, with its last value: for what must be durable first. */
+  /** Returns the last written value of every key, including deleted keys. */
   Map<String, StoredValue> lastWrittenValues() {
     return lastWrittenValues;
   }
@@ -119,6 +127,7 @@
     notifyWatches();
   }
 
+  /** Removes a lease and deletes all keys that are bound to it. */
   private void endLease(long id) {
     leases.remove(id);
     List<String> keys =
@@ -191,7 +200,7 @@
     switch (transactionOutcomes.apply(txn)) {
       case ANSWERED -> callback.accept(commit(txn));
       case ANSWER_LOST -> commit(txn);
-      // After newer ones of the same controller, and whoever leads by then.
+      // By then newer transactions of the same controller, or of another leader, may be committed.
       case LATE ->
           clock.after(
               MIN_LATE_COMMIT_DELAY_MICROS + random.nextInt(LATE_COMMIT_JITTER_MICROS),
@@ -256,7 +265,7 @@
     }
   }
 
-  /** Open watches stay open through an outage, and where one node alone is refused. */
+  /** Ends a watch after its hold time; a watch stays open while the service refuses its node. */
   private void endWatch(String node, Consumer<Reply> callback) {
     if (refuses(node)) {
       clock.after(WATCH_END_RETRY_DELAY_MICROS, () -> endWatch(node, callback));
--- a/src/test/java/org/eiderstair/sim/SimulatedUsers.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedUsers.java
@@ -14,7 +14,8 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * All users: what they submit, ask and cancel, at drawn controllers, and what they were answered.
+ * The users of the cluster: they submit, poll and cancel jobs at random controllers and record the
+ * answers.
  */
 final class SimulatedUsers {
   private static final int MAX_SUBMIT_RETRIES = 200;
@@ -29,7 +30,7 @@
   private final Map<String, Long> submittedAtMicros = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
 
-  /** Of each job, the phase that was answered last; a final one stays. */
+  /** The phase of each job that was answered last; a final phase stays. */
   private final Map<String, Answer.Phase> lastAnsweredPhases = new HashMap<>();
 
   private final Map<String, Long> cancelConfirmedAtMicros = new HashMap<>();
@@ -43,6 +44,7 @@
     return phase == Answer.Phase.DONE || phase == Answer.Phase.CANCELLED;
   }
 
+  /** Submits a job at random controllers until the submission is confirmed or no retry is left. */
   void submit(JobSpec spec) {
     submitted.put(spec.id(), spec);
     submittedAtMicros.put(spec.id(), cluster.clock.now());
@@ -85,6 +87,7 @@
     }
   }
 
+  /** Polls an accepted job at random controllers until the end of the day. */
   private void poll(String id) {
     Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
     if (isFinal(phaseBefore)) {
@@ -105,14 +108,14 @@
         });
   }
 
-  /** Asks for a job that nobody submitted. */
+  /** Polls a job that nobody has submitted. */
   void pollUnknown(String id) {
     sendToRandomNode(
         exchange -> new Event.Poll(exchange, id),
         answer -> cluster.rules.checkNotInvented(id, answer));
   }
 
-  /** Asks at drawn controllers, again and again, until the job has ended. */
+  /** Requests the cancellation of a job at random controllers until the job has ended. */
   void cancel(String id) {
     cancelRequested.add(id);
     Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
@@ -124,7 +127,7 @@
         exchange -> new Event.Cancel(exchange, id), answer -> onCancelAnswer(answer, phaseBefore));
   }
 
-  /** Asks one controller, once. */
+  /** Requests the cancellation of a job once, through one controller. */
   void cancelThrough(int node, String id) {
     cancelRequested.add(id);
     Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
@@ -140,13 +143,16 @@
     }
   }
 
+  /** Sends a request to a random controller. */
   private void sendToRandomNode(LongFunction<Event> event, Consumer<Answer> callback) {
     cluster.sendRequest(cluster.random.nextInt(cluster.size.nodes()), event, callback);
   }
 
   /**
-   * @param phaseBefore what had been answered when the question was asked: only that may not be
-   *     taken back
+   * Records that a user was answered the state of a job, and checks the answer.
+   *
+   * @param phaseBefore the phase that was known when the request was sent; only that phase must not
+   *     be revoked
    */
   void onAnswer(Answer.JobView view, Answer.Phase phaseBefore) {
     String id = view.id();
@@ -174,12 +180,12 @@
     return lastAnsweredPhases.get(id);
   }
 
-  /** Whether its user knows it to be done or cancelled. */
+  /** Returns whether users were answered that the job is done or cancelled. */
   boolean hasEnded(String id) {
     return isFinal(lastAnsweredPhases.get(id));
   }
 
-  /** Ids of accepted jobs, in order. */
+  /** Returns the ids of all accepted jobs, sorted. */
   List<String> acceptedJobs() {
     return accepted.stream().sorted().toList();
   }
@@ -192,17 +198,17 @@
     return submittedAtMicros.get(id);
   }
 
-  /** When the cancellation was confirmed to the user, or null. */
+  /** Returns when the cancellation was confirmed to the user, or null. */
   Long cancelConfirmedAtMicros(String id) {
     return cancelConfirmedAtMicros.get(id);
   }
 
-  /** Whether the job's tasks end with an error, always. */
+  /** Returns whether the tasks of the job always end with an error. */
   boolean alwaysFails(String id) {
     return submitted.get(id).image().equals(SampleJobs.FAILING_IMAGE);
   }
 
-  /** Accepted jobs that should have ended by now and are not known to have. */
+  /** Returns the accepted array jobs that can complete and that are not known to have ended. */
   List<String> unfinishedJobs() {
     return acceptedJobs().stream()
         .filter(
--- a/src/test/java/org/eiderstair/sim/SimulatedWorker.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedWorker.java
@@ -15,10 +15,13 @@
 import org.eiderstair.core.model.Order;
 import org.eiderstair.core.model.TaskId;
 
-/** A stand-in for one machine and its worker, as far as controllers see them. */
+/** A simulated machine and its worker, as far as controllers can observe them. */
 final class SimulatedWorker {
   private static final long TICK_MICROS = 100_000;
+
+  /** Minimum time between two heartbeats, also when a task has changed. */
   private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 500_000;
+
   private static final long HEARTBEAT_INTERVAL_MICROS = 2_000_000;
   private static final int HEARTBEAT_JITTER_MICROS = 1_500_000;
   private static final long HEARTBEAT_TIMEOUT_MICROS = 4_000_000;
@@ -26,9 +29,15 @@
   private static final long MIN_FETCH_MICROS = 200_000;
   private static final int FETCH_JITTER_MICROS = 2_000_000;
 
-  /** An attempt's number holds the term of the leader that placed it above these bits. */
+  /**
+   * Number of low bits of an attempt number; the term of the leader that placed the attempt is
+   * above them.
+   */
   private static final int TERM_SHIFT = 31;
 
+  /**
+   * One attempt to run a task on this machine; an ended attempt is kept until it is acknowledged.
+   */
   private static final class TaskAttempt {
     final TaskId task;
     final long attempt;
@@ -40,10 +49,12 @@
       this.attempt = attempt;
     }
 
+    /** Returns whether the attempt still occupies resources. */
     boolean usesResources() {
       return state != TaskState.ENDED;
     }
 
+    /** Returns whether the task has started and not ended. */
     boolean isExecuting() {
       return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
@@ -64,10 +75,10 @@
   private long sequence;
   private FencingToken fencingToken = FencingToken.NONE;
 
-  /** When the last heartbeat was sent that was answered: the lease counts from it. */
+  /** Send time of the last answered heartbeat; the lease is counted from then. */
   private long lastAnsweredSentMicros;
 
-  /** The controller that heartbeats go to. */
+  /** Index of the controller to which heartbeats are sent. */
   private int node;
 
   private boolean inFlight;
@@ -99,32 +110,34 @@
     return cluster.clock.now();
   }
 
-  // Failures.
+  // Fault injection.
 
+  /** Suspends the machine and its worker for a while. */
   void hang(long micros) {
     hungUntilMicros = now() + micros;
   }
 
-  /** For so long, what is sent to it is lost, while its heartbeats arrive. */
+  /** Loses everything that is sent to this machine for a while; its heartbeats still arrive. */
   void loseInbound(long micros) {
     inboundLostUntilMicros = now() + micros;
   }
 
-  /** For so long, its heartbeats are lost, while commands arrive. */
+  /** Loses the heartbeats of this machine for a while; commands still arrive. */
   void loseOutbound(long micros) {
     outboundLostUntilMicros = now() + micros;
   }
 
-  /** From now on every task that is launched here ends with an error. */
+  /** Makes every task that is launched from now on end with an error. */
   void failAllTasks() {
     failsAllTasks = true;
   }
 
-  /** It knows that it will be taken back after that time. */
+  /** Notifies the machine that the cloud reclaims it after that time. */
   void receiveReclaimNotice(long micros) {
     noticeAtMicros = now() + micros;
   }
 
+  /** Stops the machine and all of its tasks for good. */
   void die() {
     dead = true;
     diedMicros = now();
@@ -147,9 +160,9 @@
     return now() < inboundLostUntilMicros;
   }
 
-  // What checks look at.
+  // Queries of the checkers.
 
-  /** Whether a task of that size would find room. */
+  /** Returns whether the machine is alive and has free processors for a task of that size. */
   boolean hasFreeResources(double cpus) {
     double used = 0;
     for (TaskAttempt taskAttempt : tasks.values()) {
@@ -159,21 +172,21 @@
         && used + cpus <= SimulatedCloud.MACHINE_TYPE.cpus() + RuleChecker.MAX_ROUNDING_ERROR_CPUS;
   }
 
-  /** Whether something is here that a leader of a later term than that has placed. */
+  /** Returns whether a task that a leader of a later term placed uses this machine. */
   boolean isUsedByTermAfter(long term) {
     return tasks.values().stream()
         .anyMatch(
             taskAttempt -> taskAttempt.usesResources() && taskAttempt.attempt >> TERM_SHIFT > term);
   }
 
-  // Its lease and heartbeats.
+  // Lease and heartbeats.
 
   private void tick() {
     if (dead) {
       return;
     }
     cluster.clock.after(TICK_MICROS, this::tick);
-    // A hung machine may go on only within its lease.
+    // The lease comes first: a hung machine may resume its tasks only while its lease is valid.
     if (now() > lastAnsweredSentMicros + SimulatedCluster.LEASE_MICROS) {
       newIncarnation();
     }
@@ -193,6 +206,7 @@
         || (heartbeatDue && now() >= lastHeartbeatMicros + MIN_HEARTBEAT_INTERVAL_MICROS);
   }
 
+  /** Stops all tasks after the lease has expired, and starts with a new incarnation number. */
   private void newIncarnation() {
     tasks.keySet().forEach(cluster.tasks::onTaskStopped);
     tasks.clear();
@@ -268,6 +282,7 @@
     }
   }
 
+  /** Selects the next controller and delays the next heartbeat to it. */
   private void tryNextNode() {
     node = (node + 1) % cluster.size.nodes();
     nextHeartbeatMicros = now() + NEXT_NODE_DELAY_MICROS;
@@ -282,7 +297,10 @@
 
   // Orders and tasks.
 
-  /** A direct command or a status request; a hung machine takes it when it goes on. */
+  /**
+   * Handles a command or status request from a controller; a hung machine handles it when it
+   * resumes.
+   */
   void receive(Request request, Consumer<Reply> callback) {
     if (dead || isInboundLost()) {
       return;
--- a/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/StaleLeaderFaultScenariosTest.java
@@ -10,9 +10,11 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * The state service refuses the leader alone, another controller confirms cancellations, then it is
- * out for all for longer than the cancelled tasks may go on, while workers report to the old
- * leader. And what is like it.
+ * Guards against a stale leader that keeps cancelled tasks running.
+ *
+ * <p>The state service refuses only the leader, and another controller confirms cancellations. Then
+ * the service is unavailable to everyone for longer than the cancelled tasks may run, while workers
+ * still report to the old leader. The other tests cover similar failures.
  */
 class StaleLeaderFaultScenariosTest {
   private static final long SECOND_MICROS = 1_000_000;
@@ -21,8 +23,8 @@
   private static final int JOBS = 8;
 
   /**
-   * Longer than the lease of the leader key: what it bounds are starts of what was cancelled
-   * elsewhere.
+   * Bounds how long after a cancellation that another controller confirmed a task may still start;
+   * longer than the lease of the leader key.
    */
   private static final long LEADER_LEASE_MICROS = 4_500_000;
 
@@ -32,7 +34,7 @@
     return SampleJobs.id(i);
   }
 
-  /** Eight jobs of two long tasks each, all running, half of them never cancelled. */
+  /** Returns a day on which eight jobs with two long tasks each are running. */
   private SimulatedCluster dayWithRunningJobs(long seed) {
     SimulatedCluster day = new SimulatedCluster(seed, ClusterSize.SMALL);
     day.logListener = logs::add;
@@ -55,6 +57,7 @@
     return day;
   }
 
+  /** Cancels every second job through another controller than the leader. */
   private static void cancelHalfThroughFollower(SimulatedCluster day, int leader) {
     for (int i = 0; i < JOBS; i += 2) {
       day.users.cancelThrough((leader + 1) % 3, id(i));
@@ -81,14 +84,17 @@
     assertEquals(List.of(), day.users.unfinishedJobs());
   }
 
-  /** With the lease renewed before the watch has answered, which it does only later. */
+  /**
+   * The leader can renew its lease after the outage, but its watch stays unanswered for longer. Its
+   * renewals must not let cancelled tasks run beyond the bound, whether or not peers send it the
+   * cancellations.
+   */
   @Example
   void jobsCancelledWhileTheLeaderIsRefusedStopInTimeAndOthersContinue() {
     for (long seed = 1; seed <= 12; seed++) {
       for (boolean cancellationsArrive : new boolean[] {true, false}) {
         for (long outageSeconds : new long[] {9, 10, 36, 50}) {
-          // The shorter ones end while the old leader may still answer, so that it renews its lease
-          // again.
+          // Short outages end while the old leader may still answer, so it renews its lease again.
           long refusalSeconds = outageSeconds < 30 ? 4 + seed % 7 : 14;
           SimulatedCluster day = dayWithRunningJobs(seed);
           int leader = day.leader();
@@ -119,8 +125,8 @@
   }
 
   /**
-   * Nothing else fails, but the leader's replica is stale: its renewals succeed, and prove nothing
-   * of the replica.
+   * Only the watch of the leader hangs. Its lease renewals succeed although its replica is stale,
+   * so they must not keep it the leader.
    */
   @Example
   void aLeaderWhoseWatchHangsStepsDownInTime() {
@@ -136,7 +142,7 @@
       assertHalfCancelled(day);
       assertTrue(
           day.tasks.runningJobs().size() > JOBS / 2,
-          "cancelled jobs run on, since the leader does not know of their cancellation");
+          "cancelled jobs continue, since the leader does not know of their cancellation");
       advance(day, CANCEL_BOUND_MICROS - LEASE_MICROS);
       assertEquals(
           1,
@@ -149,7 +155,8 @@
   }
 
   /**
-   * What a peer reports beside the state service is taken at once: long before any lease is over.
+   * Cancellations that a peer sends during an outage of the state service must be applied at once,
+   * long before any lease ends.
    */
   @Example
   void cancellationsFromAPeerEndTasksDuringAStateServiceOutage() {
--- a/src/test/java/org/eiderstair/sim/TaskTracker.java
+++ b/src/test/java/org/eiderstair/sim/TaskTracker.java
@@ -9,11 +9,14 @@
 import org.eiderstair.core.model.JobSpec;
 import org.eiderstair.core.model.TaskId;
 
-/** What really runs on machines, and what has completed there, whatever controllers know of it. */
+/**
+ * Records which tasks actually run and have completed on machines, independent of the state of
+ * controllers.
+ */
 final class TaskTracker {
   private final SimulatedCluster cluster;
 
-  /** The machine that each running task is on. */
+  /** The id of the machine that runs each task. */
   private final Map<TaskId, String> machineOf = new HashMap<>();
 
   private final Map<String, Set<TaskId>> runningByJob = new HashMap<>();
@@ -50,7 +53,9 @@
     }
   }
 
-  /** The machine has stopped; the task may run on another by now. */
+  /**
+   * Stops a task because its machine has stopped, unless the task already runs on another machine.
+   */
   void onMachineStopped(String machine, TaskId task) {
     if (machine.equals(machineOf.get(task))) {
       onTaskStopped(task);
@@ -66,7 +71,7 @@
     }
   }
 
-  /** How long the task will run; 0 for one that runs until it is cancelled. */
+  /** Returns how long the task runs; 0 for a task that runs until it is cancelled. */
   long runMicros(TaskId task) {
     JobSpec spec = cluster.users.spec(task.job());
     if (completed.contains(task)) {
@@ -93,7 +98,7 @@
     return completedTasksOf(job) == cluster.users.spec(job).tasks();
   }
 
-  /** How many of a job's tasks are completed. */
+  /** Returns how many tasks of a job are completed. */
   int completedTasksOf(String job) {
     return completedByJob.getOrDefault(job, 0);
   }
@@ -106,16 +111,17 @@
     return runningByJob.getOrDefault(job, Set.of());
   }
 
+  /** Returns the id of the machine that runs the task, or null. */
   String machineOf(TaskId task) {
     return machineOf.get(task);
   }
 
-  /** Jobs with tasks on machines, in order. */
+  /** Returns the ids of jobs with running tasks, sorted. */
   List<String> runningJobs() {
     return machineOf.keySet().stream().map(TaskId::job).distinct().sorted().toList();
   }
 
-  /** The machines that tasks of a job are on. */
+  /** Returns the machines that run tasks of a job. */
   List<SimulatedWorker> machinesOf(String job) {
     return machineOf.entrySet().stream()
         .filter(entry -> entry.getKey().job().equals(job))
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -7,7 +7,7 @@
 import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.JobSpec;
 
-/** What users do beside their usual jobs: overload, waves of cancellations, repeated requests. */
+/** Additional load by users: overload, waves of cancellations, and repeated or invalid requests. */
 final class UserLoad {
   private static final long SECOND_MICROS = 1_000_000;
   private static final int MAX_HANGING_MACHINES = 8;
@@ -27,9 +27,12 @@
     this.cluster = cluster;
   }
 
-  // More work.
+  // Additional jobs.
 
-  /** Twice what both teams may have, urgent and not, for about that long. */
+  /**
+   * Submits twice the work that both teams may run at a time, in all priorities; it lasts for about
+   * that long.
+   */
   void overload(long micros) {
     int jobs = (int) (4 * cluster.size.limit() / cluster.size.tasks());
     for (int i = 0; i < jobs; i++) {
@@ -43,7 +46,7 @@
     }
   }
 
-  /** Jobs whose first task completes soon, and whose others take long. */
+  /** Submits jobs whose first task completes soon and whose other tasks take long. */
   void submitUnevenJobs() {
     for (int i = 0; i < UNEVEN_JOB_COUNT; i++) {
       cluster.users.submit(
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Four a second, a quarter of them cancelled. */
+  /** Submits four jobs with one task per second, and cancels a quarter of them. */
   void submitOneTaskJobs(long untilMicros) {
     if (cluster.clock.now() > untilMicros) {
       return;
@@ -85,8 +88,8 @@
   // Cancellations.
 
   /**
-   * Users cancel jobs that run, within a fifth of a second; some of their machines hang from then
-   * on, unless {@code hangMicros} is 0.
+   * Cancels a quarter of a usual day's number of jobs, within 0.2 s, chosen at random from the
+   * running jobs. Some of their machines hang from then on, unless {@code hangMicros} is 0.
    */
   void cancelRunningJobs(long hangMicros) {
     int count = cluster.size.jobs() / 4;
@@ -105,7 +108,7 @@
     }
   }
 
-  /** Half of the jobs are cancelled just as their last task completes. */
+  /** Cancels half of the jobs just as their last task completes. */
   void cancelOnCompletion(long micros) {
     cancelOnCompletionPercent = 50;
     cluster.clock.after(micros, () -> cancelOnCompletionPercent = 0);
@@ -117,17 +120,17 @@
     }
   }
 
-  // Questions and repeated requests.
+  // Polls and repeated requests.
 
-  /** Users ask at all nodes as soon as one of them has been answered. */
+  /** Makes users poll all controllers, for a while, as soon as one of them has answered. */
   void pollImmediately(long micros) {
     immediatePolls = true;
     cluster.clock.after(micros, () -> immediatePolls = false);
   }
 
   /**
-   * A user was answered that a job is accepted, done or cancelled: others ask at all nodes, at once
-   * and again.
+   * Called when a user was answered that a job is accepted, done or cancelled. Other users then
+   * poll all controllers immediately and repeatedly.
    */
   void onUserAnswered(String job) {
     if (!immediatePolls) {
@@ -154,7 +157,7 @@
     }
   }
 
-  /** {@code spec} is null where the rest of the request cannot be read. */
+  /** Submits an accepted job again; a null {@code spec} stands for a malformed request. */
   private void resubmit(int node, String job, JobSpec spec) {
     Answer.Phase phaseBefore = cluster.users.phase(job);
     cluster.sendRequest(
@@ -163,7 +166,7 @@
         answer -> checkAnswer(job, phaseBefore, answer));
   }
 
-  /** {@code spec} is null where the rest of the request cannot be read. */
+  /** Returns a submission of the job; it is malformed if {@code spec} is null. */
   private static Submission toSubmission(String job, JobSpec spec) {
     return spec == null
         ? new Submission.Malformed(job, "Cores is missing")
@@ -179,8 +182,8 @@
   }
 
   /**
-   * Repeated submissions, whole and unreadable ones, cancellations of jobs that are done, and jobs
-   * that can never run.
+   * Sends invalid requests until a time: repeated submissions, some of them malformed,
+   * cancellations of done jobs, and jobs that can never run.
    */
   void sendInvalidRequests(long untilMicros) {
     if (cluster.clock.now() > untilMicros) {
@@ -209,11 +212,11 @@
 
   private void submitImpossibleJob(int node) {
     String id = String.format("job-8%05d", ++lastNumber);
-    boolean unreadable = cluster.random.nextBoolean();
+    boolean malformed = cluster.random.nextBoolean();
     JobSpec tooLarge = SampleJobs.job(id).cpus(SimulatedCloud.MACHINE_TYPE.cpus() + 1).build();
     cluster.sendRequest(
         node,
-        exchange -> new Event.Submit(exchange, toSubmission(id, unreadable ? null : tooLarge)),
+        exchange -> new Event.Submit(exchange, toSubmission(id, malformed ? null : tooLarge)),
         answer -> cluster.rules.checkImpossibleNotAccepted(id, answer));
   }
 }
--- a/src/test/java/org/eiderstair/sim/Violation.java
+++ b/src/test/java/org/eiderstair/sim/Violation.java
@@ -1,6 +1,6 @@
 package org.eiderstair.sim;
 
-/** A rule that did not hold, when and for what. */
+/** A violation of a rule, with its time and details. */
 record Violation(Rule rule, long atMicros, String detail) {
   @Override
   public String toString() {
--- a/src/test/java/org/eiderstair/sim/WholeDayTest.java
+++ b/src/test/java/org/eiderstair/sim/WholeDayTest.java
@@ -11,7 +11,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.core.model.Order;
 
-/** Whole days with drawn faults, checked against every rule. */
+/** Runs whole days with random outages and checks every rule. */
 class WholeDayTest {
   private static final int DAYS = Integer.getInteger("sim.days", 60);
   private static final int GROWN_DAYS = Integer.getInteger("sim.grown", 3);
@@ -53,15 +53,15 @@
   }
 
   /**
-   * Half as many machines again as the largest deployment had at first, with three and with five
-   * controllers.
+   * Runs days with half as many machines again as the largest deployment had at first, with three
+   * and with five controllers.
    */
   @Example
   void everyRuleHoldsAtTheFleetSizeAndNoJobStarves() {
     assertDaysKeepEveryRule(FLEET_DAYS, ClusterSize::fleet);
   }
 
-  /** By hand: {@code -Dsim.full=2} plays so many whole days with 4,000 machines. */
+  /** Runs whole days with 4,000 machines; only by hand, with {@code -Dsim.full=2} for two days. */
   @Example
   void everyRuleHoldsAtTheFullSizeAndNoJobStarves() {
     assertDaysKeepEveryRule(FULL_DAYS, ClusterSize::full);
@@ -86,8 +86,9 @@
   }
 
   /**
-   * Commands without incarnations and fencing tokens are what the simulator must notice: else the
-   * days above prove nothing.
+   * Guards against a simulator that does not notice duplicate launches. The orders of a launch are
+   * sent again with the incarnation and fencing token of a later request, and a rule must be
+   * violated.
    */
   @Example
   void duplicateLaunchesAreDetected() {
@@ -107,11 +108,14 @@
                   violation ->
                       violation.rule() == Rule.RAN_TWICE || violation.rule() == Rule.RAN_CANCELLED);
     }
-    assertTrue(detected, "a launch that is sent again breaks a rule on one of the days");
-    assertFalse(launches.isEmpty(), "there was a launch to send again");
+    assertTrue(detected, "a repeated launch violates a rule on one of the days");
+    assertFalse(launches.isEmpty(), "a launch was recorded");
   }
 
-  /** A request without orders carries those of the first launch, which are remembered. */
+  /**
+   * Returns a request without orders with the orders of the first recorded launch; records
+   * launches.
+   */
   private static Request withRepeatedLaunch(
       Request request, List<Request.WorkerCommands> launches) {
     if (!(request instanceof Request.WorkerCommands commands)) {
