--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -73,8 +73,8 @@
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
     assertEquals(1, countLogs("no machine reaches this node while peers receive heartbeats of"));
   }
 
@@ -89,9 +89,10 @@
             cluster ->
                 cluster.outages.partitionNodeFromPeers(cluster.leader(), 40 * SECOND_MICROS));
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
-    assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
+    assertEquals(
+        0, leadershipLosses(), "a leader that is partitioned only from its peers keeps leading");
   }
 
   /**
@@ -108,8 +109,8 @@
               cluster.outages.partitionNodeFromPeers(leader, 40 * SECOND_MICROS);
             });
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -130,8 +131,8 @@
     assertTrue(
         countLogs("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -194,8 +195,8 @@
       // No dead machine is still rented.
       assertEquals(0, machines[2], "machines that died a minute ago are released");
       assertTrue(
-          day.cloud.releasedWhileAlive() < machines[0] / 50,
-          "machines released while alive: " + day.cloud.releasedWhileAlive());
+          day.cloud.releasedWhileAliveCount() < machines[0] / 50,
+          "machines released while alive: " + day.cloud.releasedWhileAliveCount());
       before += machines[0];
       after += machines[1];
     }
@@ -224,8 +225,9 @@
                   });
             });
     assertTrue(
-        day.cloud.releasedAsUnreachable() >= released[0],
-        "machines recognized as released as unreachable: " + day.cloud.releasedAsUnreachable());
+        day.cloud.releasedAsUnreachableCount() >= released[0],
+        "machines recognized as released as unreachable: "
+            + day.cloud.releasedAsUnreachableCount());
     assertTrue(released[0] > 20, "machines released as unreachable: " + released[0]);
     List<String> releasedMachines =
         logs.stream()
@@ -254,8 +256,8 @@
               }
             });
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -284,8 +286,8 @@
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -316,8 +318,8 @@
             });
     assertTrue(countLogs("standby recovery -> ELECTED") >= 4);
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -335,8 +337,8 @@
             });
     assertTrue(countLogs("standby recovery -> ELECTED") >= 2);
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
@@ -363,8 +365,8 @@
     assertEquals(
         2, countLogs("standby recovery -> ELECTED"), "terms that started with an election");
     assertTrue(
-        day.cloud.releasedWhileAlive() < 20,
-        "machines released while alive: " + day.cloud.releasedWhileAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
     int startedSince = day.tasks.startCount() - started;
     assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
   }
--- a/src/test/java/org/eiderstair/sim/FaultInjector.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -153,11 +153,11 @@
   }
 
   /** Applies an outcome to a part of the transactions with writes. */
-  private void disturbWrites(SimulatedStateService.TransactionOutcome fate, long micros) {
+  private void disturbWrites(SimulatedStateService.TransactionOutcome outcome, long micros) {
     cluster.state.setTransactionOutcomes(
         txn ->
             !txn.writes().isEmpty() && cluster.random.nextInt(100) < DISTURBED_WRITE_PERCENT
-                ? fate
+                ? outcome
                 : SimulatedStateService.TransactionOutcome.ANSWERED);
     cluster.clock.after(
         micros,
--- a/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/FaultScenariosTest.java
@@ -200,7 +200,7 @@
                       at(0, LEADER_CHANGES, 40),
                       at(5, CANCEL_NOW, 0))),
               Map.entry(
-                  "24 the leader crashes while machines are unreachable or receive nothing from the next",
+                  "24 the leader crashes while machines are unreachable or receive nothing from its successor",
                   List.of(
                       at(0, MACHINES_PARTITIONED, 35),
                       at(0, INBOUND_LOST, 35),
@@ -214,7 +214,7 @@
                       at(20, LEADER_CRASHES, 0),
                       at(30, ZONE_PARTITIONED, 15))),
               Map.entry(
-                  "26 commands of a crashed leader arrive after those of the next",
+                  "26 commands of a crashed leader arrive after those of its successor",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
                       at(0, LEADER_CRASHES, 0),
@@ -222,7 +222,7 @@
                       at(6, LEADER_CRASHES, 0),
                       at(14, LEADER_CRASHES, 0))),
               Map.entry(
-                  "27 commands of a deposed leader arrive after those of the next",
+                  "27 commands of a deposed leader arrive after those of its successor",
                   List.of(
                       at(-5, LATE_COMMANDS, 60),
                       at(0, LEADER_PAUSES, 18),
--- a/src/test/java/org/eiderstair/sim/SimulatedCloud.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCloud.java
@@ -173,17 +173,17 @@
   }
 
   /** Records that a leader releases this machine as unreachable. */
-  void releasedAsUnreachable(String id) {
+  void onReleasedAsUnreachable(String id) {
     releasedAsUnreachable.add(id);
   }
 
   /** Returns how many machines leaders have released as unreachable. */
-  int releasedAsUnreachable() {
+  int releasedAsUnreachableCount() {
     return releasedAsUnreachable.size();
   }
 
   /** Returns how many machines were released as unreachable although they were alive. */
-  int releasedWhileAlive() {
+  int releasedWhileAliveCount() {
     return releasedWhileAlive;
   }
 
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -22,7 +22,7 @@
   /** Duration of a worker lease. */
   static final long LEASE_MICROS = 15_000_000;
 
-  private static final long HEARTBEAT_MICROS = 3_000_000;
+  private static final long HEARTBEAT_INTERVAL_MICROS = 3_000_000;
   private static final double STATE_REQUESTS_PER_SECOND = 200;
   private static final double STATE_WRITES_PER_SECOND = 80;
   static final int MAX_TRANSACTION_OPERATIONS = 12;
@@ -97,7 +97,8 @@
         SimulatedCloud.ZONES,
         teams,
         List.of(),
-        new Settings.WorkerTimings(HEARTBEAT_MICROS, LEASE_MICROS, RuleChecker.CANCEL_BOUND_MICROS),
+        new Settings.WorkerTimings(
+            HEARTBEAT_INTERVAL_MICROS, LEASE_MICROS, RuleChecker.CANCEL_BOUND_MICROS),
         new Settings.StateServiceLimits(
             STATE_REQUESTS_PER_SECOND, STATE_WRITES_PER_SECOND, MAX_TRANSACTION_OPERATIONS),
         CLOUD_REQUESTS_PER_SECOND,
@@ -160,7 +161,7 @@
   /** Handles a line that a controller has logged. */
   void onControllerLog(String controller, String text) {
     trace(controller + " " + text);
-    ControllerLog.machineReleasedAsUnreachable(text).ifPresent(cloud::releasedAsUnreachable);
+    ControllerLog.machineReleasedAsUnreachable(text).ifPresent(cloud::onReleasedAsUnreachable);
     logListener.accept(text);
     if (ControllerLog.isElection(text)) {
       faults.onNewLeader();
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -88,8 +88,8 @@
   // Cancellations.
 
   /**
-   * Cancels a quarter of a usual day's number of jobs, within 0.2 s, chosen at random from the
-   * running jobs. Some of their machines hang from then on, unless {@code hangMicros} is 0.
+   * Cancels random running jobs within 0.2 s, at most a quarter of the number of jobs of a normal
+   * day. Some of their machines hang from then on, unless {@code hangMicros} is 0.
    */
   void cancelRunningJobs(long hangMicros) {
     int count = cluster.size.jobs() / 4;
