--- a/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
+++ b/src/main/java/org/eiderstair/core/capacity/CloudMachineReconciler.java
@@ -111,7 +111,7 @@
       if (machine.phase() == Machine.Phase.UNCONFIRMED
           && machine.plan() != Machine.Plan.TERMINATE
           && !listedMachines.contains(machine.id())
-          && clock.nowMicros() > machine.sinceMicros() + UNLISTED_GRACE_MICROS) {
+          && clock.nowMicros() > machine.createdMicros() + UNLISTED_GRACE_MICROS) {
         scaleIn.release(machine, "no heartbeat and not in the cloud's list");
       }
     }
@@ -127,7 +127,7 @@
     } else if (known == null) {
       sink.info("machine=" + entry.id() + " found in the cloud's list, term=" + term);
       Machine found = expect(entry);
-      found.setSince(clock.nowMicros() - entry.ageMicros());
+      found.setCreatedMicros(clock.nowMicros() - entry.ageMicros());
     }
   }
 
@@ -148,6 +148,7 @@
   }
 
   private Machine expect(Reply.CloudMachine entry) {
-    return workers.expect(entry.id(), entry.address(), entry.type(), entry.zone(), entry.spot());
+    return workers.addBooting(
+        entry.id(), entry.address(), entry.type(), entry.zone(), entry.spot());
   }
 }
--- a/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobConfirmation.java
@@ -82,7 +82,7 @@
     List<PendingRequest> batch = new ArrayList<>();
     List<Request.Condition> compares = takeBatch(batch);
     requestInFlight = true;
-    nextMicros = now + settings.gatherMicros();
+    nextMicros = now + settings.batchDelayMicros();
     sink.call(
         new Request.StoreTransaction(compares, List.of()),
         reply -> {
@@ -98,7 +98,7 @@
    * @return the conditions of the transaction
    */
   private List<Request.Condition> takeBatch(List<PendingRequest> batch) {
-    int maxCompares = settings.stateLimits().transactionOps() * COMPARES_PER_WRITE;
+    int maxCompares = settings.stateServiceLimits().maxWritesPerTransaction() * COMPARES_PER_WRITE;
     Map<String, Long> versions = new LinkedHashMap<>();
     List<PendingRequest> remaining = new ArrayList<>();
     for (PendingRequest pending : waiting) {
@@ -133,7 +133,7 @@
    * conditions may be incomplete.
    */
   private void resolve(PendingRequest pending, Reply.Conflict conflict) {
-    if (conflict.failed().contains(StateKeys.job(pending.id()))) {
+    if (conflict.failedKeys().contains(StateKeys.job(pending.id()))) {
       read(pending);
     } else {
       waiting.add(pending);
--- a/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
+++ b/src/main/java/org/eiderstair/core/leadership/LeaderElection.java
@@ -67,7 +67,7 @@
         new Request.LeaseGrant(settings.tuning().leaderTtlMicros()),
         reply -> {
           if (reply instanceof Reply.LeaseGranted granted && replica.leader() == null) {
-            listener.leaseGranted(granted.lease(), nowMicros);
+            listener.leaseGranted(granted.leaseId(), nowMicros);
           } else {
             listener.notElected("no lease granted, or a leader key exists: " + reply);
           }
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -52,15 +52,15 @@
   private void serve(Machine machine, int maxPriority, long nowMicros) {
     for (Attempt attempt : new ArrayList<>(machine.queue())) {
       steps.add(1);
-      if (!attempt.job().open()) {
+      if (!attempt.job().isOpen()) {
         workers.remove(attempt);
       } else if (attempt.job().effectivePriority() > maxPriority
-          || !machine.usable(nowMicros)
+          || !machine.isUsable(nowMicros)
           || !machine.fits(attempt.spec())) {
         // Later attempts must not overtake: free resources may be accumulating for this one.
         break;
       } else if (admission.admitsOneMore(attempt.job())) {
-        workers.occupy(attempt);
+        workers.reserveResources(attempt);
       }
     }
   }
--- a/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/eiderstair/core/placement/PlacementConstraints.java
@@ -109,7 +109,7 @@
    * for on-demand work takes no job that allows spot machines.
    */
   private boolean isEligible(Machine machine) {
-    return machine.usable(nowMicros)
+    return machine.isUsable(nowMicros)
         && machine.allows(spec)
         && !(machine.isReservedForOnDemand() && spec.spotAllowed());
   }
--- a/src/main/java/org/eiderstair/http/StateServiceRoutes.java
+++ b/src/main/java/org/eiderstair/http/StateServiceRoutes.java
@@ -4,7 +4,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.protocol.StoreMessages;
 
-/** HTTP requests to the state service. */
+/** Builds HTTP requests to the state service. */
 final class StateServiceRoutes {
   private static final byte[] EMPTY_BODY = new byte[0];
   private static final long TIMEOUT_MICROS = 2_000_000;
@@ -32,7 +32,7 @@
   }
 
   OutgoingRequest watch(Request.StoreWatch watch) {
-    long timeoutMicros = watch.holdMicros() + TIMEOUT_MICROS;
+    long timeoutMicros = watch.maxWaitMicros() + TIMEOUT_MICROS;
     return get(StoreMessages.watchPath(watch), timeoutMicros, WATCH);
   }
 
@@ -50,14 +50,14 @@
   }
 
   OutgoingRequest renewLease(Request.LeaseRenew renew) {
-    return post(StoreMessages.renewPath(renew.lease()), EMPTY_BODY, LEASE_CHANGE);
+    return post(StoreMessages.renewPath(renew.leaseId()), EMPTY_BODY, LEASE_CHANGE);
   }
 
   OutgoingRequest revokeLease(Request.LeaseRevoke revoke) {
     return new OutgoingRequest(
         address,
         OutgoingRequest.DELETE,
-        StoreMessages.leasePath(revoke.lease()),
+        StoreMessages.leasePath(revoke.leaseId()),
         null,
         TIMEOUT_MICROS,
         LEASE_CHANGE);
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -197,8 +197,8 @@
    */
   Map<String, Long> checkWrittenBeforeRequest(Request request) {
     if (request instanceof Request.CloudRent rent) {
-      if (!cluster.state.lastWrittenValues().containsKey(StateKeys.rental(rent.request()))) {
-        recordViolation(Rule.UNWRITTEN, rent.request());
+      if (!cluster.state.lastWrittenValues().containsKey(StateKeys.rental(rent.requestName()))) {
+        recordViolation(Rule.UNWRITTEN, rent.requestName());
       }
     } else if (request instanceof Request.CloudDelete delete) {
       Map<String, Long> releaseTerms = releaseTerms();
--- a/src/test/java/org/eiderstair/sim/SimulatedStateService.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedStateService.java
@@ -170,11 +170,11 @@
       callback.accept(new Reply.LeaseGranted(lastLease));
     } else if (request instanceof Request.LeaseRenew renew) {
       Lease renewed =
-          leases.computeIfPresent(renew.lease(), (id, lease) -> newLease(lease.ttlMicros()));
+          leases.computeIfPresent(renew.leaseId(), (id, lease) -> newLease(lease.ttlMicros()));
       callback.accept(renewed == null ? new Reply.Refused(404) : new Reply.Applied(0));
     } else if (request instanceof Request.LeaseRevoke revoke) {
-      if (leases.containsKey(revoke.lease())) {
-        endLease(revoke.lease());
+      if (leases.containsKey(revoke.leaseId())) {
+        endLease(revoke.leaseId());
       }
       callback.accept(new Reply.Applied(0));
     }
@@ -182,8 +182,8 @@
 
   private Reply list(Request.StoreList list) {
     List<Reply.Item> page = new ArrayList<>();
-    boolean fromPrefix = list.after() == null;
-    String from = fromPrefix ? list.prefix() : list.after();
+    boolean fromPrefix = list.afterKey() == null;
+    String from = fromPrefix ? list.prefix() : list.afterKey();
     for (Reply.Item item : items.tailMap(from, fromPrefix).values()) {
       if (!item.key().startsWith(list.prefix())) {
         break;
@@ -219,7 +219,7 @@
   private Reply commit(Request.StoreTransaction txn) {
     maxWrites = Math.max(maxWrites, txn.writes().size());
     if (txn.writes().stream()
-        .anyMatch(write -> write.lease() != 0 && !leases.containsKey(write.lease()))) {
+        .anyMatch(write -> write.leaseId() != 0 && !leases.containsKey(write.leaseId()))) {
       return new Reply.Refused(400);
     }
     List<String> failed = new ArrayList<>();
@@ -252,15 +252,15 @@
     lastWrittenValues.put(write.key(), item.value());
     changeLog.add(item);
     leaseOfKey.remove(write.key());
-    if (write.lease() != 0) {
-      leaseOfKey.put(write.key(), write.lease());
+    if (write.leaseId() != 0) {
+      leaseOfKey.put(write.key(), write.leaseId());
     }
   }
 
   private void watch(String node, Request.StoreWatch watch, Consumer<Reply> callback) {
     if (!nodesWithHeldWatches.contains(node)) {
-      watches.add(new Watch(node, watch.prefix(), watch.after(), callback));
-      clock.after(watch.holdMicros(), () -> endWatch(node, callback));
+      watches.add(new Watch(node, watch.prefix(), watch.afterRevision(), callback));
+      clock.after(watch.maxWaitMicros(), () -> endWatch(node, callback));
       notifyWatches();
     }
   }
