--- a/src/test/java/org/eiderstair/sim/CompletionShares.java
+++ b/src/test/java/org/eiderstair/sim/CompletionShares.java
@@ -6,10 +6,13 @@
 import java.util.Map;
 import org.eiderstair.core.model.JobSpec;
 
-/** Which part of the submitted work is completed, by class, by team and of the largest jobs. */
+/** The completed share of the submitted tasks, by class, by team and for the largest jobs. */
 final class CompletionShares {
-  /** Jobs of at least this part of their class's largest count among its largest. */
-  private static final double LARGEST_PART = 0.75;
+  /**
+   * A job is among the largest of its class if it has at least this fraction of the largest task
+   * count.
+   */
+  private static final double LARGEST_JOB_FRACTION = 0.75;
 
   private static final class Share {
     int tasks;
@@ -28,33 +31,34 @@
   }
 
   /**
-   * The smallest share of completed tasks, over classes, teams and the largest jobs of each class,
-   * of array jobs that were submitted before a time.
+   * Returns the smallest share of completed tasks over all classes, all teams and the largest jobs
+   * of each class. Counted are array jobs that were submitted before a time, can complete and were
+   * not cancelled.
    */
-  static double min(SimulatedCluster cluster, long beforeMicros) {
-    CompletionShares all = new CompletionShares(cluster);
-    all.countJobsBefore(beforeMicros);
-    return all.shares.values().stream().mapToDouble(Share::value).min().orElse(1);
+  static double min(SimulatedCluster cluster, long submittedBeforeMicros) {
+    CompletionShares completion = new CompletionShares(cluster);
+    completion.countJobsSubmittedBefore(submittedBeforeMicros);
+    return completion.shares.values().stream().mapToDouble(Share::value).min().orElse(1);
   }
 
-  private void countJobsBefore(long beforeMicros) {
+  private void countJobsSubmittedBefore(long submittedBeforeMicros) {
     SimulatedUsers users = cluster.users;
     List<JobSpec> counted =
-        users.accepted().stream()
+        users.acceptedJobs().stream()
             .map(users::spec)
             .filter(
                 spec ->
                     spec.shape() == JobSpec.Shape.ARRAY
                         && !users.alwaysFails(spec.id())
                         && !users.cancelRequested(spec.id())
-                        && users.submittedAtMicros(spec.id()) <= beforeMicros)
+                        && users.submittedAtMicros(spec.id()) <= submittedBeforeMicros)
             .toList();
     Map<String, Integer> largest = new HashMap<>();
     counted.forEach(spec -> largest.merge(spec.jobClass(), spec.tasks(), Math::max));
     for (JobSpec spec : counted) {
       count("class " + spec.jobClass(), spec);
       count("team " + spec.team(), spec);
-      if (spec.tasks() >= largest.get(spec.jobClass()) * LARGEST_PART) {
+      if (spec.tasks() >= largest.get(spec.jobClass()) * LARGEST_JOB_FRACTION) {
         count("largest of " + spec.jobClass(), spec);
       }
     }
@@ -63,6 +67,6 @@
   private void count(String group, JobSpec spec) {
     Share share = shares.computeIfAbsent(group, name -> new Share());
     share.tasks += spec.tasks();
-    share.completed += cluster.tasks.completedOf(spec.id());
+    share.completed += cluster.tasks.completedTasksOf(spec.id());
   }
 }
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -10,20 +10,22 @@
 import net.jqwik.api.Example;
 
 /**
- * How controllers act together when some of them are blind: days with one fault each, the dearest
+ * Days with one partition, crash or pause of controllers or machines each; the most expensive ones
  * at the fleet size.
  */
 class ControllerFaultScenariosTest {
-  private static final long SECOND = 1_000_000;
-  private static final long FAULT = 80 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long FAULT_AT_MICROS = 80 * SECOND_MICROS;
 
-  /** More room than the work of the day ever asks for. */
-  private static final ClusterSize ROOMY = new ClusterSize(5, 900, 240, 900, 160, 60);
+  /** More machines than the work of the day ever needs. */
+  private static final ClusterSize AMPLE_SIZE = new ClusterSize(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
 
   /**
-   * @param fault happens while all machines are busy
+   * Runs a day with one fault and checks that no rule is violated and that the work is completed.
+   *
+   * @param fault called while all machines are busy
    */
   private SimulatedCluster play(ClusterSize size, Consumer<SimulatedCluster> fault) {
     return play(5, size, fault);
@@ -31,22 +33,23 @@
 
   private SimulatedCluster play(long seed, ClusterSize size, Consumer<SimulatedCluster> fault) {
     SimulatedCluster day = SimulatedDay.prepare(seed, size);
-    day.logs = logs::add;
-    day.clock.after(FAULT, () -> fault.accept(day));
-    day.clock.runUntil(320 * SECOND);
-    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL);
-    day.clock.runUntil(480 * SECOND);
+    day.logListener = logs::add;
+    day.clock.after(FAULT_AT_MICROS, () -> fault.accept(day));
+    day.clock.runUntil(320 * SECOND_MICROS);
+    day.recordCompletedShare(SimulatedDay.COUNTED_UNTIL_MICROS);
+    day.clock.runUntil(480 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
-    assertEquals(List.of(), day.users.unfinished());
+    assertEquals(List.of(), day.users.unfinishedJobs());
     assertTrue(day.completedShare() >= 0.5, "completed share " + day.completedShare());
     return day;
   }
 
-  private long logged(String what) {
-    return logs.stream().filter(l -> l.contains(what)).count();
+  /** Returns how many logged lines contain a text. */
+  private long countLogs(String text) {
+    return logs.stream().filter(l -> l.contains(text)).count();
   }
 
-  /** From whichever state of a leader. */
+  /** Returns how often a node gave up the leadership, from any state of a leader. */
   private long leadershipLosses() {
     return logs.stream()
         .filter(l -> l.matches("leadership (LEADING|SUSPENDED|SYNCHRONIZING) -> FOLLOWING .*"))
@@ -54,98 +57,119 @@
   }
 
   /**
-   * Found on the fleet's day of cuts: within ten seconds it released half of a healthy fleet as
-   * silent.
+   * Guards against the release of healthy machines. A leader partitioned from its workers receives
+   * no heartbeats; within ten seconds it released half of a healthy fleet as silent. It must resign
+   * instead.
    */
   @Example
-  void aLeaderCutFromItsWorkersHandsOverAndGivesBackNone() {
+  void aLeaderPartitionedFromItsWorkersResignsAndReleasesFewLiveMachines() {
     int[] machines = new int[1];
     SimulatedCluster day =
         play(
             ClusterSize.fleet(3),
-            d -> {
-              machines[0] = d.cloud.machines();
-              d.outages.cutNodeFromWorkers(d.leader(), 40 * SECOND);
+            cluster -> {
+              machines[0] = cluster.cloud.machineCount();
+              cluster.outages.partitionNodeFromWorkers(cluster.leader(), 40 * SECOND_MICROS);
             });
     assertTrue(machines[0] > 1000, "machines " + machines[0]);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
-    assertEquals(1, logged("no machine reaches this node while peers receive heartbeats of"));
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
+    assertEquals(1, countLogs("no machine reaches this node while peers receive heartbeats of"));
   }
 
+  /**
+   * A leader that is partitioned from its peers only must neither resign nor release live machines.
+   */
   @Example
-  void aLeaderCutFromItsPeersGoesOn() {
+  void aLeaderPartitionedFromItsPeersKeepsLeading() {
     SimulatedCluster day =
-        play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 40 * SECOND));
+        play(
+            ClusterSize.GROWN,
+            cluster ->
+                cluster.outages.partitionNodeFromPeers(cluster.leader(), 40 * SECOND_MICROS));
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
-    assertEquals(0, leadershipLosses(), "a leader gives way for its machines, not for its peers");
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
+    assertEquals(
+        0, leadershipLosses(), "a leader that is partitioned only from its peers keeps leading");
   }
 
+  /**
+   * A leader without heartbeats that cannot query its peers must not treat its machines as dead.
+   */
   @Example
-  void aLeaderCutFromWorkersAndPeersGivesBackNone() {
+  void aLeaderPartitionedFromWorkersAndPeersReleasesFewLiveMachines() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              int leader = d.leader();
-              d.outages.cutNodeFromWorkers(leader, 40 * SECOND);
-              d.outages.cutNodeFromPeers(leader, 40 * SECOND);
+            cluster -> {
+              int leader = cluster.leader();
+              cluster.outages.partitionNodeFromWorkers(leader, 40 * SECOND_MICROS);
+              cluster.outages.partitionNodeFromPeers(leader, 40 * SECOND_MICROS);
             });
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
-   * Rentals of a leader that the cloud does not answer are settled by the next, under their names.
+   * The cloud does not answer the rentals of a leader, and the leader crashes. Its successor must
+   * resolve the rentals under their original names.
    */
   @Example
-  void openRentalsOfALeaderCutFromTheCloudAreSettledByTheNext() {
+  void pendingRentalsOfALeaderPartitionedFromTheCloudAreResolvedByItsSuccessor() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              int leader = d.leader();
-              d.outages.cutNodeFromCloud(leader, 60 * SECOND);
-              d.clock.after(20 * SECOND, () -> d.outages.crash(leader, 3 * SECOND));
+            cluster -> {
+              int leader = cluster.leader();
+              cluster.outages.partitionNodeFromCloud(leader, 60 * SECOND_MICROS);
+              cluster.clock.after(
+                  20 * SECOND_MICROS, () -> cluster.outages.crash(leader, 3 * SECOND_MICROS));
             });
-    assertTrue(logged("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        countLogs("provisioning RECOVERING, term=") >= 2, "both leaders recover provisioning");
+    assertTrue(
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
-  /** Nobody rents where nobody sees, while there is room elsewhere. */
+  /**
+   * A partitioned zone must be distinguished from dead machines. While other zones have capacity,
+   * no machines may be rented in it.
+   */
   @Example
-  void aPartitionedZoneIsNotTakenForDeadMachines() {
+  void aPartitionedZoneIsDetectedAndNoMachinesAreRentedThere() {
     String[] zone = new String[1];
-    int[] there = new int[2];
+    int[] rented = new int[2];
     play(
-        ROOMY,
-        d -> {
-          int cut = (d.leader() + 1) % 3;
-          zone[0] = String.valueOf("abc".charAt(cut));
-          d.outages.cutZone(cut, 70 * SECOND);
-          // So that machines are asked for during the cut.
-          d.clock.after(12 * SECOND, () -> d.cloud.killMachines(60));
-          d.clock.after(9 * SECOND, () -> there[0] = d.cloud.rentedIn(zone[0]));
-          d.clock.after(69 * SECOND, () -> there[1] = d.cloud.rentedIn(zone[0]));
+        AMPLE_SIZE,
+        cluster -> {
+          int partitionedZone = (cluster.leader() + 1) % 3;
+          zone[0] = String.valueOf("abc".charAt(partitionedZone));
+          cluster.outages.partitionZone(partitionedZone, 70 * SECOND_MICROS);
+          // Machines die during the partition, so replacements are rented meanwhile.
+          cluster.clock.after(12 * SECOND_MICROS, () -> cluster.cloud.killMachines(60));
+          cluster.clock.after(
+              9 * SECOND_MICROS, () -> rented[0] = cluster.cloud.rentedInZoneCount(zone[0]));
+          cluster.clock.after(
+              69 * SECOND_MICROS, () -> rented[1] = cluster.cloud.rentedInZoneCount(zone[0]));
         });
-    assertEquals(1, logged("zone=" + zone[0] + " -> PARTITIONED"));
-    assertEquals(1, logged("zone=" + zone[0] + " -> REACHABLE"));
-    assertEquals(there[0], there[1], "no machine is rented in a partitioned zone");
+    assertEquals(1, countLogs("zone=" + zone[0] + " -> PARTITIONED"));
+    assertEquals(1, countLogs("zone=" + zone[0] + " -> REACHABLE"));
+    assertEquals(rented[0], rented[1], "no machine is rented in a partitioned zone");
   }
 
   /**
-   * How many are asked for a minute later depends on how much of the day's work is left then: of 80
-   * drawn days two or three had fewer than two thirds of the machines of before, so it is the sum
-   * of several days that tells.
+   * Half of all machines die at once and must be replaced within a minute.
+   *
+   * <p>The number of machines requested by then depends on the remaining work of the day. Of 80
+   * random days, two or three had fewer than two thirds of the machines of before. The bound of
+   * three quarters therefore applies to the sum of several days.
    */
   @Example
-  void halfOfAllMachinesDeadAtOnceAreReplaced() {
+  void machinesAreReplacedWhenHalfOfThemDieAtOnce() {
     int before = 0;
     int after = 0;
     for (long seed = 5; seed <= 8; seed++) {
@@ -154,23 +178,25 @@
           play(
               seed,
               ClusterSize.GROWN,
-              d -> {
-                machines[0] = d.cloud.machines();
-                d.cloud.killMachines(50);
-                d.clock.after(
-                    60 * SECOND,
+              cluster -> {
+                machines[0] = cluster.cloud.machineCount();
+                cluster.cloud.killMachines(50);
+                cluster.clock.after(
+                    60 * SECOND_MICROS,
                     () -> {
-                      machines[1] = d.cloud.alive();
-                      machines[2] = d.cloud.machines() - d.cloud.alive();
+                      machines[1] = cluster.cloud.aliveMachineCount();
+                      machines[2] =
+                          cluster.cloud.machineCount() - cluster.cloud.aliveMachineCount();
                     });
               });
-      String what = "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
-      assertTrue(machines[1] > machines[0] / 2, what);
-      // None that died is paid for any more.
-      assertEquals(0, machines[2], "machines that died a minute ago are returned");
+      String message =
+          "seed " + seed + ": alive a minute later " + machines[1] + " of " + machines[0];
+      assertTrue(machines[1] > machines[0] / 2, message);
+      // No dead machine is still rented.
+      assertEquals(0, machines[2], "machines that died a minute ago are released");
       assertTrue(
-          day.cloud.returnedAlive() < machines[0] / 50,
-          "machines returned while alive: " + day.cloud.returnedAlive());
+          day.cloud.releasedWhileAliveCount() < machines[0] / 50,
+          "machines released while alive: " + day.cloud.releasedWhileAliveCount());
       before += machines[0];
       after += machines[1];
     }
@@ -178,149 +204,170 @@
   }
 
   /**
-   * The cloud's lists are old: 542 machines released by one leader were found and released again by
-   * the next.
+   * Guards against a second release of the same machines. The list of the cloud is several seconds
+   * old; a new leader found 542 machines in it that its predecessor had released, and released them
+   * again.
    */
   @Example
-  void aNewLeaderDoesNotReturnMachinesASecondTime() {
-    int[] given = new int[1];
+  void aNewLeaderDoesNotReleaseMachinesASecondTime() {
+    int[] released = new int[1];
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              d.cloud.killMachines(30);
-              d.clock.after(
-                  14 * SECOND,
+            cluster -> {
+              cluster.cloud.killMachines(30);
+              cluster.clock.after(
+                  14 * SECOND_MICROS,
                   () -> {
-                    given[0] = (int) logged(": unreachable: ");
-                    // Back at once, so that the next leader's first list is of the time before.
-                    d.outages.crash(d.leader(), SECOND / 3);
+                    released[0] = (int) countLogs(": unreachable: ");
+                    // A fast restart: the next leader's first list is older than the releases.
+                    cluster.outages.crash(cluster.leader(), SECOND_MICROS / 3);
                   });
             });
     assertTrue(
-        day.cloud.returnedAsUnreachable() >= given[0],
-        "machines known to be returned as unreachable: " + day.cloud.returnedAsUnreachable());
-    assertTrue(given[0] > 20, "given back " + given[0]);
-    List<String> returned =
+        day.cloud.releasedAsUnreachableCount() >= released[0],
+        "machines recognized as released as unreachable: "
+            + day.cloud.releasedAsUnreachableCount());
+    assertTrue(released[0] > 20, "machines released as unreachable: " + released[0]);
+    List<String> releasedMachines =
         logs.stream()
             .filter(l -> l.startsWith("scaling in machine="))
             .map(l -> l.split("[=:]")[1])
             .toList();
-    assertEquals(0, logged("found in the cloud's list"));
-    assertEquals(new HashSet<>(returned).size(), returned.size(), "some were given back twice");
+    assertEquals(0, countLogs("found in the cloud's list"));
+    assertEquals(
+        new HashSet<>(releasedMachines).size(),
+        releasedMachines.size(),
+        "some were released twice");
   }
 
+  /**
+   * All controllers crash at once and restart within a second. The new leader must not release live
+   * machines.
+   */
   @Example
   void allControllersRestartedWithinASecondLoseNothing() {
     SimulatedCluster day =
         play(
             ClusterSize.fleet(5),
-            d -> {
+            cluster -> {
               for (int i = 0; i < 5; i++) {
-                d.outages.crash(i, 300_000 + i * 150_000);
+                cluster.outages.crash(i, 300_000 + i * 150_000);
               }
             });
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
-   * It is paused after the acknowledgement, another leads meanwhile, and then it sends what it had
-   * decided.
+   * The leader pauses between a decision and its effects. Its standby takes over before the lease
+   * of the leader ends. The effects of the old leader arrive after that and must violate no rule.
    */
   @Example
-  void aPausedLeaderIsReplacedByItsStandbyAndDoesNoHarm() {
+  void aPausedLeaderIsReplacedByItsStandbyAndBreaksNoRule() {
     long[] takeovers = new long[2];
     long[] recoveries = new long[2];
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              takeovers[0] = logged("takeover of term=");
-              recoveries[0] = logged("standby recovery -> COMPLETE");
-              d.outages.pause(d.leader(), 8 * SECOND);
-              d.clock.after(
-                  4 * SECOND,
+            cluster -> {
+              takeovers[0] = countLogs("takeover of term=");
+              recoveries[0] = countLogs("standby recovery -> COMPLETE");
+              cluster.outages.pause(cluster.leader(), 8 * SECOND_MICROS);
+              cluster.clock.after(
+                  4 * SECOND_MICROS,
                   () -> {
-                    takeovers[1] = logged("takeover of term=");
-                    recoveries[1] = logged("standby recovery -> COMPLETE");
+                    takeovers[1] = countLogs("takeover of term=");
+                    recoveries[1] = countLogs("standby recovery -> COMPLETE");
                   });
             });
-    // Before its lease could be over.
+    // The takeover happens before the lease of the leader can end.
     assertEquals(1, takeovers[1] - takeovers[0]);
     assertEquals(1, recoveries[1] - recoveries[0]);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
-   * Batches and acknowledgements held by a cut arrive after the election; the leader goes on,
-   * without its standby.
+   * The leader is partitioned from its peers, and so from its standby. It must remove the standby
+   * and keep leading; batches and acknowledgements held by the partition arrive only after it
+   * heals.
    */
   @Example
-  void aCutBetweenLeaderAndStandbyCostsALeaderNothing() {
-    play(ClusterSize.GROWN, d -> d.outages.cutNodeFromPeers(d.leader(), 6 * SECOND));
-    assertTrue(logged("IN_SYNC -> REMOVING") > 0);
+  void aPartitionBetweenLeaderAndStandbyDoesNotEndTheLeadership() {
+    play(
+        ClusterSize.GROWN,
+        cluster -> cluster.outages.partitionNodeFromPeers(cluster.leader(), 6 * SECOND_MICROS));
+    assertTrue(countLogs("IN_SYNC -> REMOVING") > 0);
     assertEquals(0, leadershipLosses());
   }
 
+  /** The leader crashes three times within ten seconds. No leader may release live machines. */
   @Example
   void threeFailoversInTenSecondsLoseNothing() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
+            cluster -> {
               for (int i = 0; i < 3; i++) {
-                d.clock.after(i * 3_300_000L, () -> d.outages.crash(d.leader(), SECOND));
+                cluster.clock.after(
+                    i * 3_300_000L, () -> cluster.outages.crash(cluster.leader(), SECOND_MICROS));
               }
             });
-    assertTrue(logged("standby recovery -> ELECTED") >= 4);
+    assertTrue(countLogs("standby recovery -> ELECTED") >= 4);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
-  /** Nobody can take over or be elected then; and nobody launches. */
+  /**
+   * The leader crashes as an outage of the state service starts. Nobody can take over, be elected
+   * or launch tasks until the outage ends.
+   */
   @Example
   void aStateServiceOutageDuringAFailoverLosesNothing() {
     SimulatedCluster day =
         play(
             ClusterSize.GROWN,
-            d -> {
-              d.outages.crash(d.leader(), 3 * SECOND);
-              d.outages.stateService(12 * SECOND);
+            cluster -> {
+              cluster.outages.crash(cluster.leader(), 3 * SECOND_MICROS);
+              cluster.outages.stateServiceOutage(12 * SECOND_MICROS);
             });
-    assertTrue(logged("standby recovery -> ELECTED") >= 2);
+    assertTrue(countLogs("standby recovery -> ELECTED") >= 2);
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
   }
 
   /**
-   * A part of a day with 4,000 machines: all have come up when the leader ends, and its successor
-   * goes on. Whole days by hand: {@code WholeDayTest} with {@code -Dsim.full}.
+   * A part of a day with 4,000 machines: the leader crashes when all machines are up, and its
+   * successor must continue. Whole days of this size run by hand: {@code WholeDayTest} with {@code
+   * -Dsim.full}.
    */
   @Example
   void aFailoverAtTheFullSizeKeepsEveryRule() {
     ClusterSize size = ClusterSize.full(5);
     SimulatedCluster day = SimulatedDay.prepare(1, size);
-    day.logs = logs::add;
-    day.clock.after(3 * SECOND, () -> day.faults.begin(FaultInjector.Kind.OVERLOAD, 100 * SECOND));
-    day.clock.runUntil(41 * SECOND);
-    assertEquals(size.machines(), day.cloud.machines(), "all machines have come up");
+    day.logListener = logs::add;
+    day.clock.after(
+        3 * SECOND_MICROS,
+        () -> day.faults.start(FaultInjector.Kind.OVERLOAD, 100 * SECOND_MICROS));
+    day.clock.runUntil(41 * SECOND_MICROS);
+    assertEquals(size.machines(), day.cloud.machineCount(), "all machines have come up");
     int leader = day.leader();
-    int started = day.tasks.starts();
-    day.outages.crash(leader, 3 * SECOND);
-    day.clock.runUntil(53 * SECOND);
+    int started = day.tasks.startCount();
+    day.outages.crash(leader, 3 * SECOND_MICROS);
+    day.clock.runUntil(53 * SECOND_MICROS);
     assertEquals(List.of(), day.rules.violations());
     assertTrue(day.leader() != leader, "another controller leads");
-    assertEquals(2, logged("standby recovery -> ELECTED"), "terms that began by an election");
+    assertEquals(
+        2, countLogs("standby recovery -> ELECTED"), "terms that started with an election");
     assertTrue(
-        day.cloud.returnedAlive() < 20,
-        "machines returned while alive: " + day.cloud.returnedAlive());
-    int startedSince = day.tasks.starts() - started;
+        day.cloud.releasedWhileAliveCount() < 20,
+        "machines released while alive: " + day.cloud.releasedWhileAliveCount());
+    int startedSince = day.tasks.startCount() - started;
     assertTrue(startedSince > 4_000, "tasks started since the failover: " + startedSince);
   }
 }
--- a/src/test/java/org/eiderstair/sim/EffectDigestTest.java
+++ b/src/test/java/org/eiderstair/sim/EffectDigestTest.java
@@ -6,24 +6,25 @@
 import net.jqwik.api.Example;
 
 /**
- * The same day gives the same effects. {@code mvn -B test -Dtest=EffectDigestTest -Ddigest.days=8}
- * prints the digests of so many days, to be compared before and after a change that only moves or
- * renames.
+ * The same seed gives the same effects. {@code mvn -B test -Dtest=EffectDigestTest -Ddigest.days=8}
+ * prints the digests of that many days, for comparison before and after a change that only moves or
+ * renames code.
  */
 class EffectDigestTest {
   private static final int DAYS = Integer.getInteger("digest.days", 0);
 
   @Example
-  void aDayGivesTheSameEffectsAgain() {
-    String digest = SimulatedDay.playSmall(3).effects.toString();
-    assertEquals(digest, SimulatedDay.playSmall(3).effects.toString());
-    assertNotEquals(digest, SimulatedDay.playSmall(4).effects.toString());
+  void sameSeedGivesTheSameEffects() {
+    String digest = SimulatedDay.playSmall(3).effectDigest.toString();
+    assertEquals(digest, SimulatedDay.playSmall(3).effectDigest.toString());
+    assertNotEquals(digest, SimulatedDay.playSmall(4).effectDigest.toString());
   }
 
   @Example
-  void digestsOfSomeDays() {
+  void printDigests() {
     for (long seed = 1; seed <= DAYS; seed++) {
-      System.out.println("digest of day " + seed + ": " + SimulatedDay.playSmall(seed).effects);
+      System.out.println(
+          "digest of day " + seed + ": " + SimulatedDay.playSmall(seed).effectDigest);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/FaultInjector.java
+++ b/src/test/java/org/eiderstair/sim/FaultInjector.java
@@ -5,55 +5,91 @@
 import java.util.function.Consumer;
 import org.eiderstair.core.model.Heartbeat;
 
-/** The faults of docs/fault-scenarios.md, each for a while, so that they can be drawn together. */
+/** The faults of docs/fault-scenarios.md; each lasts for a while, so that several can overlap. */
 final class FaultInjector {
-  private static final long SECOND = 1_000_000;
-  private static final long MIN_LATE_COMMAND_MICROS = 2 * SECOND;
-  private static final int LATE_COMMAND_SPREAD_MICROS = 14_000_000;
-  private static final int LATE_WRITE_PERCENT = 30;
-  private static final int LEADER_CHANGES = 5;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long MIN_COMMAND_DELAY_MICROS = 2 * SECOND_MICROS;
+  private static final int COMMAND_DELAY_JITTER_MICROS = 14_000_000;
+  private static final int DISTURBED_WRITE_PERCENT = 30;
+  private static final int LEADER_CHANGE_COUNT = 5;
 
-  /** One fault; it lasts for a while. Tests draw them by their position: new ones come last. */
+  /**
+   * The kinds of faults. Random tests select them by ordinal, so a new kind is appended at the end.
+   */
   enum Kind {
+    /** Some transactions with writes are committed seconds later and not answered. */
     LATE_WRITES,
+    /** Some transactions with writes are committed, but their answers are lost. */
     LOST_ANSWERS,
+    /** Copies of some heartbeats arrive a second time, seconds later. */
     LATE_HEARTBEATS,
+    /**
+     * Copies of some heartbeats are held until the next election and then reach every controller.
+     */
     HEARTBEATS_KEPT_FOR_NEXT_LEADER,
+    /** Some machines receive nothing, while their heartbeats arrive. */
     INBOUND_LOST,
+    /** The heartbeats of some machines are lost, while commands arrive. */
     OUTBOUND_LOST,
-    LEADER_CUT_FROM_STATE_AND_PEERS,
+    /** The leader is partitioned from the state service and from the other controllers. */
+    LEADER_PARTITIONED_FROM_STATE_AND_PEERS,
+    /** Users cancel many running jobs at once. */
     CANCEL_NOW,
+    /** Users cancel many running jobs at once, and some machines of these jobs hang. */
     CANCEL_NOW_WITH_HANG,
+    /** Users cancel half of the jobs just as their last task completes. */
     CANCEL_ON_COMPLETION,
+    /** Users repeat requests, send malformed ones and submit jobs that can never run. */
     INVALID_REQUESTS,
+    /** Users poll all controllers as soon as one of them has answered. */
     IMMEDIATE_POLLS,
+    /** The leader pauses between a decision and its effects. */
     LEADER_PAUSES,
+    /** Some machines die, and new ones boot within two seconds. */
     QUICK_BOOTS,
+    /** The state service refuses the leader and serves all other controllers. */
     LEADER_REFUSED_ALONE,
+    /** The state service refuses everyone. */
     STATE_OUTAGE,
-    LEADER_ENDS,
-    ALL_END,
+    /** The leader crashes and restarts after three seconds. */
+    LEADER_CRASHES,
+    /** All controllers crash and restart at different times. */
+    ALL_CRASH,
+    /** The leader crashes five times. */
     LEADER_CHANGES,
-    ZONE_CUT,
-    MACHINES_CUT,
+    /** One zone is partitioned from everything outside it. */
+    ZONE_PARTITIONED,
+    /** Some machines are partitioned from all controllers. */
+    MACHINES_PARTITIONED,
+    /** Some machines hang. */
     MACHINES_HANG,
+    /** About 30% of all machines die. */
     MACHINES_DIE,
+    /** The state service does not answer new watches of the leader. */
     WATCH_HANGS,
+    /** Users submit four jobs with one task per second and cancel a quarter of them. */
     ONE_TASK_JOBS,
+    /** Users submit jobs whose first task completes long before the others. */
     UNEVEN_JOBS,
+    /** Users submit twice the work that all teams may run at a time. */
     OVERLOAD,
+    /** Each request takes the state service up to a second longer. */
     SLOW_STATE,
+    /** The heartbeats of all machines are lost, while commands arrive. */
     ALL_OUTBOUND_LOST,
+    /** All controllers are down for longer than a worker lease. */
     ALL_DOWN_FOR_A_LEASE,
+    /** Some commands and status requests reach workers seconds later and are not answered. */
     LATE_COMMANDS,
+    /** The cloud refuses all requests. */
     CLOUD_OUTAGE
   }
 
-  /** The class of jobs whose first task completes soon and whose others take long. */
-  static final String UNEVEN = "far apart";
+  /** The job class of jobs whose first task completes soon and whose other tasks take long. */
+  static final String UNEVEN_JOB_CLASS = "far apart";
 
   private final SimulatedCluster cluster;
-  private final HeartbeatCopies heartbeatCopies;
+  private final DuplicateHeartbeats duplicateHeartbeats;
   private final UserLoad userLoad;
   private boolean quickBoots;
   private boolean slowState;
@@ -61,42 +97,46 @@
 
   FaultInjector(SimulatedCluster cluster) {
     this.cluster = cluster;
-    this.heartbeatCopies = new HeartbeatCopies(cluster);
+    this.duplicateHeartbeats = new DuplicateHeartbeats(cluster);
     this.userLoad = new UserLoad(cluster);
   }
 
-  /** Begins one, for about that long. */
-  void begin(Kind kind, long micros) {
+  /** Starts a fault that lasts for about that long. */
+  void start(Kind kind, long micros) {
     Outages outages = cluster.outages;
     long end = cluster.clock.now() + micros;
-    cluster.note("fault " + kind + " for " + micros / SECOND + " s, leader n" + cluster.leader());
+    cluster.trace(
+        "fault " + kind + " for " + micros / SECOND_MICROS + " s, leader n" + cluster.leader());
     int leader = cluster.leader();
     switch (kind) {
-      case LATE_WRITES -> delayWrites(SimulatedStateService.Fate.LATE, micros);
-      case LOST_ANSWERS -> delayWrites(SimulatedStateService.Fate.ANSWER_LOST, micros);
-      case LATE_HEARTBEATS -> heartbeatCopies.arriveLate(micros);
-      case HEARTBEATS_KEPT_FOR_NEXT_LEADER -> heartbeatCopies.keepForNextLeader(micros);
-      case INBOUND_LOST -> toSomeMachines(worker -> worker.loseInbound(micros));
-      case OUTBOUND_LOST -> toSomeMachines(worker -> worker.loseOutbound(micros));
-      case LEADER_CUT_FROM_STATE_AND_PEERS -> {
-        outages.cutNodeFromStateService(leader, micros);
-        outages.cutNodeFromPeers(leader, micros);
+      case LATE_WRITES -> disturbWrites(SimulatedStateService.TransactionOutcome.LATE, micros);
+      case LOST_ANSWERS ->
+          disturbWrites(SimulatedStateService.TransactionOutcome.ANSWER_LOST, micros);
+      case LATE_HEARTBEATS -> duplicateHeartbeats.deliverLate(micros);
+      case HEARTBEATS_KEPT_FOR_NEXT_LEADER -> duplicateHeartbeats.keepForNextLeader(micros);
+      case INBOUND_LOST -> applyToSomeMachines(worker -> worker.loseInbound(micros));
+      case OUTBOUND_LOST -> applyToSomeMachines(worker -> worker.loseOutbound(micros));
+      case LEADER_PARTITIONED_FROM_STATE_AND_PEERS -> {
+        outages.partitionNodeFromStateService(leader, micros);
+        outages.partitionNodeFromPeers(leader, micros);
       }
       case CANCEL_NOW -> userLoad.cancelRunningJobs(0);
-      case CANCEL_NOW_WITH_HANG -> userLoad.cancelRunningJobs(micros + 20 * SECOND);
+      case CANCEL_NOW_WITH_HANG -> userLoad.cancelRunningJobs(micros + 20 * SECOND_MICROS);
       case CANCEL_ON_COMPLETION -> userLoad.cancelOnCompletion(micros);
       case INVALID_REQUESTS -> userLoad.sendInvalidRequests(end);
       case IMMEDIATE_POLLS -> userLoad.pollImmediately(micros);
-      case LEADER_PAUSES -> outages.pause(leader, 2 * SECOND + micros / 3);
+      case LEADER_PAUSES -> outages.pause(leader, 2 * SECOND_MICROS + micros / 3);
       case QUICK_BOOTS -> bootQuickly(micros);
       case LEADER_REFUSED_ALONE -> outages.stateServiceRefuses(leader, micros);
-      case STATE_OUTAGE -> outages.stateService(micros);
-      case LEADER_ENDS -> outages.crash(leader, 3 * SECOND);
-      case ALL_END -> crashAll(SECOND / 3, 20_000_000);
+      case STATE_OUTAGE -> outages.stateServiceOutage(micros);
+      case LEADER_CRASHES -> outages.crash(leader, 3 * SECOND_MICROS);
+      case ALL_CRASH -> crashAll(SECOND_MICROS / 3, 20_000_000);
       case LEADER_CHANGES -> changeLeaders(micros);
-      case ZONE_CUT -> outages.cutZone(cluster.random.nextInt(3), micros + 10 * SECOND);
-      case MACHINES_CUT -> toSomeMachines(worker -> outages.cutWorker(worker, micros));
-      case MACHINES_HANG -> toSomeMachines(worker -> worker.hang(micros));
+      case ZONE_PARTITIONED ->
+          outages.partitionZone(cluster.random.nextInt(3), micros + 10 * SECOND_MICROS);
+      case MACHINES_PARTITIONED ->
+          applyToSomeMachines(worker -> outages.partitionWorker(worker, micros));
+      case MACHINES_HANG -> applyToSomeMachines(worker -> worker.hang(micros));
       case MACHINES_DIE -> cluster.cloud.killMachines(30);
       case WATCH_HANGS -> outages.watchHangs(leader, micros);
       case ONE_TASK_JOBS -> userLoad.submitOneTaskJobs(end);
@@ -107,18 +147,23 @@
           cluster.cloud.workers().forEach(worker -> worker.loseOutbound(micros));
       case CLOUD_OUTAGE -> cluster.cloud.outage(micros);
       case LATE_COMMANDS -> delayCommands(micros);
-      case ALL_DOWN_FOR_A_LEASE -> crashAll(SimulatedCluster.LEASE_MICROS + 5 * SECOND, 2_000_000);
+      case ALL_DOWN_FOR_A_LEASE ->
+          crashAll(SimulatedCluster.LEASE_MICROS + 5 * SECOND_MICROS, 2_000_000);
     }
   }
 
-  private void delayWrites(SimulatedStateService.Fate fate, long micros) {
-    cluster.state.decideFates(
+  /** Applies an outcome to a part of the transactions with writes. */
+  private void disturbWrites(SimulatedStateService.TransactionOutcome outcome, long micros) {
+    cluster.state.setTransactionOutcomes(
         txn ->
-            !txn.writes().isEmpty() && cluster.random.nextInt(100) < LATE_WRITE_PERCENT
-                ? fate
-                : SimulatedStateService.Fate.ANSWERED);
+            !txn.writes().isEmpty() && cluster.random.nextInt(100) < DISTURBED_WRITE_PERCENT
+                ? outcome
+                : SimulatedStateService.TransactionOutcome.ANSWERED);
     cluster.clock.after(
-        micros, () -> cluster.state.decideFates(txn -> SimulatedStateService.Fate.ANSWERED));
+        micros,
+        () ->
+            cluster.state.setTransactionOutcomes(
+                txn -> SimulatedStateService.TransactionOutcome.ANSWERED));
   }
 
   private void slowDownState(long micros) {
@@ -126,7 +171,7 @@
     cluster.clock.after(micros, () -> slowState = false);
   }
 
-  /** Some machines die with it, so that there is something to boot. */
+  /** Shortens boot times; about 30% of the machines die at once, so that new ones must boot. */
   private void bootQuickly(long micros) {
     quickBoots = true;
     cluster.cloud.killMachines(30);
@@ -138,59 +183,65 @@
     cluster.clock.after(micros, () -> lateCommandsPercent = 0);
   }
 
-  private void crashAll(long minMicros, int spreadMicros) {
+  /**
+   * Crashes all controllers; each restarts after {@code minMicros} plus a random part of {@code
+   * jitterMicros}.
+   */
+  private void crashAll(long minMicros, int jitterMicros) {
     for (int node = 0; node < cluster.size.nodes(); node++) {
-      cluster.outages.crash(node, minMicros + cluster.random.nextInt(spreadMicros));
+      cluster.outages.crash(node, minMicros + cluster.random.nextInt(jitterMicros));
     }
   }
 
   private void changeLeaders(long micros) {
-    for (int i = 0; i < LEADER_CHANGES; i++) {
+    for (int i = 0; i < LEADER_CHANGE_COUNT; i++) {
       cluster.clock.after(
-          i * micros / LEADER_CHANGES, () -> cluster.outages.crash(cluster.leader(), SECOND));
+          i * micros / LEADER_CHANGE_COUNT,
+          () -> cluster.outages.crash(cluster.leader(), SECOND_MICROS));
     }
   }
 
-  /** A tenth of the machines and two more. */
-  private void toSomeMachines(Consumer<SimulatedWorker> fault) {
+  /** Applies a fault to random machines, at most a tenth of the fleet plus two. */
+  private void applyToSomeMachines(Consumer<SimulatedWorker> fault) {
     int count = cluster.size.machines() / 10 + 2;
     List<SimulatedWorker> some = new ArrayList<>();
-    for (int i = 0; i < count && cluster.cloud.anyWorker() != null; i++) {
-      some.add(cluster.cloud.anyWorker());
+    for (int i = 0; i < count && cluster.cloud.randomWorker() != null; i++) {
+      some.add(cluster.cloud.randomWorker());
     }
     some.forEach(fault);
   }
 
-  // What the parts of the deployment ask.
+  // Callbacks and queries of the other parts of the deployment.
 
-  void jobCompleted(String job) {
-    userLoad.jobCompleted(job);
+  void onJobCompleted(String job) {
+    userLoad.onJobCompleted(job);
   }
 
   /** A user was answered that a job is accepted, done or cancelled. */
-  void userAnswered(String job) {
-    userLoad.userAnswered(job);
+  void onUserAnswered(String job) {
+    userLoad.onUserAnswered(job);
   }
 
-  /** A worker's heartbeat has left. */
-  void heartbeatSent(String worker, int node, Heartbeat heartbeat) {
-    heartbeatCopies.heartbeatSent(worker, node, heartbeat);
+  /** A worker has sent a heartbeat. */
+  void onHeartbeatSent(String worker, int node, Heartbeat heartbeat) {
+    duplicateHeartbeats.onHeartbeatSent(worker, node, heartbeat);
   }
 
-  /** How many heartbeats were kept for a new leader, and sent to it. */
+  /** Returns how many held heartbeats were delivered after an election. */
   int heartbeatsDeliveredToNewLeaders() {
-    return heartbeatCopies.deliveredToNewLeaders();
+    return duplicateHeartbeats.deliveredToNewLeaders();
   }
 
-  void newLeader() {
-    heartbeatCopies.newLeader();
+  void onNewLeader() {
+    duplicateHeartbeats.onNewLeader();
   }
 
-  /** How long the state service thinks beside its usual time. */
+  /** Returns how much longer than usual the state service takes for the next request. */
   long stateServiceDelayMicros() {
     return slowState ? 100_000 + cluster.random.nextInt(900_000) : 0;
   }
 
+  /** Returns how long the next machine takes to boot. */
   long bootMicros() {
     return quickBoots
         ? 200_000 + cluster.random.nextInt(1_800_000)
@@ -198,12 +249,16 @@
   }
 
   /**
-   * How long a direct command or question that leaves now is held on its way; 0 for one that is
-   * not. One that is held stays unanswered, and is executed once if its fencing token and
-   * incarnation still match then.
+   * Returns how long a command or status request that is sent now is delayed; 0 for one that is
+   * not.
+   *
+   * <p>A delayed request is not answered. It is executed once if its fencing token and incarnation
+   * are still valid on arrival.
    */
   long commandDelayMicros() {
     boolean held = lateCommandsPercent > 0 && cluster.random.nextInt(100) < lateCommandsPercent;
-    return held ? MIN_LATE_COMMAND_MICROS + cluster.random.nextInt(LATE_COMMAND_SPREAD_MICROS) : 0;
+    return held
+        ? MIN_COMMAND_DELAY_MICROS + cluster.random.nextInt(COMMAND_DELAY_JITTER_MICROS)
+        : 0;
   }
 }
--- a/src/test/java/org/eiderstair/sim/RequestTransport.java
+++ b/src/test/java/org/eiderstair/sim/RequestTransport.java
@@ -9,7 +9,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.core.message.Request;
 
-/** Carries controllers' requests over the network to whom they are for, and the replies back. */
+/** Sends the requests of controllers over the network to their receivers, and the replies back. */
 final class RequestTransport {
   static final String STATE_SERVICE = "state";
   static final String CLOUD = "cloud";
@@ -22,7 +22,7 @@
     this.cluster = cluster;
   }
 
-  /** When the sender gives a request up. */
+  /** Returns the time after which the sender gives up on a request. */
   static long timeoutMicros(Request request) {
     if (request instanceof Request.StoreWatch watch) {
       return watch.maxWaitMicros() + TIMEOUT_MICROS;
@@ -32,20 +32,21 @@
         : TIMEOUT_MICROS;
   }
 
-  void carry(SimulatedController from, Request request, Consumer<Reply> callback) {
+  /** Sends a request; {@code callback} is not called if the request or its reply is lost. */
+  void send(SimulatedController from, Request request, Consumer<Reply> callback) {
     if (request instanceof Request.WorkerCommands commands) {
-      toWorker(from, commands.address(), request, callback);
+      sendToWorker(from, commands.address(), request, callback);
     } else if (request instanceof Request.WorkerStatus status) {
-      toWorker(from, status.address(), request, callback);
+      sendToWorker(from, status.address(), request, callback);
     } else if (request instanceof Request.PeerRelayHeartbeat relay) {
-      toPeer(
+      sendToPeer(
           from,
           relay.peer(),
           exchange -> new Event.HeartbeatReceived(exchange, relay.heartbeat(), true),
           Reply.Relayed::new,
           callback);
     } else if (request instanceof Request.PeerMembership membership) {
-      toPeer(
+      sendToPeer(
           from,
           membership.peer(),
           exchange ->
@@ -54,25 +55,25 @@
           answer -> new Reply.PeerMembership(((Answer.ReachableWorkers) answer).digest()),
           callback);
     } else if (request instanceof Request.PeerReplicate replicate) {
-      toPeer(
+      sendToPeer(
           from,
           replicate.peer(),
           exchange -> new Event.ReplicationReceived(exchange, replicate.batch()),
           answer -> new Reply.ReplicationAck(((Answer.ReplicationAck) answer).ack()),
           callback);
     } else if (request instanceof Request.PeerCancellations cancellations) {
-      cancellations(from, cancellations, callback);
+      sendCancellations(from, cancellations, callback);
     } else if (request instanceof Request.PeerStateServiceStatus status) {
-      toPeer(
+      sendToPeer(
           from,
           status.peer(),
           Event.StateServiceStatusRequested::new,
-          RequestTransport::stateServiceStatus,
+          RequestTransport::toStateServiceStatus,
           callback);
     } else if (isForCloud(request)) {
-      toCloud(from, request, callback);
+      sendToCloud(from, request, callback);
     } else {
-      toStateService(from, request, callback);
+      sendToStateService(from, request, callback);
     }
   }
 
@@ -83,23 +84,23 @@
         || request instanceof Request.CloudCatalog;
   }
 
-  private static Reply stateServiceStatus(Answer answer) {
+  private static Reply toStateServiceStatus(Answer answer) {
     Answer.StateServiceStatus status = (Answer.StateServiceStatus) answer;
     return new Reply.PeerStateServiceStatus(status.served(), status.leader(), status.term());
   }
 
-  /** One that is held on its way stays unanswered. */
-  private void toWorker(
+  /** Sends a command or status request to a worker; a delayed request is not answered. */
+  private void sendToWorker(
       SimulatedController from, String worker, Request request, Consumer<Reply> callback) {
     long delayMicros = cluster.faults.commandDelayMicros();
-    Consumer<Reply> answered =
+    Consumer<Reply> onReply =
         delayMicros > 0
             ? unanswered -> {}
             : reply -> cluster.network.send(worker, from.name(), () -> callback.accept(reply));
     cluster.network.send(
         from.name(),
         worker,
-        () -> cluster.clock.after(delayMicros, () -> deliver(worker, request, answered)));
+        () -> cluster.clock.after(delayMicros, () -> deliver(worker, request, onReply)));
   }
 
   private void deliver(String worker, Request request, Consumer<Reply> callback) {
@@ -109,7 +110,7 @@
     }
   }
 
-  private void toPeer(
+  private void sendToPeer(
       SimulatedController from,
       String peer,
       LongFunction<Event> event,
@@ -121,20 +122,20 @@
         () ->
             cluster
                 .controller(peer)
-                .ask(
+                .receive(
                     event,
                     answer ->
                         cluster.network.send(
                             peer, from.name(), () -> callback.accept(toReply.apply(answer)))));
   }
 
-  private void cancellations(
+  private void sendCancellations(
       SimulatedController from, Request.PeerCancellations request, Consumer<Reply> callback) {
-    if (cluster.planted.peerCancellationsLost) {
-      cluster.note("lost: " + request);
+    if (cluster.defects.peerCancellationsLost) {
+      cluster.trace("lost: " + request);
       return;
     }
-    toPeer(
+    sendToPeer(
         from,
         request.peer(),
         exchange -> new Event.CancellationsReceived(exchange, request.cancellations()),
@@ -142,19 +143,20 @@
         callback);
   }
 
-  private void toCloud(SimulatedController from, Request request, Consumer<Reply> callback) {
-    Map<String, Long> returnTerms = cluster.rules.checkWrittenFirst(request);
+  private void sendToCloud(SimulatedController from, Request request, Consumer<Reply> callback) {
+    Map<String, Long> releaseTerms = cluster.rules.checkWrittenBeforeRequest(request);
     cluster.network.send(
         from.name(),
         CLOUD,
         () ->
             cluster.cloud.serve(
                 request,
-                returnTerms,
+                releaseTerms,
                 reply -> cluster.network.send(CLOUD, from.name(), () -> callback.accept(reply))));
   }
 
-  private void toStateService(SimulatedController from, Request request, Consumer<Reply> callback) {
+  private void sendToStateService(
+      SimulatedController from, Request request, Consumer<Reply> callback) {
     cluster.network.send(
         from.name(),
         STATE_SERVICE,
--- a/src/test/java/org/eiderstair/sim/RuleChecker.java
+++ b/src/test/java/org/eiderstair/sim/RuleChecker.java
@@ -12,15 +12,17 @@
 import org.eiderstair.core.record.StateKeys;
 import org.eiderstair.core.record.StoredValue;
 
-/** The rules that hold at every moment, each checked where it would be broken. */
+/** Checks the safety rules at every event that could violate them. */
 final class RuleChecker {
-  /** How long after its confirmation a cancelled job's tasks may still run. */
+  /** How long the tasks of a cancelled job may still run after the confirmation. */
   static final long CANCEL_BOUND_MICROS = 32_000_000;
 
-  /** Sums of processors may be off by so much, by rounding. */
-  static final double ROUNDING = 1e-6;
+  /** Maximum rounding error of a sum of processors. */
+  static final double MAX_ROUNDING_ERROR_CPUS = 1e-6;
+
+  /** Interval between two checks that the tasks of cancelled jobs have stopped. */
+  private static final long CANCELLED_CHECK_INTERVAL_MICROS = 1_000_000;
 
-  private static final long SWEEP_MICROS = 1_000_000;
   private static final int MAX_VIOLATIONS = 20;
 
   private final SimulatedCluster cluster;
@@ -38,41 +40,44 @@
     checkCancelledHaveStopped();
   }
 
-  /** The first of what was broken. */
+  /** Returns the first violations, at most {@code MAX_VIOLATIONS}. */
   List<Violation> violations() {
     return violations;
   }
 
-  void broken(Rule rule, String detail) {
-    cluster.note("BROKEN " + rule + ": " + detail);
+  /** Records and traces a violation. */
+  void recordViolation(Rule rule, String detail) {
+    cluster.trace("BROKEN " + rule + ": " + detail);
     if (violations.size() < MAX_VIOLATIONS) {
       violations.add(new Violation(rule, cluster.clock.now(), detail));
     }
   }
 
-  /** Checks quotas against another limit than the controllers know: planted by tests. */
-  void limitTeamsTo(double cpus) {
+  /**
+   * Replaces the team limit that is checked, so that a test can show that a violation is detected.
+   */
+  void setTeamLimit(double cpus) {
     teamLimit = cpus;
   }
 
-  // What runs on machines.
+  // Execution of tasks.
 
-  void ranTwice(TaskId task, String machine, String other) {
-    broken(Rule.RAN_TWICE, task + " on " + machine + " and " + other);
+  void recordRanTwice(TaskId task, String machine, String other) {
+    recordViolation(Rule.RAN_TWICE, task + " on " + machine + " and " + other);
   }
 
   void checkQuota(String team, double usedCpus) {
-    if (usedCpus > teamLimit + ROUNDING) {
-      broken(Rule.QUOTA, team + " uses " + usedCpus);
+    if (usedCpus > teamLimit + MAX_ROUNDING_ERROR_CPUS) {
+      recordViolation(Rule.QUOTA, team + " uses " + usedCpus);
     }
   }
 
-  void checkPlace(TaskId task, JobSpec spec, SimulatedWorker worker) {
+  void checkPlacement(TaskId task, JobSpec spec, SimulatedWorker worker) {
     if (!spec.allows(worker.type, worker.zone, worker.spot)) {
-      broken(Rule.WRONG_PLACE, task + " on " + worker.id);
+      recordViolation(Rule.WRONG_PLACE, task + " on " + worker.id);
     }
     int inZone = 0;
-    for (TaskId other : cluster.tasks.runningOf(task.job())) {
+    for (TaskId other : cluster.tasks.runningTasksOf(task.job())) {
       SimulatedWorker machine = cluster.cloud.worker(cluster.tasks.machineOf(other));
       if (machine == null) {
         continue;
@@ -80,11 +85,11 @@
       if (machine.zone.equals(worker.zone)) {
         inZone++;
       } else if (spec.oneZone()) {
-        broken(Rule.WRONG_PLACE, task + " not in one zone");
+        recordViolation(Rule.WRONG_PLACE, task + " not in one zone");
       }
     }
     if (inZone > spec.maxPerZone()) {
-      broken(Rule.WRONG_PLACE, task + " too many in zone " + worker.zone);
+      recordViolation(Rule.WRONG_PLACE, task + " too many in zone " + worker.zone);
     }
   }
 
@@ -97,48 +102,51 @@
     maxStartAfterCancellationMicros =
         Math.max(maxStartAfterCancellationMicros, cluster.clock.now() - confirmed);
     if (cluster.clock.now() > confirmed + CANCEL_BOUND_MICROS) {
-      broken(Rule.RAN_CANCELLED, task + " starts");
+      recordViolation(Rule.RAN_CANCELLED, task + " starts");
     }
   }
 
   private void checkCancelledHaveStopped() {
-    cluster.clock.after(SWEEP_MICROS, this::checkCancelledHaveStopped);
-    for (TaskId task : cluster.tasks.running()) {
+    cluster.clock.after(CANCELLED_CHECK_INTERVAL_MICROS, this::checkCancelledHaveStopped);
+    for (TaskId task : cluster.tasks.runningTasks()) {
       Long confirmed = cluster.users.cancelConfirmedAtMicros(task.job());
       if (confirmed != null && cluster.clock.now() > confirmed + CANCEL_BOUND_MICROS) {
-        broken(Rule.RAN_CANCELLED, task + " still on " + cluster.tasks.machineOf(task));
+        recordViolation(Rule.RAN_CANCELLED, task + " still on " + cluster.tasks.machineOf(task));
       }
     }
   }
 
-  /** Starts of tasks whose job's cancellation had been confirmed. */
+  /** Returns how many tasks started after the cancellation of their job was confirmed. */
   int startsAfterCancellation() {
     return startsAfterCancellation;
   }
 
-  /** How long before such a start the confirmation was, at most. */
+  /**
+   * Returns the longest time between a confirmed cancellation and a later start of a task of the
+   * job.
+   */
   long maxStartAfterCancellationMicros() {
     return maxStartAfterCancellationMicros;
   }
 
-  // What users are answered.
+  // Answers to users.
 
-  void checkFinalPhaseStays(Answer.JobView view, Answer.Phase before) {
-    if (SimulatedUsers.isFinal(before) && view.phase() != before) {
-      broken(Rule.WENT_BACK, view.id() + " from " + before + " to " + view.phase());
+  void checkFinalPhaseStays(Answer.JobView view, Answer.Phase phaseBefore) {
+    if (SimulatedUsers.isFinal(phaseBefore) && view.phase() != phaseBefore) {
+      recordViolation(Rule.WENT_BACK, view.id() + " from " + phaseBefore + " to " + view.phase());
     }
   }
 
   void checkCancelledOnRequest(String job) {
     if (!cluster.users.cancelRequested(job)) {
-      broken(Rule.WENT_BACK, job + " cancelled by nobody");
+      recordViolation(Rule.WENT_BACK, job + " cancelled without a request");
     }
   }
 
   void checkAllTasksCompleted(String job) {
     for (int i = 0; i < cluster.users.spec(job).tasks(); i++) {
       if (!cluster.tasks.isCompleted(new TaskId(job, i))) {
-        broken(Rule.NOT_DONE, job + "/" + i);
+        recordViolation(Rule.NOT_DONE, job + "/" + i);
       }
     }
   }
@@ -146,62 +154,67 @@
   void checkSubmissionNotRefused(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure
         && (failure.status() == 400 || failure.status() == 422)) {
-      broken(Rule.FORGOTTEN, job + " refused " + failure);
+      recordViolation(Rule.FORGOTTEN, job + " refused " + failure);
     }
   }
 
   void checkAcceptedIsKnown(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure && failure.status() == 404) {
-      broken(Rule.FORGOTTEN, job + " is unknown");
+      recordViolation(Rule.FORGOTTEN, job + " is unknown");
     }
   }
 
-  /** Whatever is asked about an accepted job, and whatever else the request holds. */
+  /**
+   * Checks that a request for an accepted job is not refused, even if the rest of the request is
+   * invalid.
+   */
   void checkAcceptedNotRefused(String job, Answer answer) {
     if (answer instanceof Answer.Failure failure
         && (failure.status() == 400 || failure.status() == 404 || failure.status() == 422)) {
-      broken(Rule.FORGOTTEN, job + " answered " + failure);
+      recordViolation(Rule.FORGOTTEN, job + " answered " + failure);
     }
   }
 
   void checkNotInvented(String job, Answer answer) {
     if (answer instanceof Answer.JobView) {
-      broken(Rule.INVENTED, job);
+      recordViolation(Rule.INVENTED, job);
     }
   }
 
   void checkImpossibleNotAccepted(String job, Answer answer) {
     if (answer instanceof Answer.JobView) {
-      broken(Rule.ACCEPTED_IMPOSSIBLE, job);
+      recordViolation(Rule.ACCEPTED_IMPOSSIBLE, job);
     }
   }
 
-  // What the cloud is asked for.
+  // Requests to the cloud.
 
   /**
-   * Rentals and releases must be durable before the cloud is asked, by whoever asks and however
-   * late. Gives the term in which the return of each machine was written last.
+   * Checks that rentals and releases are durable when they are requested from the cloud, by any
+   * leader and at any time.
+   *
+   * @return for each machine that is to be deleted, the term in which its release was last written
    */
-  Map<String, Long> checkWrittenFirst(Request request) {
+  Map<String, Long> checkWrittenBeforeRequest(Request request) {
     if (request instanceof Request.CloudRent rent) {
-      if (!cluster.state.everWritten().containsKey(StateKeys.rental(rent.requestName()))) {
-        broken(Rule.UNWRITTEN, rent.requestName());
+      if (!cluster.state.lastWrittenValues().containsKey(StateKeys.rental(rent.requestName()))) {
+        recordViolation(Rule.UNWRITTEN, rent.requestName());
       }
     } else if (request instanceof Request.CloudDelete delete) {
-      Map<String, Long> returnTerms = returnTerms();
+      Map<String, Long> releaseTerms = releaseTerms();
       for (String id : delete.machines()) {
-        if (!returnTerms.containsKey(id)) {
-          broken(Rule.UNWRITTEN, id + " is given back without a written intent");
+        if (!releaseTerms.containsKey(id)) {
+          recordViolation(Rule.UNWRITTEN, id + " is released without a stored release record");
         }
       }
-      return returnTerms;
+      return releaseTerms;
     }
     return Map.of();
   }
 
-  private Map<String, Long> returnTerms() {
+  private Map<String, Long> releaseTerms() {
     Map<String, Long> terms = new HashMap<>();
-    for (StoredValue value : cluster.state.everWritten().values()) {
+    for (StoredValue value : cluster.state.lastWrittenValues().values()) {
       if (value instanceof ReleaseRecord release) {
         release.machines().forEach(id -> terms.merge(id, release.term(), Math::max));
       }
@@ -210,11 +223,14 @@
   }
 
   /**
-   * @param returnTerm the term in which its return was written last, null if it never was
+   * Checks that no leader of a later term than the release uses a machine that is being deleted.
+   *
+   * @param releaseTerm the term in which the release was last written, or null if none was written
    */
-  void checkNotUsedSince(SimulatedWorker worker, Long returnTerm) {
-    if (!worker.dead() && worker.usedAfter(returnTerm == null ? 0 : returnTerm)) {
-      broken(Rule.LATE_DELETE, worker.id + " is in use, written in term " + returnTerm);
+  void checkNotUsedByLaterTerm(SimulatedWorker worker, Long releaseTerm) {
+    if (!worker.isDead() && worker.isUsedByTermAfter(releaseTerm == null ? 0 : releaseTerm)) {
+      recordViolation(
+          Rule.LATE_DELETE, worker.id + " is in use, release was stored in term=" + releaseTerm);
     }
   }
 }
--- a/src/test/java/org/eiderstair/sim/SimulatedCluster.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedCluster.java
@@ -14,19 +14,24 @@
 
 /**
  * A whole deployment on simulated time: controllers, a state service, a cloud, workers and users.
- * It only holds its parts together; each part draws from the one seeded source, so that a day
+ *
+ * <p>All parts draw their random numbers from one seeded source, so a day with the same seed
  * repeats exactly.
  */
 final class SimulatedCluster {
+  /** Duration of a worker lease. */
   static final long LEASE_MICROS = 15_000_000;
-  private static final long HEARTBEAT_MICROS = 3_000_000;
-  private static final double STATE_RPS = 200;
-  private static final double STATE_WRITE_RPS = 80;
-  static final int STATE_TXN_OPS = 12;
-  private static final double CLOUD_RPS = 8;
 
-  /** Prints what the controllers decide, to follow one seed: -Dsim.log=true. */
-  private static final boolean LOGGED = Boolean.getBoolean("sim.log");
+  private static final long HEARTBEAT_INTERVAL_MICROS = 3_000_000;
+  private static final double STATE_REQUESTS_PER_SECOND = 200;
+  private static final double STATE_WRITES_PER_SECOND = 80;
+  static final int MAX_TRANSACTION_OPERATIONS = 12;
+  private static final double CLOUD_REQUESTS_PER_SECOND = 8;
+
+  /**
+   * Whether trace lines, including all controller log lines, are printed: {@code -Dsim.log=true}.
+   */
+  private static final boolean TRACE_ENABLED = Boolean.getBoolean("sim.log");
 
   final SimulatedClock clock = new SimulatedClock();
   final Random random;
@@ -40,15 +45,16 @@
   final LivenessChecker liveness = new LivenessChecker(this);
   final Outages outages = new Outages(this);
   final FaultInjector faults = new FaultInjector(this);
-  final PlantedFaults planted = new PlantedFaults();
+  final InjectedDefects defects = new InjectedDefects();
 
   /**
-   * Of all that controllers decided: the same before and after a change that only moves or renames.
+   * Digest of all effects of the controllers; it does not change when code is only moved or
+   * renamed.
    */
-  final EffectDigest effects = new EffectDigest();
+  final EffectDigest effectDigest = new EffectDigest();
 
-  /** Takes all that controllers log. */
-  Consumer<String> logs = text -> {};
+  /** Receives the text of every line that a controller logs. */
+  Consumer<String> logListener = text -> {};
 
   private final SimulatedController[] controllers;
   private double completedShare;
@@ -70,7 +76,7 @@
     liveness.start();
   }
 
-  /** The settings that the controller with that index runs with. */
+  /** Returns the settings of the controller with that index. */
   Settings settingsOf(int index) {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     for (String team : SampleJobs.TEAMS) {
@@ -91,15 +97,20 @@
         SimulatedCloud.ZONES,
         teams,
         List.of(),
-        new Settings.WorkerTimings(HEARTBEAT_MICROS, LEASE_MICROS, RuleChecker.CANCEL_BOUND_MICROS),
-        new Settings.StateServiceLimits(STATE_RPS, STATE_WRITE_RPS, STATE_TXN_OPS),
-        CLOUD_RPS,
+        new Settings.WorkerTimings(
+            HEARTBEAT_INTERVAL_MICROS, LEASE_MICROS, RuleChecker.CANCEL_BOUND_MICROS),
+        new Settings.StateServiceLimits(
+            STATE_REQUESTS_PER_SECOND, STATE_WRITES_PER_SECOND, MAX_TRANSACTION_OPERATIONS),
+        CLOUD_REQUESTS_PER_SECOND,
         Settings.Tuning.defaults(),
         nodeZones,
         0);
   }
 
-  /** Controllers are spread over the zones; the state service and the cloud are in none. */
+  /**
+   * Returns the zone of a controller or worker, or null for the state service, the cloud and
+   * unknown hosts.
+   */
   private String zoneOf(String host) {
     if (SimulatedController.isController(host)) {
       return SimulatedCloud.ZONES.get(
@@ -117,25 +128,27 @@
     return controllers[SimulatedController.indexOf(name)];
   }
 
-  /** A request to one controller; it is not answered while that is down. */
-  void ask(int node, LongFunction<Event> event, Consumer<Answer> callback) {
-    controllers[node].ask(event, callback);
+  /**
+   * Sends a request to one controller; the callback is not called while that controller is down.
+   */
+  void sendRequest(int node, LongFunction<Event> event, Consumer<Answer> callback) {
+    controllers[node].receive(event, callback);
   }
 
-  /** Carries a worker's heartbeat to a controller, and the answer back. */
-  void deliver(String worker, int node, Heartbeat heartbeat, Consumer<Answer> callback) {
+  /** Sends a heartbeat of a worker to a controller, and the answer back, over the network. */
+  void deliverHeartbeat(String worker, int node, Heartbeat heartbeat, Consumer<Answer> callback) {
     String controller = SimulatedController.nameOf(node);
     network.send(
         worker,
         controller,
         () ->
-            ask(
+            sendRequest(
                 node,
                 exchange -> new Event.HeartbeatReceived(exchange, heartbeat, false),
                 answer -> network.send(controller, worker, () -> callback.accept(answer))));
   }
 
-  /** The index of the controller that leads; a drawn one where none does. */
+  /** Returns the index of the leader, or of a random controller while there is none. */
   int leader() {
     for (SimulatedController controller : controllers) {
       if (controller.isLeader()) {
@@ -145,28 +158,29 @@
     return random.nextInt(controllers.length);
   }
 
-  /** A controller has logged this. */
-  void logged(String controller, String text) {
-    note(controller + " " + text);
-    ControllerLog.machineReturnedAsUnreachable(text).ifPresent(cloud::returnedAsUnreachable);
-    logs.accept(text);
+  /** Handles a line that a controller has logged. */
+  void onControllerLog(String controller, String text) {
+    trace(controller + " " + text);
+    ControllerLog.machineReleasedAsUnreachable(text).ifPresent(cloud::onReleasedAsUnreachable);
+    logListener.accept(text);
     if (ControllerLog.isElection(text)) {
-      faults.newLeader();
+      faults.onNewLeader();
     }
   }
 
-  /** Looks which share of the work is completed that came before a time. */
-  void recordCompletedShare(long beforeMicros) {
-    completedShare = CompletionShares.min(this, beforeMicros);
+  /** Records the smallest completed share of the work that was submitted before a time. */
+  void recordCompletedShare(long submittedBeforeMicros) {
+    completedShare = CompletionShares.min(this, submittedBeforeMicros);
   }
 
-  /** The smallest share over classes, teams and largest jobs, when it was last looked at. */
+  /** Returns the smallest share over classes, teams and largest jobs, as last recorded. */
   double completedShare() {
     return completedShare;
   }
 
-  void note(String text) {
-    if (LOGGED) {
+  /** Prints a line with the simulated time in milliseconds, if tracing is enabled. */
+  void trace(String text) {
+    if (TRACE_ENABLED) {
       System.out.println(clock.now() / 1000 + " " + text);
     }
   }
--- a/src/test/java/org/eiderstair/sim/SimulatedUsers.java
+++ b/src/test/java/org/eiderstair/sim/SimulatedUsers.java
@@ -14,23 +14,24 @@
 import org.eiderstair.core.model.JobSpec;
 
 /**
- * All users: what they submit, ask and cancel, at drawn controllers, and what they were answered.
+ * The users of the cluster: they submit, poll and cancel jobs at random controllers and record the
+ * answers.
  */
 final class SimulatedUsers {
-  private static final int MAX_SUBMISSIONS = 200;
-  private static final long SUBMIT_RETRY_MICROS = 2_000_000;
-  private static final long CANCEL_RETRY_MICROS = 1_500_000;
-  private static final long POLL_MICROS = 2_000_000;
-  private static final int POLL_SPREAD_MICROS = 2_000_000;
-  private static final long POLL_ENDED_MICROS = 20_000_000;
+  private static final int MAX_SUBMIT_RETRIES = 200;
+  private static final long SUBMIT_RETRY_DELAY_MICROS = 2_000_000;
+  private static final long CANCEL_RETRY_DELAY_MICROS = 1_500_000;
+  private static final long POLL_INTERVAL_MICROS = 2_000_000;
+  private static final int POLL_JITTER_MICROS = 2_000_000;
+  private static final long ENDED_JOB_POLL_INTERVAL_MICROS = 20_000_000;
 
   private final SimulatedCluster cluster;
   private final Map<String, JobSpec> submitted = new LinkedHashMap<>();
   private final Map<String, Long> submittedAtMicros = new HashMap<>();
   private final Set<String> accepted = new HashSet<>();
 
-  /** Of each job, the phase that was answered last; a final one stays. */
-  private final Map<String, Answer.Phase> phases = new HashMap<>();
+  /** The phase of each job that was answered last; a final phase stays. */
+  private final Map<String, Answer.Phase> lastAnsweredPhases = new HashMap<>();
 
   private final Map<String, Long> cancelConfirmedAtMicros = new HashMap<>();
   private final Set<String> cancelRequested = new HashSet<>();
@@ -43,110 +44,119 @@
     return phase == Answer.Phase.DONE || phase == Answer.Phase.CANCELLED;
   }
 
+  /** Submits a job at random controllers until the submission is confirmed or no retry is left. */
   void submit(JobSpec spec) {
     submitted.put(spec.id(), spec);
     submittedAtMicros.put(spec.id(), cluster.clock.now());
     trySubmit(spec, 0);
   }
 
-  private void trySubmit(JobSpec spec, int tries) {
-    if (tries > MAX_SUBMISSIONS) {
+  private void trySubmit(JobSpec spec, int retries) {
+    if (retries > MAX_SUBMIT_RETRIES) {
       return;
     }
     boolean[] confirmed = {false};
     cluster.clock.after(
-        SUBMIT_RETRY_MICROS,
+        SUBMIT_RETRY_DELAY_MICROS,
         () -> {
           if (!confirmed[0]) {
-            trySubmit(spec, tries + 1);
+            trySubmit(spec, retries + 1);
           }
         });
-    Answer.Phase before = phases.get(spec.id());
-    askAny(
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(spec.id());
+    sendToRandomNode(
         exchange ->
             new Event.Submit(
-                exchange, new Submission.Parsed(cluster.planted.submission.apply(spec))),
+                exchange, new Submission.Parsed(cluster.defects.submission.apply(spec))),
         answer -> {
           if (answer instanceof Answer.JobView view) {
             confirmed[0] = true;
-            submissionConfirmed(spec.id(), view, before);
+            onSubmissionConfirmed(spec.id(), view, phaseBefore);
           } else {
             cluster.rules.checkSubmissionNotRefused(spec.id(), answer);
           }
         });
   }
 
-  private void submissionConfirmed(String id, Answer.JobView view, Answer.Phase before) {
+  private void onSubmissionConfirmed(String id, Answer.JobView view, Answer.Phase phaseBefore) {
     boolean first = accepted.add(id);
-    answered(view, before);
+    onAnswer(view, phaseBefore);
     if (first) {
       poll(id);
-      cluster.faults.userAnswered(id);
+      cluster.faults.onUserAnswered(id);
     }
   }
 
+  /** Polls an accepted job at random controllers until the end of the day. */
   private void poll(String id) {
-    Answer.Phase before = phases.get(id);
-    if (isFinal(before)) {
-      cluster.clock.after(POLL_ENDED_MICROS, () -> poll(id));
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    if (isFinal(phaseBefore)) {
+      cluster.clock.after(ENDED_JOB_POLL_INTERVAL_MICROS, () -> poll(id));
     } else {
-      cluster.clock.after(POLL_MICROS + cluster.random.nextInt(POLL_SPREAD_MICROS), () -> poll(id));
+      cluster.clock.after(
+          POLL_INTERVAL_MICROS + cluster.random.nextInt(POLL_JITTER_MICROS), () -> poll(id));
     }
-    askAny(
+    sendToRandomNode(
         exchange -> new Event.Poll(exchange, id),
         answer -> {
           if (answer instanceof Answer.JobView view) {
-            cluster.liveness.answered(id);
-            answered(view, before);
+            cluster.liveness.onAnswer(id);
+            onAnswer(view, phaseBefore);
           } else {
             cluster.rules.checkAcceptedIsKnown(id, answer);
           }
         });
   }
 
-  /** Asks for a job that nobody submitted. */
+  /** Polls a job that nobody has submitted. */
   void pollUnknown(String id) {
-    askAny(
+    sendToRandomNode(
         exchange -> new Event.Poll(exchange, id),
         answer -> cluster.rules.checkNotInvented(id, answer));
   }
 
-  /** Asks at drawn controllers, again and again, until the job has ended. */
+  /** Requests the cancellation of a job at random controllers until the job has ended. */
   void cancel(String id) {
     cancelRequested.add(id);
-    Answer.Phase before = phases.get(id);
-    if (isFinal(before)) {
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    if (isFinal(phaseBefore)) {
       return;
     }
-    cluster.clock.after(CANCEL_RETRY_MICROS, () -> cancel(id));
-    askAny(exchange -> new Event.Cancel(exchange, id), answer -> cancelAnswered(answer, before));
+    cluster.clock.after(CANCEL_RETRY_DELAY_MICROS, () -> cancel(id));
+    sendToRandomNode(
+        exchange -> new Event.Cancel(exchange, id), answer -> onCancelAnswer(answer, phaseBefore));
   }
 
-  /** Asks one controller, once. */
+  /** Requests the cancellation of a job once, through one controller. */
   void cancelThrough(int node, String id) {
     cancelRequested.add(id);
-    Answer.Phase before = phases.get(id);
-    cluster.ask(
-        node, exchange -> new Event.Cancel(exchange, id), answer -> cancelAnswered(answer, before));
+    Answer.Phase phaseBefore = lastAnsweredPhases.get(id);
+    cluster.sendRequest(
+        node,
+        exchange -> new Event.Cancel(exchange, id),
+        answer -> onCancelAnswer(answer, phaseBefore));
   }
 
-  private void cancelAnswered(Answer answer, Answer.Phase before) {
+  private void onCancelAnswer(Answer answer, Answer.Phase phaseBefore) {
     if (answer instanceof Answer.JobView view) {
-      answered(view, before);
+      onAnswer(view, phaseBefore);
     }
   }
 
-  private void askAny(LongFunction<Event> event, Consumer<Answer> callback) {
-    cluster.ask(cluster.random.nextInt(cluster.size.nodes()), event, callback);
+  /** Sends a request to a random controller. */
+  private void sendToRandomNode(LongFunction<Event> event, Consumer<Answer> callback) {
+    cluster.sendRequest(cluster.random.nextInt(cluster.size.nodes()), event, callback);
   }
 
   /**
-   * @param before what had been answered when the question was asked: only that may not be taken
-   *     back
+   * Records that a user was answered the state of a job, and checks the answer.
+   *
+   * @param phaseBefore the phase that was known when the request was sent; only that phase must not
+   *     be revoked
    */
-  void answered(Answer.JobView view, Answer.Phase before) {
+  void onAnswer(Answer.JobView view, Answer.Phase phaseBefore) {
     String id = view.id();
-    cluster.rules.checkFinalPhaseStays(view, before);
+    cluster.rules.checkFinalPhaseStays(view, phaseBefore);
     if (view.phase() == Answer.Phase.CANCELLED) {
       cancelConfirmedAtMicros.putIfAbsent(id, cluster.clock.now());
       cluster.rules.checkCancelledOnRequest(id);
@@ -154,10 +164,10 @@
     if (view.phase() == Answer.Phase.DONE) {
       cluster.rules.checkAllTasksCompleted(id);
     }
-    if (!ended(id)) {
-      phases.put(id, view.phase());
-      if (ended(id)) {
-        cluster.faults.userAnswered(id);
+    if (!hasEnded(id)) {
+      lastAnsweredPhases.put(id, view.phase());
+      if (hasEnded(id)) {
+        cluster.faults.onUserAnswered(id);
       }
     }
   }
@@ -167,16 +177,16 @@
   }
 
   Answer.Phase phase(String id) {
-    return phases.get(id);
+    return lastAnsweredPhases.get(id);
   }
 
-  /** Whether its user knows it to be done or cancelled. */
-  boolean ended(String id) {
-    return isFinal(phases.get(id));
+  /** Returns whether users were answered that the job is done or cancelled. */
+  boolean hasEnded(String id) {
+    return isFinal(lastAnsweredPhases.get(id));
   }
 
-  /** Ids of accepted jobs, in order. */
-  List<String> accepted() {
+  /** Returns the ids of all accepted jobs, sorted. */
+  List<String> acceptedJobs() {
     return accepted.stream().sorted().toList();
   }
 
@@ -188,22 +198,24 @@
     return submittedAtMicros.get(id);
   }
 
-  /** When the cancellation was confirmed to the user, or null. */
+  /** Returns when the cancellation was confirmed to the user, or null. */
   Long cancelConfirmedAtMicros(String id) {
     return cancelConfirmedAtMicros.get(id);
   }
 
-  /** Whether the job's tasks end with an error, always. */
+  /** Returns whether the tasks of the job always end with an error. */
   boolean alwaysFails(String id) {
     return submitted.get(id).image().equals(SampleJobs.FAILING_IMAGE);
   }
 
-  /** Accepted jobs that should have ended by now and are not known to have. */
-  List<String> unfinished() {
-    return accepted().stream()
+  /** Returns the accepted array jobs that can complete and that are not known to have ended. */
+  List<String> unfinishedJobs() {
+    return acceptedJobs().stream()
         .filter(
             id ->
-                submitted.get(id).shape() == JobSpec.Shape.ARRAY && !alwaysFails(id) && !ended(id))
+                submitted.get(id).shape() == JobSpec.Shape.ARRAY
+                    && !alwaysFails(id)
+                    && !hasEnded(id))
         .toList();
   }
 }
