--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -21,46 +21,46 @@
 
 /** Tests the releases of silent machines and the rentals of the current and earlier terms. */
 class CapacityManagerTest {
-  private final LeaderFixture bench = new LeaderFixture();
+  private final LeaderFixture leader = new LeaderFixture();
   private final Membership membership = LeaderFixture.membershipWithoutPeers();
   private StateWriter stateWriter;
   private CapacityManager capacity;
 
   private void startTerm() {
-    bench.lead();
-    bench.replica.apply(
+    leader.lead();
+    leader.replica.apply(
         new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(LeaderFixture.TYPE)), 50));
     stateWriter =
-        new StateWriter(bench.settings, bench.sink, bench.replica, LeaderFixture.TERM, null);
+        new StateWriter(leader.settings, leader.sink, leader.replica, LeaderFixture.TERM, null);
     capacity =
         new CapacityManager(
-            bench.settings,
-            bench.sink,
-            bench.replica,
-            bench.workers,
-            bench.leadership,
+            leader.settings,
+            leader.sink,
+            leader.replica,
+            leader.workers,
+            leader.leadership,
             stateWriter,
-            new Demand(bench.settings, bench.replica),
+            new Demand(leader.settings, leader.replica),
             membership,
             LeaderFixture.TERM);
-    capacity.takeOver(bench.now);
-    membership.startTerm(bench.now);
-    membership.tick(false, bench.now);
+    capacity.takeOver(leader.now);
+    membership.startTerm(leader.now);
+    membership.tick(false, leader.now);
   }
 
   private void reply(Class<? extends Request> kind, Reply reply) {
-    for (Effect effect : List.copyOf(bench.effects)) {
+    for (Effect effect : List.copyOf(leader.effects)) {
       if (effect instanceof Effect.Call call && kind.isInstance(call.request())) {
-        bench.effects.remove(effect);
-        bench.sink.replied(call.callId(), reply);
+        leader.effects.remove(effect);
+        leader.sink.replied(call.callId(), reply);
         return;
       }
     }
-    throw new AssertionError("no " + kind.getSimpleName() + " in " + bench.effects);
+    throw new AssertionError("no " + kind.getSimpleName() + " in " + leader.effects);
   }
 
   private long releasesOfSilentMachines() {
-    return bench.effects.stream()
+    return leader.effects.stream()
         .filter(e -> e instanceof Effect.Log log && log.text().contains(": unreachable: "))
         .count();
   }
@@ -71,23 +71,23 @@
    */
   @Example
   void anOverloadedLeaderReleasesNoMachineForMissingHeartbeats() {
-    bench.machines(4_000);
-    bench.now += 60_000_000;
+    leader.machines(4_000);
+    leader.now += 60_000_000;
     startTerm();
-    bench.overload.recordOverload(new Event.Overloaded(505, 0), bench.now);
-    bench.workers.tick(bench.now, false);
-    capacity.tick(bench.now += 1_000_000);
+    leader.overload.recordOverload(new Event.Overloaded(505, 0), leader.now);
+    leader.workers.tick(leader.now, false);
+    capacity.tick(leader.now += 1_000_000);
     assertEquals(0, releasesOfSilentMachines());
   }
 
   /** Without overload, missing heartbeats mean that machines are dead. */
   @Example
   void aLeaderThatIsNotOverloadedReleasesSilentMachines() {
-    bench.machines(4_000);
-    bench.now += 60_000_000;
+    leader.machines(4_000);
+    leader.now += 60_000_000;
     startTerm();
-    bench.workers.tick(bench.now, false);
-    capacity.tick(bench.now += 1_000_000);
+    leader.workers.tick(leader.now, false);
+    capacity.tick(leader.now += 1_000_000);
     assertTrue(releasesOfSilentMachines() > 0);
   }
 
@@ -98,16 +98,16 @@
   @Example
   void aRefusedRentalNoLongerCountsAsBootingMachines() {
     startTerm();
-    Job job = bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
-    capacity.tick(bench.now += 1_000_000);
-    bench.replica.apply(
-        new Reply.Item(StateKeys.job(job.id()), JobRecord.done(job.tasks()), ++bench.lastVersion));
-    assertTrue(bench.replica.openJobs().isEmpty());
-    capacity.tick(bench.now += 1_000_000);
+    Job job = leader.job("blue", JobSpec.Priority.NORMAL, 10, 1);
+    capacity.tick(leader.now += 1_000_000);
+    leader.replica.apply(
+        new Reply.Item(StateKeys.job(job.id()), JobRecord.done(job.tasks()), ++leader.lastVersion));
+    assertTrue(leader.replica.openJobs().isEmpty());
+    capacity.tick(leader.now += 1_000_000);
     assertEquals(1, capacity.pendingRentalCount());
-    stateWriter.tick(bench.now);
+    stateWriter.tick(leader.now);
     reply(Request.StoreTransaction.class, new Reply.Applied(60));
-    capacity.tick(bench.now);
+    capacity.tick(leader.now);
     reply(Request.CloudRent.class, new Reply.Refused(503));
     assertEquals(0, capacity.pendingRentalCount());
   }
@@ -119,14 +119,14 @@
   @Example
   void aRentalOfATypeMissingFromTheCatalogDoesNotStopTheLeader() {
     String key = StateKeys.rental("r-0-1");
-    bench.replica.apply(
+    leader.replica.apply(
         new Reply.Item(key, new RentalIntentRecord("gone", "a", true, 5, 0, 0, null), 40));
     startTerm();
-    bench.job("blue", JobSpec.Priority.NORMAL, 10, 1);
-    capacity.tick(bench.now += 1_000_000);
+    leader.job("blue", JobSpec.Priority.NORMAL, 10, 1);
+    capacity.tick(leader.now += 1_000_000);
     assertEquals(
         1,
-        bench.effects.stream()
+        leader.effects.stream()
             .filter(e -> e instanceof Effect.Call c && c.request() instanceof Request.CloudRent)
             .count(),
         "the old rental is requested under its id");
--- a/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/PlannedMachineTest.java
@@ -11,7 +11,7 @@
 
 /** Tests the assignment of demand to a machine with 8 CPUs. */
 class PlannedMachineTest {
-  private final LeaderFixture bench = new LeaderFixture();
+  private final LeaderFixture leader = new LeaderFixture();
 
   private PlannedMachine machine() {
     Machine machine = new Machine("m", LeaderFixture.TERM, Machine.Phase.BOOTING, 0);
@@ -21,7 +21,7 @@
   }
 
   private JobSpec job(double cpus) {
-    return bench.job("blue", JobSpec.Priority.NORMAL, 10, cpus).spec();
+    return leader.job("blue", JobSpec.Priority.NORMAL, 10, cpus).spec();
   }
 
   @Example
--- a/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/RentalOptionSelectorTest.java
@@ -27,14 +27,14 @@
   private static final MachineType SMALL =
       new MachineType("small", 4, 0, 16, 10, 1, 0.4, 0, 30 * SECOND, List.of("a", "b"));
 
-  private final LeaderFixture bench = new LeaderFixture();
+  private final LeaderFixture leader = new LeaderFixture();
   private final CapacityClock clock = new CapacityClock();
   private final Membership membership = LeaderFixture.membershipWithoutPeers();
   private final RentalOptionSelector selector =
-      new RentalOptionSelector(bench.replica, membership, clock);
+      new RentalOptionSelector(leader.replica, membership, clock);
 
   RentalOptionSelectorTest() {
-    bench.replica.apply(
+    leader.replica.apply(
         new Reply.Item(StateKeys.CATALOG, new CatalogRecord(List.of(SMALL, LARGE)), 50));
   }
 
--- a/src/test/java/org/eiderstair/core/state/ReplicaTest.java
+++ b/src/test/java/org/eiderstair/core/state/ReplicaTest.java
@@ -27,16 +27,16 @@
 /** Tests which values the replica applies, and which answers show that the replica is fresh. */
 class ReplicaTest {
   private static final long SECOND = 1_000_000;
-  private final LeaderFixture bench = new LeaderFixture();
-  private final Replica replica = bench.replica;
+  private final LeaderFixture leader = new LeaderFixture();
+  private final Replica replica = leader.replica;
   private final Deque<Effect.Call> calls = new ArrayDeque<>();
   private long now = 100 * SECOND;
 
   private Effect.Call call() {
-    bench.effects.stream()
+    leader.effects.stream()
         .filter(e -> e instanceof Effect.Call)
         .forEach(e -> calls.add((Effect.Call) e));
-    bench.effects.clear();
+    leader.effects.clear();
     return calls.poll();
   }
 
@@ -48,7 +48,7 @@
 
   private Effect.Call openWatch(long revision) {
     at(now);
-    bench.sink.replied(call().callId(), new Reply.Listed(List.of(), false, revision));
+    leader.sink.replied(call().callId(), new Reply.Listed(List.of(), false, revision));
     Effect.Call watch = call();
     assertTrue(watch.request() instanceof Request.StoreWatch);
     return watch;
@@ -68,7 +68,7 @@
   @Example
   void anAbsentKeyIsRemovedOnlyUpToTheRevisionOfTheRead() {
     Effect.Call watch = openWatch(10);
-    bench.sink.replied(
+    leader.sink.replied(
         watch.callId(),
         new Reply.Changed(
             List.of(
@@ -109,17 +109,17 @@
     at(106 * SECOND);
     replica.recordAnswer(105 * SECOND, 11);
     assertEquals(100 * SECOND, replica.freshAsOfMicros());
-    bench.sink.replied(watch.callId(), new Reply.Changed(List.of(registration("i-1", 11)), 11));
+    leader.sink.replied(watch.callId(), new Reply.Changed(List.of(registration("i-1", 11)), 11));
     assertEquals(105 * SECOND, replica.freshAsOfMicros());
     // The answer to a watch shows freshness as of the send time of the watch.
     at(107 * SECOND);
     Effect.Call next = call();
     at(110 * SECOND);
-    bench.sink.replied(next.callId(), new Reply.Changed(List.of(), 11));
+    leader.sink.replied(next.callId(), new Reply.Changed(List.of(), 11));
     assertEquals(107 * SECOND, replica.freshAsOfMicros());
     // A request without an answer shows nothing.
     at(111 * SECOND);
-    bench.sink.replied(call().callId(), new Reply.NoResponse("timeout"));
+    leader.sink.replied(call().callId(), new Reply.NoResponse("timeout"));
     at(113 * SECOND);
     assertEquals(107 * SECOND, replica.freshAsOfMicros());
   }
@@ -133,10 +133,10 @@
     at(105 * SECOND);
     Effect.Call second = call();
     assertTrue(second.request() instanceof Request.StoreWatch);
-    bench.sink.replied(second.callId(), new Reply.Changed(List.of(registration("i-2", 12)), 12));
+    leader.sink.replied(second.callId(), new Reply.Changed(List.of(registration("i-2", 12)), 12));
     assertEquals(105 * SECOND, replica.freshAsOfMicros());
     // A late answer to the abandoned watch changes nothing and opens no third watch.
-    bench.sink.replied(silent.callId(), new Reply.Changed(List.of(), 10));
+    leader.sink.replied(silent.callId(), new Reply.Changed(List.of(), 10));
     assertEquals(105 * SECOND, replica.freshAsOfMicros());
     at(106 * SECOND);
     assertTrue(call().request() instanceof Request.StoreWatch);
@@ -150,9 +150,9 @@
   @Example
   void cancelledJobsAreKeptAsLongAsAnyCallerCountsThem() {
     openWatch(10);
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version() + 5, 0));
-    long bound = bench.settings.workerTimings().cancelMicros() + 5 * SECOND;
+    long bound = leader.settings.workerTimings().cancelMicros() + 5 * SECOND;
     assertTrue(replica.recentlyCancelled(now + bound).contains(job));
     assertFalse(replica.recentlyCancelled(now + bound + 1).contains(job));
   }
@@ -161,7 +161,7 @@
   @Example
   void aCancellationFromAPeerAppliesIfItIsNewer() {
     openWatch(10);
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.applyCancellation(new Cancellation(job.id(), job.version(), 1));
     assertTrue(job.isOpen());
     replica.applyCancellation(new Cancellation(job.id(), job.version() + 5, 1));
@@ -179,11 +179,11 @@
   @Example
   void anUnreadableValueIsLoggedAndKeepsTheKnownValue() {
     openWatch(10);
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 3, 1);
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 3, 1);
     replica.apply(new Reply.Item(StateKeys.LEADER, new LeaderRecord("n1", 3, "run"), 12));
     replica.apply(registration("i-1", 12));
     String progress = StateKeys.progress(job.id());
-    bench.effects.clear();
+    leader.effects.clear();
     replica.apply(decoded(progress, Map.of("done", "x:1", "run", 2L), 20));
     replica.apply(decoded(progress, Map.of("run", 2L), 21));
     replica.apply(decoded(StateKeys.LEADER, Map.of("node", 1L), 22));
@@ -191,7 +191,7 @@
     replica.apply(decoded(StateKeys.job(job.id()), Map.of("s", "later"), 24));
     replica.apply(decoded(StateKeys.CATALOG, Map.of("types", 1L), 25));
     List<String> logged =
-        bench.effects.stream().map(effect -> ((Effect.Log) effect).text()).toList();
+        leader.effects.stream().map(effect -> ((Effect.Log) effect).text()).toList();
     assertEquals(6, logged.size());
     for (String line : logged) {
       assertTrue(line.startsWith("unreadable value key=e/"), line);
--- a/src/test/java/org/eiderstair/core/state/StateWriterTest.java
+++ b/src/test/java/org/eiderstair/core/state/StateWriterTest.java
@@ -21,13 +21,13 @@
 
 /** Tests the order of a leader's writes, repeated writes, and transactions without an answer. */
 class StateWriterTest {
-  private final LeaderFixture bench = new LeaderFixture();
+  private final LeaderFixture leader = new LeaderFixture();
   private final List<String> finished = new ArrayList<>();
   private final StateWriter stateWriter =
       new StateWriter(
-          bench.settings,
-          bench.sink,
-          bench.replica,
+          leader.settings,
+          leader.sink,
+          leader.replica,
           LeaderFixture.TERM,
           new StateWriter.Listener() {
             @Override
@@ -46,14 +46,14 @@
 
   /** Lets the next transaction succeed and returns its writes. */
   private List<Request.Write> applyNextTransaction() {
-    bench.effects.clear();
+    leader.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
-    Effect.Call call = (Effect.Call) bench.effects.get(0);
+    Effect.Call call = (Effect.Call) leader.effects.get(0);
     Request.StoreTransaction txn = (Request.StoreTransaction) call.request();
     assertEquals(
         new Request.Condition(StateKeys.LEADER, LeaderFixture.TERM), txn.conditions().get(0));
-    bench.sink.replied(call.callId(), new Reply.Applied(++bench.lastVersion));
+    leader.sink.replied(call.callId(), new Reply.Applied(++leader.lastVersion));
     return txn.writes();
   }
 
@@ -65,12 +65,12 @@
           StateKeys.rental("r-1-" + i), release(1), () -> durable[0]++);
     }
     for (int i = 0; i < 3; i++) {
-      stateWriter.writeFinished(bench.job("red", JobSpec.Priority.NORMAL, 1, 1));
+      stateWriter.writeFinished(leader.job("red", JobSpec.Priority.NORMAL, 1, 1));
     }
     List<Request.Write> first = applyNextTransaction();
     assertEquals(3, finished.size());
-    assertEquals(bench.settings.stateServiceLimits().maxWritesPerTransaction() / 4, durable[0]);
-    assertTrue(first.size() <= bench.settings.stateServiceLimits().maxWritesPerTransaction());
+    assertEquals(leader.settings.stateServiceLimits().maxWritesPerTransaction() / 4, durable[0]);
+    assertTrue(first.size() <= leader.settings.stateServiceLimits().maxWritesPerTransaction());
   }
 
   /**
@@ -78,12 +78,12 @@
    * Runs a tick first when no request is pending.
    */
   private Request answerNext(Function<Request, Reply> reply) {
-    if (bench.effects.isEmpty()) {
+    if (leader.effects.isEmpty()) {
       now += 1_000_000;
       stateWriter.tick(now);
     }
-    Effect.Call call = (Effect.Call) bench.effects.remove(0);
-    bench.sink.replied(call.callId(), reply.apply(call.request()));
+    Effect.Call call = (Effect.Call) leader.effects.remove(0);
+    leader.sink.replied(call.callId(), reply.apply(call.request()));
     return call.request();
   }
 
@@ -106,13 +106,13 @@
             .orElseThrow()
             .version();
     Request.StoreTransaction barrier =
-        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++bench.lastVersion));
+        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++leader.lastVersion));
     assertEquals(StateKeys.BARRIER, barrier.writes().get(0).key());
     assertTrue(barrier.conditions().contains(new Request.Condition(StateKeys.BARRIER, before)));
     assertTrue(
         barrier.conditions().contains(new Request.Condition(StateKeys.LEADER, LeaderFixture.TERM)));
     // The keys are read only after the barrier, when no earlier transaction can change them.
-    while (!bench.effects.isEmpty()) {
+    while (!leader.effects.isEmpty()) {
       Request read =
           answerNext(
               r ->
@@ -122,11 +122,11 @@
                               StateKeys.LEADER,
                               new LeaderRecord("n0", 1, "run"),
                               LeaderFixture.TERM))
-                      : new Reply.Absent(bench.lastVersion));
+                      : new Reply.Absent(leader.lastVersion));
       assertTrue(read instanceof Request.StoreGet);
     }
     Request.StoreTransaction again =
-        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++bench.lastVersion));
+        (Request.StoreTransaction) answerNext(r -> new Reply.Applied(++leader.lastVersion));
     assertTrue(
         again.conditions().stream()
             .anyMatch(c -> c.key().equals(StateKeys.BARRIER) && c.version() > before));
@@ -142,12 +142,12 @@
     assertEquals(List.of("first", "second"), durable);
     // The callback of a value added while another value is in flight waits for its own value.
     stateWriter.putProvisioningRecord(key, release(3), () -> durable.add("third"));
-    bench.effects.clear();
+    leader.effects.clear();
     now += 1_000_000;
     stateWriter.tick(now);
     stateWriter.removeProvisioningRecord(key, () -> durable.add("removed"));
-    bench.sink.replied(
-        ((Effect.Call) bench.effects.get(0)).callId(), new Reply.Applied(++bench.lastVersion));
+    leader.sink.replied(
+        ((Effect.Call) leader.effects.get(0)).callId(), new Reply.Applied(++leader.lastVersion));
     assertEquals(List.of("first", "second", "third"), durable);
     assertEquals(null, applyNextTransaction().get(0).value());
     assertEquals(List.of("first", "second", "third", "removed"), durable);
--- a/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
+++ b/src/test/java/org/eiderstair/core/workers/DelayedCommandsTest.java
@@ -29,23 +29,23 @@
  */
 class DelayedCommandsTest {
   private static final long SECOND_MICROS = 1_000_000;
-  private final LeaderFixture bench = new LeaderFixture();
+  private final LeaderFixture leader = new LeaderFixture();
 
   private Machine leadOneMachine() {
-    bench.startStandby();
-    bench.lead();
-    bench.machines(1);
-    return bench.workers.machines().get("m-0");
+    leader.startStandby();
+    leader.lead();
+    leader.machines(1);
+    return leader.workers.machines().get("m-0");
   }
 
   private void runPass() {
-    bench.placement.place(bench.now);
-    bench.workers.flush(bench.now);
-    bench.standby.tick(bench.now);
+    leader.placement.place(leader.now);
+    leader.workers.flush(leader.now);
+    leader.standby.tick(leader.now);
   }
 
   private List<Answer.Command> answers() {
-    return bench.effects.stream()
+    return leader.effects.stream()
         .filter(
             e -> e instanceof Effect.Respond respond && respond.answer() instanceof Answer.Command)
         .map(e -> (Answer.Command) ((Effect.Respond) e).answer())
@@ -53,7 +53,7 @@
   }
 
   private List<Effect.Call> commands() {
-    return bench.effects.stream()
+    return leader.effects.stream()
         .filter(
             e -> e instanceof Effect.Call call && call.request() instanceof Request.WorkerCommands)
         .map(e -> (Effect.Call) e)
@@ -74,23 +74,23 @@
 
   /** Starts a job with one task on the machine and clears the recorded effects. */
   private Job startTask(Machine machine) {
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(machine, 0);
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.report(machine, 0);
     runPass();
-    bench.report(machine, 0);
+    leader.report(machine, 0);
     runPass();
     assertEquals(1, job.attemptCount());
-    bench.effects.clear();
+    leader.effects.clear();
     return job;
   }
 
   private void cancel(Job job) {
-    bench.replica.applyCancellation(new Cancellation(job.id(), bench.lastVersion + 1_000, 0));
-    bench.workers.jobEnded(job);
+    leader.replica.applyCancellation(new Cancellation(job.id(), leader.lastVersion + 1_000, 0));
+    leader.workers.jobEnded(job);
   }
 
   private Reply.WorkerStatus reply(Machine machine, boolean executed, Entry... entries) {
-    return new Reply.WorkerStatus(bench.heartbeat(machine, List.of(entries)), executed);
+    return new Reply.WorkerStatus(leader.heartbeat(machine, List.of(entries)), executed);
   }
 
   /**
@@ -101,26 +101,26 @@
   void killsAndLeaseRenewalsDoNotWaitForUnresponsiveStandby() {
     Machine machine = leadOneMachine();
     Job cancelled = startTask(machine);
-    bench.deferAcknowledgements();
-    bench.deferRecordWrites();
-    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(machine, 0);
+    leader.deferAcknowledgements();
+    leader.deferRecordWrites();
+    Job kept = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.report(machine, 0);
     cancel(cancelled);
     runPass();
     assertEquals(List.of(), answers(), "the answer waits for the acknowledgement");
-    bench.now += SECOND_MICROS / 2;
-    bench.standby.tick(bench.now);
+    leader.now += SECOND_MICROS / 2;
+    leader.standby.tick(leader.now);
     assertEquals(1, answers().size(), "the answer is sent without the launch");
     assertEquals(List.of(cancelled.id()), killedJobs(answers().get(0).orders()));
     assertEquals(List.of(), launchedJobs(answers().get(0).orders()));
     assertEquals(1, kept.attemptCount(), "the launch is planned again");
 
-    bench.effects.clear();
-    bench.report(machine, 0);
+    leader.effects.clear();
+    leader.report(machine, 0);
     runPass();
     assertEquals(1, answers().size(), "the answer does not wait for the record");
     assertEquals(List.of(), commands(), "nothing is launched before the record is written");
-    bench.completeRecordWrites();
+    leader.completeRecordWrites();
     runPass();
     assertEquals(
         List.of(kept.id()),
@@ -130,14 +130,14 @@
   @Example
   void jobCancelledDuringReplicationIsNotLaunched() {
     Machine machine = leadOneMachine();
-    bench.deferAcknowledgements();
-    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(machine, 0);
+    leader.deferAcknowledgements();
+    Job kept = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Job cancelled = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.report(machine, 0);
     runPass();
     assertEquals(List.of(), answers(), "the answer waits for the acknowledgement");
     cancel(cancelled);
-    bench.deliverAcknowledgements();
+    leader.deliverAcknowledgements();
     assertEquals(List.of(kept.id()), launchedJobs(answers().get(0).orders()));
     assertEquals(
         1, cancelled.attemptCount(), "the attempt counts until a heartbeat shows that it is gone");
@@ -149,14 +149,14 @@
    */
   @Example
   void jobCancelledBeforeStandbyRecordIsClearedIsNotLaunched() {
-    bench.lead();
-    bench.deferRecordWrites();
-    bench.startWithStandbyOfPreviousTerm();
-    bench.machines(1);
-    Machine machine = bench.workers.machines().get("m-0");
-    Job kept = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    Job cancelled = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(machine, 0);
+    leader.lead();
+    leader.deferRecordWrites();
+    leader.startWithStandbyOfPreviousTerm();
+    leader.machines(1);
+    Machine machine = leader.workers.machines().get("m-0");
+    Job kept = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Job cancelled = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.report(machine, 0);
     runPass();
     assertEquals(1, answers().size(), "the answer renews the lease");
     assertEquals(
@@ -165,7 +165,7 @@
         "nothing is launched before the record names no standby");
     assertEquals(List.of(), commands());
     cancel(cancelled);
-    bench.completeRecordWrites();
+    leader.completeRecordWrites();
     runPass();
     assertEquals(
         List.of(kept.id()),
@@ -179,16 +179,16 @@
   @Example
   void answerWaitingForStandbyIsRedirectedAtEndOfTerm() {
     Machine machine = leadOneMachine();
-    bench.deferAcknowledgements();
-    bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.report(machine, 0);
+    leader.deferAcknowledgements();
+    leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.report(machine, 0);
     runPass();
-    bench.effects.clear();
-    bench.workers.close();
-    bench.standby.endTerm();
+    leader.effects.clear();
+    leader.workers.close();
+    leader.standby.endTerm();
     assertEquals(
         List.of(new Answer.Redirect(null)),
-        bench.effects.stream()
+        leader.effects.stream()
             .filter(e -> e instanceof Effect.Respond)
             .map(e -> ((Effect.Respond) e).answer())
             .toList());
@@ -201,7 +201,7 @@
   void killIsSentWhileLaunchHasNoReply() {
     Machine machine = leadOneMachine();
     Job cancelled = startTask(machine);
-    Job other = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    Job other = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
     runPass();
     assertEquals(1, commands().size(), "the launch is in flight");
     cancel(cancelled);
@@ -211,11 +211,11 @@
     // The reply to the kill was written before the delayed launch arrived, so it does not prove
     // that
     // the launch is lost.
-    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
+    leader.sink.replied(commands().get(1).callId(), reply(machine, true));
     assertEquals(1, other.attemptCount(), "the launch is still in flight");
     assertEquals(0, cancelled.attemptCount());
-    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
-    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
+    leader.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
+    leader.sink.replied(commands().get(1).callId(), reply(machine, true));
     assertEquals(Machine.Phase.FENCING, machine.phase());
     assertEquals(1, other.attemptCount(), "the launch may still arrive");
   }
@@ -228,11 +228,11 @@
   void killIsSentWhileMachineIsFencing() {
     Machine machine = leadOneMachine();
     Job cancelled = startTask(machine);
-    bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
     runPass();
-    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
+    leader.sink.replied(commands().get(0).callId(), new Reply.NoResponse("timeout"));
     assertEquals(Machine.Phase.FENCING, machine.phase());
-    bench.effects.clear();
+    leader.effects.clear();
     cancel(cancelled);
     runPass();
     assertEquals(List.of(cancelled.id()), killedJobs(orders(commands().get(0))));
@@ -249,18 +249,18 @@
   @Example
   void killThatMayHaveOvertakenItsLaunchIsRepeated() {
     Machine machine = leadOneMachine();
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
-    bench.placement.place(bench.now);
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.placement.place(leader.now);
     Attempt attempt = job.attempt(0);
-    bench.workers.flush(bench.now);
-    bench.standby.tick(bench.now);
+    leader.workers.flush(leader.now);
+    leader.standby.tick(leader.now);
     cancel(job);
     runPass();
     assertEquals(List.of(job.id()), killedJobs(orders(commands().get(1))));
-    bench.sink.replied(commands().get(1).callId(), reply(machine, true));
+    leader.sink.replied(commands().get(1).callId(), reply(machine, true));
     Entry running =
         new Entry(attempt.task(), attempt.number(), TaskState.RUNNING, Exit.NONE, false);
-    bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
+    leader.sink.replied(commands().get(0).callId(), reply(machine, true, running));
     runPass();
     assertEquals(3, commands().size());
     assertEquals(List.of(job.id()), killedJobs(orders(commands().get(2))));
@@ -273,10 +273,10 @@
     Job job = startTask(machine);
     cancel(job);
     runPass();
-    bench.sink.replied(commands().get(0).callId(), new Reply.NoResponse("refused"));
+    leader.sink.replied(commands().get(0).callId(), new Reply.NoResponse("refused"));
     runPass();
     assertEquals(1, commands().size());
-    bench.now += SECOND_MICROS;
+    leader.now += SECOND_MICROS;
     runPass();
     assertEquals(2, commands().size());
     assertTrue(machine.commands().isKillInFlight());
@@ -289,11 +289,11 @@
    */
   @Example
   void lateHeartbeatOfDeletedMachineBlocksTaskForOneLeaseOnly() {
-    bench.lead();
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.lead();
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id(), 0), 5, TaskState.RUNNING, Exit.NONE, false);
     FencingToken earlierToken = new FencingToken(7);
-    bench.workers.receive(
+    leader.workers.receive(
         1,
         new Heartbeat(
             "m-gone",
@@ -307,24 +307,24 @@
             Heartbeat.NO_NOTICE,
             List.of(running)),
         false,
-        bench.now);
+        leader.now);
     assertEquals(
         1, job.attemptCount(), "the attempt counts at first, since nothing proves that it is gone");
     runPass();
-    bench.workers.tick(bench.now + bench.settings.workerTimings().leaseMicros(), false);
+    leader.workers.tick(leader.now + leader.settings.workerTimings().leaseMicros(), false);
     assertEquals(1, job.attemptCount());
-    bench.workers.tick(
-        bench.now + bench.settings.workerTimings().leaseMicros() + 2 * SECOND_MICROS, false);
+    leader.workers.tick(
+        leader.now + leader.settings.workerTimings().leaseMicros() + 2 * SECOND_MICROS, false);
     assertEquals(0, job.attemptCount(), "the lease has expired");
   }
 
   /** If the unknown machine still runs, its reply to a probe confirms its tasks. */
   @Example
   void unknownMachineIsConfirmedByProbeReply() {
-    bench.lead();
-    Job job = bench.job("red", JobSpec.Priority.NORMAL, 1, 1);
+    leader.lead();
+    Job job = leader.job("red", JobSpec.Priority.NORMAL, 1, 1);
     Entry running = new Entry(new TaskId(job.id(), 0), 5, TaskState.RUNNING, Exit.NONE, false);
-    bench.workers.receive(
+    leader.workers.receive(
         1,
         new Heartbeat(
             "m-0",
@@ -338,14 +338,14 @@
             Heartbeat.NO_NOTICE,
             List.of(running)),
         false,
-        bench.now);
-    Machine machine = bench.workers.machines().get("m-0");
+        leader.now);
+    Machine machine = leader.workers.machines().get("m-0");
     assertEquals(Machine.Phase.FENCING, machine.phase());
-    assertEquals(bench.now, machine.idleSinceMicros(), "idle since its first heartbeat");
-    bench.workers.tick(bench.now, false);
+    assertEquals(leader.now, machine.idleSinceMicros(), "idle since its first heartbeat");
+    leader.workers.tick(leader.now, false);
     assertEquals(1, commands().size(), "the machine is probed with this term's token");
-    bench.continueSequenceFrom("m-0", 9L);
-    bench.sink.replied(commands().get(0).callId(), reply(machine, true, running));
+    leader.continueSequenceFrom("m-0", 9L);
+    leader.sink.replied(commands().get(0).callId(), reply(machine, true, running));
     assertEquals(Machine.Phase.CONFIRMED, machine.phase());
     assertEquals(1, job.attemptCount());
   }
@@ -356,16 +356,16 @@
    */
   @Example
   void newlyBootedMachineIsNotProbed() {
-    bench.lead();
-    bench.workers.receive(
+    leader.lead();
+    leader.workers.receive(
         1,
         new Heartbeat(
             "m-new", "x", "t", "a", true, 1, 1, FencingToken.NONE, Heartbeat.NO_NOTICE, List.of()),
         false,
-        bench.now);
+        leader.now);
     runPass();
-    bench.workers.tick(bench.now, false);
+    leader.workers.tick(leader.now, false);
     assertEquals(List.of(), commands());
-    assertEquals(Machine.Phase.BOOTING, bench.workers.machines().get("m-new").phase());
+    assertEquals(Machine.Phase.BOOTING, leader.workers.machines().get("m-new").phase());
   }
 }
--- a/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
+++ b/src/test/java/org/eiderstair/core/workers/WorkerManagerTest.java
@@ -240,36 +240,36 @@
    */
   @Example
   void completedTaskIsAcknowledgedOnlyOnceDurable() {
-    LeaderFixture bench = new LeaderFixture();
-    bench.lead();
-    bench.machines(1);
-    Machine target = bench.workers.machines().get("m-0");
-    Job twoTaskJob = bench.job("red", JobSpec.Priority.NORMAL, 2, 1);
-    bench.report(target, 0);
-    bench.placement.place(bench.now);
-    bench.workers.flush(bench.now);
+    LeaderFixture leader = new LeaderFixture();
+    leader.lead();
+    leader.machines(1);
+    Machine target = leader.workers.machines().get("m-0");
+    Job twoTaskJob = leader.job("red", JobSpec.Priority.NORMAL, 2, 1);
+    leader.report(target, 0);
+    leader.placement.place(leader.now);
+    leader.workers.flush(leader.now);
     List<Entry> entries = new ArrayList<>();
     twoTaskJob
         .attempts()
         .forEach(
             a -> entries.add(new Entry(a.task(), a.number(), TaskState.ENDED, Exit.DONE, false)));
-    assertEquals(List.of(), acknowledgementsAfter(bench, target, entries.get(0)));
+    assertEquals(List.of(), acknowledgementsAfter(leader, target, entries.get(0)));
     assertTrue(twoTaskJob.isCompleted(entries.get(0).task().index()));
     BitSet durable = new BitSet();
     durable.set(entries.get(0).task().index());
     twoTaskJob.setDurableProgress(durable, 1);
     assertEquals(
         List.of(new Order.Acknowledge(entries.get(0).task(), entries.get(0).attempt())),
-        acknowledgementsAfter(bench, target, entries.get(0)));
+        acknowledgementsAfter(leader, target, entries.get(0)));
   }
 
   private static List<Order> acknowledgementsAfter(
-      LeaderFixture bench, Machine target, Entry entry) {
-    bench.effects.clear();
-    Heartbeat heartbeat = bench.heartbeat(target, List.of(entry));
-    bench.workers.receive(bench.nextExchange(), heartbeat, false, bench.now);
-    bench.workers.flush(bench.now);
-    return bench.effects.stream()
+      LeaderFixture leader, Machine target, Entry entry) {
+    leader.effects.clear();
+    Heartbeat heartbeat = leader.heartbeat(target, List.of(entry));
+    leader.workers.receive(leader.nextExchange(), heartbeat, false, leader.now);
+    leader.workers.flush(leader.now);
+    return leader.effects.stream()
         .filter(e -> e instanceof Effect.Respond)
         .flatMap(e -> ((Answer.Command) ((Effect.Respond) e).answer()).orders().stream())
         .filter(o -> o instanceof Order.Acknowledge)
