--- a/src/main/java/org/eiderstair/core/leadership/ElectionBackoff.java
+++ b/src/main/java/org/eiderstair/core/leadership/ElectionBackoff.java
@@ -14,28 +14,28 @@
   private static final long WARM_UP_MICROS = 20_000_000;
 
   /**
-   * The minimum delay, in gather periods, before a node campaigns that yields for one reason.
-   * Another node may gather changes for one period before it learns of the deletion.
+   * The minimum delay, in batch delays, before a node campaigns that yields for one reason. Another
+   * node may collect changes for one batch delay before it learns of the deletion.
    */
-  private static final int YIELD_GATHER_PERIODS = 2;
+  private static final int YIELD_BATCH_DELAYS = 2;
 
-  /** The minimum delay, in gather periods, of a node that yields for both reasons. */
-  private static final int DOUBLE_YIELD_GATHER_PERIODS = 4;
+  /** The minimum delay, in batch delays, of a node that yields for both reasons. */
+  private static final int DOUBLE_YIELD_BATCH_DELAYS = 4;
 
   private static final long NOT_LOADED = Long.MAX_VALUE;
 
-  private final long gatherMicros;
+  private final long batchDelayMicros;
   private final IntUnaryOperator random;
   private long replicaLoadedMicros = NOT_LOADED;
   private long notBeforeMicros;
 
   /**
-   * @param gatherMicros the longest time for which a node gathers changes before it reads them
+   * @param batchDelayMicros the longest time for which a node collects changes before it reads them
    * @param random returns a uniformly distributed number from 0 up to, but not including, its
    *     argument
    */
-  ElectionBackoff(long gatherMicros, IntUnaryOperator random) {
-    this.gatherMicros = gatherMicros;
+  ElectionBackoff(long batchDelayMicros, IntUnaryOperator random) {
+    this.batchDelayMicros = batchDelayMicros;
     this.random = random;
   }
 
@@ -80,9 +80,9 @@
     if (!warmingUp && !anotherNodeInSync) {
       return;
     }
-    int periods =
-        warmingUp && anotherNodeInSync ? DOUBLE_YIELD_GATHER_PERIODS : YIELD_GATHER_PERIODS;
-    int delayMicros = (int) (periods * gatherMicros);
+    int batchDelays =
+        warmingUp && anotherNodeInSync ? DOUBLE_YIELD_BATCH_DELAYS : YIELD_BATCH_DELAYS;
+    int delayMicros = (int) (batchDelays * batchDelayMicros);
     notBeforeMicros =
         Math.max(notBeforeMicros, nowMicros + delayMicros + random.applyAsInt(delayMicros));
   }
--- a/src/test/java/org/eiderstair/core/leadership/ElectionBackoffTest.java
+++ b/src/test/java/org/eiderstair/core/leadership/ElectionBackoffTest.java
@@ -9,12 +9,13 @@
 /** Tests how long a node waits before it campaigns for the leader key. */
 class ElectionBackoffTest {
   private static final long SECOND_MICROS = 1_000_000;
-  private static final long GATHER_MICROS = 60_000;
+  private static final long BATCH_DELAY_MICROS = 60_000;
   private static final long LOADED_MICROS = SECOND_MICROS;
   private static final long WARM_MICROS = LOADED_MICROS + 60 * SECOND_MICROS;
 
   /** Always draws the largest number allowed. */
-  private final ElectionBackoff backoff = new ElectionBackoff(GATHER_MICROS, bound -> bound - 1);
+  private final ElectionBackoff backoff =
+      new ElectionBackoff(BATCH_DELAY_MICROS, bound -> bound - 1);
 
   private long delayAfterKeyDeleted(long nowMicros, boolean anotherNodeInSync) {
     backoff.replicaLoaded(LOADED_MICROS);
@@ -33,17 +34,19 @@
 
   @Example
   void aNodeThatWarmsUpYieldsToWarmNodes() {
-    assertEquals(4 * GATHER_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, false));
+    assertEquals(
+        4 * BATCH_DELAY_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, false));
   }
 
   @Example
   void aWarmNodeYieldsToTheStandbyInSync() {
-    assertEquals(4 * GATHER_MICROS - 1, delayAfterKeyDeleted(WARM_MICROS, true));
+    assertEquals(4 * BATCH_DELAY_MICROS - 1, delayAfterKeyDeleted(WARM_MICROS, true));
   }
 
   @Example
   void aNodeThatWarmsUpYieldsToTheStandbyAndToWarmNodes() {
-    assertEquals(8 * GATHER_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, true));
+    assertEquals(
+        8 * BATCH_DELAY_MICROS - 1, delayAfterKeyDeleted(LOADED_MICROS + SECOND_MICROS, true));
   }
 
   @Example
