--- a/src/main/java/org/eiderstair/protocol/CloudMessages.java
+++ b/src/main/java/org/eiderstair/protocol/CloudMessages.java
@@ -9,14 +9,14 @@
 import org.eiderstair.core.model.MachineType;
 
 /**
- * Encodes and decodes the messages exchanged with the cloud: rentals, deletions, the catalogue and
+ * Encodes and decodes the messages exchanged with the cloud: rentals, deletions, the catalog and
  * the list of machines.
  */
 public final class CloudMessages {
   /** The number of machines requested in one page of the list. */
   private static final int PAGE_SIZE = 500;
 
-  /** The path of the catalogue of machine types. */
+  /** The path of the catalog of machine types. */
   public static final String CATALOG_PATH = "/catalog";
 
   /** The path for renting and listing machines. */
@@ -56,7 +56,7 @@
     return MessagePackCodec.write(Map.of(WireFields.MACHINES, machines));
   }
 
-  /** Decodes the catalogue of machine types. */
+  /** Decodes the catalog of machine types. */
   public static Reply decodeCatalog(Map<String, Object> message) throws MalformedMessageException {
     List<MachineType> types = new ArrayList<>();
     for (Object item : new Fields(message).list(WireFields.CATALOG)) {
--- a/src/main/java/org/eiderstair/protocol/package-info.java
+++ b/src/main/java/org/eiderstair/protocol/package-info.java
@@ -12,7 +12,7 @@
  * <tr><td>{@code Urgency}</td><td>priority; {@code urgent} is high</td></tr>
  * <tr><td>{@code Pieces}</td><td>number of tasks; in a heartbeat, the list of tasks</td></tr>
  * <tr><td>{@code Cores}, {@code Bundle}, {@code ImageGb}</td><td>CPUs, image, size of the image</td></tr>
- * <tr><td>{@code Hull}, {@code Hulls}</td><td>machine type; allowed machine types of a job, or the catalogue</td></tr>
+ * <tr><td>{@code Hull}, {@code Hulls}</td><td>machine type; allowed machine types of a job, or the catalog</td></tr>
  * <tr><td>{@code Fjord}, {@code Fjords}</td><td>zone, zones</td></tr>
  * <tr><td>{@code Driftwood}</td><td>whether a machine is a spot machine; of a job, whether it may run on spot machines</td></tr>
  * <tr><td>{@code OneZone}, {@code Scatter}</td><td>whether all tasks run in one zone, whether tasks are spread over zones</td></tr>
