--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -19,11 +19,11 @@
 
   private static final String TOKEN_LIST_SIZE = "token_list_size";
   private static final String MACHINE_QUEUE = "machine_queue";
-  private static final String LEADER_TTL_S = "leader_ttl_s";
-  private static final String LEADER_RENEW_S = "leader_renew_s";
-  private static final String UNHEARD_DELETE_S = "unheard_delete_s";
-  private static final String DARK_DELETE_S = "dark_delete_s";
-  private static final String IDLE_RETURN_S = "idle_return_s";
+  private static final String LEADER_TTL_SECONDS = "leader_ttl_s";
+  private static final String LEADER_RENEW_SECONDS = "leader_renew_s";
+  private static final String UNHEARD_DELETE_SECONDS = "unheard_delete_s";
+  private static final String DARK_DELETE_SECONDS = "dark_delete_s";
+  private static final String IDLE_RETURN_SECONDS = "idle_return_s";
   private static final String RENT_BATCH = "rent_batch";
   private static final String STANDBYS = "standbys";
 
@@ -31,11 +31,11 @@
       Set.of(
           TOKEN_LIST_SIZE,
           MACHINE_QUEUE,
-          LEADER_TTL_S,
-          LEADER_RENEW_S,
-          UNHEARD_DELETE_S,
-          DARK_DELETE_S,
-          IDLE_RETURN_S,
+          LEADER_TTL_SECONDS,
+          LEADER_RENEW_SECONDS,
+          UNHEARD_DELETE_SECONDS,
+          DARK_DELETE_SECONDS,
+          IDLE_RETURN_SECONDS,
           RENT_BATCH,
           STANDBYS);
 
@@ -53,7 +53,7 @@
     settings.rejectUnknownSettings();
     Settings.Tuning tuning = settings.tuning();
     if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
-      throw settings.invalid(LEADER_RENEW_S, "must be at most half of leader_ttl_s");
+      throw settings.invalid(LEADER_RENEW_SECONDS, "must be at most half of leader_ttl_s");
     }
     return tuning;
   }
@@ -84,11 +84,11 @@
     return new Settings.Tuning(
         count(TOKEN_LIST_SIZE, 1, 100_000, DEFAULTS.tokenListSize()),
         count(MACHINE_QUEUE, 0, 100, DEFAULTS.machineQueue()),
-        micros(LEADER_TTL_S, 1, 600, DEFAULTS.leaderTtlMicros()),
-        micros(LEADER_RENEW_S, 0.1, 200, DEFAULTS.leaderRenewMicros()),
-        micros(UNHEARD_DELETE_S, 1, 3600, DEFAULTS.unreachableDeleteMicros()),
-        micros(DARK_DELETE_S, 1, 3600, DEFAULTS.partitionedDeleteMicros()),
-        micros(IDLE_RETURN_S, 0, 86_400, DEFAULTS.idleReturnMicros()),
+        micros(LEADER_TTL_SECONDS, 1, 600, DEFAULTS.leaderTtlMicros()),
+        micros(LEADER_RENEW_SECONDS, 0.1, 200, DEFAULTS.leaderRenewMicros()),
+        micros(UNHEARD_DELETE_SECONDS, 1, 3600, DEFAULTS.unreachableDeleteMicros()),
+        micros(DARK_DELETE_SECONDS, 1, 3600, DEFAULTS.partitionedDeleteMicros()),
+        micros(IDLE_RETURN_SECONDS, 0, 86_400, DEFAULTS.idleReturnMicros()),
         count(RENT_BATCH, 1, 50, DEFAULTS.rentBatch()),
         count(STANDBYS, 0, 1, DEFAULTS.standbys()));
   }
