--- a/src/main/java/org/eiderstair/core/FollowerHeartbeatHandler.java
+++ b/src/main/java/org/eiderstair/core/FollowerHeartbeatHandler.java
@@ -51,7 +51,8 @@
   /** Returns the name of the leader's node, or null if no leader is known. */
   private String leaderNode() {
     Replica.Leader leader = replica.leader();
-    // While the state service refuses only this node, the leader key in its replica is outdated.
+    // If the state service refuses only this node, the leader key in this node's replica may be
+    // outdated.
     return stateServiceHealth
         .newerLeader(leader == null ? 0 : leader.term())
         .map(StateServiceHealth.PeerLeader::node)
--- a/src/main/java/org/eiderstair/core/StandbyReplication.java
+++ b/src/main/java/org/eiderstair/core/StandbyReplication.java
@@ -17,9 +17,9 @@
 import org.eiderstair.core.workers.WorkerManager;
 
 /**
- * Gives the leader's side of the standby access to its node for one term: to the replicated state,
- * the connection to the peer, and the standby's record. The record is written only while the leader
- * key belongs to this term.
+ * Connects the leader's side of the standby replication to this node for one term. Provides the
+ * state to replicate, the requests to the peer, and the reads and writes of the standby's record.
+ * The record is written only while the leader key belongs to this term.
  */
 final class StandbyReplication implements Standby.Host {
   private final EffectSink sink;
--- a/src/main/java/org/eiderstair/core/StandbyTakeover.java
+++ b/src/main/java/org/eiderstair/core/StandbyTakeover.java
@@ -14,9 +14,9 @@
 /**
  * Starts a failover on the standby in sync when its leader sends no replication batches for a
  * while. The takeover first marks the term as taken over in the standby's record by
- * compare-and-swap. The leader launches nothing that the standby does not acknowledge, so it can
- * never launch again. The takeover then revokes the leader's lease instead of waiting until the
- * lease expires.
+ * compare-and-swap. After that, the leader can never launch a task again, because a launch needs an
+ * acknowledgement that this node no longer gives. The takeover then revokes the leader's lease
+ * instead of waiting until the lease expires.
  *
  * <p>A leader that is alive but cannot reach this node has removed it from the record by then. In
  * that case no takeover is attempted, or its compare-and-swap fails.
@@ -84,7 +84,7 @@
         reply -> {
           inFlight = false;
           nextAttemptMicros = nowMicros.getAsLong() + RETRY_DELAY_MICROS;
-          sink.info("takeover of term=" + leader.term() + ": " + reply);
+          sink.info("takeover of term=" + leader.term() + " answered: reply=" + reply);
           if (reply instanceof Reply.Applied applied) {
             replica.apply(new Reply.Item(StateKeys.STANDBY, takenOver, applied.revision()));
             sink.call(new Request.LeaseRevoke(leader.lease()), ignored -> {});
--- a/src/main/java/org/eiderstair/core/jobs/JobService.java
+++ b/src/main/java/org/eiderstair/core/jobs/JobService.java
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Returns whether the replica is loaded; if not, answers the exchange as unavailable. */
+  /** Returns whether the replica is loaded; if not, answers that the service is unavailable. */
   private boolean checkReady(long exchange) {
     if (!replica.isLoaded()) {
       answers.unavailable(exchange, "starting");
@@ -75,7 +75,7 @@
     return replica.isLoaded();
   }
 
-  /** Returns when {@link #tick} is due next; {@link Long#MAX_VALUE} if nothing waits. */
+  /** Returns the time when {@link #tick} is next due; {@link Long#MAX_VALUE} if nothing waits. */
   public long dueMicros() {
     return confirmation.dueMicros();
   }
--- a/src/main/java/org/eiderstair/core/model/CommandState.java
+++ b/src/main/java/org/eiderstair/core/model/CommandState.java
@@ -28,7 +28,7 @@
     inFlight = false;
   }
 
-  /** Returns whether a kill command is in flight, regardless of launches and probes. */
+  /** Returns whether a kill command is in flight; launches and probes do not count. */
   public boolean isKillInFlight() {
     return killInFlight;
   }
--- a/src/main/java/org/eiderstair/core/model/Heartbeat.java
+++ b/src/main/java/org/eiderstair/core/model/Heartbeat.java
@@ -11,7 +11,8 @@
  * @param type the name of the machine type
  * @param zone the zone of the machine
  * @param spot whether the machine is a spot instance
- * @param incarnation the number of the worker's start; a restart after lease expiry also counts
+ * @param incarnation a number that increases with each start of the worker, including a restart
+ *     after its lease expired
  * @param sequence the number of the heartbeat within the incarnation
  * @param fencingToken the highest token that the worker had seen when it wrote this heartbeat
  * @param noticeMicros the time until the platform reclaims the machine, or {@link #NO_NOTICE}
@@ -67,13 +68,16 @@
     ERROR,
     /** The worker refused the task for lack of room. */
     NO_ROOM,
-    /** The worker refused the task as busy. */
+    /** The worker refused the task because the worker is busy. */
     BUSY,
-    /** The worker refused the task as part of an unknown job. */
+    /** The worker refused the task because the job is unknown. */
     UNKNOWN_JOB
   }
 
-  /** Returns whether this heartbeat is newer than the identified one of the same machine. */
+  /**
+   * Returns whether this heartbeat is newer than the one of the same machine with the given
+   * incarnation and sequence number.
+   */
   public boolean isNewerThan(long otherIncarnation, long otherSequence) {
     return incarnation > otherIncarnation
         || (incarnation == otherIncarnation && sequence > otherSequence);
--- a/src/main/java/org/eiderstair/core/placement/MachineQueues.java
+++ b/src/main/java/org/eiderstair/core/placement/MachineQueues.java
@@ -69,8 +69,8 @@
    * Finds a queue for one task of the job. Only a few random machines are examined, so the cost
    * does not grow with the fleet.
    *
-   * <p>If the queue of the best machine is full, its last attempt is less urgent. That attempt is
-   * removed, and its task waits in its job again.
+   * <p>If the best machine's queue is full, its last attempt is removed, and the task of that
+   * attempt waits in its job again. Such an attempt is always less urgent than the given job.
    *
    * @return the machine whose queue the task can join; null if none was found
    */
--- a/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
+++ b/src/main/java/org/eiderstair/core/placement/ServiceOrder.java
@@ -46,7 +46,7 @@
 
   /**
    * Updates the set of jobs that are within their team's guarantee. A job is within the guarantee
-   * if its unfinished tasks fit into it together with those of the team's older jobs.
+   * if the guarantee covers its unfinished tasks and those of the team's older jobs together.
    */
   void updateGuarantees() {
     Set<Job> within = new HashSet<>();
--- a/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
+++ b/src/main/java/org/eiderstair/core/provisioning/ProvisioningRecords.java
@@ -27,7 +27,7 @@
           try {
             read(key, value, rentals, releases);
           } catch (RuntimeException e) {
-            // An exception that stops this leader would also stop each successor.
+            // If the exception stopped this leader, the record would also stop each successor.
             logUnreadable(key, e.getMessage());
           }
         });
@@ -51,9 +51,9 @@
 
   private void logUnreadable(String key, String problem) {
     host.error(
-        "unreadable provisioning record key="
+        "provisioning record is unreadable and stays unchanged: key="
             + key
-            + ", left unchanged, term="
+            + " term="
             + term
             + ": "
             + problem);
--- a/src/main/java/org/eiderstair/core/record/StoredFields.java
+++ b/src/main/java/org/eiderstair/core/record/StoredFields.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Reads typed fields of a stored value. Most number fields and all flags may be missing; a missing
- * one, or one of another type, counts as a default. A string field of another type mostly makes the
- * value unreadable.
+ * Reads typed fields of a stored value. Most number fields and all flags may be missing. A field
+ * that is missing or of another type then counts as a default. A string field of another type makes
+ * the value unreadable, except when read by {@link #stringIfValid}.
  */
 final class StoredFields {
   private final Map<String, Object> fields;
@@ -124,7 +124,7 @@
   }
 
   /**
-   * Returns the strings of a list, or null when the field is missing. Skips other items.
+   * Returns the strings of a list, or null when the field is missing. Skips items of other types.
    *
    * @throws UnreadableValueException when the field is not a list
    */
@@ -144,7 +144,8 @@
   /**
    * Returns a list of strings.
    *
-   * @throws UnreadableValueException when the field is missing, not a list, or has another item
+   * @throws UnreadableValueException when the field is missing, is not a list, or has an item that
+   *     is not a string
    */
   List<String> requiredStrings(String field) {
     List<String> strings = new ArrayList<>();
--- a/src/main/java/org/eiderstair/core/standby/Standby.java
+++ b/src/main/java/org/eiderstair/core/standby/Standby.java
@@ -9,10 +9,11 @@
 
 /**
  * A hot standby: one controller that replicates the leader's view of which attempts may be on which
- * machine. A record that is written only under the leader key names the standby as in sync. While
- * the record names it, a launch is sent only after the standby has acknowledged it. So if the
- * standby is elected while the record still names it, no machine holds an attempt that the standby
- * does not know. docs/standby.md explains why this is safe.
+ * machine. A record in the state service names the standby in sync. The record is written only
+ * while the leader key belongs to the writer. While the record names a standby, a launch is sent
+ * only after the standby has acknowledged it. So if the standby is elected while the record still
+ * names it, no machine holds an attempt that the standby does not know. docs/standby.md explains
+ * why this is safe.
  *
  * <p>Each node has one instance, which follows the leader or, while the node leads, replicates to a
  * peer.
@@ -79,7 +80,7 @@
   private long lastBatchMicros = Long.MIN_VALUE / 2;
 
   /**
-   * @param runId identifies this run of the node; each run has another
+   * @param runId identifies this run of the node; unique for each run
    * @param log receives the lines to log
    */
   public Standby(String node, String runId, Consumer<String> log) {
@@ -149,9 +150,9 @@
   }
 
   /**
-   * Returns the state of the last term that was replicated to this node, by the machine's name.
-   * Called when this node becomes the leader. An attempt that is not in the result is on no
-   * machine. A successful call discards the replicated state, so it succeeds only once.
+   * Returns the replicated state of the previous term, by the machine's name. Called when this node
+   * becomes the leader. An attempt that is not in the result is on no machine. A successful call
+   * discards the replicated state, so it succeeds only once.
    *
    * @param term the new term, which is the revision of this node's election
    * @param revision the revision of this node's replica of the stored keys
@@ -231,7 +232,9 @@
     }
   }
 
-  /** Returns the standby in sync or else the replication's state, for the leader's log line. */
+  /**
+   * Returns the standby in sync, or else the state of the replication, for the leader's log line.
+   */
   public String summary() {
     return primary == null ? "off" : primary.summary();
   }
--- a/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
+++ b/src/main/java/org/eiderstair/core/standby/StandbyReplica.java
@@ -17,8 +17,9 @@
     /** The replica holds a complete snapshot, and applies and acknowledges changes. */
     FOLLOWING,
     /**
-     * The replica is complete and no longer changes, because this node asks to lead. Further
-     * batches of its snapshot and of older ones are not acknowledged; a newer snapshot replaces it.
+     * The replica is complete and no longer changes, because this node campaigns or takes over a
+     * term. Further batches of this snapshot or an older one are not acknowledged. A newer snapshot
+     * replaces the state.
      */
     FROZEN
   }
@@ -43,7 +44,7 @@
 
   private State state = State.EMPTY;
   private long term;
-  private long snapshot;
+  private long snapshotNumber;
   private long lastSequence;
   private final Map<String, MachineState> machines = new HashMap<>();
 
@@ -71,7 +72,7 @@
     return recovered;
   }
 
-  /** Performs every change of state. */
+  /** Sets the state; all state changes go through this method. */
   private void transitionTo(State next) {
     state = next;
   }
@@ -105,16 +106,16 @@
   }
 
   private boolean startsNewSnapshot(ReplicationBatch batch) {
-    return batch.term() > term || (batch.term() == term && batch.snapshot() > snapshot);
+    return batch.term() > term || (batch.term() == term && batch.snapshot() > snapshotNumber);
   }
 
   private boolean isOutdated(ReplicationBatch batch) {
-    return batch.term() < term || batch.snapshot() < snapshot;
+    return batch.term() < term || batch.snapshot() < snapshotNumber;
   }
 
   private void startSnapshot(ReplicationBatch batch) {
     term = batch.term();
-    snapshot = batch.snapshot();
+    snapshotNumber = batch.snapshot();
     lastSequence = 0;
     machines.clear();
     transitionTo(State.RECEIVING_SNAPSHOT);
@@ -131,6 +132,7 @@
   }
 
   private void apply(ReplicationBatch.Change change) {
+    // A change without a job concerns the machine itself.
     if (change.job().isEmpty() && !change.present()) {
       machines.remove(change.machine());
       return;
--- a/src/main/java/org/eiderstair/core/state/PendingProvisioningRecords.java
+++ b/src/main/java/org/eiderstair/core/state/PendingProvisioningRecords.java
@@ -31,7 +31,8 @@
 
   /**
    * Schedules the write of a value, or the removal of the key when the value is null. The value
-   * replaces a pending one for the same key, whose callbacks then wait for the new value.
+   * replaces a pending value for the same key. Callbacks of the replaced value wait for the new
+   * one.
    */
   void put(String key, StoredValue value, Runnable onDurable) {
     Entry earlier = entries.remove(key);
--- a/src/main/java/org/eiderstair/core/state/StateWriter.java
+++ b/src/main/java/org/eiderstair/core/state/StateWriter.java
@@ -15,9 +15,9 @@
 /**
  * Performs the durable writes of a leader: finished jobs, progress, registered workers, rentals and
  * releases. One transaction is in flight at a time. Each transaction requires the leader key of
- * this term, the known version of every key that it changes, and the known version of the barrier.
- * Each transaction is built from the writes still pending, so a lost answer requires only fresh
- * versions.
+ * this term, the known version of every key that it changes, and the known version of the barrier
+ * ({@link StateKeys#BARRIER}). Each transaction is built from the writes still pending, so after a
+ * lost answer the writer only has to read the versions again.
  *
  * <p>A transaction without an answer may be executed at any later time. The versions of its keys do
  * not prevent this. If a transaction creates a key, its condition holds again after later
@@ -27,7 +27,8 @@
  */
 public final class StateWriter {
   /**
-   * Changes close together share a transaction; one transaction per change would use up requests.
+   * Changes close together share a transaction. One transaction per change would use up the
+   * requests that the state service accepts.
    */
   private static final long MIN_BATCH_INTERVAL_MICROS = 60_000;
 
@@ -39,7 +40,7 @@
    */
   private static final double WRITE_RATE_SHARE = 0.7;
 
-  /** Records of rentals and releases take at most one part in this many of a transaction. */
+  /** The records of rentals and releases fill at most 1/divisor of a transaction. */
   private static final int PROVISIONING_BATCH_DIVISOR = 4;
 
   private enum State {
@@ -223,7 +224,11 @@
       applyToReplica(batch, applied.revision());
       batch.complete();
     } else if (reply instanceof Reply.Conflict conflict) {
-      sink.debug("write conflict keys=" + conflict.failedKeys() + ", term=" + term);
+      sink.debug(
+          "transaction failed on a version conflict: keys="
+              + conflict.failedKeys()
+              + " term="
+              + term);
       readVersions(conflict.failedKeys());
     } else if (reply instanceof Reply.NoResponse) {
       uncertainKeys = batch.conditions().stream().map(Request.Condition::key).toList();
--- a/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
+++ b/src/main/java/org/eiderstair/core/workers/FailureAccounting.java
@@ -20,7 +20,7 @@
     this.drain = drain;
   }
 
-  /** Records the exit of a task of an open job that ended without being completed. */
+  /** Records the exit of an attempt that did not complete its task. The job is still open. */
   void recordExit(Machine machine, Job job, TaskId task, Heartbeat.Exit exit) {
     switch (exit) {
       case ERROR -> recordFailure(machine, job, task);
--- a/src/main/java/org/eiderstair/core/workers/WorkerManager.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerManager.java
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Returns whether a machine was terminated in this term. A delayed heartbeat or list must not add
-   * it again.
+   * Returns whether a machine was terminated in this term. Neither a delayed heartbeat nor a stale
+   * machine list of the cloud may add the machine again.
    */
   public boolean isTerminated(String id) {
     return registry.isTerminated(id);
@@ -204,7 +204,7 @@
     drain.drain(machine);
   }
 
-  /** Schedules the machine's kills for the next flush. */
+  /** Schedules the kill orders of the machine for the next {@link #flush}. */
   public void scheduleKills(Machine machine) {
     commandQueue.scheduleKills(machine);
   }
@@ -321,14 +321,15 @@
   /**
    * Expires leases and probes machines that are not confirmed.
    *
-   * @param busy whether the pass is late, so that heartbeats wait. Shortly after a failover this
-   *     suppresses probes, since a heartbeat tells as much as a reply to a probe at no higher cost.
+   * @param passLate whether the pass is late, so that heartbeats wait. In that case no probes are
+   *     sent shortly after a failover: a heartbeat contains as much as a reply to a probe, at no
+   *     higher cost.
    */
-  public void tick(long nowMicros, boolean busy) {
+  public void tick(long nowMicros, boolean passLate) {
     time.advanceTo(nowMicros);
     leaseMonitor.expireDue();
     boolean heartbeatsSuffice =
-        busy && nowMicros < tookOverMicros + settings.workerTimings().heartbeatMicros();
+        passLate && nowMicros < tookOverMicros + settings.workerTimings().heartbeatMicros();
     if (!heartbeatsSuffice) {
       prober.probeDue();
     }
--- a/src/main/java/org/eiderstair/core/workers/WorkerProber.java
+++ b/src/main/java/org/eiderstair/core/workers/WorkerProber.java
@@ -5,14 +5,18 @@
 import org.eiderstair.core.model.Machine;
 
 /**
- * Probes machines whose state is not known. A probe is a command without orders. It shows the
- * fencing token, which invalidates earlier commands, and its reply is a heartbeat.
+ * Probes machines whose state is not known. A probe is a command without orders, and the worker's
+ * reply is a heartbeat. The probe carries the fencing token, so the worker refuses commands with
+ * lower tokens from then on.
  */
 final class WorkerProber {
   private static final long PROBE_INTERVAL_MICROS = 1_500_000;
   private static final long ROUND_INTERVAL_MICROS = 20_000;
 
-  /** More recent probes at once would delay the renewal of the leader's lease and user requests. */
+  /**
+   * More than this many recent probes at once would delay the renewal of the leader's lease and
+   * user requests.
+   */
   private static final int MAX_RECENT_PROBES = 8;
 
   /** A probe older than this only waits for its timeout and causes no load in the meantime. */
@@ -21,7 +25,7 @@
   /**
    * The limit on all probes in flight, including slow ones. Slow probes do not count against the
    * limit on recent probes. When they did, 260 unreachable machines in a zone partition blocked the
-   * probes of the others. Half of all machines were then confirmed only 4.8 s after the election
+   * probes of the others. Confirming half of all machines after the election then took 4.8 s
    * instead of 1 s.
    */
   private static final int MAX_PROBES = 128;
@@ -30,7 +34,7 @@
   private final WorkerRegistry registry;
   private final WorkerCommandClient client;
 
-  /** The probes in flight by machine with the time each was sent, the earliest first. */
+  /** The send time of each probe in flight, by machine; the earliest probe comes first. */
   private final Map<Machine, Long> inFlight = new LinkedHashMap<>();
 
   private int recentProbes;
@@ -42,7 +46,7 @@
     this.client = client;
   }
 
-  /** Postpones the next probe, because an answer or a probe is about to show the fencing token. */
+  /** Postpones the next probe, because an answer or a probe is about to carry the fencing token. */
   void postpone(Machine machine) {
     machine.commands().scheduleProbe(context.nowMicros() + PROBE_INTERVAL_MICROS);
   }
--- a/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
+++ b/src/test/java/org/eiderstair/core/capacity/CapacityManagerTest.java
@@ -80,7 +80,7 @@
     assertEquals(0, releasesOfSilentMachines());
   }
 
-  /** Without overload, missing heartbeats mean that machines are dead. */
+  /** Without overload, a leader must treat machines without heartbeats as dead. */
   @Example
   void aLeaderThatIsNotOverloadedReleasesSilentMachines() {
     bench.machines(4_000);
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Guards against placeholder machines that accumulate. Each option is refused every 15 s, with up
-   * to 50 placeholders per refusal, so a refusal must remove them.
+   * Guards against an accumulation of placeholder machines. Each rental option may be refused every
+   * 15 s, with up to 50 placeholders per refusal, so a refusal must remove its placeholders.
    */
   @Example
   void aRefusedRentalNoLongerCountsAsBootingMachines() {
