--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -22,7 +22,10 @@
 
 /** Entry point: parses the command line and runs one command. */
 public final class Main {
-  /** Kept here because reading the jar's manifest would open the jar again at each start. */
+  /**
+   * The version is a constant, because reading it from the manifest would open the jar again at
+   * each start.
+   */
   static final String VERSION = "0.1.0";
 
   private static final int EXIT_SUCCESS = 0;
@@ -172,8 +175,9 @@
 
   /**
    * Disables the JVM's locale providers, which leaves only the root locale. Jetty's table of MIME
-   * types queries every locale that the JVM knows. That took a fifth of all bytecodes that a
-   * controller interprets before it leads. No output of this program depends on a locale.
+   * types queries every locale that the JVM knows. These queries took a fifth of all bytecodes that
+   * a controller interpreted before it became the leader. No output of this program depends on a
+   * locale.
    */
   private static void disableLocaleProviders() {
     System.setProperty("java.locale.providers", "SPI");
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -41,14 +41,14 @@
   private static final int MAX_DRAINED_BYTES = 512 * 1024;
   private static final long DRAIN_TIMEOUT_MILLIS = 2000;
 
-  /** Processes complete requests, and limits their size. */
+  /** Processes complete requests, refuses invalid ones, and limits the memory for their bodies. */
   interface RequestProcessor {
-    /** Processes a complete request, which is answered now or later on the connection. */
+    /** Processes a complete request, and answers it on the connection at once or later. */
     void process(ServerConnection connection, String method, String path, byte[] body);
 
     /**
-     * Answers at once with an error, and closes the connection. The rest of the request is not
-     * read; method and path are empty if they were not read.
+     * Answers a request with an error at once, and closes the connection. The rest of the request
+     * is not parsed. The method and the path are empty if the request line was not parsed.
      */
     void refuse(ServerConnection connection, String method, String path, int status, String reason);
 
@@ -59,12 +59,12 @@
     boolean isHeartbeat(String path);
 
     /**
-     * Reserves memory for bytes of request bodies until {@link #releaseBytes}; returns false, and
-     * reserves nothing, if the limit is reached.
+     * Reserves memory for bytes of request bodies until {@link #releaseBytes} is called. Returns
+     * false, and reserves nothing, if the limit would be exceeded.
      */
     boolean reserveBytes(int bytes);
 
-    /** Releases memory that {@link #reserveBytes} has reserved. */
+    /** Releases memory that {@link #reserveBytes} reserved. */
     void releaseBytes(int bytes);
   }
 
@@ -81,7 +81,8 @@
   private boolean inputPending;
 
   /**
-   * Input after the current request, or null. No known client pipelines, but no input may be lost.
+   * The input that was read after the current request; null if there is none. No known client sends
+   * a request before the previous answer, but no input may be lost.
    */
   private ByteBuffer pipelinedInput;
 
@@ -130,7 +131,7 @@
     // An incomplete request gets no answer.
   }
 
-  /** Counts input that is discarded; closes the connection and returns false at the limit. */
+  /** Counts discarded input. Closes the connection and returns false above the limit. */
   private boolean discard(int bytes) {
     drainedBytes += bytes;
     if (drainedBytes > MAX_DRAINED_BYTES) {
@@ -187,7 +188,10 @@
     }
   }
 
-  /** Returns whether the budget reclaims this connection's socket for another use. */
+  /**
+   * Marks this connection as closing if the budget reclaims its socket for another use, and returns
+   * whether it does.
+   */
   private synchronized boolean reclaimIfNeeded() {
     if (use == ConnectionBudget.InboundUse.HEARTBEAT
         && state != State.CLOSED
@@ -215,7 +219,7 @@
     Buffers.write(getEndPoint(), head, content, new AnswerWritten(close));
   }
 
-  /** Continues when an answer was written: reads the next request, or closes the connection. */
+  /** Reads the next request, or closes the connection, after an answer is written. */
   private final class AnswerWritten implements Callback {
     private final boolean close;
 
@@ -265,20 +269,20 @@
   private void readNext() {
     parser.reset();
     releaseReservedBytes();
-    ByteBuffer more;
+    ByteBuffer pipelined;
     boolean wasInputPending;
     synchronized (this) {
       if (state == State.CLOSED) {
         return;
       }
       changeState(State.READING);
-      more = pipelinedInput;
+      pipelined = pipelinedInput;
       pipelinedInput = null;
       wasInputPending = inputPending;
       inputPending = false;
     }
-    if (more != null) {
-      read(more);
+    if (pipelined != null) {
+      read(pipelined);
     }
     if (wasInputPending) {
       awaitInput();
@@ -293,13 +297,13 @@
   @Override
   public void onClose(Throwable cause) {
     super.onClose(cause);
-    boolean counted;
+    boolean wasOpen;
     synchronized (this) {
-      counted = state != State.CLOSED;
+      wasOpen = state != State.CLOSED;
       state = State.CLOSED;
     }
     releaseReservedBytes();
-    if (counted) {
+    if (wasOpen) {
       budget.closeInbound(use);
     }
   }
--- a/src/main/java/org/eiderstair/http/StatusReader.java
+++ b/src/main/java/org/eiderstair/http/StatusReader.java
@@ -6,8 +6,8 @@
 import org.eiderstair.protocol.MessagePackCodec;
 
 /**
- * Decodes a response by its status. Without a decoder for the status, a server error other than 503
- * counts as no response, and any other status as a refusal.
+ * Decodes the body of a response with the decoder for its status. A status without a decoder is a
+ * refusal, except that a server error other than 503 counts as no response.
  */
 final class StatusReader implements OutgoingRequest.ResponseReader {
   private static final int OK = 200;
@@ -42,22 +42,31 @@
     return new StatusReader(success, null, null);
   }
 
-  /** Returns a reader that decodes success; an empty body is decoded as an empty map. */
+  /**
+   * Returns a reader that decodes the bodies of statuses 200 and 201, which are maps. An empty body
+   * is decoded as an empty map.
+   */
   static StatusReader ofMap(MapDecoder success) {
     return of(mapOrEmpty(success));
   }
 
-  /** Returns a reader that also decodes status 409. */
+  /** Returns a reader that also decodes the body of status 409. */
   StatusReader onConflict(Decoder decoder) {
     return new StatusReader(success, decoder, notFound);
   }
 
-  /** Returns a reader that also decodes status 409; an empty body is decoded as an empty map. */
+  /**
+   * Returns a reader that also decodes the body of status 409, which is a map. An empty body is
+   * decoded as an empty map.
+   */
   StatusReader onConflictMap(MapDecoder decoder) {
     return onConflict(mapOrEmpty(decoder));
   }
 
-  /** Returns a reader that also decodes status 404; the body must be a map, even if empty. */
+  /**
+   * Returns a reader that also decodes the body of status 404, which is a map. An empty body is
+   * malformed.
+   */
   StatusReader onNotFoundMap(MapDecoder decoder) {
     return new StatusReader(
         success, conflict, content -> decoder.decode(MessagePackCodec.readMap(content)));
--- a/src/main/java/org/eiderstair/node/OverloadDetector.java
+++ b/src/main/java/org/eiderstair/node/OverloadDetector.java
@@ -4,15 +4,18 @@
 import org.eiderstair.core.message.Event;
 
 /**
- * Detects overload of this node: too many events wait for a second or longer, or connections are
- * refused because no socket is free. Only the core's thread may use it, except that any thread may
- * call {@link #isBehind()}.
+ * Detects overload of this node: too many events have waited for a second or longer, or connections
+ * are refused because no socket is free. Only the core's thread may call its methods, except {@link
+ * #isBehind()}, which any thread may call.
  */
 final class OverloadDetector {
-  /** Several batches of events; a node that keeps up has fewer events waiting now and then. */
+  /**
+   * The limit is several batches of events. The number of waiting events on a node that keeps up
+   * falls to this limit or below from time to time.
+   */
   private static final int MAX_WAITING_EVENTS = 128;
 
-  /** How long too many events must wait until this node counts as behind. */
+  /** The time for which too many events must wait until this node counts as behind. */
   private static final long BEHIND_AFTER_MICROS = 1_000_000;
 
   private static final long REPORT_INTERVAL_MICROS = 500_000;
@@ -23,20 +26,25 @@
   private long nextReportMicros = NEVER;
   private volatile boolean behind;
 
-  /** Sets the counter, which returns the connections refused since its previous call. */
+  /**
+   * Sets the counter, which returns the number of connections refused since the previous call of
+   * the counter.
+   */
   void setRefusedConnectionCounter(IntSupplier counter) {
     refusedConnectionCounter = counter;
   }
 
   /**
-   * Returns whether too many events have waited for so long that deferrable requests are refused.
+   * Returns whether too many events have waited for a second or longer. Deferrable requests are
+   * then refused.
    */
   boolean isBehind() {
     return behind;
   }
 
   /**
-   * Checks for overload after a batch of events. An overload that lasts is reported twice a second.
+   * Checks for overload after a batch of events. A lasting overload is reported at most twice a
+   * second.
    *
    * @param waitingEvents the number of events that still wait
    * @return the event for the core; null if there is nothing to report
--- a/src/main/java/org/eiderstair/protocol/InternedNames.java
+++ b/src/main/java/org/eiderstair/protocol/InternedNames.java
@@ -4,8 +4,8 @@
 
 /**
  * A cache of strings for field names and state values, which recur in every message. A filled slot
- * keeps its string. When two threads race to fill a slot, each creates its own string, and the slot
- * keeps the one written last.
+ * is not replaced. If two threads fill an empty slot at the same time, the string written last
+ * stays in the slot.
  */
 final class InternedNames {
   private static final int MAX_LENGTH_BYTES = 24;
@@ -17,7 +17,10 @@
 
   private InternedNames() {}
 
-  /** Returns the text, from the cache if it is short and cached. */
+  /**
+   * Returns the decoded text: the cached string if there is one, or else a new string. Texts above
+   * the maximum length are never cached.
+   */
   static String of(byte[] utf8) {
     if (utf8.length > MAX_LENGTH_BYTES) {
       return new String(utf8, StandardCharsets.UTF_8);
@@ -43,8 +46,8 @@
   }
 
   /**
-   * Returns whether the bytes are the ASCII form of the cached text. Text with other characters
-   * never matches, so it is never shared.
+   * Returns whether the bytes are the ASCII form of the cached text. Text with non-ASCII characters
+   * never matches, so its strings are never shared.
    */
   private static boolean isSameAscii(String cached, byte[] utf8) {
     if (cached.length() != utf8.length) {
--- a/src/main/java/org/eiderstair/protocol/WorkerMessages.java
+++ b/src/main/java/org/eiderstair/protocol/WorkerMessages.java
@@ -14,10 +14,10 @@
 
 /** Encodes and decodes the messages exchanged with workers: heartbeats, answers and commands. */
 public final class WorkerMessages {
-  /** The path on a worker for reading its status. */
+  /** The path of a worker's status. */
   public static final String STATUS_PATH = "/status";
 
-  /** The path on a worker for sending commands. */
+  /** The path to which commands for a worker are sent. */
   public static final String COMMANDS_PATH = "/commands";
 
   private static final Map<String, TaskState> TASK_STATES =
@@ -53,7 +53,7 @@
 
   private WorkerMessages() {}
 
-  /** Collects the tasks of a heartbeat. */
+  /** Decodes the list of tasks of a heartbeat. */
   private static final class TaskRowReader implements MessagePackCodec.RowReader {
     private static final int TASK_COLUMN = 0;
     private static final int ATTEMPT_COLUMN = 1;
@@ -61,7 +61,7 @@
     private static final int EXIT_COLUMN = 3;
     private static final int SAVED_COLUMN = 4;
 
-    /** In the order of the column indexes above. */
+    /** The column names, in the order of the column indexes above. */
     private static final String[] COLUMN_NAMES = {
       WireFields.TASK,
       WireFields.ATTEMPT,
@@ -72,7 +72,7 @@
 
     private List<Entry> entries = new ArrayList<>();
 
-    /** The problem of the first malformed row; null when there is none. */
+    /** The exception for the first malformed row; null if there is none. */
     private MalformedMessageException firstProblem;
 
     @Override
@@ -125,8 +125,8 @@
     /**
      * Returns the tasks of the heartbeat.
      *
-     * @param otherItems the items of the list that are not maps; the message is refused unless
-     *     empty
+     * @param otherItems the items of the list that are not maps
+     * @throws MalformedMessageException if there are such items, or if a row was malformed
      */
     List<Entry> entries(List<?> otherItems) throws MalformedMessageException {
       if (!otherItems.isEmpty()) {
--- a/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
+++ b/src/test/java/org/eiderstair/compatibility/StoredValueCompatibilityTest.java
@@ -36,13 +36,13 @@
 import org.eiderstair.protocol.StoreMessages;
 
 /**
- * Guards against changes of stored values that version 0.1.0 could not read, or that make its
- * values unreadable. Every value must be encoded in the bytes that version 0.1.0 wrote, and be
- * decoded from them.
+ * Guards against changes to the encoding of stored values. Version 0.1.0 must be able to read the
+ * values of this version, and this version the values of 0.1.0. Every value must be encoded to the
+ * bytes that version 0.1.0 wrote, and be decoded from them.
  */
 class StoredValueCompatibilityTest {
   private static final RecordedBytes RECORDED = RecordedBytes.load("stored-values.hex");
-  private static final long DAY_MICROS = 1_764_670_000_000_000L;
+  private static final long WALL_CLOCK_MICROS = 1_764_670_000_000_000L;
   private static final List<MachineType> CATALOG =
       List.of(
           new MachineType("g8", 8, 4, 32.5, 10, 0.4, 1.25, 0.3, 30_000_000, List.of("a", "b")),
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Returns two transactions of a leader's state writer: one with all kinds of its writes, whose
-   * reply is lost, and the one that follows.
+   * Returns two transactions of a leader's state writer. The first has every kind of write that the
+   * state writer makes, and its reply is lost. The second is sent after the loss.
    */
   private static List<Request.StoreTransaction> leaderTransactions() {
     LeaderFixture fixture = new LeaderFixture();
@@ -110,7 +110,7 @@
     for (JobSpec spec : specs()) {
       String key = StateKeys.job(spec.id());
       writes.add(Request.Write.put(key, JobRecord.open(spec, 0)));
-      writes.add(Request.Write.put(key, JobRecord.cancelled(spec, 2, DAY_MICROS)));
+      writes.add(Request.Write.put(key, JobRecord.cancelled(spec, 2, WALL_CLOCK_MICROS)));
     }
     writes.add(
         new Request.Write("e/prog/job-1", ProgressRecord.of(new BitSet(), Integer.MAX_VALUE), 0));
@@ -153,8 +153,12 @@
     RECORDED.assertSameBytes(encodeAll());
   }
 
-  /** Decodes the values of a recorded transaction from a page as the state service returns it. */
-  private static List<Reply.Item> read(String name, long version) throws MalformedMessageException {
+  /**
+   * Decodes the values of a recorded transaction, in a page of the form that the state service
+   * returns.
+   */
+  private static List<Reply.Item> decodeRecorded(String name, long version)
+      throws MalformedMessageException {
     List<Object> entries = new ArrayList<>();
     for (Object write : (List<?>) MessagePackCodec.readMap(RECORDED.get(name)).get("Writes")) {
       Map<?, ?> fields = (Map<?, ?>) write;
@@ -179,7 +183,7 @@
     List<StoredValue> written =
         writes.stream().map(Request.Write::value).filter(value -> value != null).toList();
     for (String name : RECORDED.names()) {
-      for (Reply.Item item : read(name, 11)) {
+      for (Reply.Item item : decodeRecorded(name, 11)) {
         assertEquals(written.get(compared++), item.value(), name);
       }
     }
@@ -190,7 +194,7 @@
     Replica replica = new LeaderFixture().replica;
     long version = 10;
     for (String name : names) {
-      read(name, ++version).forEach(replica::apply);
+      decodeRecorded(name, ++version).forEach(replica::apply);
     }
     return replica;
   }
@@ -226,7 +230,7 @@
   void submissionTimeOfAJobIsDecoded() throws MalformedMessageException {
     LeaderFixture fixture = new LeaderFixture();
     fixture.replica.advanceTo(5_000_000);
-    read("created:e/job/job-9", 11).forEach(fixture.replica::apply);
+    decodeRecorded("created:e/job/job-9", 11).forEach(fixture.replica::apply);
     Job job = fixture.replica.job("job-9");
     assertEquals(SampleSpecs.full("job-9"), job.spec());
     assertEquals(CreatedJob.SUBMITTED_MICROS, job.submittedMicros());
@@ -238,7 +242,7 @@
     Job finished = fixture.job("red", JobSpec.Priority.NORMAL, 7, 1);
     Job progressed = fixture.job("red", JobSpec.Priority.NORMAL, 10, 1);
     Job scattered = fixture.job("red", JobSpec.Priority.NORMAL, 1000, 1);
-    read("transaction-1", 11).forEach(fixture.replica::apply);
+    decodeRecorded("transaction-1", 11).forEach(fixture.replica::apply);
     assertEquals(Job.State.DONE, finished.state());
     assertEquals(7, finished.tasks());
     assertEquals("{0, 1, 2, 3, 4, 5, 9}", progressed.durablyCompletedTasks().toString());
@@ -250,17 +254,17 @@
     assertEquals(
         new Replica.RegisteredWorker("i-2", "10.0.0.1:80", "t", null, false, 11),
         fixture.replica.registeredWorker("i-2"));
-    read("transaction-2", 12).forEach(fixture.replica::apply);
+    decodeRecorded("transaction-2", 12).forEach(fixture.replica::apply);
     assertEquals(12, fixture.replica.coordinationRecord("e/duty/barrier").version());
   }
 
   @Example
   void newLeaderResumesRentalsAndReleases() throws MalformedMessageException {
     ProvisioningWrites.Host host = new ProvisioningWrites.Host();
-    ProvisioningController controller = new ProvisioningController(host, 90, 1, DAY_MICROS);
+    ProvisioningController controller = new ProvisioningController(host, 90, 1, WALL_CLOCK_MICROS);
     TreeMap<String, Reply.Item> items = new TreeMap<>();
     for (String name : ProvisioningWrites.RECORDED_NAMES) {
-      for (Reply.Item item : read(name, 11)) {
+      for (Reply.Item item : decodeRecorded(name, 11)) {
         items.put(item.key(), item);
       }
     }
@@ -278,16 +282,19 @@
   @Example
   void standbyRecordIsDecoded() throws MalformedMessageException {
     assertTrue(
-        Standby.namesAnyNode(StandbyWrites.value(read("standby-1:e/duty/standby", 11).get(0))));
+        Standby.namesAnyNode(
+            StandbyWrites.value(decodeRecorded("standby-1:e/duty/standby", 11).get(0))));
     assertFalse(
-        Standby.namesAnyNode(StandbyWrites.value(read("standby-2:e/duty/standby", 11).get(0))));
-    assertTrue(StandbyWrites.endsTerm(read("standby-3:e/duty/standby", 11).get(0)));
-    assertFalse(StandbyWrites.endsTerm(read("standby-1:e/duty/standby", 11).get(0)));
+        Standby.namesAnyNode(
+            StandbyWrites.value(decodeRecorded("standby-2:e/duty/standby", 11).get(0))));
+    assertTrue(StandbyWrites.endsTerm(decodeRecorded("standby-3:e/duty/standby", 11).get(0)));
+    assertFalse(StandbyWrites.endsTerm(decodeRecorded("standby-1:e/duty/standby", 11).get(0)));
     StandbyWrites.Follower follower = new StandbyWrites.Follower();
-    Reply.Item named = read("standby-1:e/duty/standby", 11).get(0);
+    Reply.Item named = decodeRecorded("standby-1:e/duty/standby", 11).get(0);
     assertEquals(1, follower.recover(named).orElseThrow().size());
     assertEquals(
         Optional.empty(),
-        new StandbyWrites.Follower().recover(read("standby-2:e/duty/standby", 11).get(0)));
+        new StandbyWrites.Follower()
+            .recover(decodeRecorded("standby-2:e/duty/standby", 11).get(0)));
   }
 }
--- a/src/test/java/org/eiderstair/node/FakePlatform.java
+++ b/src/test/java/org/eiderstair/node/FakePlatform.java
@@ -24,9 +24,9 @@
 import org.eiderstair.protocol.MessagePackCodec;
 
 /**
- * Fakes of the state service, the cloud, the workers and one peer behind one port, as far as a
- * controller needs them. Each machine has a loopback address of its own, which identifies the
- * receiver of a command.
+ * A server that imitates the state service, the cloud, the workers and one peer on one port. It
+ * implements only what a controller needs. Each machine has its own loopback address, which
+ * identifies the receiver of a command.
  */
 final class FakePlatform extends Handler.Abstract implements AutoCloseable {
   private static final int SERVER_THREADS = 24;
@@ -45,8 +45,8 @@
   /**
    * Starts the server on a free port.
    *
-   * @param maxMachines how many machines the cloud rents out
-   * @param taskMillis how long each task runs
+   * @param maxMachines the number of machines that the cloud rents out at a time
+   * @param taskMillis the run time of each task
    */
   FakePlatform(int maxMachines, long taskMillis) throws Exception {
     this.maxMachines = maxMachines;
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Answers as the other controller, which leads while the store holds its leader key. It accepts
-   * relayed heartbeats, and always names itself as the leader.
+   * Answers as a peer, which leads while the store holds its leader key. The peer accepts relayed
+   * heartbeats. To every other request it answers that it is the leader.
    */
   private byte[] answerPeer(String path, byte[] body) throws MalformedMessageException {
     if (path.equals(PeerMessages.RELAY_PATH)) {
@@ -133,7 +133,7 @@
     return store.list(query.getValue("From"), Integer.parseInt(query.getValue("Page")));
   }
 
-  /** Returns changes after a revision; waits for up to a second if there are none. */
+  /** Returns the changes after the requested revision. Waits up to a second for one. */
   private Map<String, Object> watch(Request request) throws InterruptedException {
     long after = Long.parseLong(Request.extractQueryParameters(request).getValue("From"));
     Map<String, Object> changes = store.changesAfter(after);
@@ -218,13 +218,13 @@
     return receiver.get().heartbeat();
   }
 
-  /** Writes a key as another controller would; removes the key if the value is null. */
+  /** Writes a key as if another controller did so; removes the key if the value is null. */
   synchronized void put(String key, Map<String, Object> value) {
     store.put(Collections.singletonMap(key, value));
     notifyAll();
   }
 
-  /** Adds machines that are up and that an earlier leader has registered. */
+  /** Adds running machines that are registered as if by an earlier leader. */
   synchronized void addMachinesOfEarlierLeader(int count) {
     for (String id : rent(count)) {
       String address = machines.get(id).address();
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.Example;
 
 /**
- * Days with one partition, crash or pause of controllers or machines each; the most expensive ones
- * at the fleet size.
+ * Simulated days with one fault each: a partition, crash or pause of controllers or machines. Two
+ * days run at the size of {@link ClusterSize#fleet}, and a part of a day at the full size.
  */
 class ControllerFaultScenariosTest {
   private static final long SECOND_MICROS = 1_000_000;
   private static final long FAULT_AT_MICROS = 80 * SECOND_MICROS;
 
-  /** More machines than the work of the day ever needs. */
+  /** A size with more machines than the work of the day ever needs. */
   private static final ClusterSize AMPLE_SIZE = new ClusterSize(5, 900, 240, 900, 160, 60);
 
   private final List<String> logs = new ArrayList<>();
@@ -44,22 +44,23 @@
     return day;
   }
 
-  /** Returns how many logged lines contain a text. */
+  /** Returns the number of log lines that contain the text. */
   private long countLogs(String text) {
-    return logs.stream().filter(l -> l.contains(text)).count();
+    return logs.stream().filter(line -> line.contains(text)).count();
   }
 
-  /** Returns how often a node gave up the leadership, from any state of a leader. */
+  /** Returns how often a node lost the leadership, from any leader state. */
   private long leadershipLosses() {
     return logs.stream()
-        .filter(l -> l.matches("leadership (LEADING|SUSPENDED|SYNCHRONIZING) -> FOLLOWING .*"))
+        .filter(
+            line -> line.matches("leadership (LEADING|SUSPENDED|SYNCHRONIZING) -> FOLLOWING .*"))
         .count();
   }
 
   /**
-   * Guards against the release of healthy machines. A leader partitioned from its workers receives
-   * no heartbeats; within ten seconds it released half of a healthy fleet as silent. It must resign
-   * instead.
+   * Guards against the release of healthy machines. A leader that was partitioned from its workers
+   * received no heartbeats. Within ten seconds it released half of a healthy fleet as unreachable.
+   * Such a leader must resign instead.
    */
   @Example
   void aLeaderPartitionedFromItsWorkersResignsAndReleasesFewLiveMachines() {
@@ -79,7 +80,7 @@
   }
 
   /**
-   * A leader that is partitioned from its peers only must neither resign nor release live machines.
+   * A leader that is partitioned only from its peers must neither resign nor release live machines.
    */
   @Example
   void aLeaderPartitionedFromItsPeersKeepsLeading() {
@@ -114,8 +115,8 @@
   }
 
   /**
-   * The cloud does not answer the rentals of a leader, and the leader crashes. Its successor must
-   * resolve the rentals under their original names.
+   * The cloud does not answer the rental requests of a leader, and then the leader crashes. Its
+   * successor must resolve the rentals under their original names.
    */
   @Example
   void pendingRentalsOfALeaderPartitionedFromTheCloudAreResolvedByItsSuccessor() {
@@ -136,8 +137,8 @@
   }
 
   /**
-   * A partitioned zone must be distinguished from dead machines. While other zones have capacity,
-   * no machines may be rented in it.
+   * The leader must not mistake a partitioned zone for dead machines. It may rent no machine in
+   * that zone while other zones have capacity.
    */
   @Example
   void aPartitionedZoneIsDetectedAndNoMachinesAreRentedThere() {
@@ -162,11 +163,11 @@
   }
 
   /**
-   * Half of all machines die at once and must be replaced within a minute.
+   * About half of all machines die at once, and must be replaced within a minute.
    *
-   * <p>The number of machines requested by then depends on the remaining work of the day. Of 80
-   * random days, two or three had fewer than two thirds of the machines of before. The bound of
-   * three quarters therefore applies to the sum of several days.
+   * <p>The number of machines requested within that minute depends on the remaining work of the
+   * day. Two or three of 80 random days then had fewer than two thirds of the earlier number of
+   * machines. The bound of three quarters therefore applies to the sum of several days.
    */
   @Example
   void machinesAreReplacedWhenHalfOfThemDieAtOnce() {
@@ -204,9 +205,9 @@
   }
 
   /**
-   * Guards against a second release of the same machines. The list of the cloud is several seconds
-   * old; a new leader found 542 machines in it that its predecessor had released, and released them
-   * again.
+   * Guards against a second release of the same machines. The cloud's list of machines is several
+   * seconds old. A new leader found 542 machines in the list that its predecessor had released, and
+   * released them again.
    */
   @Example
   void aNewLeaderDoesNotReleaseMachinesASecondTime() {
@@ -226,19 +227,19 @@
             });
     assertTrue(
         day.cloud.releasedAsUnreachableCount() >= released[0],
-        "machines recognized as released as unreachable: "
+        "machines that the cloud counts as released as unreachable: "
             + day.cloud.releasedAsUnreachableCount());
     assertTrue(released[0] > 20, "machines released as unreachable: " + released[0]);
     List<String> releasedMachines =
         logs.stream()
-            .filter(l -> l.startsWith("scaling in machine="))
-            .map(l -> l.split("[=:]")[1])
+            .filter(line -> line.startsWith("scaling in machine="))
+            .map(line -> line.split("[=:]")[1])
             .toList();
     assertEquals(0, countLogs("found in the cloud's list"));
     assertEquals(
         new HashSet<>(releasedMachines).size(),
         releasedMachines.size(),
-        "some were released twice");
+        "some machines were released twice");
   }
 
   /**
@@ -261,8 +262,9 @@
   }
 
   /**
-   * The leader pauses between a decision and its effects. Its standby takes over before the lease
-   * of the leader ends. The effects of the old leader arrive after that and must violate no rule.
+   * The leader pauses between a decision and its effects. Its standby takes over before the
+   * leader's lease ends. The effects of the old leader arrive after the takeover, and must violate
+   * no rule.
    */
   @Example
   void aPausedLeaderIsReplacedByItsStandbyAndBreaksNoRule() {
@@ -291,9 +293,9 @@
   }
 
   /**
-   * The leader is partitioned from its peers, and so from its standby. It must remove the standby
-   * and keep leading; batches and acknowledgements held by the partition arrive only after it
-   * heals.
+   * The leader is partitioned from its peers, including its standby. The leader must remove the
+   * standby and keep leading. Batches and acknowledgements sent during the partition arrive only
+   * after the partition heals.
    */
   @Example
   void aPartitionBetweenLeaderAndStandbyDoesNotEndTheLeadership() {
@@ -323,8 +325,8 @@
   }
 
   /**
-   * The leader crashes as an outage of the state service starts. Nobody can take over, be elected
-   * or launch tasks until the outage ends.
+   * The leader crashes at the start of an outage of the state service. No controller can take over,
+   * be elected or launch tasks until the outage ends.
    */
   @Example
   void aStateServiceOutageDuringAFailoverLosesNothing() {
@@ -343,8 +345,8 @@
 
   /**
    * A part of a day with 4,000 machines: the leader crashes when all machines are up, and its
-   * successor must continue. Whole days of this size run by hand: {@code WholeDayTest} with {@code
-   * -Dsim.full}.
+   * successor must continue its work. Whole days of this size are run manually, with {@code
+   * WholeDayTest} and {@code -Dsim.full}.
    */
   @Example
   void aFailoverAtTheFullSizeKeepsEveryRule() {
--- a/src/test/java/org/eiderstair/sim/TaskTracker.java
+++ b/src/test/java/org/eiderstair/sim/TaskTracker.java
@@ -10,8 +10,8 @@
 import org.eiderstair.core.model.TaskId;
 
 /**
- * Records which tasks actually run and have completed on machines, independent of the state of
- * controllers.
+ * Records which tasks actually run on machines, and which have completed there, independently of
+ * the state of the controllers.
  */
 final class TaskTracker {
   private final SimulatedCluster cluster;
@@ -54,7 +54,8 @@
   }
 
   /**
-   * Stops a task because its machine has stopped, unless the task already runs on another machine.
+   * Records that a task has stopped with its machine. Does nothing if the task already runs on
+   * another machine.
    */
   void onMachineStopped(String machine, TaskId task) {
     if (machine.equals(machineOf.get(task))) {
@@ -71,7 +72,10 @@
     }
   }
 
-  /** Returns how long the task runs; 0 for a task that runs until it is cancelled. */
+  /**
+   * Returns the run time of a task: 1 if the task has already completed, or 0 if the task runs
+   * until it is cancelled.
+   */
   long runMicros(TaskId task) {
     JobSpec spec = cluster.users.spec(task.job());
     if (completed.contains(task)) {
@@ -98,7 +102,7 @@
     return completedTasksOf(job) == cluster.users.spec(job).tasks();
   }
 
-  /** Returns how many tasks of a job are completed. */
+  /** Returns the number of completed tasks of a job. */
   int completedTasksOf(String job) {
     return completedByJob.getOrDefault(job, 0);
   }
--- a/src/test/java/org/eiderstair/sim/UserLoad.java
+++ b/src/test/java/org/eiderstair/sim/UserLoad.java
@@ -7,7 +7,7 @@
 import org.eiderstair.core.message.Submission;
 import org.eiderstair.core.model.JobSpec;
 
-/** Additional load by users: overload, waves of cancellations, and repeated or invalid requests. */
+/** Adds load by users: overload, waves of cancellations, and repeated or invalid requests. */
 final class UserLoad {
   private static final long SECOND_MICROS = 1_000_000;
   private static final int MAX_HANGING_MACHINES = 8;
@@ -30,8 +30,10 @@
   // Additional jobs.
 
   /**
-   * Submits twice the work that both teams may run at a time, in all priorities; it lasts for about
-   * that long.
+   * Submits jobs of all priorities. Together their tasks need twice the CPUs that both teams may
+   * use at a time.
+   *
+   * @param micros the duration of the overload; a longer overload has longer tasks
    */
   void overload(long micros) {
     int jobs = (int) (4 * cluster.size.limit() / cluster.size.tasks());
@@ -59,7 +61,10 @@
     }
   }
 
-  /** Submits four jobs with one task per second, and cancels a quarter of them. */
+  /**
+   * Submits four one-task jobs per second until the given time. Cancels a quarter of these jobs a
+   * few seconds after their submission.
+   */
   void submitOneTaskJobs(long untilMicros) {
     if (cluster.clock.now() > untilMicros) {
       return;
@@ -88,8 +93,10 @@
   // Cancellations.
 
   /**
-   * Cancels random running jobs within 0.2 s, at most a quarter of the number of jobs of a normal
-   * day. Some of their machines hang from then on, unless {@code hangMicros} is 0.
+   * Cancels random running jobs, each at a random time within 0.2 s. Their number is at most a
+   * quarter of the jobs of a normal day.
+   *
+   * @param hangMicros the time for which some machines of these jobs hang at once; 0 for no hang
    */
   void cancelRunningJobs(long hangMicros) {
     int count = cluster.size.jobs() / 4;
@@ -108,7 +115,9 @@
     }
   }
 
-  /** Cancels half of the jobs just as their last task completes. */
+  /**
+   * Cancels half of the jobs that complete in the given time, just as their last task completes.
+   */
   void cancelOnCompletion(long micros) {
     cancelOnCompletionPercent = 50;
     cluster.clock.after(micros, () -> cancelOnCompletionPercent = 0);
@@ -122,15 +131,18 @@
 
   // Polls and repeated requests.
 
-  /** Makes users poll all controllers, for a while, as soon as one of them has answered. */
+  /**
+   * For the given time, makes users poll all controllers as soon as one controller has answered.
+   */
   void pollImmediately(long micros) {
     immediatePolls = true;
     cluster.clock.after(micros, () -> immediatePolls = false);
   }
 
   /**
-   * Called when a user was answered that a job is accepted, done or cancelled. Other users then
-   * poll all controllers immediately and repeatedly.
+   * Called when a controller has answered a user that a job is accepted, done or cancelled. While
+   * immediate polls are on, users then poll all controllers repeatedly. Some users submit the job
+   * again or cancel it instead.
    */
   void onUserAnswered(String job) {
     if (!immediatePolls) {
@@ -182,8 +194,8 @@
   }
 
   /**
-   * Sends invalid requests until a time: repeated submissions, some of them malformed,
-   * cancellations of done jobs, and jobs that can never run.
+   * Sends requests that must not start any work, until the given time. They are repeated
+   * submissions (some of them malformed), cancellations of done jobs, and jobs that can never run.
    */
   void sendInvalidRequests(long untilMicros) {
     if (cluster.clock.now() > untilMicros) {
