--- a/src/main/java/org/eiderstair/http/Body.java
+++ b/src/main/java/org/eiderstair/http/Body.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * Collects the body of a message. Memory grows with what was received, not with the announced
- * length.
+ * Collects the body of a message. The memory used depends on the bytes received, not on the
+ * announced length.
  */
 final class Body {
   private static final byte[] EMPTY = new byte[0];
-  private static final int MIN_CAPACITY = 512;
+  private static final int MIN_CAPACITY_BYTES = 512;
 
   private byte[] bytes = EMPTY;
   private int length;
 
-  /** Appends a chunk; false, and nothing appended, if the body would exceed {@code maxBytes}. */
+  /** Appends a chunk; returns false, and appends nothing, if the body would exceed the limit. */
   boolean add(ByteBuffer chunk, int maxBytes) {
     int added = chunk.remaining();
     if (added > maxBytes - length) {
@@ -25,7 +25,8 @@
           Arrays.copyOf(
               bytes,
               Math.min(
-                  maxBytes, Math.max(MIN_CAPACITY, Math.max(length + added, bytes.length * 2))));
+                  maxBytes,
+                  Math.max(MIN_CAPACITY_BYTES, Math.max(length + added, bytes.length * 2))));
     }
     chunk.get(bytes, length, added);
     length += added;
--- a/src/main/java/org/eiderstair/http/Buffers.java
+++ b/src/main/java/org/eiderstair/http/Buffers.java
@@ -7,28 +7,28 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One read buffer and one write buffer for each thread, so that the hundreds of idle connections
- * hold none. Nothing in them outlives a call.
+ * Provides a read buffer and a write buffer for each thread, so that hundreds of idle connections
+ * hold no buffers. The contents are valid only during a call.
  */
 final class Buffers {
-  /** Larger than nearly all messages, which are then read by one system call. */
-  private static final int SIZE = 16 * 1024;
+  /** Larger than nearly all messages, so that a message is read by one system call. */
+  private static final int SIZE_BYTES = 16 * 1024;
 
-  private static final ThreadLocal<ByteBuffer> IN =
-      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
-  private static final ThreadLocal<ByteBuffer> OUT =
-      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE));
+  private static final ThreadLocal<ByteBuffer> READ_BUFFER =
+      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE_BYTES));
+  private static final ThreadLocal<ByteBuffer> WRITE_BUFFER =
+      ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(SIZE_BYTES));
 
   private Buffers() {}
 
-  /** Empty, to be filled by an endpoint. */
-  static ByteBuffer in() {
-    return empty(IN.get());
+  /** Returns this thread's read buffer, empty, to be filled by an endpoint. */
+  static ByteBuffer readBuffer() {
+    return empty(READ_BUFFER.get());
   }
 
-  /** Empty, for a message's head. */
-  static ByteBuffer out() {
-    return empty(OUT.get());
+  /** Returns this thread's write buffer, empty, for a message's head. */
+  static ByteBuffer writeBuffer() {
+    return empty(WRITE_BUFFER.get());
   }
 
   private static ByteBuffer empty(ByteBuffer buffer) {
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Writes head and body, without waiting if the socket accepts them; {@code callback} completes
-   * when all is written.
+   * Writes head and body, at once if the socket accepts them. The callback completes when all bytes
+   * are written.
    */
   static void write(EndPoint endPoint, ByteBuffer head, byte[] body, Callback callback) {
     ByteBuffer remainder = null;
--- a/src/main/java/org/eiderstair/http/ClientConnection.java
+++ b/src/main/java/org/eiderstair/http/ClientConnection.java
@@ -11,21 +11,27 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
 
-/** One connection to the state service, the cloud, a worker or a peer: one exchange at a time. */
+/** A connection to the state service, the cloud, a worker or a peer, for one exchange at a time. */
 final class ClientConnection extends ParsingConnection implements HttpParser.ResponseHandler {
-  /** FREE may take an exchange; AWAITING_RESPONSE waits for its response. */
   private enum State {
+    /** The connection may take an exchange. */
     FREE,
+
+    /** A request was sent, and its response is awaited. */
     AWAITING_RESPONSE,
+
+    /** The connection is closed. */
     CLOSED
   }
 
   private static final byte[] NO_BODY = new byte[0];
 
-  /** Receives the events of a connection; the exchange is null when there was none. */
+  /** Receives the events of a connection; the exchange is null if none was in progress. */
   interface Owner {
+    /** Called once the connection is open and free. */
     void opened(ClientConnection connection);
 
+    /** Called for each complete response; a reusable connection is free again. */
     void completed(
         ClientConnection connection,
         Exchange exchange,
@@ -33,7 +39,8 @@
         byte[] content,
         boolean reusable);
 
-    void closed(ClientConnection connection, Exchange exchange, String why);
+    /** Called once the connection is closed; the exchange gets no response. */
+    void closed(ClientConnection connection, Exchange exchange, String reason);
   }
 
   private final Owner owner;
@@ -45,7 +52,7 @@
   private int status;
   private boolean keepAlive;
   private boolean responseComplete;
-  private boolean interim;
+  private boolean interimResponse;
 
   ClientConnection(EndPoint endPoint, Executor executor, Destination destination, Owner owner) {
     super(endPoint, executor);
@@ -57,12 +64,12 @@
   @Override
   public void onOpen() {
     super.onOpen();
-    // Always reading, so that a connection that the other side closed is not used again.
+    // Input is always awaited, so that the end of a free connection is noticed before its next use.
     awaitInput();
     owner.opened(this);
   }
 
-  /** Sends the request; false, and nothing sent, if the connection is closed. */
+  /** Sends a request; returns false, and sends nothing, if the connection is not free. */
   boolean send(Exchange next) {
     synchronized (this) {
       if (state != State.FREE) {
@@ -71,7 +78,7 @@
       state = State.AWAITING_RESPONSE;
       exchange = next;
     }
-    ByteBuffer head = Buffers.out();
+    ByteBuffer head = Buffers.writeBuffer();
     OutgoingRequest request = next.request;
     boolean hasBody = request.body != null;
     byte[] content = hasBody ? request.body : NO_BODY;
@@ -83,7 +90,7 @@
         content,
         new Callback() {
           @Override
-          public void failed(Throwable why) {
+          public void failed(Throwable cause) {
             close();
           }
 
@@ -96,7 +103,7 @@
   }
 
   @Override
-  boolean received(ByteBuffer input) {
+  boolean handleInput(ByteBuffer input) {
     read(input);
     return true;
   }
@@ -110,8 +117,8 @@
   private void read(ByteBuffer buffer) {
     while (true) {
       boolean event = parser.parseNext(buffer);
-      if (interim) {
-        interim = false;
+      if (interimResponse) {
+        interimResponse = false;
         parser.reset();
       } else if (responseComplete) {
         responseComplete = false;
@@ -126,9 +133,9 @@
   }
 
   private void complete() {
-    Exchange done;
+    Exchange completed;
     synchronized (this) {
-      done = exchange;
+      completed = exchange;
       exchange = null;
       keepAlive &= state == State.AWAITING_RESPONSE;
       if (state == State.AWAITING_RESPONSE) {
@@ -137,7 +144,7 @@
     }
     parser.reset();
     boolean reusable = keepAlive;
-    owner.completed(this, done, status, body.take(), reusable);
+    owner.completed(this, completed, status, body.take(), reusable);
     if (!reusable) {
       close();
     }
@@ -186,8 +193,8 @@
 
   @Override
   public boolean messageComplete() {
-    interim = status < 200;
-    responseComplete = !interim;
+    interimResponse = status < 200;
+    responseComplete = !interimResponse;
     return true;
   }
 
--- a/src/main/java/org/eiderstair/http/CloudRoutes.java
+++ b/src/main/java/org/eiderstair/http/CloudRoutes.java
@@ -4,7 +4,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.protocol.CloudMessages;
 
-/** HTTP requests to the cloud. */
+/** Builds HTTP requests to the cloud. */
 final class CloudRoutes {
   private static final long TIMEOUT_MICROS = 5_000_000;
 
--- a/src/main/java/org/eiderstair/http/ConnectionBudget.java
+++ b/src/main/java/org/eiderstair/http/ConnectionBudget.java
@@ -1,75 +1,89 @@
 package org.eiderstair.http;
 
 /**
- * Divides the sockets that a node was given among their uses, so that no use can take what another
+ * Divides the sockets of a node among their uses, so that no use can take the sockets that another
  * one needs. All shares are derived from the total.
  *
- * <p>The reserve is for peers, the state service and the cloud; neither users nor workers may take
- * it. Users and commands to workers each have a guaranteed share. Heartbeat connections may hold
- * what is left, and give way when users hold more than their share. Commands may use what
- * heartbeats and users leave free.
+ * <p>Peers, the state service and the cloud have a reserve, which neither users nor workers may
+ * take. Users and commands to workers each have a guaranteed share. Heartbeat connections may take
+ * the rest, and are closed when users hold more than their share. Command connections may also take
+ * sockets that heartbeats and users leave free.
  *
- * <p>An inbound connection counts as a user's until it brings its first heartbeat. Safe for use by
- * several threads.
+ * <p>An inbound connection counts as a user's until its first heartbeat arrives. This class is safe
+ * for use by several threads.
  */
 public final class ConnectionBudget {
-  /** What an inbound connection counts as; one that is CLOSING has been sent its last answer. */
+  /** The use that an inbound connection is counted for. */
   enum InboundUse {
+    /** The connection has brought no heartbeat so far. */
     USER,
+
+    /** The connection has brought a heartbeat of a worker. */
     HEARTBEAT,
+
+    /** The budget has reclaimed the heartbeat connection, which closes after its answer. */
     CLOSING
   }
 
-  private static final int RESERVED = 200;
+  /** Sockets for peers, the state service and the cloud. */
+  private static final int RESERVED_CONNECTIONS = 200;
 
   /** Users are guaranteed one tenth of all sockets. */
   private static final int USER_DIVISOR = 10;
 
-  /** Commands to workers are guaranteed one twentieth. */
+  /** Commands to workers are guaranteed one twentieth of all sockets. */
   private static final int COMMAND_DIVISOR = 20;
 
-  /** Connections without a command may take at most one fifth. */
+  /** Idle command connections may take at most one fifth of all sockets. */
   private static final int IDLE_COMMAND_DIVISOR = 5;
 
-  private final int shared;
+  private final int sharedConnections;
   private final int userShare;
   private final int commandShare;
-  private final int maxIdleCommands;
-  private int users;
-  private int heartbeats;
-  private int closing;
-  private int commands;
+  private final int maxIdleCommandConnections;
+  private int userConnections;
+  private int heartbeatConnections;
+  private int closingConnections;
+  private int commandConnections;
   private int refusals;
 
   /**
    * Creates a budget with given shares.
    *
-   * @param shared the sockets for users, heartbeats and commands together, without the reserve
-   * @param userShare the part of it that heartbeats leave to users
-   * @param commandShare the part of it that inbound connections leave to commands
-   * @param maxIdleCommands the most command connections that are kept without a command
+   * @param sharedConnections the sockets for users, heartbeats and commands together, without the
+   *     reserve
+   * @param userShare how many of the shared sockets heartbeats leave to users
+   * @param commandShare how many of the shared sockets inbound connections leave to commands
+   * @param maxIdleCommandConnections the most idle command connections that are kept open
    */
-  ConnectionBudget(int shared, int userShare, int commandShare, int maxIdleCommands) {
-    this.shared = shared;
+  ConnectionBudget(
+      int sharedConnections, int userShare, int commandShare, int maxIdleCommandConnections) {
+    this.sharedConnections = sharedConnections;
     this.userShare = userShare;
     this.commandShare = commandShare;
-    this.maxIdleCommands = maxIdleCommands;
+    this.maxIdleCommandConnections = maxIdleCommandConnections;
   }
 
-  /** Derives the shares of a node that was given so many sockets; 0 if it is not known how many. */
+  /**
+   * Derives the shares from the total number of sockets. If that is not more than the reserve, only
+   * idle command connections are limited.
+   *
+   * @param maxConnections the number of sockets that the node may use; 0 if the number is unknown,
+   *     which means no limits
+   */
   public static ConnectionBudget of(int maxConnections) {
     if (maxConnections <= 0) {
       return unlimited();
     }
-    int maxIdleCommands = maxConnections / IDLE_COMMAND_DIVISOR;
-    if (maxConnections <= RESERVED) {
-      return new ConnectionBudget(Integer.MAX_VALUE, 0, 0, maxIdleCommands);
+    int maxIdleCommandConnections = maxConnections / IDLE_COMMAND_DIVISOR;
+    if (maxConnections <= RESERVED_CONNECTIONS) {
+      return new ConnectionBudget(Integer.MAX_VALUE, 0, 0, maxIdleCommandConnections);
     }
     return new ConnectionBudget(
-        maxConnections - RESERVED,
+        maxConnections - RESERVED_CONNECTIONS,
         maxConnections / USER_DIVISOR,
         maxConnections / COMMAND_DIVISOR,
-        maxIdleCommands);
+        maxIdleCommandConnections);
   }
 
   /** Creates a budget that refuses nothing. */
@@ -77,77 +91,93 @@
     return new ConnectionBudget(Integer.MAX_VALUE, 0, 0, Integer.MAX_VALUE);
   }
 
-  /** Counts an inbound connection; false, and not counted, if no socket is left for it. */
-  synchronized boolean openInbound() {
-    if (inbound() >= shared - Math.max(commands, commandShare)) {
+  /**
+   * Counts a new inbound connection as a user's.
+   *
+   * @return false if no socket is left; the connection is then counted as a refusal only
+   */
+  synchronized boolean tryOpenInbound() {
+    if (inboundConnections() >= sharedConnections - Math.max(commandConnections, commandShare)) {
       refusals++;
       return false;
     }
-    users++;
+    userConnections++;
     return true;
   }
 
   /** Counts a user's connection as a heartbeat connection from now on. */
-  synchronized void becomeHeartbeat() {
-    users--;
-    heartbeats++;
+  synchronized void countAsHeartbeat() {
+    userConnections--;
+    heartbeatConnections++;
   }
 
   /**
-   * Takes back the socket of a heartbeat connection that is about to be answered, if such
-   * connections hold more than their share. The caller then closes it after the answer: no other
-   * moment is free of races, since a worker sends its next heartbeat only after that.
+   * Reclaims the socket of a heartbeat connection that is about to be answered, if heartbeat
+   * connections hold more than their share. The caller then closes the connection after the answer.
+   * At any other moment a close could race with a heartbeat: a worker sends the next one only after
+   * the answer.
+   *
+   * @return whether the socket is reclaimed; the connection then counts as closing
    */
   synchronized boolean reclaimHeartbeat() {
-    if (heartbeats <= shared - commandShare - Math.max(users, userShare)) {
+    if (heartbeatConnections
+        <= sharedConnections - commandShare - Math.max(userConnections, userShare)) {
       return false;
     }
-    heartbeats--;
-    closing++;
+    heartbeatConnections--;
+    closingConnections++;
     return true;
   }
 
-  /** Ends the count of an inbound connection. */
+  /** Stops counting an inbound connection that was counted for the given use. */
   synchronized void closeInbound(InboundUse use) {
     switch (use) {
-      case USER -> users--;
-      case HEARTBEAT -> heartbeats--;
-      case CLOSING -> closing--;
+      case USER -> userConnections--;
+      case HEARTBEAT -> heartbeatConnections--;
+      case CLOSING -> closingConnections--;
     }
   }
 
-  /** Counts a connection for commands; false, and not counted, if the share is used up. */
-  synchronized boolean openCommand() {
-    if (commands >= Math.max(commandShare, freeForCommands()) || commands >= shared - inbound()) {
+  /**
+   * Counts a new connection for commands to a worker.
+   *
+   * @return false if no socket is left for commands; the connection is then not counted
+   */
+  synchronized boolean tryOpenCommand() {
+    if (commandConnections >= Math.max(commandShare, availableForCommands())
+        || commandConnections >= sharedConnections - inboundConnections()) {
       return false;
     }
-    commands++;
+    commandConnections++;
     return true;
   }
 
-  /** Ends the count of a connection for commands. */
+  /** Stops counting a connection for commands. */
   synchronized void closeCommand() {
-    commands--;
+    commandConnections--;
   }
 
-  /** The most command connections that may be kept without a command at this moment. */
-  synchronized int maxIdleCommands() {
-    return Math.min(maxIdleCommands, Math.max(commandShare, freeForCommands()));
+  /** Returns how many idle command connections may be kept open at this moment. */
+  synchronized int maxIdleCommandConnections() {
+    return Math.min(maxIdleCommandConnections, Math.max(commandShare, availableForCommands()));
   }
 
-  /** How many inbound connections have been refused since the last call. */
+  /** Returns how many inbound connections have been refused since the last call. */
   public synchronized int takeRefusals() {
     int taken = refusals;
     refusals = 0;
     return taken;
   }
 
-  /** What heartbeats leave free, and users even if they take up their share. */
-  private int freeForCommands() {
-    return shared - heartbeats - closing - Math.max(users, userShare);
+  /** Returns the sockets left for commands, even if users take up their whole share. */
+  private int availableForCommands() {
+    return sharedConnections
+        - heartbeatConnections
+        - closingConnections
+        - Math.max(userConnections, userShare);
   }
 
-  private int inbound() {
-    return users + heartbeats + closing;
+  private int inboundConnections() {
+    return userConnections + heartbeatConnections + closingConnections;
   }
 }
--- a/src/main/java/org/eiderstair/http/Destination.java
+++ b/src/main/java/org/eiderstair/http/Destination.java
@@ -4,28 +4,30 @@
 import java.util.ArrayDeque;
 
 /**
- * An address that requests go to, with its connections. Guarded by the owner of all connections.
+ * An address that requests are sent to, with its connections and the requests that wait for one.
+ * Mutable state is guarded by the {@link HttpClientPool}.
  */
 final class Destination {
   final String address;
-  final InetSocketAddress socket;
+  final InetSocketAddress socketAddress;
 
-  /** Connections that may take an exchange, the one used last in front. */
-  final ArrayDeque<ClientConnection> free = new ArrayDeque<>();
+  /** Open connections without an exchange, the one used last first. */
+  final ArrayDeque<ClientConnection> freeConnections = new ArrayDeque<>();
 
-  final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
+  /** Exchanges that wait for a connection, in their order. */
+  final ArrayDeque<Exchange> waitingExchanges = new ArrayDeque<>();
 
-  /** Connections, those being made included. */
-  int connections;
+  /** The number of connections, including those that are being made. */
+  int connectionCount;
 
   Destination(String address) {
     this.address = address;
     int colon = address.lastIndexOf(':');
     String host = address.substring(0, colon);
     int port = Integer.parseInt(address, colon + 1, address.length(), 10);
-    // Addresses are literals; a worker's that is none must not cost a look-up, on the thread that
-    // owns the core at that.
-    socket =
+    // Addresses are expected to be IP literals. A worker that reports a host name must not cause a
+    // DNS lookup, which would block the thread that owns the core.
+    socketAddress =
         isLiteral(host)
             ? new InetSocketAddress(host, port)
             : InetSocketAddress.createUnresolved(host, port);
@@ -45,7 +47,8 @@
     return (host.indexOf('.') > 0 && Character.isDigit(host.charAt(0))) || host.indexOf(':') >= 0;
   }
 
-  boolean unused() {
-    return connections == 0 && waiting.isEmpty();
+  /** Returns whether there is neither a connection nor a waiting exchange. */
+  boolean isUnused() {
+    return connectionCount == 0 && waitingExchanges.isEmpty();
   }
 }
--- a/src/main/java/org/eiderstair/http/HttpHeads.java
+++ b/src/main/java/org/eiderstair/http/HttpHeads.java
@@ -5,8 +5,9 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * Writes the heads of messages, of which there are only a few kinds. Jetty's generator writes any,
- * and brings dates, locales and URIs for it: 60 ms of processor time of a start.
+ * Writes the heads of requests and responses, of which there are only a few kinds. Jetty's
+ * generator also supports dates, locales and URIs, which takes 60 ms of processor time at the
+ * start.
  */
 final class HttpHeads {
   private static final byte[] VERSION = ascii("HTTP/1.1 ");
@@ -18,11 +19,11 @@
   private static final byte[] HOST = ascii(" HTTP/1.1\r\nHost: ");
   private static final byte[] END = ascii("\r\n\r\n");
   private static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
-  private static final byte[][] STATUSES = new byte[600][];
+  private static final byte[][] STATUS_LINES = new byte[600][];
 
   private HttpHeads() {}
 
-  /** A request's head, for a target as it goes into the request line. */
+  /** Writes a request's head; {@code path} is already encoded for the request line. */
   static void request(
       ByteBuffer to, String method, String path, String host, int length, boolean hasBody) {
     to.clear();
@@ -33,21 +34,24 @@
     put(to, host);
     if (hasBody) {
       to.put(TYPE).put(LENGTH);
-      number(to, length);
+      putNumber(to, length);
     }
     to.put(END).flip();
   }
 
   /**
-   * A response's head; {@code retryAfterS} of 0 and {@code allow} of null say that there is none.
+   * Writes a response's head.
+   *
+   * @param retryAfterSeconds the value of Retry-After; 0 for none
+   * @param allow the value of Allow; null for none
    */
   static void response(
-      ByteBuffer to, int status, int retryAfterS, String allow, int length, boolean close) {
+      ByteBuffer to, int status, int retryAfterSeconds, String allow, int length, boolean close) {
     to.clear();
-    to.put(VERSION).put(status(status)).put(TYPE);
-    if (retryAfterS > 0) {
+    to.put(VERSION).put(statusLine(status)).put(TYPE);
+    if (retryAfterSeconds > 0) {
       to.put(RETRY_AFTER);
-      number(to, retryAfterS);
+      putNumber(to, retryAfterSeconds);
     }
     if (allow != null) {
       to.put(ALLOW);
@@ -57,38 +61,42 @@
       to.put(CLOSE);
     }
     to.put(LENGTH);
-    number(to, length);
+    putNumber(to, length);
     to.put(END).flip();
   }
 
+  /** Writes the interim response 100 Continue. */
   static void interimResponse(ByteBuffer to) {
     to.clear().put(CONTINUE).flip();
   }
 
-  private static byte[] status(int status) {
-    byte[] line = STATUSES[status];
+  private static byte[] statusLine(int status) {
+    byte[] line = STATUS_LINES[status];
     if (line == null) {
       String reason = HttpStatus.getMessage(status);
       line = ascii(status + " " + reason);
-      STATUSES[status] = line;
+      STATUS_LINES[status] = line;
     }
     return line;
   }
 
-  /** Only what this program makes itself comes here: paths are encoded and hosts are numbers. */
+  /**
+   * Writes printable ASCII. All texts come from this program: paths are encoded, and hosts are IP
+   * addresses.
+   */
   private static void put(ByteBuffer to, String text) {
     for (int i = 0; i < text.length(); i++) {
       char character = text.charAt(i);
       if (character <= ' ' || character > '~') {
-        throw new IllegalArgumentException("not for a head: " + text);
+        throw new IllegalArgumentException("invalid character in message head: " + text);
       }
       to.put((byte) character);
     }
   }
 
-  private static void number(ByteBuffer to, int number) {
+  private static void putNumber(ByteBuffer to, int number) {
     if (number >= 10) {
-      number(to, number / 10);
+      putNumber(to, number / 10);
     }
     to.put((byte) ('0' + number % 10));
   }
--- a/src/main/java/org/eiderstair/http/OutgoingRequest.java
+++ b/src/main/java/org/eiderstair/http/OutgoingRequest.java
@@ -3,7 +3,7 @@
 import org.eiderstair.core.message.Reply;
 import org.eiderstair.protocol.MalformedMessageException;
 
-/** An HTTP request of this node, and how its response is read. */
+/** An HTTP request of this node to another service, and the reader of its response. */
 final class OutgoingRequest {
   static final String GET = "GET";
   static final String POST = "POST";
@@ -18,7 +18,7 @@
   final String method;
   final String path;
 
-  /** Null if the request has none. */
+  /** The body; null if the request has none. */
   final byte[] body;
 
   final long timeoutMicros;
--- a/src/main/java/org/eiderstair/http/ParsingConnection.java
+++ b/src/main/java/org/eiderstair/http/ParsingConnection.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * A connection that reads what its endpoint has into the thread's buffer, for a parser of a
- * subclass, and that is closed when reading or parsing fails.
+ * A connection that reads input into the thread's buffer and passes the buffer to a subclass for
+ * parsing. The connection is closed if reading or parsing fails.
  */
 abstract class ParsingConnection extends AbstractConnection implements HttpParser.HttpHandler {
   static final int MAX_HEAD_BYTES = 8 * 1024;
@@ -24,24 +24,24 @@
     super(endPoint, executor);
   }
 
-  /** Has {@link #onFillable} called once there is input. */
+  /** Requests a call of {@link #onFillable} as soon as there is input. */
   final void awaitInput() {
     fillInterested(fillable);
   }
 
-  /** Handles input; false if no more is to be read now. */
-  abstract boolean received(ByteBuffer input);
+  /** Handles input; returns false if no more input may be read now. */
+  abstract boolean handleInput(ByteBuffer input);
 
-  /** Called when the other side has ended its output, before the connection is closed. */
+  /** Handles the end of the input, before the connection is closed; the buffer is empty. */
   abstract void endOfInput(ByteBuffer empty);
 
   @Override
   public void onFillable() {
-    ByteBuffer buffer = Buffers.in();
+    ByteBuffer buffer = Buffers.readBuffer();
     int capacity = buffer.capacity();
     int filled = capacity;
     try {
-      // A buffer that is not full means that the socket has no more for now.
+      // If the buffer is not full, the socket has no more input for now.
       while (filled == capacity) {
         buffer.position(0).limit(0);
         filled = getEndPoint().fill(buffer);
@@ -50,7 +50,7 @@
           close();
           return;
         }
-        if (!received(buffer)) {
+        if (!handleInput(buffer)) {
           break;
         }
       }
@@ -58,7 +58,7 @@
       close();
       return;
     }
-    // Registered now, also while an answer is awaited: doing so later would wake the selector.
+    // Registered now, even while an answer is awaited: a later registration wakes the selector.
     if (getEndPoint().isOpen()) {
       awaitInput();
     }
--- a/src/main/java/org/eiderstair/http/PeerRoutes.java
+++ b/src/main/java/org/eiderstair/http/PeerRoutes.java
@@ -5,7 +5,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.peer.PeerMessages;
 
-/** HTTP requests to the other controllers, by their names. */
+/** Builds HTTP requests to the other controllers, which the core addresses by name. */
 final class PeerRoutes {
   private static final int OK = 200;
   private static final long TIMEOUT_MICROS = 2_500_000;
@@ -27,7 +27,7 @@
     this.addresses = addresses;
   }
 
-  /** Any status but 200 is a refusal. */
+  /** Returns a reader that decodes status 200; any other status is a refusal. */
   private static OutgoingRequest.ResponseReader onSuccess(StatusReader.Decoder decoder) {
     return (status, content) -> status == OK ? decoder.decode(content) : new Reply.Refused(status);
   }
--- a/src/main/java/org/eiderstair/http/RequestRoutes.java
+++ b/src/main/java/org/eiderstair/http/RequestRoutes.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.eiderstair.core.message.Request;
 
-/** The one place that decides which service a request of the core goes to. */
+/** Maps each request of the core to the service that it is sent to. */
 final class RequestRoutes {
   private final StateServiceRoutes stateService;
   private final CloudRoutes cloud;
@@ -16,7 +16,9 @@
     peers = new PeerRoutes(peerAddresses);
   }
 
-  /** Has a branch for every type that {@link Request} permits. */
+  /**
+   * Returns the HTTP request for a request of the core, of any type that {@link Request} permits.
+   */
   OutgoingRequest route(Request request) throws UnknownPeerException {
     if (request instanceof Request.StoreTransaction transaction) {
       return stateService.transaction(transaction);
@@ -55,6 +57,6 @@
     } else if (request instanceof Request.PeerCancellations cancellations) {
       return peers.cancellations(cancellations);
     }
-    throw new IllegalArgumentException("no way to send " + request);
+    throw new IllegalArgumentException("no route for request " + request);
   }
 }
--- a/src/main/java/org/eiderstair/http/ServerConnection.java
+++ b/src/main/java/org/eiderstair/http/ServerConnection.java
@@ -13,82 +13,99 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * One inbound connection of a user, a worker or another controller, with Jetty's parser directly on
- * its endpoint: one request at a time, its body and answer complete. Jetty's own server does much
- * more for each request, too much for a cold controller on a small machine (figures in
- * docs/operating.md).
+ * An inbound connection of a user, a worker or another controller. It handles one request at a
+ * time, and dispatches a request once its body is complete.
+ *
+ * <p>Jetty's parser runs directly on the endpoint. Jetty's own server does much more for each
+ * request, which is too much for a controller that has just started on a small machine
+ * (docs/operating.md has the figures).
  */
 final class ServerConnection extends ParsingConnection implements HttpParser.RequestHandler {
-  /**
-   * READING takes a request; ANSWERING has dispatched it and reads no more; DRAINING has sent its
-   * last answer, and discards a little more input so that the other side can read that answer.
-   */
   private enum State {
+    /** The connection reads a request. */
     READING,
+
+    /** A request was dispatched or refused, and its answer is awaited; no input is read. */
     ANSWERING,
+
+    /**
+     * The last answer was sent. A limited amount of input is discarded, so that the other side can
+     * read the answer.
+     */
     DRAINING,
+
+    /** The connection is closed. */
     CLOSED
   }
 
   private static final int MAX_DRAINED_BYTES = 512 * 1024;
-  private static final long DRAIN_MS = 2000;
+  private static final long DRAIN_TIMEOUT_MILLIS = 2000;
 
-  /** Handles complete requests, and limits their size. */
-  interface Requests {
-    void request(ServerConnection from, String method, String path, byte[] body);
+  /** Processes complete requests, and limits their size. */
+  interface RequestProcessor {
+    /** Processes a complete request, which is answered now or later on the connection. */
+    void process(ServerConnection connection, String method, String path, byte[] body);
 
-    /** Answers at once, and closes the connection; the rest of the request is not read. */
-    void refuse(ServerConnection from, String method, String path, int status, String why);
+    /**
+     * Answers at once with an error, and closes the connection. The rest of the request is not
+     * read; method and path are empty if they were not read.
+     */
+    void refuse(ServerConnection connection, String method, String path, int status, String reason);
 
-    int maxBytes(String path);
+    /** Returns the largest body that a request for this path may have. */
+    int maxBodyBytes(String path);
 
-    /** Whether requests for this path are heartbeats of workers. */
+    /** Returns whether requests for this path are heartbeats of workers. */
     boolean isHeartbeat(String path);
 
     /**
-     * Reserves memory for bytes of bodies until {@link #release}; false if the limit is reached.
+     * Reserves memory for bytes of request bodies until {@link #releaseBytes}; returns false, and
+     * reserves nothing, if the limit is reached.
      */
-    boolean hold(int bytes);
+    boolean reserveBytes(int bytes);
 
-    void release(int bytes);
+    /** Releases memory that {@link #reserveBytes} has reserved. */
+    void releaseBytes(int bytes);
   }
 
-  private static final long IDLE_MS = 120_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 120_000;
 
-  private final Requests requests;
+  private final RequestProcessor processor;
   private final ConnectionBudget budget;
   private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC7230);
   private final Body body = new Body();
   private State state = State.READING;
   private ConnectionBudget.InboundUse use = ConnectionBudget.InboundUse.USER;
 
-  /** Input became readable while the answer was awaited. */
-  private boolean paused;
+  /** Whether input became readable while the answer was awaited. */
+  private boolean inputPending;
 
-  /** Input after the current request; no known client pipelines, but it must not be lost. */
-  private ByteBuffer pipelined;
+  /**
+   * Input after the current request, or null. No known client pipelines, but no input may be lost.
+   */
+  private ByteBuffer pipelinedInput;
 
   private String method;
   private String path;
   private boolean keepAlive;
   private boolean requestComplete;
-  private int held;
-  private int drained;
+  private int reservedBytes;
+  private int drainedBytes;
 
   ServerConnection(
-      EndPoint endPoint, Executor executor, Requests requests, ConnectionBudget budget) {
+      EndPoint endPoint, Executor executor, RequestProcessor processor, ConnectionBudget budget) {
     super(endPoint, executor);
-    this.requests = requests;
+    this.processor = processor;
     this.budget = budget;
-    // A header cache would cost each connection 100 KB: more than the machine has, with one
-    // connection for each worker.
+    // A header cache takes 100 KB per connection. With one connection for each worker, that exceeds
+    // the machine's memory.
     parser.setHeaderCacheSize(0);
   }
 
   @Override
   public void onOpen() {
     super.onOpen();
-    getEndPoint().setIdleTimeout(IDLE_MS);
+    getEndPoint().setIdleTimeout(IDLE_TIMEOUT_MILLIS);
     awaitInput();
   }
 
@@ -96,7 +113,7 @@
   public void onFillable() {
     synchronized (this) {
       if (state == State.ANSWERING) {
-        paused = true;
+        inputPending = true;
         return;
       }
     }
@@ -104,31 +121,32 @@
   }
 
   @Override
-  boolean received(ByteBuffer input) {
+  boolean handleInput(ByteBuffer input) {
     return isIn(State.DRAINING) ? discard(input.remaining()) : read(input);
   }
 
   @Override
   void endOfInput(ByteBuffer empty) {
-    // A request that was cut short gets no answer.
+    // An incomplete request gets no answer.
   }
 
+  /** Counts input that is discarded; closes the connection and returns false at the limit. */
   private boolean discard(int bytes) {
-    drained += bytes;
-    if (drained > MAX_DRAINED_BYTES) {
+    drainedBytes += bytes;
+    if (drainedBytes > MAX_DRAINED_BYTES) {
       close();
       return false;
     }
     return true;
   }
 
-  /** Parses; false once a request was dispatched, or no more input is wanted. */
+  /** Parses input; returns false once a request was dispatched or refused. */
   private boolean read(ByteBuffer buffer) {
     while (true) {
       boolean event = parser.parseNext(buffer);
       if (requestComplete) {
         if (buffer.hasRemaining()) {
-          pipelined = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
+          pipelinedInput = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
         }
         requestComplete = false;
         dispatch();
@@ -143,8 +161,8 @@
     }
   }
 
-  private synchronized boolean isIn(State asked) {
-    return state == asked;
+  private synchronized boolean isIn(State expected) {
+    return state == expected;
   }
 
   /** Changes the state; a closed connection stays closed. */
@@ -156,21 +174,21 @@
 
   private void dispatch() {
     changeState(State.ANSWERING);
-    if (requests.isHeartbeat(path)) {
+    if (processor.isHeartbeat(path)) {
       countAsHeartbeat();
     }
-    requests.request(this, method, path, body.take());
+    processor.process(this, method, path, body.take());
   }
 
   private synchronized void countAsHeartbeat() {
     if (use == ConnectionBudget.InboundUse.USER && state != State.CLOSED) {
       use = ConnectionBudget.InboundUse.HEARTBEAT;
-      budget.becomeHeartbeat();
+      budget.countAsHeartbeat();
     }
   }
 
-  /** Whether the budget needs this connection's socket for something else. */
-  private synchronized boolean isReclaimed() {
+  /** Returns whether the budget reclaims this connection's socket for another use. */
+  private synchronized boolean reclaimIfNeeded() {
     if (use == ConnectionBudget.InboundUse.HEARTBEAT
         && state != State.CLOSED
         && budget.reclaimHeartbeat()) {
@@ -180,21 +198,28 @@
     return false;
   }
 
-  /** Answers the dispatched request; {@code allow} is null except for a wrong method. */
-  void answer(int status, int retryAfterS, String allow, byte[] content, boolean last) {
+  /**
+   * Answers the current request; does nothing if the connection is closed.
+   *
+   * @param retryAfterSeconds the value of Retry-After; 0 for none
+   * @param allow the allowed method after a wrong one; null for none
+   * @param last whether the connection is closed after this answer
+   */
+  void answer(int status, int retryAfterSeconds, String allow, byte[] content, boolean last) {
     if (isIn(State.CLOSED)) {
       return;
     }
-    ByteBuffer head = Buffers.out();
-    boolean close = last || !keepAlive || isReclaimed();
-    HttpHeads.response(head, status, retryAfterS, allow, content.length, close);
-    Buffers.write(getEndPoint(), head, content, new Written(close));
+    ByteBuffer head = Buffers.writeBuffer();
+    boolean close = last || !keepAlive || reclaimIfNeeded();
+    HttpHeads.response(head, status, retryAfterSeconds, allow, content.length, close);
+    Buffers.write(getEndPoint(), head, content, new AnswerWritten(close));
   }
 
-  private final class Written implements Callback {
+  /** Continues when an answer was written: reads the next request, or closes the connection. */
+  private final class AnswerWritten implements Callback {
     private final boolean close;
 
-    Written(boolean close) {
+    AnswerWritten(boolean close) {
       this.close = close;
     }
 
@@ -208,7 +233,7 @@
     }
 
     @Override
-    public void failed(Throwable why) {
+    public void failed(Throwable cause) {
       close();
     }
 
@@ -218,48 +243,51 @@
     }
   }
 
-  /** Discards input for a short time: a reset would make the other side lose the answer. */
+  /**
+   * Discards input for a short time before the close. A close with unread input would reset the
+   * connection, and the other side would lose the answer.
+   */
   private void drain() {
-    releaseHeldBytes();
-    boolean wasPaused;
+    releaseReservedBytes();
+    boolean wasInputPending;
     synchronized (this) {
-      wasPaused = paused;
-      paused = false;
+      wasInputPending = inputPending;
+      inputPending = false;
       changeState(State.DRAINING);
     }
-    getEndPoint().setIdleTimeout(DRAIN_MS);
+    getEndPoint().setIdleTimeout(DRAIN_TIMEOUT_MILLIS);
     getEndPoint().shutdownOutput();
-    if (wasPaused) {
+    if (wasInputPending) {
       awaitInput();
     }
   }
 
   private void readNext() {
     parser.reset();
-    releaseHeldBytes();
+    releaseReservedBytes();
     ByteBuffer more;
-    boolean wasPaused;
+    boolean wasInputPending;
     synchronized (this) {
       if (state == State.CLOSED) {
         return;
       }
       changeState(State.READING);
-      more = pipelined;
-      pipelined = null;
-      wasPaused = paused;
-      paused = false;
+      more = pipelinedInput;
+      pipelinedInput = null;
+      wasInputPending = inputPending;
+      inputPending = false;
     }
     if (more != null) {
       read(more);
     }
-    if (wasPaused) {
+    if (wasInputPending) {
       awaitInput();
     }
   }
 
-  private synchronized void releaseHeldBytes() {
-    requests.release(held);
-    held = 0;
+  private synchronized void releaseReservedBytes() {
+    processor.releaseBytes(reservedBytes);
+    reservedBytes = 0;
   }
 
   @Override
@@ -270,15 +298,15 @@
       counted = state != State.CLOSED;
       state = State.CLOSED;
     }
-    releaseHeldBytes();
+    releaseReservedBytes();
     if (counted) {
       budget.closeInbound(use);
     }
   }
 
-  private void refuse(int status, String why) {
+  private void refuse(int status, String reason) {
     changeState(State.ANSWERING);
-    requests.refuse(this, method == null ? "" : method, path == null ? "" : path, status, why);
+    processor.refuse(this, method == null ? "" : method, path == null ? "" : path, status, reason);
   }
 
   // Callbacks of the parser.
@@ -301,7 +329,7 @@
   }
 
   private void sendContinue() {
-    ByteBuffer head = Buffers.out();
+    ByteBuffer head = Buffers.writeBuffer();
     HttpHeads.interimResponse(head);
     try {
       getEndPoint().flush(head);
@@ -312,7 +340,7 @@
 
   @Override
   public boolean headerComplete() {
-    if (parser.getContentLength() > requests.maxBytes(path)) {
+    if (parser.getContentLength() > processor.maxBodyBytes(path)) {
       refuse(400, "body too long or cut short");
       return true;
     }
@@ -325,14 +353,14 @@
       return true;
     }
     synchronized (this) {
-      if (requests.hold(chunk.remaining())) {
-        held += chunk.remaining();
+      if (processor.reserveBytes(chunk.remaining())) {
+        reservedBytes += chunk.remaining();
       } else {
         refuse(503, "too much to read at once");
         return true;
       }
     }
-    if (!body.add(chunk, requests.maxBytes(path))) {
+    if (!body.add(chunk, processor.maxBodyBytes(path))) {
       refuse(400, "body too long or cut short");
       return true;
     }
--- a/src/main/java/org/eiderstair/http/Sockets.java
+++ b/src/main/java/org/eiderstair/http/Sockets.java
@@ -26,41 +26,44 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * All sockets of this node on one of Jetty's connectors, with one selector and so one thread: those
- * that others open as well as those that this node opens. Jetty's connector for servers brings a
- * whole server with it, whose start cost 0.15 s of processor time.
+ * All sockets of this node, inbound and outbound, on one Jetty client connector with a single
+ * selector and therefore one thread. Jetty's server connector needs a whole server, whose start
+ * takes 0.15 s of processor time.
  */
 public final class Sockets extends ClientConnector {
   private static final int BACKLOG = 256;
-  private static final int POOLED_BYTES = 1 << 20;
+  private static final int MAX_POOLED_BYTES = 1 << 20;
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(1500);
   private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(90);
 
   /**
-   * Everything here speaks plain HTTP: reading the system's certificates would cost a good part of
-   * a start.
+   * Loads no certificates, because all connections use plain HTTP. Reading the system's
+   * certificates would take a considerable part of the start time.
    */
   private static final class NoTls extends SslContextFactory.Client {
     @Override
     protected void doStart() {
-      // Nothing to load.
+      // No certificates are loaded.
     }
   }
 
   /**
-   * A port that others connect to. A connection beyond the budget is accepted and closed: were the
-   * port not listened to for a while, a connection that ends in the same moment could make it
-   * register twice, and the connector would then close it for good.
+   * A port that this node listens on. A connection beyond the budget is accepted and then closed.
+   * Pausing the port instead is not safe: a connection that ends at the same moment could register
+   * the port twice, and the connector would then close the port permanently.
    */
   private record Port(
-      ServerSocketChannel channel, ServerConnection.Requests requests, ConnectionBudget budget) {}
+      ServerSocketChannel channel,
+      ServerConnection.RequestProcessor processor,
+      ConnectionBudget budget) {}
 
   private final Map<Integer, Port> ports = new ConcurrentHashMap<>();
   private final ScheduledExecutorScheduler timer;
 
+  /** Starts the connector; the executor runs the selector and the connections' callbacks. */
   public Sockets(Executor executor) throws Exception {
-    // Its own executor would name threads by text that the JVM first has to learn to join: 6 ms of
-    // a start.
+    // The scheduler's default executor builds thread names by string concatenation. Setting that up
+    // in the JVM takes 6 ms of the start.
     ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, Sockets::timerThread);
     timers.setRemoveOnCancelPolicy(true);
     timer = new ScheduledExecutorScheduler(timers);
@@ -68,7 +71,8 @@
     setSelectors(1);
     setExecutor(executor);
     setScheduler(timer);
-    setByteBufferPool(new ArrayByteBufferPool(0, 4096, 65536, 32, POOLED_BYTES, POOLED_BYTES));
+    setByteBufferPool(
+        new ArrayByteBufferPool(0, 4096, 65536, 32, MAX_POOLED_BYTES, MAX_POOLED_BYTES));
     setSslContextFactory(new NoTls());
     setConnectTimeout(CONNECT_TIMEOUT);
     setIdleTimeout(IDLE_TIMEOUT);
@@ -82,10 +86,13 @@
   }
 
   /**
-   * Listens on an address, for as many connections as the budget allows; says on which port, if the
-   * system chose it.
+   * Listens on an address, for as many connections as the budget allows.
+   *
+   * @param number the port; 0 lets the system choose one
+   * @return the port that was bound
    */
-  int listen(String host, int number, ConnectionBudget budget, ServerConnection.Requests requests)
+  int listen(
+      String host, int number, ConnectionBudget budget, ServerConnection.RequestProcessor processor)
       throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -93,12 +100,12 @@
     channel.bind(new InetSocketAddress(host, number), BACKLOG);
     addBean(channel);
     int bound = ((InetSocketAddress) channel.getLocalAddress()).getPort();
-    ports.put(bound, new Port(channel, requests, budget));
+    ports.put(bound, new Port(channel, processor, budget));
     getSelectorManager().acceptor(channel);
     return bound;
   }
 
-  /** Opens a connection; {@code failed} receives the cause if that fails. */
+  /** Opens a connection; {@code failed} receives the cause if the connection cannot be made. */
   void connect(
       SocketAddress address, ClientConnectionFactory connections, Consumer<Throwable> failed) {
     connect(address, context(connections, failed));
@@ -113,8 +120,8 @@
         CONNECTION_PROMISE_CONTEXT_KEY,
         new Promise<Connection>() {
           @Override
-          public void failed(Throwable why) {
-            failed.accept(why);
+          public void failed(Throwable cause) {
+            failed.accept(cause);
           }
         });
     return context;
@@ -122,11 +129,11 @@
 
   @Override
   protected SelectorManager newSelectorManager() {
-    return new Manager(getExecutor(), getScheduler());
+    return new SocketSelectorManager(getExecutor(), getScheduler());
   }
 
-  private final class Manager extends ClientSelectorManager {
-    Manager(Executor executor, Scheduler scheduler) {
+  private final class SocketSelectorManager extends ClientSelectorManager {
+    SocketSelectorManager(Executor executor, Scheduler scheduler) {
       super(executor, scheduler, 1);
     }
 
@@ -134,7 +141,7 @@
     protected void accepted(SelectableChannel channel) throws IOException {
       int number = ((InetSocketAddress) ((SocketChannel) channel).getLocalAddress()).getPort();
       Port port = ports.get(number);
-      if (!port.budget.openInbound()) {
+      if (!port.budget.tryOpenInbound()) {
         channel.close();
         return;
       }
@@ -142,8 +149,8 @@
           channel,
           context(
               (endPoint, unused) ->
-                  new ServerConnection(endPoint, getExecutor(), port.requests, port.budget),
-              why -> port.budget.closeInbound(ConnectionBudget.InboundUse.USER)));
+                  new ServerConnection(endPoint, getExecutor(), port.processor, port.budget),
+              cause -> port.budget.closeInbound(ConnectionBudget.InboundUse.USER)));
     }
   }
 
--- a/src/main/java/org/eiderstair/http/StateServiceRoutes.java
+++ b/src/main/java/org/eiderstair/http/StateServiceRoutes.java
@@ -4,7 +4,7 @@
 import org.eiderstair.core.message.Request;
 import org.eiderstair.protocol.StoreMessages;
 
-/** HTTP requests to the state service. */
+/** Builds HTTP requests to the state service. */
 final class StateServiceRoutes {
   private static final byte[] EMPTY_BODY = new byte[0];
   private static final long TIMEOUT_MICROS = 2_000_000;
--- a/src/main/java/org/eiderstair/http/StatusReader.java
+++ b/src/main/java/org/eiderstair/http/StatusReader.java
@@ -5,7 +5,10 @@
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.MessagePackCodec;
 
-/** Reads a response by its status; statuses without a decoder mean that the request failed. */
+/**
+ * Decodes a response by its status. Without a decoder for the status, a server error other than 503
+ * counts as no response, and any other status as a refusal.
+ */
 final class StatusReader implements OutgoingRequest.ResponseReader {
   private static final int OK = 200;
   private static final int CREATED = 201;
@@ -34,24 +37,27 @@
     this.notFound = notFound;
   }
 
+  /** Returns a reader that decodes the bodies of statuses 200 and 201. */
   static StatusReader of(Decoder success) {
     return new StatusReader(success, null, null);
   }
 
-  /** An empty body reads as an empty map. */
+  /** Returns a reader that decodes success; an empty body is decoded as an empty map. */
   static StatusReader ofMap(MapDecoder success) {
     return of(mapOrEmpty(success));
   }
 
+  /** Returns a reader that also decodes status 409. */
   StatusReader onConflict(Decoder decoder) {
     return new StatusReader(success, decoder, notFound);
   }
 
+  /** Returns a reader that also decodes status 409; an empty body is decoded as an empty map. */
   StatusReader onConflictMap(MapDecoder decoder) {
     return onConflict(mapOrEmpty(decoder));
   }
 
-  /** The body must be a map. */
+  /** Returns a reader that also decodes status 404; the body must be a map, even if empty. */
   StatusReader onNotFoundMap(MapDecoder decoder) {
     return new StatusReader(
         success, conflict, content -> decoder.decode(MessagePackCodec.readMap(content)));
--- a/src/main/java/org/eiderstair/http/WorkerRoutes.java
+++ b/src/main/java/org/eiderstair/http/WorkerRoutes.java
@@ -5,13 +5,15 @@
 import org.eiderstair.protocol.MalformedMessageException;
 import org.eiderstair.protocol.WorkerMessages;
 
-/** HTTP requests to workers, whose addresses are in the requests. */
+/** Builds HTTP requests to workers; each request of the core holds the worker's address. */
 final class WorkerRoutes {
   private static final long TIMEOUT_MICROS = 2_500_000;
 
   private static final StatusReader STATUS = StatusReader.of(content -> status(content, false));
 
-  /** A worker that does not execute commands answers with a conflict and its status. */
+  /**
+   * Reads the answer to commands; a worker that refuses them sends status 409 and its own status.
+   */
   private static final StatusReader COMMANDS =
       StatusReader.of(content -> status(content, true))
           .onConflict(content -> status(content, false));
--- a/src/main/java/org/eiderstair/http/package-info.java
+++ b/src/main/java/org/eiderstair/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Sockets and HTTP/1.1, on one of Jetty's connectors with its parser: requests from outside become
- * events of the core, its requests and answers go out.
+ * HTTP/1.1 over Jetty's connector and parser. Inbound requests become events of the core; the
+ * core's answers and its own requests are sent.
  */
 package org.eiderstair.http;
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -69,7 +69,7 @@
     loop.attach(core, effect -> execute(effect, loop, outbound, inbound));
     loop.timeouts(outbound::expire);
     loop.refusedConnections(budget::takeRefusals);
-    loop.refuseLate(inbound::refusedAsLate);
+    loop.refuseLate(inbound::refuseIfLate);
     coreThread = new Thread(null, loop, "core", 512 * 1024);
     coreThread.start();
     port = inbound.listen(sockets, config.bindHost(), config.bindPort(), budget);
