--- a/src/main/java/org/eiderstair/cli/LogStream.java
+++ b/src/main/java/org/eiderstair/cli/LogStream.java
@@ -6,19 +6,20 @@
 import java.time.LocalDate;
 
 /**
- * Puts the time of day (UTC) before each line. The logging library's own way loads the JVM's
- * calendars and locales, which cost a start 60 ms of processor time.
+ * Prefixes lines with a UTC timestamp; only a line that begins a write is prefixed. The logging
+ * library's own timestamps load the JVM's calendars and locales, which takes 60 ms of processor
+ * time at startup.
  */
 final class LogStream extends OutputStream {
-  private static final int TIMESTAMP_LENGTH = 26;
-  private static final int SECOND_MS = 1_000;
-  private static final int MINUTE_MS = 60 * SECOND_MS;
-  private static final int HOUR_MS = 60 * MINUTE_MS;
-  private static final long DAY_MS = 24L * HOUR_MS;
+  private static final int TIMESTAMP_CAPACITY = 26;
+  private static final int MILLIS_PER_SECOND = 1_000;
+  private static final int MILLIS_PER_MINUTE = 60 * MILLIS_PER_SECOND;
+  private static final int MILLIS_PER_HOUR = 60 * MILLIS_PER_MINUTE;
+  private static final long MILLIS_PER_DAY = 24L * MILLIS_PER_HOUR;
 
   private final OutputStream out;
   private boolean atLineStart = true;
-  private long day = -1;
+  private long epochDay = -1;
   private String date;
 
   LogStream(OutputStream out) {
@@ -31,22 +32,22 @@
   }
 
   @Override
-  public synchronized void write(byte[] bytes, int from, int length) throws IOException {
+  public synchronized void write(byte[] bytes, int offset, int length) throws IOException {
     if (length == 0) {
       return;
     }
     if (atLineStart) {
-      // One write for the whole line: each is a system call, and lines of several threads must not
-      // mix.
+      // Timestamp and text go out in one write: each write is a system call, and lines of several
+      // threads must not interleave.
       byte[] timestamp = timestamp(System.currentTimeMillis()).getBytes(StandardCharsets.US_ASCII);
       byte[] line = new byte[timestamp.length + length];
       System.arraycopy(timestamp, 0, line, 0, timestamp.length);
-      System.arraycopy(bytes, from, line, timestamp.length, length);
+      System.arraycopy(bytes, offset, line, timestamp.length, length);
       out.write(line);
     } else {
-      out.write(bytes, from, length);
+      out.write(bytes, offset, length);
     }
-    atLineStart = bytes[from + length - 1] == '\n';
+    atLineStart = bytes[offset + length - 1] == '\n';
   }
 
   @Override
@@ -55,17 +56,17 @@
   }
 
   private String timestamp(long millis) {
-    if (Math.floorDiv(millis, DAY_MS) != day) {
-      day = Math.floorDiv(millis, DAY_MS);
-      date = LocalDate.ofEpochDay(day).toString();
+    if (Math.floorDiv(millis, MILLIS_PER_DAY) != epochDay) {
+      epochDay = Math.floorDiv(millis, MILLIS_PER_DAY);
+      date = LocalDate.ofEpochDay(epochDay).toString();
     }
-    int ofDay = (int) Math.floorMod(millis, DAY_MS);
-    StringBuilder text = new StringBuilder(TIMESTAMP_LENGTH).append(date).append('T');
-    appendTwoDigits(text, ofDay / HOUR_MS).append(':');
-    appendTwoDigits(text, ofDay / MINUTE_MS % 60).append(':');
-    appendTwoDigits(text, ofDay / SECOND_MS % 60).append('.');
-    text.append((char) ('0' + ofDay / 100 % 10));
-    return appendTwoDigits(text, ofDay % 100).append("Z ").toString();
+    int millisOfDay = (int) Math.floorMod(millis, MILLIS_PER_DAY);
+    StringBuilder text = new StringBuilder(TIMESTAMP_CAPACITY).append(date).append('T');
+    appendTwoDigits(text, millisOfDay / MILLIS_PER_HOUR).append(':');
+    appendTwoDigits(text, millisOfDay / MILLIS_PER_MINUTE % 60).append(':');
+    appendTwoDigits(text, millisOfDay / MILLIS_PER_SECOND % 60).append('.');
+    text.append((char) ('0' + millisOfDay / 100 % 10));
+    return appendTwoDigits(text, millisOfDay % 100).append("Z ").toString();
   }
 
   private static StringBuilder appendTwoDigits(StringBuilder text, int number) {
--- a/src/main/java/org/eiderstair/cli/Main.java
+++ b/src/main/java/org/eiderstair/cli/Main.java
@@ -20,9 +20,9 @@
 import org.eiderstair.config.PlatformFile;
 import org.eiderstair.node.Node;
 
-/** The command line. */
+/** Entry point: parses the command line and runs one command. */
 public final class Main {
-  /** Not from the jar's manifest: reading that would open it once more at each start. */
+  /** Kept here because reading the jar's manifest would open the jar again at each start. */
   static final String VERSION = "0.1.0";
 
   private static final int EXIT_SUCCESS = 0;
@@ -31,7 +31,7 @@
 
   private static final Map<String, String> COMMANDS =
       Map.of(
-          "serve", "run a controller until it is killed",
+          "serve", "run a controller until its process is killed",
           "check", "check settings and exit",
           "submit", "submit the job described in a JSON file",
           "show", "show a job",
@@ -40,8 +40,8 @@
   private Main() {}
 
   /**
-   * Runs one command; the exit code is 0, 1 for a failure, or 2 for arguments or settings that
-   * cannot be used.
+   * Runs one command and exits. The exit code is 0 on success, 1 on failure, or 2 for invalid
+   * arguments or settings.
    */
   public static void main(String[] args) {
     disableLocaleProviders();
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Arguments that cannot be used. */
+  /** Signals invalid command-line arguments. */
   static final class UsageException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -79,11 +79,11 @@
       System.out.println("eiderstair " + VERSION);
       return EXIT_SUCCESS;
     }
-    String[] rest = Arrays.copyOfRange(args, 1, args.length);
+    String[] commandArgs = Arrays.copyOfRange(args, 1, args.length);
     return switch (args[0]) {
-      case "serve" -> serve(rest);
-      case "check" -> check(rest);
-      case "submit", "show", "cancel" -> userCommand(args[0], rest);
+      case "serve" -> serve(commandArgs);
+      case "check" -> check(commandArgs);
+      case "submit", "show", "cancel" -> userCommand(args[0], commandArgs);
       default -> throw new UsageException("unknown command " + args[0] + "; see --help");
     };
   }
@@ -95,7 +95,7 @@
   }
 
   private static int check(String[] args) throws Exception {
-    System.out.println("settings of " + nodeConfig(args).settings().node() + " are good");
+    System.out.println("settings of " + nodeConfig(args).settings().node() + " are valid");
     return EXIT_SUCCESS;
   }
 
@@ -118,14 +118,14 @@
             .hasArg()
             .argName("FILE")
             .required()
-            .desc("the platform's settings (TOML)")
+            .desc("platform settings file (TOML)")
             .build());
     options.addOption(
         Option.builder()
             .longOpt("operator-config")
             .hasArg()
             .argName("FILE")
-            .desc("the operators' own settings (HCL)")
+            .desc("operator settings file (HCL)")
             .build());
     return options;
   }
@@ -138,42 +138,42 @@
             .hasArg()
             .argName("HOST:PORT")
             .required()
-            .desc("a controller, or what stands before them")
+            .desc("address of a controller, or of a proxy in front of the controllers")
             .build());
     return options;
   }
 
   private static NodeConfig nodeConfig(String[] args) throws Exception {
-    CommandLine line = new DefaultParser().parse(serveOptions(), args);
-    if (!line.getArgList().isEmpty()) {
-      throw new UsageException("unexpected argument " + line.getArgList().get(0));
+    CommandLine commandLine = new DefaultParser().parse(serveOptions(), args);
+    if (!commandLine.getArgList().isEmpty()) {
+      throw new UsageException("unexpected argument " + commandLine.getArgList().get(0));
     }
-    String operators = line.getOptionValue("operator-config");
+    String operatorFile = commandLine.getOptionValue("operator-config");
     return PlatformFile.read(
-        Path.of(line.getOptionValue("config")),
-        operators == null ? OperatorFile.DEFAULTS : OperatorFile.read(Path.of(operators)));
+        Path.of(commandLine.getOptionValue("config")),
+        operatorFile == null ? OperatorFile.DEFAULTS : OperatorFile.read(Path.of(operatorFile)));
   }
 
   private static int userCommand(String command, String[] args) throws Exception {
-    CommandLine line = new DefaultParser().parse(userOptions(), args);
-    List<String> names = line.getArgList();
-    if (names.size() != 1) {
+    CommandLine commandLine = new DefaultParser().parse(userOptions(), args);
+    List<String> operands = commandLine.getArgList();
+    if (operands.size() != 1) {
       throw new UsageException(
           command + " takes one " + (command.equals("submit") ? "file" : "job id"));
     }
-    try (UserClient client = new UserClient(line.getOptionValue("node"))) {
+    try (UserClient client = new UserClient(commandLine.getOptionValue("node"))) {
       return switch (command) {
-        case "submit" -> client.submit(Path.of(names.get(0)));
-        case "show" -> client.show(names.get(0));
-        default -> client.cancel(names.get(0));
+        case "submit" -> client.submit(Path.of(operands.get(0)));
+        case "show" -> client.show(operands.get(0));
+        default -> client.cancel(operands.get(0));
       };
     }
   }
 
   /**
-   * Nothing here speaks a human language, but Jetty's table of MIME types asks for every locale
-   * that the JVM knows: that took a fifth of all bytecodes that a controller interprets until it
-   * leads. Without providers there is only the root.
+   * Disables the JVM's locale providers, which leaves only the root locale. Jetty's table of MIME
+   * types queries every locale that the JVM knows. That took a fifth of all bytecodes that a
+   * controller interprets before it leads. No output of this program depends on a locale.
    */
   private static void disableLocaleProviders() {
     System.setProperty("java.locale.providers", "SPI");
--- a/src/main/java/org/eiderstair/cli/UserClient.java
+++ b/src/main/java/org/eiderstair/cli/UserClient.java
@@ -13,9 +13,13 @@
 import org.eclipse.jetty.http.HttpMethod;
 import org.eiderstair.protocol.MessagePackCodec;
 
-/** The commands for users: one request each, its answer printed as JSON. */
+/**
+ * Runs the user commands: each sends one request and prints the status and body of the response.
+ * The body is printed as JSON. Each command returns the exit code: 0 for a status below 300, else
+ * 1.
+ */
 final class UserClient implements AutoCloseable {
-  private static final long TIMEOUT_S = 5;
+  private static final long TIMEOUT_SECONDS = 5;
   private static final int FIRST_REDIRECT_STATUS = 300;
 
   private final HttpClient http = new HttpClient();
@@ -44,7 +48,7 @@
   }
 
   private int send(Request request) throws Exception {
-    ContentResponse response = request.timeout(TIMEOUT_S, TimeUnit.SECONDS).send();
+    ContentResponse response = request.timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS).send();
     System.out.println(
         response.getStatus()
             + " "
@@ -58,7 +62,7 @@
     try {
       http.stop();
     } catch (Exception e) {
-      throw new IllegalStateException("the connection does not close", e);
+      throw new IllegalStateException("cannot stop the HTTP client for " + base, e);
     }
   }
 }
--- a/src/main/java/org/eiderstair/cli/package-info.java
+++ b/src/main/java/org/eiderstair/cli/package-info.java
@@ -1,2 +1,4 @@
-/** The command line: runs a controller, checks settings, and asks a running one as a user would. */
+/**
+ * The command line: runs a controller, checks settings, and sends user requests to a controller.
+ */
 package org.eiderstair.cli;
--- a/src/main/java/org/eiderstair/config/HostAndPort.java
+++ b/src/main/java/org/eiderstair/config/HostAndPort.java
@@ -2,11 +2,14 @@
 
 import java.util.Optional;
 
-/** An address of the form {@code host:port}. */
+/** A network address, written as {@code host:port}. */
 record HostAndPort(String host, int port) {
   private static final int MAX_PORT = 65_535;
 
-  /** Empty when the text is no such address. */
+  /**
+   * Returns the parsed address; empty if the text does not have the form {@code host:port}, or if
+   * the port is above 65535.
+   */
   static Optional<HostAndPort> parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
--- a/src/main/java/org/eiderstair/config/OperatorFile.java
+++ b/src/main/java/org/eiderstair/config/OperatorFile.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 import org.eiderstair.core.settings.Settings;
 
-/** Reads the operators' own settings: one flat HCL file, all of it optional. */
+/** Reads the operators' settings: one flat HCL file in which every setting is optional. */
 public final class OperatorFile {
+  /** The settings that apply when operators provide no file. */
   public static final Settings.Tuning DEFAULTS = Settings.Tuning.defaults();
 
   private static final double MICROS_PER_SECOND = 1e6;
@@ -26,7 +27,7 @@
   private static final String RENT_BATCH = "rent_batch";
   private static final String STANDBYS = "standbys";
 
-  private static final Set<String> KNOWN =
+  private static final Set<String> KNOWN_SETTINGS =
       Set.of(
           TOKEN_LIST_SIZE,
           MACHINE_QUEUE,
@@ -46,10 +47,10 @@
     this.values = values;
   }
 
-  /** Reads and checks the file; settings that it does not have keep their defaults. */
+  /** Reads and validates the file; settings that it omits keep their defaults. */
   public static Settings.Tuning read(Path file) throws InvalidConfigException {
     OperatorFile settings = new OperatorFile(file, parse(file));
-    settings.refuseUnknown();
+    settings.rejectUnknownSettings();
     Settings.Tuning tuning = settings.tuning();
     if (tuning.leaderRenewMicros() * 2 > tuning.leaderTtlMicros()) {
       throw settings.invalid(LEADER_RENEW_S, "must be at most half of leader_ttl_s");
@@ -64,16 +65,16 @@
           .parse(Files.readString(file))
           .forEach((name, value) -> values.put(name.toString(), value));
     } catch (HCLParserException | RuntimeException e) {
-      throw new InvalidConfigException(file.toString(), "not HCL: " + e.getMessage());
+      throw new InvalidConfigException(file.toString(), "invalid HCL: " + e.getMessage());
     } catch (IOException e) {
       throw new InvalidConfigException(file.toString(), "cannot be read: " + e.getMessage());
     }
     return values;
   }
 
-  private void refuseUnknown() throws InvalidConfigException {
+  private void rejectUnknownSettings() throws InvalidConfigException {
     for (String name : values.keySet()) {
-      if (!KNOWN.contains(name)) {
+      if (!KNOWN_SETTINGS.contains(name)) {
         throw invalid(name, "unknown setting");
       }
     }
@@ -103,7 +104,7 @@
         && number.doubleValue() <= max) {
       return number.doubleValue();
     }
-    throw invalid(name, "not a number from " + min + " to " + max);
+    throw invalid(name, "must be a number from " + min + " to " + max);
   }
 
   private int count(String name, int min, int max, int defaultValue) throws InvalidConfigException {
--- a/src/main/java/org/eiderstair/config/PlatformFile.java
+++ b/src/main/java/org/eiderstair/config/PlatformFile.java
@@ -8,7 +8,7 @@
 import org.eiderstair.core.leadership.LeadershipBounds;
 import org.eiderstair.core.settings.Settings;
 
-/** Reads the settings file that the platform hands over. Fields it does not know are ignored. */
+/** Reads the TOML settings file that the platform provides. Unknown fields are ignored. */
 public final class PlatformFile {
   private final SettingsTable root;
   private final SettingsTable settings;
@@ -30,7 +30,11 @@
     this.tuning = tuning;
   }
 
-  /** Reads and checks the file; the exception's message names the field that is wrong. */
+  /**
+   * Reads and validates the file.
+   *
+   * @throws InvalidConfigException if a field is invalid; the message names the field
+   */
   public static NodeConfig read(Path file, Settings.Tuning tuning) throws InvalidConfigException {
     return new PlatformFile(SettingsTable.root(TomlTree.read(file)), tuning).nodeConfig();
   }
@@ -58,52 +62,60 @@
     long leaseMicros = workers.positiveMicros("lease_s");
     long cancelMicros = workers.positiveMicros("cancel_s");
     return new Settings(
-        root.text("node"),
+        root.string("node"),
         peers,
         zones,
         teams(),
         objectives(),
         new Settings.WorkerTimings(workers.positiveMicros("report_s"), leaseMicros, cancelMicros),
         new Settings.StateServiceLimits(
-            state.positive("rps"), state.positive("write_rps"), (int) state.positive("txn_ops")),
-        cloud.positive("rps"),
+            state.positiveNumber("rps"),
+            state.positiveNumber("write_rps"),
+            (int) state.positiveNumber("txn_ops")),
+        cloud.positiveNumber("rps"),
         tuning,
         nodeZones(),
         resources.optionalNumber("cpu"));
   }
 
-  /** Cancelled work must end in time by the leases alone, whatever cannot be reached. */
+  /**
+   * Requires that cancelled tasks end within {@code cancel_s} through the expiry of leases alone,
+   * whichever processes cannot be reached.
+   */
   private void requireCancellationBounds(Settings core) throws InvalidConfigException {
     if (!LeadershipBounds.boundsHold(core)) {
       throw workers.invalid(
           "cancel_s",
-          "must be longer than lease_s by leader_ttl_s (now "
+          "must exceed lease_s by at least leader_ttl_s ("
               + tuning.leaderTtlMicros() / 1e6
-              + " s), 3 s for tasks to end, and 0.05% for the drift of clocks");
+              + " s), plus 3 s for tasks to end, plus 0.05% of cancel_s for clock drift");
     }
   }
 
-  /** The other controllers' addresses by their names, in the order of the file. */
+  /** Returns the other controllers' addresses by node name, in the order of the file. */
   private Map<String, String> peerAddresses() throws InvalidConfigException {
     Map<String, String> addresses = new LinkedHashMap<>();
     for (SettingsTable peer : root.tables("others")) {
-      addresses.put(peer.text("node"), peer.address("address").toString());
+      addresses.put(peer.string("node"), peer.address("address").toString());
     }
     return addresses;
   }
 
-  /** Each controller's zone, this one's included; empty text where it is not given. */
+  /**
+   * Returns the zone of each controller by node name, this node included. The zone is an empty
+   * string where the file gives none.
+   */
   private Map<String, String> nodeZones() throws InvalidConfigException {
     Map<String, String> nodeZones = new LinkedHashMap<>();
-    nodeZones.put(root.optionalText("node"), root.optionalText("domain"));
+    nodeZones.put(root.optionalString("node"), root.optionalString("domain"));
     for (SettingsTable peer : root.tables("others")) {
-      nodeZones.put(peer.text("node"), peer.optionalText("domain"));
+      nodeZones.put(peer.string("node"), peer.optionalString("domain"));
     }
     return nodeZones;
   }
 
   private List<String> zones() throws InvalidConfigException {
-    List<String> zones = settings.texts("zones");
+    List<String> zones = settings.stringList("zones");
     if (zones.isEmpty()) {
       throw settings.invalid("zones", "missing or empty");
     }
@@ -113,15 +125,15 @@
   private Map<String, Settings.Team> teams() throws InvalidConfigException {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
     for (SettingsTable team : settings.tables("teams")) {
-      String name = team.text("name");
+      String name = team.string("name");
       teams.put(
           name,
           new Settings.Team(
               name,
-              team.amount("cpus"),
-              team.amount("cpus_max"),
-              team.amount("gpus"),
-              team.amount("gpus_max")));
+              team.nonNegativeNumber("cpus"),
+              team.nonNegativeNumber("cpus_max"),
+              team.nonNegativeNumber("gpus"),
+              team.nonNegativeNumber("gpus_max")));
     }
     if (teams.isEmpty()) {
       throw settings.invalid("teams", "missing or empty");
@@ -134,8 +146,8 @@
     for (SettingsTable objective : settings.tables("objectives")) {
       objectives.add(
           new Settings.Objective(
-              Settings.Objective.Kind.of(objective.optionalText("kind")),
-              objective.optionalText("class"),
+              Settings.Objective.Kind.of(objective.optionalString("kind")),
+              objective.optionalString("class"),
               objective.optionalMicros("within_s"),
               objective.optionalNumber("share")));
     }
--- a/src/main/java/org/eiderstair/config/package-info.java
+++ b/src/main/java/org/eiderstair/config/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Settings: the platform's file (TOML) and the operators' own (HCL), read and checked once at
- * start.
- */
+/** Reads and validates the platform's settings (TOML) and the operators' (HCL), once at startup. */
 package org.eiderstair.config;
--- a/src/main/java/org/eiderstair/node/CoreLoop.java
+++ b/src/main/java/org/eiderstair/node/CoreLoop.java
@@ -15,81 +15,90 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread that owns the core: takes events in their order, and ticks when none comes. */
+/**
+ * The loop of the one thread that owns the core. It hands events to the core in the order of their
+ * arrival, replies first, and calls the core's tick after each batch or when a tick is due.
+ */
 public final class CoreLoop implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
-  private static final Event WAKE = new Event.Tick();
-  private static final int MAX_BATCH = 32;
-  private static final long LOAD_EVERY_MICROS = 10_000_000;
+  private static final Event WAKE_UP = new Event.Tick();
+  private static final int MAX_BATCH_EVENTS = 32;
+  private static final long LOAD_LOG_INTERVAL_MICROS = 10_000_000;
 
   private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
   /**
-   * Outcomes of this node's own requests go before what others ask. Seen after a failover with 361
-   * machines: the lease had been renewed, but the reply waited behind 500 heartbeats until the
-   * lease was believed expired.
+   * Replies to this node's own requests, handled before all other events. After a failover with 361
+   * machines, the reply to a lease renewal waited behind 500 heartbeats. The node then considered
+   * the lease expired although it had been renewed.
    */
-  private final ConcurrentLinkedQueue<Event> outcomes = new ConcurrentLinkedQueue<>();
+  private final ConcurrentLinkedQueue<Event> replies = new ConcurrentLinkedQueue<>();
 
-  private final Map<String, Integer> counts = new TreeMap<>();
-  private int maxWaiting;
-  private long nextLoadMicros;
+  private final Map<String, Integer> eventCounts = new TreeMap<>();
+  private int maxWaitingEvents;
+  private long nextLoadLogMicros;
   private Core core;
   private Consumer<Effect> effects;
-  private Predicate<Event> refusedAsLate = event -> false;
-  private int refusedLate;
-  private LongConsumer timeouts = now -> {};
-  private final OverloadDetector overload = new OverloadDetector();
+  private Predicate<Event> lateEventFilter = event -> false;
+  private int refusedLateEvents;
+  private LongConsumer timeoutCheck = nowMicros -> {};
+  private final OverloadDetector overloadDetector = new OverloadDetector();
 
   /**
    * Connects the loop with the core that it drives and with the consumer of its effects. Call once,
    * before {@link #run}.
    */
-  public void attach(Core withCore, Consumer<Effect> withEffects) {
-    core = withCore;
-    effects = withEffects;
+  public void attach(Core core, Consumer<Effect> effects) {
+    this.core = core;
+    this.effects = effects;
   }
 
-  /** Sets what checks the time limits of outgoing requests, after each tick of the core. */
-  public void timeouts(LongConsumer check) {
-    timeouts = check;
+  /**
+   * Sets the check for timeouts of outgoing requests. It receives the time in microseconds after
+   * each tick of the core.
+   */
+  public void setTimeoutCheck(LongConsumer check) {
+    timeoutCheck = check;
   }
 
-  /** Sets who refuses events that have waited for so long that they are of no use any more. */
-  public void refuseLate(Predicate<Event> refusal) {
-    refusedAsLate = refusal;
+  /**
+   * Sets the filter for late events. It returns whether it refused an event because nobody waits
+   * for the answer any more; the core does not receive refused events.
+   */
+  public void setLateEventFilter(Predicate<Event> filter) {
+    lateEventFilter = filter;
   }
 
-  /** Sets who counts the connections that were refused since it was asked last. */
-  public void refusedConnections(IntSupplier refusals) {
-    overload.refusedConnections(refusals);
+  /** Sets the counter, which returns the connections refused since its previous call. */
+  public void setRefusedConnectionCounter(IntSupplier counter) {
+    overloadDetector.setRefusedConnectionCounter(counter);
   }
 
-  /** Whether this node is so far behind that what can wait is to be refused. */
+  /** Returns whether this node is so far behind that deferrable requests are refused. */
   public boolean isBehind() {
-    return overload.isBehind();
+    return overloadDetector.isBehind();
   }
 
-  /** Hands an event to the core's thread; may be called from any thread. */
+  /** Queues an event for the core's thread; any thread may call this method. */
   public void offer(Event event) {
     if (event instanceof Event.ReplyReceived) {
-      outcomes.add(event);
-      // Wakes the core when nothing else does.
+      replies.add(event);
+      // The core's thread waits on events only, so an extra event wakes it up.
       if (events.isEmpty()) {
-        events.add(WAKE);
+        events.add(WAKE_UP);
       }
     } else {
       events.add(event);
     }
   }
 
-  /** The steady clock: it is never set back, unlike the time of day. */
+  /** Returns the time of the monotonic clock, which, unlike the time of day, is never set back. */
   public static long nowMicros() {
     return System.nanoTime() / 1000;
   }
 
-  /** Carries out an effect: log lines are written here, the rest goes to the attached consumer. */
-  public void effect(Effect effect) {
+  /** Executes an effect: writes log lines, and passes other effects to the attached consumer. */
+  public void execute(Effect effect) {
     if (effect instanceof Effect.Log log) {
       switch (log.level()) {
         case ERROR -> LOG.error(log.text());
@@ -107,74 +116,74 @@
       try {
         long wait = core.dueMicros() - nowMicros();
         Event event =
-            wait > 0 && outcomes.isEmpty()
+            wait > 0 && replies.isEmpty()
                 ? events.poll(wait, TimeUnit.MICROSECONDS)
                 : events.poll();
-        takeOutcomes();
-        // Decisions for all events together cost the most: one tick for a batch, whose size is
-        // bounded so that the tick is not put off without limit.
+        takeReplies();
+        // The decisions in a tick cost the most, so a batch of events shares one tick. The batch
+        // size is bounded so that the tick is not delayed without limit.
         for (int taken = 1; event != null; taken++) {
           take(event);
-          takeOutcomes();
-          event = taken < MAX_BATCH ? events.poll() : null;
+          takeReplies();
+          event = taken < MAX_BATCH_EVENTS ? events.poll() : null;
         }
         checkOverload();
         core.tick(nowMicros());
-        timeouts.accept(nowMicros());
+        timeoutCheck.accept(nowMicros());
         if (LOG.isInfoEnabled()) {
           logLoad(nowMicros());
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       } catch (RuntimeException e) {
-        LOG.error("tick failed", e);
+        LOG.error("core loop iteration failed", e);
       }
     }
   }
 
   /**
-   * Logs the load, which an operator looks at first when a controller is slow: the events by kind,
-   * and the most that waited.
+   * Logs the load once per interval: the events by type, late events, the most events that waited,
+   * and the heap. Operators look at this line first when a controller is slow.
    */
-  private void logLoad(long now) {
-    maxWaiting = Math.max(maxWaiting, events.size());
-    if (now < nextLoadMicros) {
+  private void logLoad(long nowMicros) {
+    maxWaitingEvents = Math.max(maxWaitingEvents, events.size());
+    if (nowMicros < nextLoadLogMicros) {
       return;
     }
-    nextLoadMicros = now + LOAD_EVERY_MICROS;
+    nextLoadLogMicros = nowMicros + LOAD_LOG_INTERVAL_MICROS;
     Runtime runtime = Runtime.getRuntime();
     LOG.info(
         "load: {}, refused as late {}, max waiting {}, heap {} of {} MB",
-        counts,
-        refusedLate,
-        maxWaiting,
+        eventCounts,
+        refusedLateEvents,
+        maxWaitingEvents,
         (runtime.totalMemory() - runtime.freeMemory()) >> 20,
         runtime.maxMemory() >> 20);
-    counts.clear();
-    refusedLate = 0;
-    maxWaiting = 0;
+    eventCounts.clear();
+    refusedLateEvents = 0;
+    maxWaitingEvents = 0;
   }
 
   private void checkOverload() {
-    Event.Overloaded overloaded = overload.check(events.size(), nowMicros());
+    Event.Overloaded overloaded = overloadDetector.check(events.size(), nowMicros());
     if (overloaded != null) {
       take(overloaded);
     }
   }
 
-  private void takeOutcomes() {
-    for (Event outcome = outcomes.poll(); outcome != null; outcome = outcomes.poll()) {
-      take(outcome);
+  private void takeReplies() {
+    for (Event reply = replies.poll(); reply != null; reply = replies.poll()) {
+      take(reply);
     }
   }
 
   private void take(Event event) {
-    if (refusedAsLate.test(event)) {
-      refusedLate++;
+    if (lateEventFilter.test(event)) {
+      refusedLateEvents++;
       return;
     }
     if (LOG.isInfoEnabled()) {
-      counts.merge(event.getClass().getSimpleName(), 1, Integer::sum);
+      eventCounts.merge(event.getClass().getSimpleName(), 1, Integer::sum);
     }
     core.take(event, nowMicros());
   }
--- a/src/main/java/org/eiderstair/node/Node.java
+++ b/src/main/java/org/eiderstair/node/Node.java
@@ -18,28 +18,32 @@
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger("eiderstair");
 
-  /** One for the selector and one for other work; nothing that runs there blocks. */
-  private static final int THREADS = 2;
+  /** One thread for the selector and one for other tasks; no task blocks. */
+  private static final int IO_THREADS = 2;
 
-  /** The part of the heap for request bodies: a decoded one takes several times its size. */
-  private static final int HELD_BYTES_DIVISOR = 16;
+  /**
+   * Request bodies may take the heap size divided by this number, because a decoded body takes
+   * several times its size.
+   */
+  private static final int REQUEST_BODIES_HEAP_DIVISOR = 16;
 
   private final ExecutorService threads;
   private final Sockets sockets;
   private final Thread coreThread;
   private final int port;
 
+  /** Starts a controller: the core's thread, then the ports for users, workers and peers. */
   public Node(NodeConfig config) throws Exception {
-    threads = Executors.newFixedThreadPool(THREADS, Node::ioThread);
+    threads = Executors.newFixedThreadPool(IO_THREADS, Node::ioThread);
     CoreLoop loop = new CoreLoop();
-    LOG.info("node {} starts", config.settings().node());
+    LOG.info("node starting: node={}", config.settings().node());
     sockets = new Sockets(threads);
     HttpRequestRouter inbound =
         new HttpRequestRouter(
             loop::offer,
             loop::isBehind,
             CoreLoop::nowMicros,
-            (int) (Runtime.getRuntime().maxMemory() / HELD_BYTES_DIVISOR));
+            (int) (Runtime.getRuntime().maxMemory() / REQUEST_BODIES_HEAP_DIVISOR));
     ConnectionBudget budget = ConnectionBudget.of(config.maxConnections());
     HttpClientPool outbound =
         new HttpClientPool(
@@ -50,36 +54,37 @@
             budget,
             CoreLoop::nowMicros,
             (call, reply) -> loop.offer(new Event.ReplyReceived(call, reply)));
-    // Runs of one node differ in their time or their process; nothing here needs to be hard to
-    // guess.
-    long time = System.currentTimeMillis();
-    long process = ProcessHandle.current().pid();
+    // Two runs of one node differ in time or process id. Neither the run id nor the random
+    // numbers need to be hard to guess.
+    long startMillis = System.currentTimeMillis();
+    long processId = ProcessHandle.current().pid();
     String runId =
-        Long.toHexString(time) + "-" + process + "-" + Long.toHexString(System.nanoTime());
+        Long.toHexString(startMillis) + "-" + processId + "-" + Long.toHexString(System.nanoTime());
     var random =
         new XoRoShiRo128PlusPlus(
-            time ^ config.settings().node().hashCode(), (System.nanoTime() ^ process) | 1);
+            startMillis ^ config.settings().node().hashCode(), (System.nanoTime() ^ processId) | 1);
     Core core =
         new Core(
             config.settings(),
             runId,
-            time * 1000 - CoreLoop.nowMicros(),
+            startMillis * 1000 - CoreLoop.nowMicros(),
             random::nextInt,
-            loop::effect);
+            loop::execute);
     loop.attach(core, effect -> execute(effect, loop, outbound, inbound));
-    loop.timeouts(outbound::expire);
-    loop.refusedConnections(budget::takeRefusals);
-    loop.refuseLate(inbound::refusedAsLate);
+    loop.setTimeoutCheck(outbound::expire);
+    loop.setRefusedConnectionCounter(budget::takeRefusals);
+    loop.setLateEventFilter(inbound::refusedAsLate);
     coreThread = new Thread(null, loop, "core", 512 * 1024);
     coreThread.start();
     port = inbound.listen(sockets, config.bindHost(), config.bindPort(), budget);
     inbound.listenForPeers(sockets, config.peerHost(), config.peerPort());
-    LOG.info("node {} listens on port {}", config.settings().node(), port);
+    LOG.info(
+        "node listening for users and workers: node={} port={}", config.settings().node(), port);
   }
 
   /**
-   * Sends a request or an answer. Deadlines are checked again here: on a small machine seconds may
-   * lie between a decision and its effect.
+   * Sends a request or an answer. Deadlines are checked again here, because on a small machine
+   * seconds may pass between a decision and its effect.
    */
   private static void execute(
       Effect effect, CoreLoop loop, HttpClientPool outbound, HttpRequestRouter inbound) {
@@ -95,13 +100,15 @@
     }
   }
 
-  private static Thread ioThread(Runnable work) {
-    Thread thread = new Thread(work, "io");
+  private static Thread ioThread(Runnable task) {
+    Thread thread = new Thread(task, "io");
     thread.setDaemon(true);
     return thread;
   }
 
-  /** The port that users and workers reach, when the settings left the choice to the system. */
+  /**
+   * Returns the port for users and workers, which the system chooses if the settings give port 0.
+   */
   public int port() {
     return port;
   }
@@ -117,7 +124,7 @@
     try {
       sockets.stop();
     } catch (Exception e) {
-      throw new IllegalStateException("the sockets do not close", e);
+      throw new IllegalStateException("cannot close the sockets of this node", e);
     } finally {
       threads.shutdownNow();
     }
--- a/src/main/java/org/eiderstair/node/OverloadDetector.java
+++ b/src/main/java/org/eiderstair/node/OverloadDetector.java
@@ -4,38 +4,42 @@
 import org.eiderstair.core.message.Event;
 
 /**
- * Tells whether this node has more to do than it can: events wait for longer than a moment, or
- * connections are refused for want of a socket. Used by the core's thread; others may ask {@link
- * #isBehind()}.
+ * Detects overload of this node: too many events wait for a second or longer, or connections are
+ * refused because no socket is free. Only the core's thread may use it, except that any thread may
+ * call {@link #isBehind()}.
  */
 final class OverloadDetector {
-  /** Several batches: fewer events wait now and then on a node that keeps up. */
+  /** Several batches of events; a node that keeps up has fewer events waiting now and then. */
   private static final int MAX_WAITING_EVENTS = 128;
 
+  /** How long too many events must wait until this node counts as behind. */
   private static final long BEHIND_AFTER_MICROS = 1_000_000;
-  private static final long REPORT_EVERY_MICROS = 500_000;
+
+  private static final long REPORT_INTERVAL_MICROS = 500_000;
   private static final long NEVER = Long.MIN_VALUE;
 
-  private IntSupplier refusedConnections = () -> 0;
+  private IntSupplier refusedConnectionCounter = () -> 0;
   private long waitingSinceMicros = NEVER;
   private long nextReportMicros = NEVER;
   private volatile boolean behind;
 
-  /** Sets who counts the connections that were refused since it was asked last. */
-  void refusedConnections(IntSupplier refusals) {
-    refusedConnections = refusals;
+  /** Sets the counter, which returns the connections refused since its previous call. */
+  void setRefusedConnectionCounter(IntSupplier counter) {
+    refusedConnectionCounter = counter;
   }
 
-  /** Whether events have waited for so long that what can wait is to be refused. */
+  /**
+   * Returns whether too many events have waited for so long that deferrable requests are refused.
+   */
   boolean isBehind() {
     return behind;
   }
 
   /**
-   * Looks at the queue.
+   * Checks for overload after a batch of events. An overload that lasts is reported twice a second.
    *
-   * @param waitingEvents how many events still wait after a batch
-   * @return the event for the core; null if there is nothing new
+   * @param waitingEvents the number of events that still wait
+   * @return the event for the core; null if there is nothing to report
    */
   Event.Overloaded check(int waitingEvents, long nowMicros) {
     if (waitingEvents <= MAX_WAITING_EVENTS) {
@@ -47,11 +51,11 @@
     if (nowMicros < nextReportMicros) {
       return null;
     }
-    int refused = refusedConnections.getAsInt();
+    int refused = refusedConnectionCounter.getAsInt();
     if (!behind && refused == 0) {
       return null;
     }
-    nextReportMicros = nowMicros + REPORT_EVERY_MICROS;
+    nextReportMicros = nowMicros + REPORT_INTERVAL_MICROS;
     return new Event.Overloaded(refused, behind ? waitingEvents : 0);
   }
 }
