--- a/src/main/java/org/eiderstair/core/capacity/Demand.java
+++ b/src/main/java/org/eiderstair/core/capacity/Demand.java
@@ -151,7 +151,7 @@
    * Reserves the recent peak demand of each class within its team's limit, so that less urgent work
    * does not use that part of the limit. Only classes with an objective on their wait for a start
    * get a reservation. For other classes their priority is sufficient. With a reservation for every
-   * class, 2,400 low-priority tasks waited beside 950 free CPUs after a burst. Ordinary work
+   * class, 2,400 low-priority tasks waited while 950 CPUs were free after a burst. Ordinary work
    * without a fitting machine held half of the team's limit.
    */
   public void reserve(TeamQuotas quotas) {
--- a/src/main/java/org/eiderstair/core/capacity/ScaleIn.java
+++ b/src/main/java/org/eiderstair/core/capacity/ScaleIn.java
@@ -26,7 +26,7 @@
     provisioning.scaleIn(machine.id());
   }
 
-  /** Releases a machine that the cloud reports as failed, whatever tasks may be on it. */
+  /** Releases a machine that the cloud reports as failed, even if tasks may be on it. */
   void releaseFailed(Machine machine) {
     stopUsing(machine);
     machine.setPresumedDead(false);
--- a/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
+++ b/src/main/java/org/eiderstair/core/leadership/FailoverTimeline.java
@@ -14,8 +14,8 @@
     /** The new leader reads what the previous term wrote last. */
     SYNCHRONIZING,
     /**
-     * The new leader waits for heartbeats of the registered machines. Older work waits meanwhile,
-     * unless the standby's replica shows everything that may be on the machines.
+     * The new leader waits for heartbeats of the registered machines. Older work waits during this
+     * phase, unless the standby's replica shows everything that may be on the machines.
      */
     RECONCILING,
     /** Every registered machine has sent a heartbeat, or is proven to be terminated. */
--- a/src/main/java/org/eiderstair/core/membership/PeerReachability.java
+++ b/src/main/java/org/eiderstair/core/membership/PeerReachability.java
@@ -116,8 +116,8 @@
         knownSequence,
         answer -> {
           peer.queryInFlight = false;
-          // The report that these changes extend may have been discarded meanwhile. Applied alone,
-          // they would make the peer's other machines seem silent.
+          // The report that these changes extend may have been discarded since the query was sent.
+          // Applied alone, they would make the peer's other machines seem silent.
           if (peer.runId.equals(knownRunId) && peer.lastSequence == knownSequence) {
             handleAnswer(peer, answer);
           }
--- a/src/main/java/org/eiderstair/core/message/Submission.java
+++ b/src/main/java/org/eiderstair/core/message/Submission.java
@@ -4,7 +4,7 @@
 
 /**
  * A decoded submission. The id is known even if the rest is malformed. A repeated submission of an
- * accepted job must be answered with that job, whatever else the submission contains.
+ * accepted job must be answered with that job, regardless of the submission's other fields.
  */
 public sealed interface Submission {
 
--- a/src/main/java/org/eiderstair/core/model/Attempt.java
+++ b/src/main/java/org/eiderstair/core/model/Attempt.java
@@ -8,7 +8,7 @@
  */
 public final class Attempt {
 
-  /** The progress of an attempt on its way to the machine. */
+  /** The progress of the launch of an attempt on its machine. */
   public enum Phase {
     /** The attempt waits at the leader for free resources of its machine. */
     QUEUED,
--- a/src/main/java/org/eiderstair/core/model/Job.java
+++ b/src/main/java/org/eiderstair/core/model/Job.java
@@ -398,7 +398,7 @@
     return failures.failedMachineCount();
   }
 
-  /** Returns whether tasks failed on so many machines that the job itself is likely faulty. */
+  /** Returns whether tasks failed on enough machines to suggest that the job itself is faulty. */
   public boolean isLikelyFaulty() {
     return failures.failedMachineCount() >= MIN_FAILED_MACHINES_OF_FAULTY_JOB;
   }
--- a/src/main/java/org/eiderstair/http/HttpRequestRouter.java
+++ b/src/main/java/org/eiderstair/http/HttpRequestRouter.java
@@ -57,7 +57,7 @@
    * Creates a router that listens to no port yet.
    *
    * @param events receives the event of each request
-   * @param behind whether this node is behind with its events; users' polls are refused meanwhile,
+   * @param behind whether this node is behind with its events; users' polls are then refused,
    *     because their answers can wait longest
    * @param clock a monotonic time in microseconds
    * @param maxBufferedBytes the most bytes of request bodies that are buffered at once; requests
@@ -286,9 +286,9 @@
   }
 
   /**
-   * Refuses a heartbeat that has waited so long that its worker no longer reads the answer. The
-   * node can then spend its time on heartbeats that can still be answered. Relayed heartbeats are
-   * never refused here.
+   * Refuses a heartbeat that has waited too long, because its worker no longer reads the answer.
+   * The node can then spend its time on heartbeats that can still be answered. Relayed heartbeats
+   * are never refused here.
    *
    * @return whether the event was refused; the core must then not handle it
    */
--- a/src/main/java/org/eiderstair/node/OverloadDetector.java
+++ b/src/main/java/org/eiderstair/node/OverloadDetector.java
@@ -29,7 +29,8 @@
   }
 
   /**
-   * Returns whether too many events have waited for so long that deferrable requests are refused.
+   * Returns whether this node is behind: too many events have waited for a second or longer.
+   * Deferrable requests are then refused.
    */
   boolean isBehind() {
     return behind;
--- a/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
+++ b/src/test/java/org/eiderstair/http/HttpClientPoolTest.java
@@ -112,7 +112,8 @@
       }
       assertTrue(answered.await(20, TimeUnit.SECONDS));
       replies.values().forEach(r -> assertEquals(new Reply.Refused(400), r));
-      // The server sees the end of a connection later than the pool, which opens another meanwhile.
+      // The server sees the end of a connection later than the pool. By then, the pool may have
+      // opened another connection.
       assertTrue(maxOpen.get() <= 2 * share, "open at once " + maxOpen.get());
       sockets.stop();
     } finally {
--- a/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
+++ b/src/test/java/org/eiderstair/sim/ControllerFaultScenariosTest.java
@@ -149,7 +149,7 @@
           int partitionedZone = (cluster.leader() + 1) % 3;
           zone[0] = String.valueOf("abc".charAt(partitionedZone));
           cluster.outages.partitionZone(partitionedZone, 70 * SECOND_MICROS);
-          // Machines die during the partition, so replacements are rented meanwhile.
+          // Machines die during the partition, so replacements are rented while it lasts.
           cluster.clock.after(12 * SECOND_MICROS, () -> cluster.cloud.killMachines(60));
           cluster.clock.after(
               9 * SECOND_MICROS, () -> rented[0] = cluster.cloud.rentedInZoneCount(zone[0]));
